--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,11 +18,24 @@
 
 def make_spec(number: int = 1, **changes: Any) -> JobSpec:
     fields: dict[str, Any] = {
-        "id": f"wk-{number:06d}", "lane": "train", "crew": "red", "shape": "gang",
-        "urgency": "normal", "frames": 2, "vcpus": 4.0, "cards": 2.0, "ram_gb": 8.0,
-        "comb": "img-0", "image_gb": 4.0, "same_place": True, "scatter": False,
-        "drones": False, "forage_s": 20.0, "cap_s": 5.0, "seal_s": 1.0,
-    }  # fmt: skip
+        "id": f"wk-{number:06d}",
+        "lane": "train",
+        "crew": "red",
+        "shape": "gang",
+        "urgency": "normal",
+        "frames": 2,
+        "vcpus": 4.0,
+        "cards": 2.0,
+        "ram_gb": 8.0,
+        "comb": "img-0",
+        "image_gb": 4.0,
+        "same_place": True,
+        "scatter": False,
+        "drones": False,
+        "forage_s": 20.0,
+        "cap_s": 5.0,
+        "seal_s": 1.0,
+    }
     fields.update(changes)
     return JobSpec(**fields)
 
@@ -50,9 +63,7 @@
         return job
 
     def hold(self, job: Job, slots: dict[str, int], serial: int = 1) -> Hold:
-        hold = Hold(
-            job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job)
-        )
+        hold = Hold(job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job))
         self.book.holds.setdefault("hive-0", {})[job.id] = hold
         return hold
 
@@ -63,18 +74,30 @@
         return runs
 
     def report(
-        self, name: str, zone: str = "a", term: int | None = None, flight: int = 1,
-        smoke_s: float | None = None, carry_out: bool = True,
-    ) -> list[Call]:  # fmt: skip
+        self,
+        name: str,
+        zone: str = "a",
+        term: int | None = None,
+        flight: int = 1,
+        smoke_s: float | None = None,
+        carry_out: bool = True,
+    ) -> list[Call]:
         """A worker's report of the frames that it has, and the commands it gets."""
         self.tallies[name] = self.tallies.get(name, 0) + 1
         frames = self.frames.setdefault(name, {})
         machine = self.realm.machines.get(name)
         rep = Report(
-            name, f"{name}:9", "b1", machine.zone if machine else zone, False, flight,
-            self.tallies[name], self.realm.term if term is None else term,
-            list(frames.values()), smoke_s,
-        )  # fmt: skip
+            name,
+            f"{name}:9",
+            "b1",
+            machine.zone if machine else zone,
+            False,
+            flight,
+            self.tallies[name],
+            self.realm.term if term is None else term,
+            list(frames.values()),
+            smoke_s,
+        )
         heard = self.realm.report(rep, False, self.now)
         calls = self.realm.answer(heard, rep, self.now) if heard is not None else []
         if carry_out:
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -53,9 +53,11 @@
     def check(self) -> None:
         super().check()
         there = {
-            task.job for worker in self.cloud.workers.values()
-            for task in worker.tasks.values() if task.stage != "ended"
-        }  # fmt: skip
+            task.job
+            for worker in self.cloud.workers.values()
+            for task in worker.tasks.values()
+            if task.stage != "ended"
+        }
         for job in self.cancelled_at:
             if job in there:
                 self.gone_at.pop(job, None)
@@ -64,9 +66,7 @@
 
     def took_s(self) -> float:
         """How long after its confirmation the latest job's last task was gone."""
-        return max(
-            self.gone_at.get(job, LONG_S) - at for job, at in self.cancelled_at.items()
-        )
+        return max(self.gone_at.get(job, LONG_S) - at for job, at in self.cancelled_at.items())
 
     # -- what a test does -----------------------------------------------------
 
@@ -88,9 +88,10 @@
     def leader(self) -> str | None:
         """The loaded leader with the newest token."""
         leading = [
-            (node.leading.term, name) for name, node in self.nodes.items()
+            (node.leading.term, name)
+            for name, node in self.nodes.items()
             if node.leading is not None and node.leading.loaded
-        ]  # fmt: skip
+        ]
         return max(leading)[1] if leading else None
 
     def others(self, name: str | None) -> list[str]:
@@ -103,11 +104,22 @@
         """A job that is accepted by this controller."""
         self.numbers += 1
         spec = {
-            **self.new_spec(self.numbers), "lane": "fill", "shape": "batch", "frames": 3,
-            "cards": 1.0, "vcpus": 1.0, "ram_gb": 1.0, "image_gb": 1.0, "apiary": None,
-            "same_place": False, "urgency": "normal", "drones": False, "cap_s": 0.0,
-            "forage_s": run_s, **changes,
-        }  # fmt: skip
+            **self.new_spec(self.numbers),
+            "lane": "fill",
+            "shape": "batch",
+            "frames": 3,
+            "cards": 1.0,
+            "vcpus": 1.0,
+            "ram_gb": 1.0,
+            "image_gb": 1.0,
+            "apiary": None,
+            "same_place": False,
+            "urgency": "normal",
+            "drones": False,
+            "cap_s": 0.0,
+            "forage_s": run_s,
+            **changes,
+        }
         job = str(spec["id"])
         self.specs[job] = spec
         self.run_s[job] = run_s
@@ -124,9 +136,11 @@
 
         def on() -> bool:
             stages = [
-                task.stage for worker in self.cloud.workers.values()
-                for task in worker.tasks.values() if task.job in jobs
-            ]  # fmt: skip
+                task.stage
+                for worker in self.cloud.workers.values()
+                for task in worker.tasks.values()
+                if task.job in jobs
+            ]
             return stages.count("running") == tasks
 
         await self.until(on, 120.0)
@@ -191,9 +205,11 @@
 
 
 def play_scene(
-    act: Callable[[Scene], Awaitable[None]], monkeypatch: pytest.MonkeyPatch,
-    site: str = "hive", seed: int = 1,
-) -> Scene:  # fmt: skip
+    act: Callable[[Scene], Awaitable[None]],
+    monkeypatch: pytest.MonkeyPatch,
+    site: str = "hive",
+    seed: int = 1,
+) -> Scene:
     """Play what `act` does; whoever calls checks the rules."""
     scenes: list[Scene] = []
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -184,9 +184,13 @@
     """Stands in for the pooled HTTP client."""
 
     def __init__(
-        self, net: Net, source: str, address: tuple[str, int], alive: Callable[[], bool],
+        self,
+        net: Net,
+        source: str,
+        address: tuple[str, int],
+        alive: Callable[[], bool],
         thawed: Callable[[str], Awaitable[None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._thawed = thawed
         self._net = net
         self._source = source
@@ -232,9 +236,7 @@
         self.slow_s = 0.0  # an answer takes up to so long
         self._changed = curio.Event()
 
-    async def handle(
-        self, source: str, method: str, path: str, body: Any
-    ) -> tuple[int, Any]:
+    async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         if self.slow_s and not path.startswith("/watch"):
             await curio.sleep(self.slow_s * (0.1 + 0.9 * (self.harvest % 7 == 0)))
         await self._expire()
@@ -248,7 +250,7 @@
         if path == "/store":
             return self._list(args)
         if path.startswith("/store/"):
-            return self._get(path[len("/store/"):])
+            return self._get(path[len("/store/") :])
         if path == "/multi":
             return await self._multi(body)
         if path == "/grants":
@@ -300,18 +302,18 @@
 
     def _list(self, args: dict[str, str]) -> tuple[int, Any]:
         keys = sorted(
-            key for key in self.data
-            if key.startswith(args["under"]) and key > args.get("from", "")
-        )  # fmt: skip
+            key for key in self.data if key.startswith(args["under"]) and key > args.get("from", "")
+        )
         most = min(int(args.get("most", 1000)), 7)
         page = [{"key": k, "data": self.data[k][0], "mark": self.data[k][1]} for k in keys[:most]]
         return 200, {"entries": page, "truncated": len(keys) > most, "harvest": self.harvest}
 
     async def _multi(self, body: Any) -> tuple[int, Any]:
         failed = [
-            guard["key"] for guard in body["guards"]
+            guard["key"]
+            for guard in body["guards"]
             if self.data.get(guard["key"], (None, 0, None))[1] != guard["mark"]
-        ]  # fmt: skip
+        ]
         if failed:
             return 409, {"failed": failed, "harvest": self.harvest}
         for change in body["then"]:
@@ -335,12 +337,17 @@
         while True:
             await self._expire()
             hidden = self.down or source in self.refused
-            events = [] if hidden else [
-                {"put": key, "data": data, "mark": mark} if data is not None
-                else {"drop": key, "mark": mark}
-                for mark, key, data in self.changes
-                if mark > since and key.startswith(args["under"])
-            ]  # fmt: skip
+            events = (
+                []
+                if hidden
+                else [
+                    {"put": key, "data": data, "mark": mark}
+                    if data is not None
+                    else {"drop": key, "mark": mark}
+                    for mark, key, data in self.changes
+                    if mark > since and key.startswith(args["under"])
+                ]
+            )
             if events or self.clock.now >= end:
                 return 200, {"harvest": since if hidden else self.harvest, "events": events}
             await curio.ignore_after(0.1, self._changed.wait)
@@ -406,9 +413,11 @@
         """Whether the machine may take tasks of a job at all, just now."""
         well = self.up and not self.gone and not self.sick and self.gone_at is None
         return (
-            well and self.world.clock.now > max(self.hanging_until, self.deaf_until)
-            and spec["apiary"] in (None, self.zone) and (spec["drones"] or not self.spot)
-        )  # fmt: skip
+            well
+            and self.world.clock.now > max(self.hanging_until, self.deaf_until)
+            and spec["apiary"] in (None, self.zone)
+            and (spec["drones"] or not self.spot)
+        )
 
     def slots(self, spec: dict[str, Any]) -> int:
         """How many more tasks of this size it takes."""
@@ -434,10 +443,17 @@
             frames.append(item)
         smoke = None if self.gone_at is None else max(0.0, self.gone_at - self.world.clock.now)
         return {
-            "box": self.name, "endpoint": self.host, "breed": "b1", "apiary": self.zone,
-            "drones": self.spot, "flight": self.flight, "tally": self.tally,
-            "crown": self.term, "smoke_s": smoke, "frames": frames,
-        }  # fmt: skip
+            "box": self.name,
+            "endpoint": self.host,
+            "breed": "b1",
+            "apiary": self.zone,
+            "drones": self.spot,
+            "flight": self.flight,
+            "tally": self.tally,
+            "crown": self.term,
+            "smoke_s": smoke,
+            "frames": frames,
+        }
 
     async def run(self) -> None:
         """Report until the machine is gone."""
@@ -493,9 +509,7 @@
             if sent < self.mute_until:
                 await curio.sleep(0.5)
                 raise NotSent(target)
-            status, body = await world.net.ask(
-                self.host, target, "POST", "/v1/report", rep, 4.0
-            )
+            status, body = await world.net.ask(self.host, target, "POST", "/v1/report", rep, 4.0)
             if sent < self.deaf_until:
                 await curio.sleep(max(0.0, sent + 4.0 - world.clock.now))
                 raise NoAnswer(target)
@@ -523,9 +537,7 @@
         self._carry_out(answer["calls"])
         return float(world.settings.cluster.workers.report_s)
 
-    async def handle(
-        self, source: str, method: str, path: str, body: Any
-    ) -> tuple[int, Any]:
+    async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         if self.gone or self.world.clock.now < self.deaf_until:
             await curio.sleep(1e9)
         late = self.world.clock.now < self.hanging_until
@@ -659,17 +671,21 @@
     def snapshot(self) -> None:
         now = self.world.clock.now
         boxes = [
-            {"id": w.name, "endpoint": w.host, "breed": "b1", "apiary": w.zone,
-             "drones": w.spot, "stage": w.stage(now),
-             "age_s": now - w.rented_at}
+            {
+                "id": w.name,
+                "endpoint": w.host,
+                "breed": "b1",
+                "apiary": w.zone,
+                "drones": w.spot,
+                "stage": w.stage(now),
+                "age_s": now - w.rented_at,
+            }
             for w in self.workers.values()
-        ]  # fmt: skip
+        ]
         self.history.append((now, boxes))
         self.history = [item for item in self.history if now - item[0] < 12.0]
 
-    async def handle(
-        self, source: str, method: str, path: str, body: Any
-    ) -> tuple[int, Any]:
+    async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         if self.down:
             return 503, {"error": "trouble"}
         if path.startswith("/machines?"):
@@ -679,11 +695,22 @@
             boxes = old[-1] if old else []
             return 200, {"boxes": boxes, "truncated": False}
         if path == "/catalog":
-            return 200, {"breeds": [{
-                "label": "b1", "vcpus": 16, "cards": 4, "ram_gb": 64, "local_gb": 100,
-                "fetch_gb_per_s": 2.0, "hourly": 10.0, "market_price": 4.0, "ready_s": 3,
-                "apiaries": ["a", "b"],
-            }]}  # fmt: skip
+            return 200, {
+                "breeds": [
+                    {
+                        "label": "b1",
+                        "vcpus": 16,
+                        "cards": 4,
+                        "ram_gb": 64,
+                        "local_gb": 100,
+                        "fetch_gb_per_s": 2.0,
+                        "hourly": 10.0,
+                        "market_price": 4.0,
+                        "ready_s": 3,
+                        "apiaries": ["a", "b"],
+                    }
+                ]
+            }
         if path == "/machines/release":
             await curio.sleep(0.2)
             for name in body["boxes"]:
@@ -730,8 +757,10 @@
     """A small deployment: two zones, two teams, short times."""
     return msgspec.convert(
         {
-            "node_name": name, "domain": zone,
-            "bind": f"{name}:80", "peer_listen": f"{name}:81",
+            "node_name": name,
+            "domain": zone,
+            "bind": f"{name}:80",
+            "peer_listen": f"{name}:81",
             "seeds": [{"node_name": o, "domain": z, "addr": f"{o}:81"} for o, z in others],
             "outside": {"cloud": CloudService.HOST, "state": StateService.HOST},
             "cluster": {
@@ -740,15 +769,20 @@
                     {"name": "red", "gpus": 8.0, "gpus_max": 20.0},
                     {"name": "blue", "gpus": 4.0, "gpus_max": 12.0},
                 ],
-                "workers": {"report_s": 1.0, "lease_s": 10.0, "gang_wait_s": 20.0,
-                            "gang_peer_s": 4.0, "cancel_s": 20.0},
+                "workers": {
+                    "report_s": 1.0,
+                    "lease_s": 10.0,
+                    "gang_wait_s": 20.0,
+                    "gang_peer_s": 4.0,
+                    "cancel_s": 20.0,
+                },
                 "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 8},
                 "cloud": {"rps": 20.0, "list_lag_s": 2.0},
                 "limits": {"cpu_share": 0.5, "mem_mb": 100.0, "sockets": 100},
             },
         },
         Settings,
-    )  # fmt: skip
+    )
 
 
 async def start_node(world: Any, name: str) -> None:
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -86,9 +86,10 @@
 def starve(patch: pytest.MonkeyPatch, left_out: Callable[[Job], bool]) -> None:
     waiting = Realm._waiting_jobs
     patch.setattr(
-        Realm, "_waiting_jobs",
+        Realm,
+        "_waiting_jobs",
         lambda self, now: [job for job in waiting(self, now) if not left_out(job)],
-    )  # fmt: skip
+    )
 
 
 def starve_a_team(patch: pytest.MonkeyPatch) -> None:
@@ -169,6 +170,12 @@
 
 def test_variants_cover_the_rules() -> None:
     assert {rule for _, rule, _ in VARIANTS} == {
-        "ran_twice", "quota", "wrong_place", "ran_cancelled", "forgotten", "invented",
-        "not_done", "went_back",
-    }  # fmt: skip
+        "ran_twice",
+        "quota",
+        "wrong_place",
+        "ran_cancelled",
+        "forgotten",
+        "invented",
+        "not_done",
+        "went_back",
+    }
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -67,9 +67,13 @@
 
 
 def gap(
-    twist: Twist, monkeypatch: pytest.MonkeyPatch, site: str, seed: int = 1,
-    before: Callable[[Scene], None] | None = None, links: bool = True,
-) -> Scene:  # fmt: skip
+    twist: Twist,
+    monkeypatch: pytest.MonkeyPatch,
+    site: str,
+    seed: int = 1,
+    before: Callable[[Scene], None] | None = None,
+    links: bool = True,
+) -> Scene:
     """The gap: refused alone, cancelled, out for all; `before` is set up with the refusal."""
 
     async def act(scene: Scene) -> None:
@@ -98,9 +102,16 @@
 
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize(
-    "twist", [nothing, confirmer_ends, leader_ends, all_but_confirmer_restart, all_restart,
-              confirmer_restarts_alone],
-)  # fmt: skip
+    "twist",
+    [
+        nothing,
+        confirmer_ends,
+        leader_ends,
+        all_but_confirmer_restart,
+        all_restart,
+        confirmer_restarts_alone,
+    ],
+)
 def test_gap(twist: Twist, site: str, monkeypatch: pytest.MonkeyPatch) -> None:
     scene = gap(twist, monkeypatch, site)
     assert_rules(scene)
@@ -164,9 +175,11 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("trouble", [deaf, mute, hang])
 def test_gap_with_machines_out_of_reach(
-    trouble: Callable[[Worker, float], None], site: str, links: bool,
+    trouble: Callable[[Worker, float], None],
+    site: str,
+    links: bool,
     monkeypatch: pytest.MonkeyPatch,
-) -> None:  # fmt: skip
+) -> None:
     """What can't be shown to be gone takes its machine with it, without the state service."""
 
     healthy: list[Worker] = []
@@ -186,9 +199,7 @@
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_gap_with_a_leader_that_could_not_load(
-    site: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_gap_with_a_leader_that_could_not_load(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Her token voids the old leader's commands, so she has to kill without a realm."""
 
     async def act(scene: Scene) -> None:
@@ -205,9 +216,10 @@
 
         def new() -> bool:
             elected[:] = [
-                name for name, node in scene.nodes.items()
+                name
+                for name, node in scene.nodes.items()
                 if name != old and node.leading is not None
-            ]  # fmt: skip
+            ]
             return bool(elected)
 
         while not new():
@@ -312,9 +324,7 @@
     """Those who keep workers without a realm, the leader that led among them ended."""
     no_enforcer(monkeypatch)
     assert gap(leader_ends, monkeypatch, "hive").broken == []
-    monkeypatch.setattr(
-        Node, "_answer_kept", lambda self, rep, term: Answer(200, Orders(term, []))
-    )
+    monkeypatch.setattr(Node, "_answer_kept", lambda self, rep, term: Answer(200, Orders(term, [])))
     assert "ran_cancelled" in gap(leader_ends, monkeypatch, "hive").broken
 
 
@@ -401,9 +411,13 @@
         placements = Placements()
         placements.told(3, [["host-1", None, ["wk-1"]], ["host-2", None, ["wk-2"]]])
         enforcer = Enforcer(
-            settings, record, placements, Cloud(), None,  # type: ignore[arg-type]
+            settings,
+            record,
+            placements,
+            Cloud(),
+            None,  # type: ignore[arg-type]
             lambda job, now: seen_to[job],
-        )  # fmt: skip
+        )
         record.add("wk-1", time.time() - 0.65 * cancel_s, time.time())
         for _ in range(15):
             await enforcer.round()
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -27,9 +27,7 @@
         self.guarded: list[set[str]] = []
         self.puts: list[set[str]] = []
 
-    async def commit(
-        self, guards: list[Any], then: list[Any], *_: Any, **__: Any
-    ) -> int:
+    async def commit(self, guards: list[Any], then: list[Any], *_: Any, **__: Any) -> int:
         return await self.multi(guards, then)
 
     async def multi(self, guards: list[Any], then: list[Any], *_: Any) -> int:
@@ -76,8 +74,7 @@
     assert all(run.state is RunState.WRITTEN for run in runs)
     for run in runs:
         assert any(
-            f"live/{run.job.id}" in guarded and "queen/now" in guarded
-            for guarded in store.guarded
+            f"live/{run.job.id}" in guarded and "queen/now" in guarded for guarded in store.guarded
         ), run.job.id
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -57,7 +57,9 @@
 
         def placed_again() -> bool:
             return any(
-                task.frame in lost for worker in scene.busy_workers() if worker is not first
+                task.frame in lost
+                for worker in scene.busy_workers()
+                if worker is not first
                 for task in worker.present()
             )
 
@@ -88,7 +90,8 @@
         held = {**held, "tally": 10_000}  # the newest that she hears, and yet from before her
         await scene.request(new, "POST", "/v1/report", held)
         run = [
-            run for run in scene.nodes[new].leading.realm.jobs[job].runs.values()
+            run
+            for run in scene.nodes[new].leading.realm.jobs[job].runs.values()
             if run.machine == first.name
         ]
         assert len(run) == 1 and run[0].present, "it still counts as possibly running"
@@ -276,7 +279,8 @@
             await scene.end(name)
         await curio.sleep(1.3 * scene.workers.lease_s)
         assert all(
-            worker.flight > sessions[worker.name] for worker in scene.cloud.workers.values()
+            worker.flight > sessions[worker.name]
+            for worker in scene.cloud.workers.values()
             if worker.name in sessions
         ), "every lease has ended"
         for name in scene.names:
@@ -336,7 +340,10 @@
                 await curio.spawn(scene.cancel, job, scene.rng.choice(scene.names)),
                 await curio.spawn(scene.poll, job, scene.rng.choice(scene.names)),
                 await curio.spawn(
-                    scene.request, scene.rng.choice(scene.names), "POST", "/api/jobs",
+                    scene.request,
+                    scene.rng.choice(scene.names),
+                    "POST",
+                    "/api/jobs",
                     scene.specs[job],
                 ),
             ]
@@ -407,9 +414,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_jobs_bound_to_one_zone_lose_machines(
-    seed: int, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_jobs_bound_to_one_zone_lose_machines(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(scene: Scene) -> None:
         await scene.begin()
         leader = scene.leader()
@@ -487,7 +492,8 @@
                 scene.rng.choice(workers).new_session()
             for worker in workers:
                 past = [
-                    rep for rep in worker.past_reports[:-1]
+                    rep
+                    for rep in worker.past_reports[:-1]
                     if (rep["flight"], rep["tally"]) < (worker.flight, worker.tally)
                 ]
                 for rep in scene.rng.sample(past, min(2, len(past))):
@@ -568,9 +574,12 @@
         coming = await curio.spawn(scene.users_come, 20, 40.0, daemon=True)
         await scene.odd_requests(80.0)
         assert scene.odd_answers == {
-            "repeat": {200}, "odd_repeat": {200}, "cancel_done": {200}, "huge": {422},
+            "repeat": {200},
+            "odd_repeat": {200},
+            "cancel_done": {200},
+            "huge": {422},
             "lacking": {400},
-        }  # fmt: skip
+        }
         leader = scene.leader()
         assert leader is not None
         for path in ("/api/jobs/wk-999999", "/api/jobs/wk-999999/cancel"):
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -11,8 +11,15 @@
 
 CONTROLLERS = ["crash", "crash", "crash_leader", "crash_all", "roll", "crash_election"]
 NETWORK = [
-    "zones_cut", "node_cut", "node_off_state", "machine_cut", "leader_off_zone", "loss",
-    "node_off_all_but_workers", "leader_off_all_but_workers", "late_copies",
+    "zones_cut",
+    "node_cut",
+    "node_off_state",
+    "machine_cut",
+    "leader_off_zone",
+    "loss",
+    "node_off_all_but_workers",
+    "leader_off_all_but_workers",
+    "late_copies",
 ]
 OUTSIDE = ["state_down", "state_refused", "leader_refused", "cloud_down"]
 MACHINES = ["hang", "hang", "notice", "taken", "sick", "deaf", "deaf_zone", "blink"]
@@ -50,9 +57,15 @@
 
 
 def play(
-    seed: int, kinds: list[str], monkeypatch: Any, jobs: int = 30, trouble_s: float = 60.0,
-    calm_s: float = 400.0, capacity: int = 9, limit: float = 1.0,
-) -> World:  # fmt: skip
+    seed: int,
+    kinds: list[str],
+    monkeypatch: Any,
+    jobs: int = 30,
+    trouble_s: float = 60.0,
+    calm_s: float = 400.0,
+    capacity: int = 9,
+    limit: float = 1.0,
+) -> World:
     worlds: list[World] = []
 
     async def main(clock: VirtualTime) -> None:
--- a/tests/test_realm.py
+++ b/tests/test_realm.py
@@ -202,18 +202,19 @@
 
 def test_gang_gets_its_teams_limit_back_from_lower_work() -> None:
     bench = Bench(machines=8)
-    bench.job(make_spec(1, crew="blue", shape="batch", frames=12, cards=1.0,
-                        urgency="best_effort"))  # fmt: skip
+    bench.job(make_spec(1, crew="blue", shape="batch", frames=12, cards=1.0, urgency="best_effort"))
     assert len(bench.plan()) == 12
     bench.all_report()
     gang = bench.job(make_spec(2, crew="blue", cards=2.0))
     free = [
-        name for name, machine in bench.realm.machines.items()
+        name
+        for name, machine in bench.realm.machines.items()
         if machine.zone == "a" and machine.empty
     ] + [
-        name for name, machine in bench.realm.machines.items()
+        name
+        for name, machine in bench.realm.machines.items()
         if machine.zone == "a" and not machine.empty and machine.free()[1] >= 2
-    ]  # fmt: skip
+    ]
     bench.hold(gang, dict.fromkeys(free[:2], 1))
     bench.plan()
     stopping = [run for run in bench.realm.jobs["wk-000001"].runs.values() if run.stopping]
@@ -222,8 +223,17 @@
 
 def test_urgent_gang_gets_room_and_equals_do_not() -> None:
     bench = Bench(machines=2)
-    low = bench.job(make_spec(1, shape="batch", frames=2, cards=4.0, same_place=False, crew="blue",
-                              urgency="best_effort"))  # fmt: skip
+    low = bench.job(
+        make_spec(
+            1,
+            shape="batch",
+            frames=2,
+            cards=4.0,
+            same_place=False,
+            crew="blue",
+            urgency="best_effort",
+        )
+    )
     assert len(bench.plan()) == 2
     bench.all_report()
     equal = bench.job(make_spec(2, frames=1, cards=4.0, urgency="best_effort", crew="blue"))
@@ -240,8 +250,9 @@
     """Guest gangs that book everything must not starve work that goes first."""
     bench = Bench(machines=2)
     for number in (1, 2):
-        guest = bench.job(make_spec(number, frames=1, cards=4.0, crew="blue",
-                                    urgency="best_effort"))  # fmt: skip
+        guest = bench.job(
+            make_spec(number, frames=1, cards=4.0, crew="blue", urgency="best_effort")
+        )
         bench.hold(guest, {f"host-{number - 1}": 1})
     bench.realm.refresh_guarantees()
     bench.realm.jobs["wk-000002"].within = False
@@ -506,8 +517,17 @@
 def test_gang_that_has_waited_long_goes_before_work_within_guarantees() -> None:
     """Arrays within guarantees filled each machine before a large gang had them all."""
     bench = Bench(machines=2)
-    filler = bench.job(make_spec(1, shape="batch", frames=4, cards=2.0, urgency="best_effort",
-                                 crew="red", same_place=False))  # fmt: skip
+    filler = bench.job(
+        make_spec(
+            1,
+            shape="batch",
+            frames=4,
+            cards=2.0,
+            urgency="best_effort",
+            crew="red",
+            same_place=False,
+        )
+    )
     bench.plan()
     bench.all_report()
     bench.stage("host-0", "running")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -7,9 +7,7 @@
 from topazhold.wire.messages import FrameReport, Report
 
 
-def report(
-    term: int = 7, box: str = "host-1", zone: str = "a", busy: bool = False
-) -> Report:
+def report(term: int = 7, box: str = "host-1", zone: str = "a", busy: bool = False) -> Report:
     frames = [FrameReport("wk-1/0", 1, "running")] if busy else []
     return Report(box, "h:1", "b1", zone, False, 1, 1, term, frames)
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -26,16 +26,16 @@
 
 
 def find(spec, directory, caches, seed: int = 1, taken=None, tries: int = 2):
-    return search.search(
-        Random(seed), directory, caches, spec, (1, 2), taken or {}, RULES, tries
-    )
+    return search.search(Random(seed), directory, caches, spec, (1, 2), taken or {}, RULES, tries)
 
 
 def test_takes_the_soonest_group_with_its_image() -> None:
     directory, caches = fleet(
-        offer("m1", "a", 30.0), offer("m2", "a"), offer("m3", "a", images=("img-0",)),
+        offer("m1", "a", 30.0),
+        offer("m2", "a"),
+        offer("m3", "a", images=("img-0",)),
         offer("m4", "a", images=("img-0",)),
-    )  # fmt: skip
+    )
     group = find(make_spec(frames=2, cards=4.0), directory, caches)
     assert group is not None
     assert group.slots == {"m3": 1, "m4": 1} and group.wait == 0.0
@@ -127,9 +127,15 @@
 
 def test_offer_round_trip() -> None:
     item = Offer(
-        "m1", "a", "b1", True, frozenset({"x", "y"}), [(0.0, ROOM), (9.5, ROOM)],
-        [((1, 1), 2.0, ROOM)], 2.0,
-    )  # fmt: skip
+        "m1",
+        "a",
+        "b1",
+        True,
+        frozenset({"x", "y"}),
+        [(0.0, ROOM), (9.5, ROOM)],
+        [((1, 1), 2.0, ROOM)],
+        2.0,
+    )
     again = search.unpack_offer("a", item.pack())
     assert again.pack() == item.pack()
     assert [delay for delay, _ in again.ladder((1, 1), None)] == [0.0, 2.0, 9.5]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -111,9 +111,7 @@
 def test_bad_operators_file(good: Path, tmp_path: Path, text: str, field: str) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text(text)
-    result = CliRunner().invoke(
-        main, ["check", "--config", str(good), "--operator", str(path)]
-    )
+    result = CliRunner().invoke(main, ["check", "--config", str(good), "--operator", str(path)])
     assert result.exit_code == 2
     lines = result.stderr.strip().splitlines()
     assert len(lines) == 1 and str(path) in lines[0] and field in lines[0]
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -131,10 +131,16 @@
 
         users = [await curio.spawn(one, number, daemon=True) for number in range(100, 600)]
         report = {
-            "box": "host-1", "endpoint": "host-1:9", "breed": "b1", "apiary": "a",
-            "drones": False, "flight": 1, "tally": 1, "crown": node.leadership.term,
+            "box": "host-1",
+            "endpoint": "host-1:9",
+            "breed": "b1",
+            "apiary": "a",
+            "drones": False,
+            "flight": 1,
+            "tally": 1,
+            "crown": node.leadership.term,
             "frames": [],
-        }  # fmt: skip
+        }
         before = world.clock.now
         answer = await ask(node, "POST", "/v1/report", pack(report))
         assert answer.status == 200 and world.clock.now - before < 0.5
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -34,14 +34,32 @@
 @pytest.mark.parametrize(
     "change",
     [
-        {"frames": 0}, {"frames": 100_001}, {"frames": 1.5}, {"frames": True}, {"frames": "2"},
-        {"vcpus": -1.0}, {"cards": math.nan}, {"ram_gb": math.inf}, {"forage_s": None},
-        {"id": "wk-"}, {"id": "job-1"}, {"id": "wk-1/2"}, {"id": 7}, {"shape": "heap"},
-        {"urgency": "low"}, {"breeds": "b1"}, {"breeds": [1]}, {"same_place": 1},
-        {"crew": ""}, {"lane": "x" * 201}, {"cap_s": -0.1}, {"bloom_s": -1}, {"image_gb": "1"},
+        {"frames": 0},
+        {"frames": 100_001},
+        {"frames": 1.5},
+        {"frames": True},
+        {"frames": "2"},
+        {"vcpus": -1.0},
+        {"cards": math.nan},
+        {"ram_gb": math.inf},
+        {"forage_s": None},
+        {"id": "wk-"},
+        {"id": "job-1"},
+        {"id": "wk-1/2"},
+        {"id": 7},
+        {"shape": "heap"},
+        {"urgency": "low"},
+        {"breeds": "b1"},
+        {"breeds": [1]},
+        {"same_place": 1},
+        {"crew": ""},
+        {"lane": "x" * 201},
+        {"cap_s": -0.1},
+        {"bloom_s": -1},
+        {"image_gb": "1"},
     ],
     ids=str,
-)  # fmt: skip
+)
 def test_bad_fields_are_refused(change: dict[str, Any]) -> None:
     try:
         spec = read(cbor2.dumps(fields(**change)), JobSpec)
@@ -67,11 +85,13 @@
         pass
 
 
-@given(st.recursive(
-    st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
-    lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner),
-    max_leaves=8,
-))  # fmt: skip
+@given(
+    st.recursive(
+        st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
+        lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=5), inner),
+        max_leaves=8,
+    )
+)
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_any_value_is_refused_or_a_job(value: Any) -> None:
     with pytest.raises(BadMessage):
--- a/tests/world.py
+++ b/tests/world.py
@@ -23,8 +23,13 @@
 
 #: Troubles that cut connections.
 CUTS = (
-    "zones_cut", "node_cut", "node_off_state", "machine_cut", "leader_off_zone",
-    "node_off_all_but_workers", "leader_off_all_but_workers",
+    "zones_cut",
+    "node_cut",
+    "node_off_state",
+    "machine_cut",
+    "leader_off_zone",
+    "node_off_all_but_workers",
+    "leader_off_all_but_workers",
 )
 STEP_S = 0.1
 #: How long a question may go unanswered once troubles are over.
@@ -122,9 +127,10 @@
         zones: list[str] = []
         for other in self.cloud.workers.values():
             zones += [
-                other.zone for there in other.present()
+                other.zone
+                for there in other.present()
                 if there.job == task.job and there is not task
-            ]  # fmt: skip
+            ]
         if spec["same_place"] and any(zone != worker.zone for zone in zones):
             self.violate("wrong_place", f"{task.frame} not in its job's zone")
         if spec["scatter"] and zones.count(worker.zone) + 1 > (spec["frames"] + 1) // 2:
@@ -136,10 +142,11 @@
 
     def peers(self, task: Task) -> list[tuple[Worker, Task]]:
         return [
-            (worker, there) for worker in self.cloud.workers.values()
+            (worker, there)
+            for worker in self.cloud.workers.values()
             for there in worker.tasks.values()
             if there.job == task.job and there.attempt == task.attempt
-        ]  # fmt: skip
+        ]
 
     def gather(self, worker: Worker, task: Task) -> None:
         """A gang runs once all its tasks are there."""
@@ -235,15 +242,14 @@
             else:
                 self.could_start_since.pop(job, None)
 
-    def _could_start(
-        self, job: str, there: set[tuple[str, int]], used: dict[str, float]
-    ) -> bool:
+    def _could_start(self, job: str, there: set[tuple[str, int]], used: dict[str, float]) -> bool:
         """Whether a task of an array, or a whole gang, waits though there is room."""
         spec = self.specs[job]
         waiting = [
-            index for index in range(spec["frames"])
+            index
+            for index in range(spec["frames"])
             if (job, index) not in there and (job, index) not in self.results
-        ]  # fmt: skip
+        ]
         if not waiting or spec["lane"] == "broken" or self.told[job] in ("done", "aborted"):
             return False
         gang = spec["shape"] == "gang"
@@ -281,9 +287,8 @@
             served = [job for job in jobs if job in self.began_at]
             if name == "largest":
                 served = [
-                    job for job in served
-                    if self.began_at[job] - self.submitted_at[job] <= BEGIN_S
-                ]  # fmt: skip
+                    job for job in served if self.began_at[job] - self.submitted_at[job] <= BEGIN_S
+                ]
             if 2 * len(served) < len(jobs):
                 self.violate("starved", f"{name}: {len(served)} of {len(jobs)}")
 
@@ -330,19 +335,29 @@
         frames = rng.choice([1, 2, 3, 4]) if gang else rng.choice([1, 3, 6, 12])
         cards = rng.choice([1.0, 2.0])
         return {
-            "id": f"wk-{number:06d}", "lane": rng.choice(["train", "fill"]),
-            "crew": rng.choice(["red", "blue"]), "shape": "gang" if gang else "batch",
-            "urgency": rng.choice(["urgent", "normal", "best_effort"]), "frames": frames,
-            "vcpus": 4.0, "cards": cards, "ram_gb": 8.0, "comb": f"img-{rng.randrange(4)}",
-            "image_gb": rng.uniform(1.0, 6.0), "breeds": rng.choice([None, ["b1", "b9"]]),
+            "id": f"wk-{number:06d}",
+            "lane": rng.choice(["train", "fill"]),
+            "crew": rng.choice(["red", "blue"]),
+            "shape": "gang" if gang else "batch",
+            "urgency": rng.choice(["urgent", "normal", "best_effort"]),
+            "frames": frames,
+            "vcpus": 4.0,
+            "cards": cards,
+            "ram_gb": 8.0,
+            "comb": f"img-{rng.randrange(4)}",
+            "image_gb": rng.uniform(1.0, 6.0),
+            "breeds": rng.choice([None, ["b1", "b9"]]),
             "apiary": rng.choice([None, None, None, "a", "b"]),
-            "same_place": rng.random() < 0.4, "scatter": False, "drones": rng.random() < 0.5,
-            "forage_s": 8.0, "cap_s": rng.choice([0.0, 5.0]), "seal_s": 1.0, "bloom_s": None,
-        }  # fmt: skip
+            "same_place": rng.random() < 0.4,
+            "scatter": False,
+            "drones": rng.random() < 0.5,
+            "forage_s": 8.0,
+            "cap_s": rng.choice([0.0, 5.0]),
+            "seal_s": 1.0,
+            "bloom_s": None,
+        }
 
-    async def ask(
-        self, method: str, path: str, body: Any, timeout_s: float
-    ) -> tuple[int, Any]:
+    async def ask(self, method: str, path: str, body: Any, timeout_s: float) -> tuple[int, Any]:
         up = [name for name in self.names if name in self.nodes]
         if not up:
             await curio.sleep(0.5)
@@ -546,8 +561,10 @@
     async def cut(self, kind: str, name: str, for_s: float) -> None:
         pairs = {
             "zones_cut": [("a", "b")],
-            "node_cut": [(name, z) for z in ("a", "b")] + [
-                (name, o) for o in (*self.names, "user", StateService.HOST, CloudService.HOST)
+            "node_cut": [(name, z) for z in ("a", "b")]
+            + [
+                (name, o)
+                for o in (*self.names, "user", StateService.HOST, CloudService.HOST)
                 if o != name
             ],
             "node_off_state": [(name, StateService.HOST)],
@@ -555,17 +572,21 @@
                 (name, o) for o in (*self.names, StateService.HOST) if o != name
             ],
             "leader_off_all_but_workers": [
-                (n, o) for n, node in self.nodes.items() if node.leading is not None
-                for o in (*self.names, StateService.HOST) if o != n
+                (n, o)
+                for n, node in self.nodes.items()
+                if node.leading is not None
+                for o in (*self.names, StateService.HOST)
+                if o != n
             ],
             "leader_off_zone": [
                 (n, "b") for n, node in self.nodes.items() if node.leading is not None
             ],
             "machine_cut": [
-                (worker.host, n) for worker in list(self.cloud.workers.values())[:2]
+                (worker.host, n)
+                for worker in list(self.cloud.workers.values())[:2]
                 for n in self.names
             ],
-        }[kind]  # fmt: skip
+        }[kind]
         self.net.holding = self.rng.random() < 0.5
         cuts = {frozenset(pair) for pair in pairs}
         self.net.cuts |= cuts
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -49,9 +49,10 @@
 @click.version_option(__version__, prog_name="topazhold")
 @click.option("--config", type=click.Path(path_type=Path), help="The platform's settings (TOML).")
 @click.option(
-    "--operator", type=click.Path(path_type=Path),
+    "--operator",
+    type=click.Path(path_type=Path),
     help="The operators' own settings (protobuf text).  [default: deploy/operator.textproto]",
-)  # fmt: skip
+)
 @click.pass_context
 def main(ctx: click.Context, config: Path | None, operator: Path | None) -> None:
     """Schedule gangs and arrays of jobs on rented machines."""
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -129,9 +129,12 @@
         self._most_holds = self._limit // HOLD_BYTES
         self._zones = settings.cluster.zones
         self.rules = SearchRules(
-            operator.alpha, operator.search_groups, operator.search_rounds,
-            distance_s=workers.report_s, preference_s=1.0 * workers.report_s,
-        )  # fmt: skip
+            operator.alpha,
+            operator.search_groups,
+            operator.search_rounds,
+            distance_s=workers.report_s,
+            preference_s=1.0 * workers.report_s,
+        )
         self.wanted: dict[str, Wanted] = {}
         self.mine: dict[str, Hold] = {}
         self._written: list[Any] | None = None
@@ -157,9 +160,15 @@
     def _search(self, wanted: Wanted, view: View, draft: HoldBook) -> Group | None:
         taken = draft.taken(wanted.spec.id, wanted.turn, lambda hold: True)
         return search(
-            self._rng, view.directory, view.caches, wanted.spec, wanted.rank, taken,
-            self.rules, self._tries,
-        )  # fmt: skip
+            self._rng,
+            view.directory,
+            view.caches,
+            wanted.spec,
+            wanted.rank,
+            taken,
+            self.rules,
+            self._tries,
+        )
 
     def round(self, view: View, now: float, most: int = MOST_SEARCHED) -> None:
         """One round of searches; changes `mine` where a better group turned up."""
@@ -188,9 +197,14 @@
                 self._hold(wanted, group, wall)
 
     def _better(
-        self, wanted: Wanted, old: Hold, group: Group | None, view: View, draft: HoldBook,
+        self,
+        wanted: Wanted,
+        old: Hold,
+        group: Group | None,
+        view: View,
+        draft: HoldBook,
         wall: float,
-    ) -> Group | None:  # fmt: skip
+    ) -> Group | None:
         """The group to book instead of the held one, if any.
 
         Estimates are often wrong: the held group is judged by what is known now,
@@ -215,13 +229,22 @@
         spec = wanted.spec
         self._serial = max(self._serial + 1, int(wall * 1000))
         self.mine[spec.id] = Hold(
-            spec.id, group.slots, (spec.vcpus, spec.cards, spec.ram_gb), group.score,
-            self._serial, wall, group.room_wait <= self._report_s, wanted.turn,
-        )  # fmt: skip
+            spec.id,
+            group.slots,
+            (spec.vcpus, spec.cards, spec.ram_gb),
+            group.score,
+            self._serial,
+            wall,
+            group.room_wait <= self._report_s,
+            wanted.turn,
+        )
         log.info(
             "hold %s on %s, wait %.1f s, score %.1f",
-            spec.id, ",".join(group.slots), group.wait, group.score,
-        )  # fmt: skip
+            spec.id,
+            ",".join(group.slots),
+            group.wait,
+            group.score,
+        )
 
     async def write(self, permit: int, now: float) -> bool:
         """Write the holds if they changed; False if another's booking came between."""
@@ -236,7 +259,11 @@
         key = HOLD_PREFIX + self.node
         try:
             mark = await self._store.commit(
-                self.book.guards(), [wire.put(key, value, permit)], DECISIONS, key, token,
+                self.book.guards(),
+                [wire.put(key, value, permit)],
+                DECISIONS,
+                key,
+                token,
                 give_up_s=2.0,
             )
         except Conflict:
@@ -264,10 +291,12 @@
         """
         written = self.book.holds.get(self.node, {})
         touched = {
-            name for node, part in self.book.holds.items()
+            name
+            for node, part in self.book.holds.items()
             if node != self.node and self.book.marks.get(node) != before.get(node)
-            for hold in part.values() for name in hold.slots
-        }  # fmt: skip
+            for hold in part.values()
+            for name in hold.slots
+        }
         for job, hold in list(self.mine.items()):
             known = written.get(job)
             if known is not None and known.serial == hold.serial:
@@ -291,5 +320,5 @@
         """All controllers' holds, as the state service has them."""
         entries, _ = await self._store.entries(HOLD_PREFIX)
         self.book.replace(
-            {entry.key[len(HOLD_PREFIX):]: (entry.data, entry.mark) for entry in entries}
-        )  # fmt: skip
+            {entry.key[len(HOLD_PREFIX) :]: (entry.data, entry.mark) for entry in entries}
+        )
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -49,10 +49,14 @@
     """One controller's last word on cancelled jobs."""
 
     def __init__(
-        self, settings: Settings, cancellations: Cancellations, placements: Placements,
-        cloud: Cloud, dial: Callable[[tuple[str, int], int], Client],
+        self,
+        settings: Settings,
+        cancellations: Cancellations,
+        placements: Placements,
+        cloud: Cloud,
+        dial: Callable[[tuple[str, int], int], Client],
         seen_to: Callable[[str, float], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         workers = settings.cluster.workers
         self._cancel_s = workers.cancel_s
         self._report_s = workers.report_s
@@ -104,10 +108,11 @@
         held = self._placements.may_hold(frozenset(ages))
         await self._release(
             [
-                name for name, jobs in held.items()
+                name
+                for name, jobs in held.items()
                 if any(self._must_go(job, ages[job], now) for job in jobs)
             ]
-        )  # fmt: skip
+        )
         again_s = AGAIN_SHARE * self._cancel_s
         # Every machine is looked at some time after the last of them was left to this
         # controller, and once more.
@@ -158,9 +163,7 @@
             # Kills are safe from anybody, and a token equal to the worker's is heard.
             orders = Orders(rep.term, calls, rep.flight)
             log.info("%d tasks of cancelled jobs on %s killed from here", len(calls), name)
-            status, body = await client.ask(
-                "POST", wire.COMMANDS_PATH, orders, self._report_s
-            )
+            status, body = await client.ask("POST", wire.COMMANDS_PATH, orders, self._report_s)
             if status in (200, 409):
                 self._placements.seen(read(body, Report))
         except (NotSent, NoAnswer, BadMessage, ValueError) as exc:
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -68,8 +68,9 @@
         token = self._office.token()
         shelves = {
             self._office.shelves.of(realm.machines[run.machine], realm.machines)
-            for run in batch if run.machine in realm.machines
-        }  # fmt: skip
+            for run in batch
+            if run.machine in realm.machines
+        }
         values = self._office.shelves.values(shelves, realm.machines, token)
         if not values:
             realm.intents_failed(batch, await curio.clock())
@@ -95,7 +96,11 @@
         while True:
             try:
                 mark = await self._office.store.commit(
-                    guards, then, DECISIONS, records.on_key(next(iter(values))), token,
+                    guards,
+                    then,
+                    DECISIONS,
+                    records.on_key(next(iter(values))),
+                    token,
                     give_up_s=self._office.block_s,
                 )
                 break
@@ -127,8 +132,9 @@
             try:
                 mark = await office.store.multi(
                     [*office.guards(), (records.on_key(shelf.name), shelf.mark)],
-                    [wire.put(records.on_key(shelf.name), value)], DECISIONS,
-                )  # fmt: skip
+                    [wire.put(records.on_key(shelf.name), value)],
+                    DECISIONS,
+                )
             except Conflict as exc:
                 await office.repair(exc.keys)
             except TROUBLE as exc:
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -49,12 +49,22 @@
     """One term from the election to its end."""
 
     def __init__(
-        self, settings: Settings, operator: Operator, store: Store, cloud: Cloud,
-        book: HoldBook, breeds: dict[str, Breed], term: int, mark: int, rng: Random,
-        now: float, tell: Callable[[tuple[Any, ...]], Awaitable[None]],
+        self,
+        settings: Settings,
+        operator: Operator,
+        store: Store,
+        cloud: Cloud,
+        book: HoldBook,
+        breeds: dict[str, Breed],
+        term: int,
+        mark: int,
+        rng: Random,
+        now: float,
+        tell: Callable[[tuple[Any, ...]], Awaitable[None]],
         dial: Callable[[tuple[str, int], int], Client],
-        assured: Callable[[float], bool], cancellations: Cancellations,
-    ) -> None:  # fmt: skip
+        assured: Callable[[float], bool],
+        cancellations: Cancellations,
+    ) -> None:
         self.term = term
         self._breeds = breeds
         self.realm = Realm(settings, operator, term, book, rng, now)
@@ -66,9 +76,7 @@
         self._intents = Intents(office)
         self.saving = Saving(office)
         self._estate = Estate(office, cloud, self._intents)
-        self._strikes = Strikes(
-            office, settings.cluster.limits.sockets, dial, self._hear_direct
-        )
+        self._strikes = Strikes(office, settings.cluster.limits.sockets, dial, self._hear_direct)
         self._telling = Telling(office, operator.summary_s, tell)
         self._round = curio.Event()  # set, and replaced, at the end of a planning round
         self._harvest: dict[str, int] = {}
@@ -87,20 +95,30 @@
         now = await curio.clock()
         log.info(
             "leader %s term %d took over in %.2f s: %d jobs, %d machines",
-            self.office.node, self.term, now - start, len(self.realm.jobs),
+            self.office.node,
+            self.term,
+            now - start,
+            len(self.realm.jobs),
             len(self.realm.machines),
-        )  # fmt: skip
+        )
         await self.office.learn_cancelled()
         self.office.cancellations.informed = True
         self.loaded = True
         async with curio.TaskGroup(wait=any) as group:
             for loop in (
-                self._strikes.deposed.wait, self._strikes.loop,
-                self._plan_loop, self._tick_loop,
-                self._watch_jobs, self._watch_holds, self._watch_relays,
-                self.saving.loop, self._telling.loop,
-                self._estate.list_loop, self._estate.rent_loop, self._estate.release_loop,
-            ):  # fmt: skip
+                self._strikes.deposed.wait,
+                self._strikes.loop,
+                self._plan_loop,
+                self._tick_loop,
+                self._watch_jobs,
+                self._watch_holds,
+                self._watch_relays,
+                self.saving.loop,
+                self._telling.loop,
+                self._estate.list_loop,
+                self._estate.rent_loop,
+                self._estate.release_loop,
+            ):
                 await group.spawn(self._run_loop, loop)
         await self._strikes.close()
         if group.exception is not None:
@@ -187,7 +205,7 @@
                 continue
             for event in page.events:
                 key, data, mark = wire.event_key(event)
-                await apply(key[len(prefix):], data, mark)
+                await apply(key[len(prefix) :], data, mark)
             self._harvest[prefix] = max(self._harvest[prefix], page.harvest)
             if page.events:
                 await self.office.stir()
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -68,9 +68,11 @@
     """A controller process."""
 
     def __init__(
-        self, settings: Settings, operator: Operator,
+        self,
+        settings: Settings,
+        operator: Operator,
         dial: Callable[[tuple[str, int], int], Client] = Client,
-    ) -> None:  # fmt: skip
+    ) -> None:
         cluster = settings.cluster
         self.settings = settings
         self.operator = operator
@@ -82,9 +84,12 @@
         self._dial = dial
         state = address(settings.outside.state)
         self.store = Store(
-            dial(state, 6), dial(state, 4), cluster.state.rps, cluster.state.write_rps,
+            dial(state, 6),
+            dial(state, 4),
+            cluster.state.rps,
+            cluster.state.write_rps,
             timeout_s=0.4 * self.grant_s,
-        )  # fmt: skip
+        )
         self.cloud = Cloud(
             dial(address(settings.outside.cloud), 2), cluster.cloud.rps, timeout_s=5.0
         )
@@ -106,21 +111,28 @@
         self._peer_boots: dict[str, str] = {}
         self._receipt = curio.Event()  # set, and replaced, when a peer acknowledges
         self.users = Users(
-            settings, self.store, self.breeds, self._accepted, self._running_count,
+            settings,
+            self.store,
+            self.breeds,
+            self._accepted,
+            self._running_count,
             self._cancelled,
-        )  # fmt: skip
+        )
         self.shelter = Shelter(
-            self.leadership, settings.domain, len(settings.seeds), self.grant_s,
-            workers.lease_s, time.monotonic(), workers.cancel_s,
-        )  # fmt: skip
+            self.leadership,
+            settings.domain,
+            len(settings.seeds),
+            self.grant_s,
+            workers.lease_s,
+            time.monotonic(),
+            workers.cancel_s,
+        )
         self.barred_until = 0.0
         self.leading: Leading | None = None
         self.permit: int | None = None
         self.valid_until = 0.0
         self._election = curio.Event()
-        self.links = {
-            seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds
-        }
+        self.links = {seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds}
         self._searches = searches_beside(cluster.limits.cpu_share)
         self._share(False)
 
@@ -138,9 +150,12 @@
         """Serve until killed."""
         sockets = self.settings.cluster.limits.sockets
         public = Server(
-            self.handle, int(sockets * SERVED_SHARE), idle_s=120.0, is_guest=users_request,
+            self.handle,
+            int(sockets * SERVED_SHARE),
+            idle_s=120.0,
+            is_guest=users_request,
             most_guests=int(sockets * self.operator.user_socket_share),
-        )  # fmt: skip
+        )
         peers = Listener(self.peer_message, idle_s=60.0)
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(public.run, address(self.settings.bind))
@@ -156,10 +171,16 @@
         """All that goes on besides answering requests."""
         async with curio.TaskGroup(wait=any) as group:
             for loop in (
-                self._lease_loop, self._leader_loop, self._leading_loop, self._catalog_loop,
-                self._ping_loop, self._booking_loop, self._relay_loop, self._resign_loop,
+                self._lease_loop,
+                self._leader_loop,
+                self._leading_loop,
+                self._catalog_loop,
+                self._ping_loop,
+                self._booking_loop,
+                self._relay_loop,
+                self._resign_loop,
                 self.enforcer.loop,
-            ):  # fmt: skip
+            ):
                 await group.spawn(loop)
         if group.exception is not None:
             raise group.exception
@@ -423,8 +444,11 @@
             mark = await self.store.commit(
                 [(LEADER_KEY, 0), (TERM_KEY, last.mark if last is not None else 0)],
                 [wire.put(LEADER_KEY, value, permit), wire.put(TERM_KEY, value)],
-                LEASES, LEADER_KEY, token, give_up_s=self.grant_s,
-            )  # fmt: skip
+                LEASES,
+                LEADER_KEY,
+                token,
+                give_up_s=self.grant_s,
+            )
         except Conflict:
             lead.step_down()
             return
@@ -438,10 +462,21 @@
         log.info("node %s elected leader, term %d", self.name, term)
         self._share(True)
         self.leading = Leading(
-            self.settings, self.operator, self.store, self.cloud, self.book, self.breeds,
-            term, mark, self.rng, await curio.clock(), self._tell, self._dial,
-            lambda now: now < self.valid_until, self.cancellations,
-        )  # fmt: skip
+            self.settings,
+            self.operator,
+            self.store,
+            self.cloud,
+            self.book,
+            self.breeds,
+            term,
+            mark,
+            self.rng,
+            await curio.clock(),
+            self._tell,
+            self._dial,
+            lambda now: now < self.valid_until,
+            self.cancellations,
+        )
         await self._election.set()
         await self._ping()
 
@@ -500,11 +535,17 @@
         enforces = silent is not None or bool(self.placements.places)
         await self._tell(
             (
-                "ping", self.name, lead.term, lead.leader or "", silent, served, enforces,
+                "ping",
+                self.name,
+                lead.term,
+                lead.leader or "",
+                silent,
+                served,
+                enforces,
                 [cancellations.boot, cancellations.last, cancellations.informed],
                 cancellations.receipts(),
             )
-        )  # fmt: skip
+        )
 
     async def _ping_loop(self) -> None:
         while True:
@@ -519,7 +560,10 @@
             from_leader = silent is not None and peer == leader
             now = await curio.clock()
             self.shelter.heard(
-                str(peer), bool(served), unpack_names(silent) if from_leader else None, now,
+                str(peer),
+                bool(served),
+                unpack_names(silent) if from_leader else None,
+                now,
                 bool(enforces),
             )
             if from_leader:
@@ -627,9 +671,9 @@
     async def _fetch_summary(self, now: float) -> None:
         entries, _ = await self.store.entries(records.SUMMARY_PREFIX)
         values = {
-            entry.key[len(records.SUMMARY_PREFIX):].replace("*", ""): entry.data
+            entry.key[len(records.SUMMARY_PREFIX) :].replace("*", ""): entry.data
             for entry in entries
-        }  # fmt: skip
+        }
         self._read_summary(values, now)
 
     async def _booking_loop(self) -> None:
--- a/topazhold/control/office.py
+++ b/topazhold/control/office.py
@@ -36,9 +36,15 @@
     """One term's common ground."""
 
     def __init__(
-        self, settings: Settings, store: Store, realm: Realm, term: int, mark: int,
-        assured: Callable[[float], bool], cancellations: Cancellations | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        store: Store,
+        realm: Realm,
+        term: int,
+        mark: int,
+        assured: Callable[[float], bool],
+        cancellations: Cancellations | None = None,
+    ) -> None:
         cluster = settings.cluster
         self.node = settings.node_name
         self.zones = cluster.zones
@@ -79,11 +85,11 @@
         for key in keys:
             try:
                 if key.startswith(records.LIVE_PREFIX):
-                    await self._reread_job(key[len(records.LIVE_PREFIX):])
+                    await self._reread_job(key[len(records.LIVE_PREFIX) :])
                 elif key.startswith(records.ON_PREFIX):
                     entry = await self.store.get(key, DECISIONS)
                     mark = entry.mark if entry is not None else 0
-                    self.shelves.marked(key[len(records.ON_PREFIX):], mark)
+                    self.shelves.marked(key[len(records.ON_PREFIX) :], mark)
             except TROUBLE as exc:
                 log.debug("repair of %s: %s", key, exc)
 
@@ -143,7 +149,7 @@
         """Done marks of a large job that is over are of no use any more."""
         keys = [records.part_key(job.id, part) for part in range(1, records.parts_of(job))]
         for start in range(0, len(keys), self.txn_ops):
-            drops = [wire.drop(key) for key in keys[start: start + self.txn_ops]]
+            drops = [wire.drop(key) for key in keys[start : start + self.txn_ops]]
             try:
                 await self.store.multi(self.guards(), drops, DECISIONS)
             except (*TROUBLE, Conflict) as exc:
--- a/topazhold/control/relay.py
+++ b/topazhold/control/relay.py
@@ -80,9 +80,15 @@
     """Decides which workers to keep here, and collects their reports."""
 
     def __init__(
-        self, leadership: Leadership, zone: str, peers: int, grant_s: float, lease_s: float,
-        now: float, cancel_s: float = math.inf,
-    ) -> None:  # fmt: skip
+        self,
+        leadership: Leadership,
+        zone: str,
+        peers: int,
+        grant_s: float,
+        lease_s: float,
+        now: float,
+        cancel_s: float = math.inf,
+    ) -> None:
         self._lead = leadership
         self._zone = zone
         self._peers = peers
@@ -101,9 +107,13 @@
         self._kept: dict[str, Report] = {}
 
     def heard(
-        self, peer: str, served: bool, silent: Iterable[str] | None, now: float,
+        self,
+        peer: str,
+        served: bool,
+        silent: Iterable[str] | None,
+        now: float,
         enforces: bool = True,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A peer's ping; the leader's carries the machines that she does not hear."""
         self._heard[peer] = now
         self._enforcing = enforces
@@ -130,18 +140,17 @@
         if self._peers == 0:
             return True
         last = max(self._heard.values(), default=self._since)
-        return (
-            now - last < 2 * self._silence_s or self._enforcing
-            or now - last < self._unheard_s
-        )  # fmt: skip
+        return now - last < 2 * self._silence_s or self._enforcing or now - last < self._unheard_s
 
     def adrift(self, served: bool, now: float) -> bool:
         """Whether this node reaches neither the state service nor any peer."""
         quiet_s = 2 * self._silence_s
         lost = (
-            self._peers > 0 and not served and now - self._since > quiet_s
+            self._peers > 0
+            and not served
+            and now - self._since > quiet_s
             and all(now - at > quiet_s for at in self._heard.values())
-        )  # fmt: skip
+        )
         if not lost:
             self._adrift.end()
         return lost
@@ -153,9 +162,7 @@
     def leader_cut(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
         leader = self._lead.leader
-        return leader is not None and (
-            now - self._heard.get(leader, self._since) > self._silence_s
-        )
+        return leader is not None and (now - self._heard.get(leader, self._since) > self._silence_s)
 
     def keeps(self, rep: Report, now: float) -> bool:
         """Whether to answer this worker here instead of sending it to the leader."""
--- a/topazhold/control/saving.py
+++ b/topazhold/control/saving.py
@@ -57,8 +57,11 @@
                 await self._office.store.commit(
                     [*self._office.guards(), (live, job.mark), (over, 0)],
                     [wire.drop(live), wire.put(over, value)],
-                    LEASES, over, token, give_up_s=self._office.block_s,
-                )  # fmt: skip
+                    LEASES,
+                    over,
+                    token,
+                    give_up_s=self._office.block_s,
+                )
             except Conflict as exc:
                 await self._office.repair(exc.keys)
                 if over in exc.keys:
@@ -87,7 +90,11 @@
         counts = {part: job.part_text(part) for part in parts}
         try:
             job.mark = await self._office.store.commit(
-                [*self._office.guards(), (live, job.mark)], then, DECISIONS, live, token,
+                [*self._office.guards(), (live, job.mark)],
+                then,
+                DECISIONS,
+                live,
+                token,
                 give_up_s=self._office.block_s,
             )
         except Conflict as exc:
--- a/topazhold/control/store.py
+++ b/topazhold/control/store.py
@@ -83,9 +83,15 @@
         return max(self._reads.wait_s(now, 1, rank), self._writes.wait_s(now, writes, rank))
 
     async def _ask(
-        self, method: str, target: str, message: Any, rank: float, writes: int = 0,
-        timeout_s: float | None = None, client: Client | None = None,
-    ) -> tuple[int, bytes]:  # fmt: skip
+        self,
+        method: str,
+        target: str,
+        message: Any,
+        rank: float,
+        writes: int = 0,
+        timeout_s: float | None = None,
+        client: Client | None = None,
+    ) -> tuple[int, bytes]:
         now = await curio.clock()
         if rank < USERS:
             # Decisions wait for their turn; users are told at once to come again.
@@ -159,9 +165,14 @@
         raise StoreDown(f"status {status}")
 
     async def commit(
-        self, guards: list[tuple[str, int]], then: list[dict[str, Any]], rank: float,
-        probe: str, token: str, give_up_s: float,
-    ) -> int:  # fmt: skip
+        self,
+        guards: list[tuple[str, int]],
+        then: list[dict[str, Any]],
+        rank: float,
+        probe: str,
+        token: str,
+        give_up_s: float,
+    ) -> int:
         """A transaction whose outcome is found out.
 
         `probe` is a key that it puts with `token` in its value, guarded like
@@ -223,9 +234,13 @@
         """Changes under a prefix after a revision; waits for one."""
         target = wire.watch_query(prefix, since, int(block_s * 1000))
         status, body = await self._ask(
-            "GET", target, None, LEASES, timeout_s=block_s + self._timeout_s,
+            "GET",
+            target,
+            None,
+            LEASES,
+            timeout_s=block_s + self._timeout_s,
             client=self._watching,
-        )  # fmt: skip
+        )
         if status == 410:
             raise WatchLost(prefix)
         if status != 200:
--- a/topazhold/control/strikes.py
+++ b/topazhold/control/strikes.py
@@ -30,9 +30,12 @@
     """Sends kills, rings and announcements directly."""
 
     def __init__(
-        self, office: Office, sockets: int, dial: Callable[[tuple[str, int], int], Client],
+        self,
+        office: Office,
+        sockets: int,
+        dial: Callable[[tuple[str, int], int], Client],
         hear: Callable[[Report], Awaitable[Any]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._most = max(4, int(sockets * STRIKING_SHARE))
         self._most_silent = max(1, int(self._most * SILENT_SHARE))
         self._clients = Clients(dial, max(4, int(sockets * KEPT_SHARE)))
--- a/topazhold/control/takeover.py
+++ b/topazhold/control/takeover.py
@@ -27,11 +27,9 @@
     realm = office.realm
     entries, harvest[HOLD_PREFIX] = await office.store.entries(HOLD_PREFIX, LEASES)
     realm.book.replace(
-        {entry.key[len(HOLD_PREFIX):]: (entry.data, entry.mark) for entry in entries}
-    )  # fmt: skip
-    live, harvest[records.LIVE_PREFIX] = await office.store.entries(
-        records.LIVE_PREFIX, LEASES
+        {entry.key[len(HOLD_PREFIX) :]: (entry.data, entry.mark) for entry in entries}
     )
+    live, harvest[records.LIVE_PREFIX] = await office.store.entries(records.LIVE_PREFIX, LEASES)
     harvest[records.RELAY_PREFIX] = harvest[records.LIVE_PREFIX]
     clock, wall = await curio.clock(), time.time()
     jobs = []
@@ -56,7 +54,7 @@
         intents += found
         unreadable += odd
         names = [each.machine for each in found]
-        office.shelves.found(entry.key[len(records.ON_PREFIX):], entry.mark, names)
+        office.shelves.found(entry.key[len(records.ON_PREFIX) :], entry.mark, names)
     for job_id in recovery.missing_jobs([job.id for job in jobs], intents):
         over = await office.store.get(records.over_key(job_id), LEASES)
         if over is not None:
@@ -79,4 +77,4 @@
     prefix = f"{records.PART_PREFIX}{job.id}/"
     parts, _ = await office.store.entries(prefix, LEASES)
     for entry in parts:
-        job.load_part(int(entry.key[len(prefix):]), str(entry.data.get("done", "")))
+        job.load_part(int(entry.key[len(prefix) :]), str(entry.data.get("done", "")))
--- a/topazhold/control/telling.py
+++ b/topazhold/control/telling.py
@@ -39,9 +39,11 @@
     """Summaries: to peers every report period, to the state service as configured."""
 
     def __init__(
-        self, office: Office, summary_s: float,
+        self,
+        office: Office,
+        summary_s: float,
         tell: Callable[[tuple[Any, ...]], Awaitable[None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._office = office
         self._summary_s = summary_s
         self._tell = tell
@@ -106,9 +108,11 @@
                 if count:
                     running[job.id] = count
         values[""] = {
-            "crown": self._office.term, "at": time.time(), "waiting": waiting,
+            "crown": self._office.term,
+            "at": time.time(),
+            "waiting": waiting,
             "running": running,
-        }  # fmt: skip
+        }
         return values
 
     def _stored(self, values: dict[str, Any]) -> list[dict[str, Any]]:
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -42,10 +42,14 @@
     """Answers users' requests on any controller."""
 
     def __init__(
-        self, settings: Settings, store: Store, breeds: dict[str, Breed],
-        accepted: Callable[[Job], Awaitable[None]], running: Callable[[str], int],
+        self,
+        settings: Settings,
+        store: Store,
+        breeds: dict[str, Breed],
+        accepted: Callable[[Job], Awaitable[None]],
+        running: Callable[[str], int],
         cancelled: Callable[[str, float], Awaitable[None]],
-    ) -> None:  # fmt: skip
+    ) -> None:
         self._node = settings.node_name
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._value_limit = int(settings.cluster.state.value_kb * 1024)
@@ -64,7 +68,7 @@
         path = request.path
         if path != wire.JOBS_PATH and not path.startswith(wire.JOBS_PATH + "/"):
             return None
-        rest = path[len(wire.JOBS_PATH) + 1:]
+        rest = path[len(wire.JOBS_PATH) + 1 :]
         cancel = rest.endswith(wire.CANCEL_END)
         job = rest[: -len(wire.CANCEL_END)] if cancel else rest
         wanted = "POST" if cancel or not rest else "GET"
@@ -138,8 +142,13 @@
             return known or Answer(503, retry_after=1.0)
         log.info(
             "job %s accepted: %s, %s %s of %d for %s",
-            job_id, spec.lane, spec.urgency, spec.shape, spec.frames, spec.crew,
-        )  # fmt: skip
+            job_id,
+            spec.lane,
+            spec.urgency,
+            spec.shape,
+            spec.frames,
+            spec.crew,
+        )
         await self._accepted(job)
         return Answer(201, wire.job_answer(job_id, wire.PENDING))
 
@@ -213,9 +222,13 @@
             value = records.over_value(entry.data["spec"], wire.ABORTED, at, token)
             try:
                 await self._store.commit(
-                    [(live, entry.mark), (over, 0)], [wire.drop(live), wire.put(over, value)],
-                    USERS, over, token, OUTCOME_S,
-                )  # fmt: skip
+                    [(live, entry.mark), (over, 0)],
+                    [wire.drop(live), wire.put(over, value)],
+                    USERS,
+                    over,
+                    token,
+                    OUTCOME_S,
+                )
             except Conflict:
                 continue  # the leader saved progress, or another cancel came first
             await self._cancelled(job_id, at)
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -77,9 +77,10 @@
         if not self._entries:
             return []
         return [
-            frame for frame in frames
+            frame
+            for frame in frames
             if frame.stage != wire.ENDED and frame.frame.partition("/")[0] in self._entries
-        ]  # fmt: skip
+        ]
 
     def kills(self, rep: Report) -> list[Call]:
         """Kills, with the attempts that the report names; they need no knowledge of the jobs."""
--- a/topazhold/core/holds.py
+++ b/topazhold/core/holds.py
@@ -28,9 +28,16 @@
     __slots__ = ("job", "slots", "need", "score", "serial", "made", "free_now", "turn")
 
     def __init__(
-        self, job: str, slots: dict[str, int], need: Room, score: float, serial: int,
-        made: float, free_now: bool, turn: Turn,
-    ) -> None:  # fmt: skip
+        self,
+        job: str,
+        slots: dict[str, int],
+        need: Room,
+        score: float,
+        serial: int,
+        made: float,
+        free_now: bool,
+        turn: Turn,
+    ) -> None:
         self.job = job
         self.slots = slots
         self.need = need
@@ -43,9 +50,15 @@
     def pack(self) -> list[Any]:
         slots = [[machine, count] for machine, count in sorted(self.slots.items())]
         return [
-            self.job, slots, list(self.need), round(self.score, 2), self.serial,
-            round(self.made, 1), self.free_now, list(self.turn),
-        ]  # fmt: skip
+            self.job,
+            slots,
+            list(self.need),
+            round(self.score, 2),
+            self.serial,
+            round(self.made, 1),
+            self.free_now,
+            list(self.turn),
+        ]
 
 
 def unpack(data: Any) -> Hold:
@@ -53,10 +66,15 @@
     try:
         job, slots, need, score, serial, made, free_now, turn = data
         return Hold(
-            str(job), {str(name): int(count) for name, count in slots},
-            (float(need[0]), float(need[1]), float(need[2])), float(score), int(serial),
-            float(made), bool(free_now), (int(turn[0]), int(turn[1]), float(turn[2])),
-        )  # fmt: skip
+            str(job),
+            {str(name): int(count) for name, count in slots},
+            (float(need[0]), float(need[1]), float(need[2])),
+            float(score),
+            int(serial),
+            float(made),
+            bool(free_now),
+            (int(turn[0]), int(turn[1]), float(turn[2])),
+        )
     except (TypeError, IndexError) as exc:
         raise ValueError(f"not a hold: {exc}") from None
 
@@ -115,9 +133,7 @@
         for part in self.holds.values():
             yield from part.values()
 
-    def taken(
-        self, skip_job: str, turn: Turn, binding: Callable[[Hold], bool]
-    ) -> dict[str, Room]:
+    def taken(self, skip_job: str, turn: Turn, binding: Callable[[Hold], bool]) -> dict[str, Room]:
         """Held room per machine that a job must leave alone when its turn has come.
 
         Only holds of those whose turn comes before bind. Without that exception a
@@ -142,9 +158,11 @@
     """What holds keep, added up as the turns of a round of planning go by."""
 
     def __init__(
-        self, book: HoldBook, turn_of: Callable[[Hold], Turn | None],
+        self,
+        book: HoldBook,
+        turn_of: Callable[[Hold], Turn | None],
         gathers: Callable[[Hold], bool],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`turn_of` gives the present turn of a hold's job; None if it binds nobody.
 
         `gathers` tells whether the job is getting its room just now.
@@ -153,8 +171,9 @@
         turns = [(turn_of(hold), hold) for hold in book.all()]
         self._waiting = sorted(
             ((turn, hold.serial, hold) for turn, hold in turns if turn is not None),
-            key=lambda item: item[:2], reverse=True,
-        )  # fmt: skip
+            key=lambda item: item[:2],
+            reverse=True,
+        )
         self._own: dict[str, list[tuple[Turn, Hold]]] = {}
         self._rooms: dict[int, dict[str, Room]] = {}
 
@@ -199,5 +218,7 @@
         room = rooms.get(machine, (0.0, 0.0, 0.0))
         times = count * sign
         rooms[machine] = (
-            room[0] + need[0] * times, room[1] + need[1] * times, room[2] + need[2] * times
-        )  # fmt: skip
+            room[0] + need[0] * times,
+            room[1] + need[1] * times,
+            room[2] + need[2] * times,
+        )
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -65,10 +65,22 @@
     """One attempt of one task on one machine."""
 
     __slots__ = (
-        "job", "index", "attempt", "machine", "flight", "state", "since",
-        "ordered_tally", "running_since", "stop_settle", "stop_at",
-        "unsure", "cause", "kept", "frame",
-    )  # fmt: skip
+        "job",
+        "index",
+        "attempt",
+        "machine",
+        "flight",
+        "state",
+        "since",
+        "ordered_tally",
+        "running_since",
+        "stop_settle",
+        "stop_at",
+        "unsure",
+        "cause",
+        "kept",
+        "frame",
+    )
 
     def __init__(self, job: Job, index: int, attempt: int, machine: str, now: float) -> None:
         self.job = job
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -45,9 +45,14 @@
     """Jobs, machines and runs, and the changes that keep them in step."""
 
     def __init__(
-        self, settings: Settings, operator: Operator, term: int, book: HoldBook,
-        rng: Random, now: float,
-    ) -> None:  # fmt: skip
+        self,
+        settings: Settings,
+        operator: Operator,
+        term: int,
+        book: HoldBook,
+        rng: Random,
+        now: float,
+    ) -> None:
         cluster = settings.cluster
         workers = cluster.workers
         self.term = term
@@ -135,9 +140,7 @@
             self._wanting_since.pop(job.id, None)
             self._soon_known.pop(job.id, None)
 
-    def add_machine(
-        self, name: str, zone: str, spot: bool, breed: str, now: float
-    ) -> Machine:
+    def add_machine(self, name: str, zone: str, spot: bool, breed: str, now: float) -> Machine:
         """A machine was rented, listed, reported or found in the intents."""
         machine = self.machines.get(name)
         if machine is None:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -177,9 +177,7 @@
 
 
 def fits(need: Room, room: Room) -> bool:
-    return (
-        need[0] <= room[0] + SLACK and need[1] <= room[1] + SLACK and need[2] <= room[2] + SLACK
-    )
+    return need[0] <= room[0] + SLACK and need[1] <= room[1] + SLACK and need[2] <= room[2] + SLACK
 
 
 def times_fits(need: Room, room: Room, most: int) -> int:
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -180,9 +180,7 @@
             spec = run.job.spec
             machine.fetched(spec.comb, spec.image_gb)
 
-    def _absent(
-        self, run: Run, rep: Report, synced: bool, direct: bool, now: float
-    ) -> bool:
+    def _absent(self, run: Run, rep: Report, synced: bool, direct: bool, now: float) -> bool:
         """A run that the report lacks; whether its launch can be seen to be lost."""
         if run.unsure:
             if synced:
@@ -201,9 +199,13 @@
         return False
 
     def _stray(
-        self, machine: Machine, key: tuple[str, int], frame: FrameReport,
-        strays: dict[tuple[str, int], str], now: float,
-    ) -> None:  # fmt: skip
+        self,
+        machine: Machine,
+        key: tuple[str, int],
+        frame: FrameReport,
+        strays: dict[tuple[str, int], str],
+        now: float,
+    ) -> None:
         """A task that no intent of ours explains: it must go, and counts till then."""
         job = self.jobs.get(key[0])
         if job is not None and key[1] < job.spec.frames and key[1] not in job.runs:
@@ -224,8 +226,12 @@
         run.end(cause, bool(frame.kept), now)
         log.info(
             "task %s try %d on %s ended: %s%s",
-            run.frame, run.attempt, machine.name, cause, " (saved)" if frame.kept else "",
-        )  # fmt: skip
+            run.frame,
+            run.attempt,
+            machine.name,
+            cause,
+            " (saved)" if frame.kept else "",
+        )
         spec = job.spec
         if cause == wire.CAUSE_DONE:
             machine.error_jobs.clear()
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -65,9 +65,15 @@
                     rungs.append((left, room))
             evictable = self._evictable(machine)
         return Offer(
-            machine.name, machine.zone, machine.breed.label, machine.spot,
-            frozenset(machine.images), rungs, evictable, machine.breed.fetch_gb_per_s,
-        )  # fmt: skip
+            machine.name,
+            machine.zone,
+            machine.breed.label,
+            machine.spot,
+            frozenset(machine.images),
+            rungs,
+            evictable,
+            machine.breed.fetch_gb_per_s,
+        )
 
     def _evictable(self, machine: Machine) -> list[tuple[Rank, float, Room]]:
         """Room that work of each rank could take from work behind it."""
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -29,10 +29,7 @@
             for run in machine.runs.values():
                 # Only in the session that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
-                if (
-                    run.state is RunState.WRITTEN and not run.stopping
-                    and run.flight == rep.flight
-                ):  # fmt: skip
+                if run.state is RunState.WRITTEN and not run.stopping and run.flight == rep.flight:
                     run.order(rep.tally, now)
                     log.info("launch %s try %d on %s", run.frame, run.attempt, machine.name)
                     calls.append(wire.launch(run.frame, run.attempt))
@@ -53,9 +50,11 @@
                 key = wire.split_frame(frame.frame)
                 job = self.jobs.get(key[0]) if key else None
                 if (
-                    job is not None and key is not None and job.state is JobState.LIVE
+                    job is not None
+                    and key is not None
+                    and job.state is JobState.LIVE
                     and key[1] // PART in job.unsaved
-                ):  # fmt: skip
+                ):
                     continue  # the worker's word is the only record until it is saved
             calls.append(wire.clear(frame.frame, frame.attempt))
         machine.changes += bool(machine.bells) is not bool(calls)
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placements.py
@@ -79,6 +79,4 @@
 
     def may_hold(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
         """Machines that may hold tasks of these jobs, with which."""
-        return {
-            name: held for name, place in self.places.items() if (held := place.jobs & jobs)
-        }
+        return {name: held for name, place in self.places.items() if (held := place.jobs & jobs)}
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -70,9 +70,7 @@
     def _survey(self, jobs: list[Job], now: float) -> None:
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
-        self._held = HeldRooms(
-            self.book, self._turn_of, lambda hold: self._gathers(hold, now)
-        )
+        self._held = HeldRooms(self.book, self._turn_of, lambda hold: self._gathers(hold, now))
         self._needs = needs = {job.need for job in jobs}
         self._least = (
             min(need[0] for need in needs),
@@ -133,9 +131,7 @@
     def _claim(self, job: Job) -> None:
         old = self._claims.get(job.spec.crew, (0.0, 0.0))
         size = job.spec.frames
-        self._claims[job.spec.crew] = (
-            old[0] + job.need[0] * size, old[1] + job.need[1] * size
-        )  # fmt: skip
+        self._claims[job.spec.crew] = (old[0] + job.need[0] * size, old[1] + job.need[1] * size)
 
     def _claimed(self, job: Job) -> tuple[float, float]:
         return self._claims.get(job.spec.crew, (0.0, 0.0))
@@ -143,13 +139,15 @@
     def _lower_runs(self, job: Job) -> list[Run]:
         """Runs of the same team that a gang may stop to get at its limit."""
         return [
-            run for other in self.jobs.values()
-            if other.spec.crew == job.spec.crew and other.level > job.level
+            run
+            for other in self.jobs.values()
+            if other.spec.crew == job.spec.crew
+            and other.level > job.level
             # Work that ranks before the gang would be placed again at once.
             and preemption.rank(other) > preemption.rank(job)
             for run in other.runs.values()
             if run.present and not (other.gang and other.gang_state is GangState.STARTING)
-        ]  # fmt: skip
+        ]
 
     def _lower_work(self, crew: str) -> LowerWork:
         """What each job of a team has on machines; added up once per round."""
@@ -196,10 +194,13 @@
 
     def _waiting_jobs(self, now: float) -> list[Job]:
         jobs = [
-            job for job in self.jobs.values()
-            if job.state is JobState.LIVE and job.waiting_count > 0 and job.not_before <= now
+            job
+            for job in self.jobs.values()
+            if job.state is JobState.LIVE
+            and job.waiting_count > 0
+            and job.not_before <= now
             and not (job.gang and job.gang_state is not GangState.WAITING)
-        ]  # fmt: skip
+        ]
         jobs.sort(key=lambda job: (preemption.turn(job), self._due(job), job.id))
         return jobs
 
@@ -229,9 +230,7 @@
         """Whether the machine's intents still fit a value with so many more tasks."""
         return len(machine.runs) + count <= self.most_machine_runs
 
-    def _plan_gang(
-        self, job: Job, planned: list[Run], now: float
-    ) -> None:
+    def _plan_gang(self, job: Job, planned: list[Run], now: float) -> None:
         hold = self.book.of_job(job.id)
         if hold is None or self.spent(job, hold):
             return
@@ -273,8 +272,11 @@
         planned += runs
         log.info(
             "gang %s try %d starts on %s, waited %.1f s",
-            job.id, attempt, ",".join(hold.slots), now - job.arrived,
-        )  # fmt: skip
+            job.id,
+            attempt,
+            ",".join(hold.slots),
+            now - job.arrived,
+        )
 
     def _binding(self, hold: Hold) -> bool:
         """Whether a hold still keeps room: its gang waits and may start."""
@@ -313,7 +315,10 @@
         return None
 
     def _make_room(
-        self, job: Job, short: list[tuple[Machine, Room]], taken: Mapping[str, Room],
+        self,
+        job: Job,
+        short: list[tuple[Machine, Room]],
+        taken: Mapping[str, Room],
         now: float,
     ) -> None:
         """Stop others for a held group, all of it or nothing."""
@@ -333,9 +338,7 @@
             if not run.stopping:
                 self.stop_for_room(run, f"room for {job.id}", now)
 
-    def _plan_array(
-        self, job: Job, planned: list[Run], now: float
-    ) -> None:
+    def _plan_array(self, job: Job, planned: list[Run], now: float) -> None:
         spec = job.spec
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -31,9 +31,7 @@
     def remove(self, job: Job, count: int = 1) -> None:
         self.add(job, -count)
 
-    def allows(
-        self, job: Job, count: int = 1, claimed: tuple[float, float] = (0.0, 0.0)
-    ) -> bool:
+    def allows(self, job: Job, count: int = 1, claimed: tuple[float, float] = (0.0, 0.0)) -> bool:
         """Whether `count` more tasks of the job stay within its team's limit.
 
         `claimed` is what others of the team are to have first; a negative
--- a/topazhold/core/realm.py
+++ b/topazhold/core/realm.py
@@ -80,9 +80,11 @@
         fitting = sorted(
             found,
             key=lambda offer: (
-                offer.name in whole, offer.ready_for(rank, largest.need), sooner(offer)
+                offer.name in whole,
+                offer.ready_for(rank, largest.need),
+                sooner(offer),
             ),
-        )  # fmt: skip
+        )
         both = [offer for pair in zip(fitting, found, strict=True) for offer in pair]
         order = list(dict.fromkeys(both))
         return order[:length] + [offer for offer in order[length:] if offer.name in held]
@@ -112,9 +114,10 @@
     def directory(self) -> list[tuple[str, str]]:
         """All machines, for pivots."""
         return [
-            (machine.name, machine.zone) for machine in self.machines.values()
+            (machine.name, machine.zone)
+            for machine in self.machines.values()
             if renting.counted(machine)
-        ]  # fmt: skip
+        ]
 
     def _missed(self, machine: Machine, now: float) -> bool:
         return (
@@ -131,10 +134,15 @@
         of another zone stood free.
         """
         gangs = [
-            job for job in self.jobs.values()
-            if job.gang and job.pressing and job.state is JobState.LIVE and not job.runs
-            and job.spec.same_place and job.spec.apiary is None
-        ]  # fmt: skip
+            job
+            for job in self.jobs.values()
+            if job.gang
+            and job.pressing
+            and job.state is JobState.LIVE
+            and not job.runs
+            and job.spec.same_place
+            and job.spec.apiary is None
+        ]
         for job in sorted(gangs, key=lambda job: (job.arrived, job.id)):
             breed = renting.best_breed(job.spec, breeds)
             if breed is None or not self._limit_reachable(job):
@@ -179,9 +187,7 @@
                 breed, [m for m in self.machines.values() if not self._missed(m, now)]
             )
             asks += renting.rent(found, breed, fleet, self.refusals, now)
-            for machine in renting.returns(
-                found, breed, fleet, self.rent_rules, growing, now
-            ):
+            for machine in renting.returns(found, breed, fleet, self.rent_rules, growing, now):
                 if machine.name not in held:
                     self.release(machine, "idle", now)
         return asks
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -68,9 +68,7 @@
     return job
 
 
-def over_value(
-    spec: dict[str, Any], stage: str, at: float, token: str
-) -> dict[str, Any]:
+def over_value(spec: dict[str, Any], stage: str, at: float, token: str) -> dict[str, Any]:
     """A job that is over; the spec stays for tasks still on machines."""
     return {"by": token, "spec": spec, "stage": stage, "at": at}
 
@@ -113,9 +111,12 @@
         if machine.runs:
             breed = machine.breed.label if machine.breed is not None else ""
             boxes[machine.name] = [
-                machine.flight, machine.zone, machine.spot, breed,
+                machine.flight,
+                machine.zone,
+                machine.spot,
+                breed,
                 [[run.job.id, run.index, run.attempt] for run in machine.runs.values()],
-            ]  # fmt: skip
+            ]
     return {"by": token, "boxes": boxes}
 
 
@@ -139,9 +140,7 @@
         try:
             flight, zone, spot, breed, runs = item
             packed = [(str(job), int(index), int(attempt)) for job, index, attempt in runs]
-            found.append(
-                Intents(str(name), int(flight), str(zone), bool(spot), str(breed), packed)
-            )
+            found.append(Intents(str(name), int(flight), str(zone), bool(spot), str(breed), packed))
         except (TypeError, ValueError):
             unreadable.append(str(name))
     return found, unreadable
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -104,9 +104,13 @@
 
 
 def wishes(
-    jobs: Iterable[Job], breeds: list[Breed], teams: dict[str, Team],
-    zone_of: dict[str, str], rules: RentRules, growing: bool,
-) -> Wishes:  # fmt: skip
+    jobs: Iterable[Job],
+    breeds: list[Breed],
+    teams: dict[str, Team],
+    zone_of: dict[str, str],
+    rules: RentRules,
+    growing: bool,
+) -> Wishes:
     """Machines' worth of unfinished work per type and kind, within the teams' limits.
 
     Headroom is kept only while jobs keep coming.
@@ -173,10 +177,10 @@
 
     def __init__(self, breed: Breed, machines: Iterable[Machine]) -> None:
         self.machines = [
-            machine for machine in machines
-            if counted(machine) and machine.breed is not None
-            and machine.breed.label == breed.label
-        ]  # fmt: skip
+            machine
+            for machine in machines
+            if counted(machine) and machine.breed is not None and machine.breed.label == breed.label
+        ]
         self.zones: dict[tuple[str, bool], int] = {
             (zone, spot): 0 for zone in breed.apiaries for spot in (True, False)
         }
@@ -188,9 +192,7 @@
         return sum(number for (_, kind), number in self.zones.items() if kind is spot)
 
 
-def rent(
-    found: Wishes, breed: Breed, fleet: Fleet, refusals: Refusals, now: float
-) -> list[Ask]:
+def rent(found: Wishes, breed: Breed, fleet: Fleet, refusals: Refusals, now: float) -> list[Ask]:
     """Requests that bring a type's capacity up to what is wished.
 
     Spot machines are asked for first; what the cloud won't give of them is
@@ -206,16 +208,19 @@
     zones = dict(plain.zones)
     for zone, number in missing_zones.items():
         zones[zone] = zones.get(zone, 0.0) + number
-    more, _, _ = _ask(
-        breed, False, math.ceil(plain.total) + missing, zones, fleet, refusals, now
-    )
+    more, _, _ = _ask(breed, False, math.ceil(plain.total) + missing, zones, fleet, refusals, now)
     return asks + more
 
 
 def _ask(
-    breed: Breed, spot: bool, total: int, zones: dict[str, float], fleet: Fleet,
-    refusals: Refusals, now: float,
-) -> tuple[list[Ask], int, dict[str, int]]:  # fmt: skip
+    breed: Breed,
+    spot: bool,
+    total: int,
+    zones: dict[str, float],
+    fleet: Fleet,
+    refusals: Refusals,
+    now: float,
+) -> tuple[list[Ask], int, dict[str, int]]:
     """Requests of one kind, and what can't be asked for: in all, and by zone."""
     usable = [zone for zone in breed.apiaries if refusals.open(breed.label, zone, spot, now)]
     counts = dict.fromkeys(usable, 0)
@@ -260,10 +265,12 @@
     floor.update({(zone, True): number for zone, number in cheap.zones.items()})
     patience = rules.idle_boots * breed.ready_s * (1.0 if growing else IDLE_WHEN_QUIET)
     idle = [
-        machine for machine in fleet.machines
-        if machine.state is MachineState.READY and machine.empty
+        machine
+        for machine in fleet.machines
+        if machine.state is MachineState.READY
+        and machine.empty
         and now - machine.idle_since > patience
-    ]  # fmt: skip
+    ]
     idle.sort(key=lambda machine: machine.idle_since)
     left = dict(fleet.zones)
     chosen = []
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -37,10 +37,16 @@
     __slots__ = ("name", "zone", "breed", "spot", "images", "rungs", "evictable", "fetch_rate")
 
     def __init__(
-        self, name: str, zone: str, breed: str, spot: bool, images: frozenset[str],
-        rungs: list[tuple[float, Room]], evictable: list[tuple[Rank, float, Room]],
+        self,
+        name: str,
+        zone: str,
+        breed: str,
+        spot: bool,
+        images: frozenset[str],
+        rungs: list[tuple[float, Room]],
+        evictable: list[tuple[Rank, float, Room]],
         fetch_rate: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.name = name
         self.zone = zone
         self.breed = breed
@@ -79,14 +85,17 @@
 
     def pack(self) -> list[Any]:
         return [
-            self.name, self.breed, self.spot, sorted(self.images),
+            self.name,
+            self.breed,
+            self.spot,
+            sorted(self.images),
             [[round(delay, 1), *(round(part, 3) for part in room)] for delay, room in self.rungs],
             [
                 [*rank, round(delay, 1), *(round(part, 3) for part in room)]
                 for rank, delay, room in self.evictable
             ],
             round(self.fetch_rate, 3),
-        ]  # fmt: skip
+        ]
 
 
 def unpack_offer(zone: str, data: Any) -> Offer:
@@ -94,14 +103,18 @@
     try:
         name, breed, spot, images, rungs, evictable, rate = data
         return Offer(
-            str(name), zone, str(breed), bool(spot), frozenset(images),
+            str(name),
+            zone,
+            str(breed),
+            bool(spot),
+            frozenset(images),
             [(float(r[0]), (float(r[1]), float(r[2]), float(r[3]))) for r in rungs],
             [
                 ((int(e[0]), int(e[1])), float(e[2]), (float(e[3]), float(e[4]), float(e[5])))
                 for e in evictable
             ],
             float(rate),
-        )  # fmt: skip
+        )
     except (TypeError, IndexError) as exc:
         raise ValueError(f"not an offer: {exc}") from None
 
@@ -111,9 +124,7 @@
 
     __slots__ = ("offer", "nth", "delay", "ready", "cost")
 
-    def __init__(
-        self, offer: Offer, nth: int, delay: float, ready: float, cost: float
-    ) -> None:
+    def __init__(self, offer: Offer, nth: int, delay: float, ready: float, cost: float) -> None:
         self.offer = offer
         self.nth = nth
         self.delay = delay  # wait for room
@@ -126,9 +137,7 @@
 
     __slots__ = ("score", "wait", "room_wait", "slots")
 
-    def __init__(
-        self, score: float, wait: float, room_wait: float, slots: dict[str, int]
-    ) -> None:
+    def __init__(self, score: float, wait: float, room_wait: float, slots: dict[str, int]) -> None:
         self.score = score
         self.wait = wait
         self.room_wait = room_wait
@@ -187,10 +196,15 @@
 
 
 def gather(
-    rng: Random, directory: Sequence[tuple[str, str]], caches: Mapping[str, Sequence[Offer]],
-    spec: JobSpec, rank: Rank, taken: Mapping[str, Room], rules: SearchRules,
+    rng: Random,
+    directory: Sequence[tuple[str, str]],
+    caches: Mapping[str, Sequence[Offer]],
+    spec: JobSpec,
+    rank: Rank,
+    taken: Mapping[str, Room],
+    rules: SearchRules,
     seen: dict[str, list[Slot]] | None = None,
-) -> list[Slot]:  # fmt: skip
+) -> list[Slot]:
     """Alpha·N candidate slots from a random pivot's cache and those it leads to.
 
     `seen` keeps the slots of caches that an earlier try of the same search read.
@@ -220,9 +234,12 @@
 
 
 def _cache_slots(
-    offers: Sequence[Offer], spec: JobSpec, rank: Rank, taken: Mapping[str, Room],
+    offers: Sequence[Offer],
+    spec: JobSpec,
+    rank: Rank,
+    taken: Mapping[str, Room],
     rules: SearchRules,
-) -> list[Slot]:  # fmt: skip
+) -> list[Slot]:
     """All slots of a zone's cache, the soonest ready first."""
     slots: list[Slot] = []
     for offer in offers:
@@ -344,9 +361,13 @@
 
 
 def score_held(
-    held: Mapping[str, int], caches: Mapping[str, Sequence[Offer]], spec: JobSpec, rank: Rank,
-    taken: Mapping[str, Room], rules: SearchRules,
-) -> float:  # fmt: skip
+    held: Mapping[str, int],
+    caches: Mapping[str, Sequence[Offer]],
+    spec: JobSpec,
+    rank: Rank,
+    taken: Mapping[str, Room],
+    rules: SearchRules,
+) -> float:
     """What a group that is held already would score by what is known now."""
     group: list[Slot] = []
     for offers in caches.values():
@@ -360,9 +381,15 @@
 
 
 def search(
-    rng: Random, directory: Sequence[tuple[str, str]], caches: Mapping[str, Sequence[Offer]],
-    spec: JobSpec, rank: Rank, taken: Mapping[str, Room], rules: SearchRules, tries: int,
-) -> Group | None:  # fmt: skip
+    rng: Random,
+    directory: Sequence[tuple[str, str]],
+    caches: Mapping[str, Sequence[Offer]],
+    spec: JobSpec,
+    rank: Rank,
+    taken: Mapping[str, Room],
+    rules: SearchRules,
+    tries: int,
+) -> Group | None:
     """The best group of a few independent searches, each from its own pivot."""
     best: Group | None = None
     seen: dict[str, list[Slot]] = {}
@@ -384,7 +411,7 @@
 def pack_names(names: Sequence[str]) -> list[str]:
     """Machines' names, what they have in common once: a value takes a zone's all."""
     common = os.path.commonprefix(list(names))  # noqa: RUF071 (names, not paths)
-    return [common, ",".join(name[len(common):] for name in names)]
+    return [common, ",".join(name[len(common) :] for name in names)]
 
 
 def unpack_names(packed: Any) -> list[str]:
--- a/topazhold/core/shelves.py
+++ b/topazhold/core/shelves.py
@@ -120,7 +120,7 @@
             if json_size(value) > self._limit and len(present) > 1:
                 # Its old value still names them: a new leader takes both as they are.
                 other = self._new()
-                for name in present[len(present) // 2:]:
+                for name in present[len(present) // 2 :]:
                     self._put(name, other)
                 self._unwritten.add(other)
                 waiting += [shelf, other]
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -144,9 +144,10 @@
         """Machines whose reports have not come here for a while."""
         limit = 2.2 * self.report_s
         return [
-            machine.name for machine in self.machines.values()
+            machine.name
+            for machine in self.machines.values()
             if machine.state in UP and now - max(machine.reached_at, self.since) > limit
-        ]  # fmt: skip
+        ]
 
     def cut_from_workers(self, now: float) -> bool:
         """Whether others hear most of the workers, and this node hardly any."""
--- a/topazhold/io/http.py
+++ b/topazhold/io/http.py
@@ -65,9 +65,13 @@
     """
 
     def __init__(
-        self, handler: Handler, most: int, idle_s: float,
-        is_guest: Callable[[Request], bool] = lambda request: False, most_guests: int = 0,
-    ) -> None:  # fmt: skip
+        self,
+        handler: Handler,
+        most: int,
+        idle_s: float,
+        is_guest: Callable[[Request], bool] = lambda request: False,
+        most_guests: int = 0,
+    ) -> None:
         self._handler = handler
         self._most = most
         self._idle_s = idle_s
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -71,7 +71,6 @@
     limits: Limits
     objectives: list[Objective] = []
 
-
     def aimed_waits(self) -> dict[str, tuple[float, float]]:
         """Shortest and longest aim for a start, of each class that has any."""
         found: dict[str, tuple[float, float]] = {}
