--- /dev/null
+++ b/tests/test_heads.py
@@ -0,0 +1,145 @@
+"""Remembered message heads: the same requests and answers as by h11 alone, at a fixed cost."""
+
+from __future__ import annotations
+
+from collections.abc import Coroutine
+from random import Random
+from typing import Any
+
+import cbor2
+import h11
+
+from topazhold.io.heads import MOST_HEADS, parse_request_head, render_answer_head
+from topazhold.io.http import Answer, Request
+from topazhold.io.server import Connection
+
+
+class ScriptedSocket:
+    """Gives what it was made with, piece by piece, and counts the calls."""
+
+    def __init__(self, pieces: list[bytes]) -> None:
+        self.pieces = pieces
+        self.sent: list[bytes] = []
+        self.receives = 0
+
+    async def recv(self, size: int) -> bytes:
+        self.receives += 1
+        return self.pieces.pop(0) if self.pieces else b""
+
+    async def sendall(self, data: bytes) -> None:
+        self.sent.append(data)
+
+
+def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as exc:
+        return exc.value
+    raise AssertionError("it waits")
+
+
+def exchange(pieces: list[bytes], answers: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
+    """All requests of a connection as the server sees them, and all that it sends."""
+    sock = ScriptedSocket(list(pieces))
+    connection = Connection(sock, None, 0.0)  # type: ignore[arg-type]
+    seen: list[Any] = []
+    while True:
+        try:
+            request = finish(connection.receive())
+        except h11.RemoteProtocolError as exc:
+            finish(connection.refuse(exc.error_status_hint or 400))
+            seen.append(type(exc))
+            break
+        if request is None:
+            break
+        if isinstance(request, Request):
+            seen.append((request.method, request.path, request.query, request.body))
+            answer = Answer(answers.choice((200, 421, 503)), {"n": answers.random()})
+        else:
+            seen.append(request.status)
+            answer = request
+        if not finish(connection.send(answer)):
+            break
+    return seen, b"".join(sock.sent), sock
+
+
+def some_request(rng: Random) -> bytes:
+    """A request of any kind, plain or odd; some are malformed."""
+    method = rng.choice((b"GET", b"POST", b"POST", b"POST", b"HEAD", b"DELETE"))
+    body = rng.randbytes(rng.choice((0, 1, 40, 3000)))
+    headers = [b"Host: x"]
+    framing = rng.choice(("length", "length", "length", "chunked", "none", "wrong"))
+    if framing == "length":
+        headers.append(b"Content-Length: %d" % len(body))
+    elif framing == "chunked":
+        headers.append(b"Transfer-Encoding: chunked")
+        body = b"%x\r\n%s\r\n0\r\n\r\n" % (len(body), body) if body else b"0\r\n\r\n"
+    elif framing == "wrong":
+        headers.append(b"Content-Length: many")
+    else:
+        body = b""
+    extra = rng.choice((b"", b"", b"", b"Connection: close", b"Connection: keep-alive", b"X: y"))
+    if extra:
+        headers.insert(rng.randrange(len(headers) + 1), extra)
+    version = rng.choice((b"1.1", b"1.1", b"1.1", b"1.0"))
+    end = rng.choice((b"\r\n", b"\r\n", b"\n"))
+    target = rng.choice((b"/v1/report", b"/api/jobs?a=b", b"/healthz"))
+    return end.join([b"%s %s HTTP/%s" % (method, target, version), *headers, b"", b""]) + body
+
+
+def in_pieces(rng: Random, data: bytes) -> list[bytes]:
+    pieces = []
+    while data:
+        size = rng.randint(1, len(data))
+        pieces.append(data[:size])
+        data = data[size:]
+    return pieces
+
+
+def test_remembered_heads_change_nothing_but_the_cost() -> None:
+    """A connection whose first bytes come alone is h11's from then on; the same bytes in
+    whole requests go by remembered heads. Both must see and send the same."""
+    rng = Random(7)
+    plain = 0
+    for _ in range(300):
+        requests = [some_request(rng) for _ in range(rng.randint(1, 5))]
+        stream = b"".join(requests)
+        seed = rng.random()
+        by_h11 = exchange([stream[:1], stream[1:]], Random(seed))
+        assert exchange(requests, Random(seed))[:2] == by_h11[:2]
+        assert exchange([stream], Random(seed))[:2] == by_h11[:2]
+        assert exchange(in_pieces(rng, stream), Random(seed))[:2] == by_h11[:2]
+        plain += len(by_h11[0])
+    assert plain > 300
+
+
+def report(number: int) -> bytes:
+    body = cbor2.dumps({"box": "host-1", "tally": 1000 + number})
+    return b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n%s" % (
+        len(body),
+        body,
+    )
+
+
+def test_a_report_costs_one_receive_one_send_and_no_parsing() -> None:
+    """However many come: h11 took a third of a leader's time for heads that were the same."""
+    for count in (10, 200):
+        pieces = [report(number) for number in range(count)]
+        exchange(pieces, Random(1))  # once, so that the heads are known
+        parsed = parse_request_head.cache_info().misses
+        rendered = render_answer_head.cache_info().misses
+        seen, _, sock = exchange(pieces, Random(1))
+        assert len(seen) == len(sock.sent) == count
+        assert sock.receives == count + 2  # and the end, seen by us and by h11
+        assert parse_request_head.cache_info().misses == parsed
+        assert render_answer_head.cache_info().misses == rendered
+
+
+def test_remembered_heads_are_bounded() -> None:
+    """Users choose the paths, and so the heads."""
+    for number in range(2 * MOST_HEADS):
+        assert parse_request_head(b"GET /api/jobs/wk-%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
+    assert parse_request_head.cache_info().currsize == MOST_HEADS
+    long = b"GET /" + b"a" * 2000 + b" HTTP/1.1\r\nHost: x\r\n\r\n"
+    assert parse_request_head(long) is None
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -11,8 +11,10 @@
 from curio import socket
 
 from topazhold.io import links
-from topazhold.io.http import Answer, Client, NoAnswer, NotSent, Request, Server
+from topazhold.io.client import Client
+from topazhold.io.http import Answer, NoAnswer, NotSent, Request
 from topazhold.io.rate import Bucket
+from topazhold.io.server import Server
 
 
 def is_guest(request: Request) -> bool:
@@ -31,14 +33,17 @@
 
 
 def serve(
-    main: Callable[[tuple[str, int]], Awaitable[Any]], most: int = 8, most_guests: int = 8
+    main: Callable[[tuple[str, int]], Awaitable[Any]],
+    most: int = 8,
+    most_guests: int = 8,
+    idle_s: float = 5.0,
 ) -> Any:
     async def run() -> Any:
         probe = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
         await probe.close()
-        serving = Server(echo, most, 5.0, is_guest, most_guests)
+        serving = Server(echo, most, idle_s, is_guest, most_guests)
         server = await curio.spawn(serving.run, address, daemon=True)
         await curio.sleep(0.05)
         try:
@@ -121,6 +126,24 @@
     serve(main, most=4)
 
 
+def test_idle_connections_are_ended_and_busy_ones_are_not() -> None:
+    async def main(address: tuple[str, int]) -> None:
+        idle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        await idle.connect(address)
+        begun = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        await begun.connect(address)
+        await begun.sendall(b"POST / HTTP/1.1\r\n")
+        busy = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        await busy.connect(address)
+        await busy.sendall(b"GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert await curio.timeout_after(2.0, idle.recv, 100) == b""
+        assert await curio.timeout_after(2.0, begun.recv, 100) == b""
+        with pytest.raises(curio.TaskTimeout):
+            await curio.timeout_after(0.5, busy.recv, 100)
+
+    serve(main, idle_s=0.4)
+
+
 def test_guests_leave_room_for_others() -> None:
     """Users' connections must not keep workers out."""
 
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -5,7 +5,8 @@
 import curio
 
 from topazhold.core.renting import Ask
-from topazhold.io.http import Client, NoAnswer, NotSent
+from topazhold.io.client import Client
+from topazhold.io.http import NoAnswer, NotSent
 from topazhold.io.rate import Bucket
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -18,7 +18,8 @@
 from topazhold.control.cloud import MOST_RELEASED, Cloud, CloudDown
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.placements import Place, Placements
-from topazhold.io.http import Client, Clients, NoAnswer, NotSent
+from topazhold.io.client import Client, Clients
+from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -26,7 +26,7 @@
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.realm import Realm
-from topazhold.io.http import Client
+from topazhold.io.client import Client
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, convert
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -33,8 +33,10 @@
 from topazhold.core.placements import Placements
 from topazhold.core.preemption import turn
 from topazhold.core.search import pack_names, unpack_names
-from topazhold.io.http import Answer, Client, Request, Server
+from topazhold.io.client import Client
+from topazhold.io.http import Answer, Request
 from topazhold.io.links import FRAME_LIMIT, Link, Listener, encode
+from topazhold.io.server import Server
 from topazhold.settings import Operator, Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
--- a/topazhold/control/store.py
+++ b/topazhold/control/store.py
@@ -7,7 +7,8 @@
 
 import curio
 
-from topazhold.io.http import Client, NoAnswer, NotSent
+from topazhold.io.client import Client
+from topazhold.io.http import NoAnswer, NotSent
 from topazhold.io.rate import Bucket
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
--- a/topazhold/control/strikes.py
+++ b/topazhold/control/strikes.py
@@ -10,7 +10,8 @@
 
 from topazhold.control.office import Deposed, Office
 from topazhold.core.machines import Machine
-from topazhold.io.http import Client, Clients, NoAnswer, NotSent
+from topazhold.io.client import Client, Clients
+from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
--- /dev/null
+++ b/topazhold/io/heads.py
@@ -0,0 +1,94 @@
+"""Remembered HTTP message heads, read and written by h11 once each.
+
+Workers and users send the same few request heads again and again, and nearly all answers
+have the same head. Parsing, checking and rendering a head by h11 takes several times as
+long as all else that a request costs, and a head that is the same to the byte always
+gives the same result. So h11 does it once, and the result is kept.
+
+Only plain messages are kept: HTTP/1.1, a body of a known length or none, and a connection
+that stays open. The caller gives all others to an `h11.Connection` of its own.
+"""
+
+from __future__ import annotations
+
+import re
+from functools import lru_cache
+
+import h11
+
+#: The end of a head, as h11 finds it.
+HEAD_END = re.compile(rb"\n\r?\n")
+HEAD_LIMIT = 16 * 1024
+#: Distinct heads that are remembered, of each kind, and the longest of them.
+MOST_HEADS = 2048
+LONGEST_HEAD = 1024
+
+_PLAIN_REQUEST = b"GET / HTTP/1.1\r\nHost: any\r\n\r\n"
+
+
+class RequestHead:
+    """What the head of a plain request says."""
+
+    __slots__ = ("method", "target", "length")
+
+    def __init__(self, method: str, target: str, length: int) -> None:
+        self.method = method
+        self.target = target
+        self.length = length
+
+
+def split_head(data: bytes | bytearray) -> int:
+    """Where the head at the start of `data` ends; 0 if its end has not been received."""
+    found = HEAD_END.search(data)
+    return found.end() if found is not None else 0
+
+
+@lru_cache(maxsize=MOST_HEADS)
+def parse_request_head(head: bytes) -> RequestHead | None:
+    """Read a complete request head; None if it is not that of a plain request."""
+    if len(head) > LONGEST_HEAD:
+        return None
+    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+    connection.receive_data(head)
+    try:
+        event = connection.next_event()
+    except h11.RemoteProtocolError:
+        return None
+    if not isinstance(event, h11.Request):
+        return None
+    if event.http_version != b"1.1" or event.method in (b"HEAD", b"CONNECT"):
+        return None
+    length = 0
+    for name, value in event.headers:
+        if name in (b"transfer-encoding", b"expect", b"upgrade"):
+            return None
+        if name == b"connection" and value.lower() != b"keep-alive":
+            return None
+        if name == b"content-length":
+            length = int(value)
+    return RequestHead(event.method.decode("ascii"), event.target.decode("latin-1"), length)
+
+
+def _answer_headers(length: int, retry_after_s: int | None, close: bool) -> list[tuple[str, str]]:
+    headers = [("Content-Type", "application/cbor"), ("Content-Length", str(length))]
+    if retry_after_s is not None:
+        headers.append(("Retry-After", str(retry_after_s)))
+    if close:
+        headers.append(("Connection", "close"))
+    return headers
+
+
+def answer_event(status: int, length: int, retry_after_s: int | None, close: bool) -> h11.Response:
+    """The head of an answer, for an `h11.Connection`."""
+    headers = _answer_headers(length, retry_after_s, close)
+    return h11.Response(status_code=status, headers=headers)
+
+
+@lru_cache(maxsize=MOST_HEADS)
+def render_answer_head(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
+    """The head of the answer to a plain request."""
+    connection = h11.Connection(h11.SERVER)
+    connection.receive_data(_PLAIN_REQUEST)
+    connection.next_event()
+    event = answer_event(status, length, retry_after_s, close)
+    return connection.send(event) or b""
