--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -65,12 +65,15 @@
     import curio
 
     from topazhold.control.node import Node
+    from topazhold.io.account import Account
+
+    account = Account()
 
     async def serve() -> None:
-        await Node(settings, own).run()
+        await Node(settings, own, account=account).run()
 
     try:
-        curio.run(serve)
+        curio.run(serve, activations=[account])
     except KeyboardInterrupt:
         pass
 
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -26,6 +26,7 @@
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.realm import Realm
+from topazhold.io.account import Account, Duty
 from topazhold.io.client import Client
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
@@ -64,7 +65,9 @@
         dial: Callable[[tuple[str, int], int], Client],
         assured: Callable[[float], bool],
         cancellations: Cancellations,
+        account: Account,
     ) -> None:
+        self._account = account
         self.term = term
         self._breeds = breeds
         self.realm = Realm(settings, operator, term, book, rng, now)
@@ -105,28 +108,28 @@
         self.office.cancellations.informed = True
         self.loaded = True
         async with curio.TaskGroup(wait=any) as group:
-            for loop in (
-                self._strikes.deposed.wait,
-                self._strikes.loop,
-                self._plan_loop,
-                self._tick_loop,
-                self._watch_jobs,
-                self._watch_holds,
-                self._watch_relays,
-                self.saving.loop,
-                self._telling.loop,
-                self._estate.list_loop,
-                self._estate.rent_loop,
-                self._estate.release_loop,
+            for duty, loop in (
+                (Duty.COMMANDS, self._strikes.deposed.wait),
+                (Duty.COMMANDS, self._strikes.loop),
+                (Duty.PLANNING, self._plan_loop),
+                (Duty.PLANNING, self._tick_loop),
+                (Duty.STATE, self._watch_jobs),
+                (Duty.STATE, self._watch_holds),
+                (Duty.STATE, self._watch_relays),
+                (Duty.STATE, self.saving.loop),
+                (Duty.SUMMARIES, self._telling.loop),
+                (Duty.CLOUD, self._estate.list_loop),
+                (Duty.CLOUD, self._estate.rent_loop),
+                (Duty.CLOUD, self._estate.release_loop),
             ):
-                await group.spawn(self._run_loop, loop)
+                await group.spawn(self._run_loop, duty, loop)
         await self._strikes.close()
         if group.exception is not None:
             raise group.exception
 
-    async def _run_loop(self, loop: Callable[[], Awaitable[Any]]) -> None:
+    async def _run_loop(self, duty: Duty, loop: Callable[[], Awaitable[Any]]) -> None:
         try:
-            await loop()
+            await self._account.on_duty(duty, loop)
         except Deposed as exc:
             log.info("term %d ends: %s", self.term, exc)
 
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -33,6 +33,7 @@
 from topazhold.core.placements import Placements
 from topazhold.core.preemption import turn
 from topazhold.core.search import pack_names, unpack_names
+from topazhold.io.account import Account, Duty
 from topazhold.io.client import Client
 from topazhold.io.http import Answer, Request
 from topazhold.io.links import FRAME_LIMIT, Link, Listener, encode
@@ -74,8 +75,10 @@
         settings: Settings,
         operator: Operator,
         dial: Callable[[tuple[str, int], int], Client] = Client,
+        account: Account | None = None,
     ) -> None:
         cluster = settings.cluster
+        self.account = account if account is not None else Account()
         self.settings = settings
         self.operator = operator
         self.name = settings.node_name
@@ -163,7 +166,8 @@
             await group.spawn(public.run, address(self.settings.bind))
             await group.spawn(peers.run, address(self.settings.peer_listen))
             for link in self.links.values():
-                await group.spawn(link.run)
+                await group.spawn(self.account.on_duty, Duty.PEERS, link.run)
+            await group.spawn(self.account.loop, self.report_s, log.info)
             await group.spawn(self.work)
             log.info("node %s serves %s", self.name, self.settings.bind)
         if group.exception is not None:
@@ -172,18 +176,18 @@
     async def work(self) -> None:
         """All that goes on besides answering requests."""
         async with curio.TaskGroup(wait=any) as group:
-            for loop in (
-                self._lease_loop,
-                self._leader_loop,
-                self._leading_loop,
-                self._catalog_loop,
-                self._ping_loop,
-                self._booking_loop,
-                self._relay_loop,
-                self._resign_loop,
-                self.enforcer.loop,
+            for duty, loop in (
+                (Duty.STATE, self._lease_loop),
+                (Duty.STATE, self._leader_loop),
+                (Duty.OTHER, self._leading_loop),
+                (Duty.CLOUD, self._catalog_loop),
+                (Duty.PEERS, self._ping_loop),
+                (Duty.SEARCHES, self._booking_loop),
+                (Duty.PEERS, self._relay_loop),
+                (Duty.OTHER, self._resign_loop),
+                (Duty.COMMANDS, self.enforcer.loop),
             ):
-                await group.spawn(loop)
+                await group.spawn(self.account.on_duty, duty, loop)
         if group.exception is not None:
             raise group.exception
 
@@ -191,13 +195,16 @@
 
     async def handle(self, request: Request) -> Answer:
         if request.path == wire.REPORT_PATH:
+            self.account.enter(Duty.REPORTS)
             if request.method != "POST":
                 return Answer(405)
             return await self._report(request.body)
         if request.path == wire.HEALTH_PATH:
+            self.account.enter(Duty.HEALTH)
             if request.method != "GET":
                 return Answer(405)
             return Answer(200 if self._healthy(await curio.clock()) else 503)
+        self.account.enter(Duty.USERS)
         answer = await self.users.handle(request)
         return answer if answer is not None else Answer(404)
 
@@ -478,6 +485,7 @@
             self._dial,
             lambda now: now < self.valid_until,
             self.cancellations,
+            self.account,
         )
         await self._election.set()
         await self._ping()
@@ -556,6 +564,7 @@
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
         """A message of another controller: hints only."""
+        self.account.enter(Duty.PEERS)
         tag = message[0]
         if tag == "ping":
             _, peer, term, leader, silent, served, enforces, record, receipts = message
--- /dev/null
+++ b/topazhold/io/account.py
@@ -0,0 +1,136 @@
+"""Where this process's time goes: an account of its work by duty.
+
+The account is an activation of the curio kernel. The kernel tells it whenever a task begins
+to run and whenever it stops, so what a task waits for is never counted as its work. Time is
+taken from the steady clock: what the process does while others have the processor counts,
+too, and so the account shows how much of its share of a processor each duty takes.
+"""
+
+from __future__ import annotations
+
+import resource
+import statistics
+import time
+from collections import deque
+from collections.abc import Awaitable, Callable
+from enum import Enum
+from typing import Any
+
+import curio
+from curio.kernel import Activation
+
+#: Report periods between two looks at the timers, and between two statements.
+LOOK_REPORTS = 0.5
+STATEMENT_REPORTS = 60
+#: Samples of how late timers fire that one statement is made of, at the most.
+MOST_SAMPLES = 512
+
+
+class Duty(Enum):
+    """What a task works for."""
+
+    REPORTS = "reports"
+    USERS = "users"
+    HEALTH = "health checks"
+    PLANNING = "planning"
+    SEARCHES = "searches"
+    SUMMARIES = "summaries"
+    COMMANDS = "direct commands"
+    STATE = "state service"
+    CLOUD = "cloud"
+    PEERS = "peers"
+    OTHER = "other"
+
+
+class Entry:
+    """What one duty has taken since the last statement."""
+
+    __slots__ = ("seconds", "pieces")
+
+    def __init__(self) -> None:
+        self.seconds = 0.0
+        self.pieces = 0
+
+
+class Account(Activation):
+    """Sums up how long tasks run, by duty.
+
+    A task begins without a duty, and each names its own by `enter`; the piece of work that
+    it is in then counts for that duty as a whole.
+    """
+
+    def __init__(self) -> None:
+        self._duties: dict[int, Duty] = {}  # tasks that have named one
+        self._task = 0
+        self._duty = Duty.OTHER
+        self._began = 0.0
+        self.entries = {duty: Entry() for duty in Duty}  # since the last statement
+        self._since = time.monotonic()
+        self._late: deque[float] = deque(maxlen=MOST_SAMPLES)
+
+    def enter(self, duty: Duty) -> None:
+        """From now on the running task works for `duty`."""
+        self._duty = duty
+        if self._task:
+            self._duties[self._task] = duty
+
+    async def on_duty(self, duty: Duty, work: Callable[[], Awaitable[Any]]) -> None:
+        """Run a loop as work for `duty`."""
+        self.enter(duty)
+        await work()
+
+    async def loop(self, report_s: float, state: Callable[[str], None]) -> None:
+        """Look at the timers, and make a statement every so many report periods."""
+        pause_s = LOOK_REPORTS * report_s
+        while True:
+            for _ in range(int(STATEMENT_REPORTS / LOOK_REPORTS)):
+                due = time.monotonic() + pause_s
+                await curio.sleep(pause_s)
+                self._late.append(max(0.0, time.monotonic() - due))
+            state(self.statement())
+
+    def running(self, task: Any) -> None:
+        """The kernel is about to run a task."""
+        self._task = task.id
+        self._duty = self._duties.get(task.id, Duty.OTHER)
+        self._began = time.monotonic()
+
+    def suspended(self, task: Any, trap: Any) -> None:
+        """A task waits, or has ended."""
+        entry = self.entries[self._duty]
+        entry.seconds += time.monotonic() - self._began
+        entry.pieces += 1
+        self._task = 0
+
+    def terminated(self, task: Any) -> None:
+        """A task has ended."""
+        self._duties.pop(task.id, None)
+
+    def statement(self) -> str:
+        """One line on the time since the last statement; the next one begins."""
+        now = time.monotonic()
+        span = max(now - self._since, 1e-9)
+        busy = sum(entry.seconds for entry in self.entries.values())
+        parts = [
+            f"{duty.value} {100 * entry.seconds / span:.2f}% ({entry.pieces}, "
+            f"{1000 * entry.seconds / entry.pieces:.2f} ms)"
+            for duty, entry in sorted(
+                self.entries.items(), key=lambda item: item[1].seconds, reverse=True
+            )
+            if entry.pieces
+        ]
+        late = self._late or [0.0]
+        line = (
+            f"busy {100 * busy / span:.1f}% of {span:.0f} s: {', '.join(parts)}; "
+            f"timers late {1000 * statistics.median(late):.0f} ms, at most "
+            f"{1000 * max(late):.0f} ms; memory at most {peak_memory_mb():.1f} MB"
+        )
+        self.entries = {duty: Entry() for duty in Duty}
+        self._late.clear()
+        self._since = now
+        return line
+
+
+def peak_memory_mb() -> float:
+    """The most memory that the process has held."""
+    return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
