--- /dev/null
+++ b/tests/test_costs.py
@@ -0,0 +1,75 @@
+"""What a leader's work costs, in objects visited: it must not grow where nothing changes."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from tests.conftest import BREED, Bench, make_spec
+from topazhold.core.realm import Realm
+
+
+class Calls:
+    """Counts the calls of a method."""
+
+    def __init__(self, patch: pytest.MonkeyPatch, name: str) -> None:
+        self.count = 0
+        method = getattr(Realm, name)
+
+        def counted(*args: Any, **kwargs: Any) -> Any:
+            self.count += 1
+            return method(*args, **kwargs)
+
+        patch.setattr(Realm, name, counted)
+
+    def taken(self) -> int:
+        """The calls since the last question."""
+        count, self.count = self.count, 0
+        return count
+
+
+def test_offers_are_made_anew_only_where_something_changed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A summary a second made every offer anew: an eighth of a leader's time with 168 machines."""
+    for machines in (6, 60):
+        bench = Bench(machines)
+        realm = bench.realm
+        made = Calls(monkeypatch, "_offer")
+
+        def look(bench: Bench = bench) -> None:
+            for zone in "ab":
+                bench.realm.offers(zone, bench.now)
+
+        look()
+        assert made.taken() == machines
+        bench.now += realm.report_s
+        bench.all_report()
+        look()
+        assert made.taken() == 0, "nothing has changed"
+        bench.job(make_spec(1, shape="batch", frames=1, cards=1.0))
+        assert len(bench.plan()) == 1
+        bench.now += 0.5 * realm.report_s
+        look()
+        assert made.taken() == 1, "one machine has got a task"
+        bench.now += 0.5 * realm.summary_s
+        bench.all_report()
+        look()
+        assert made.taken() == machines, "what ends soon has come nearer"
+        monkeypatch.undo()
+
+
+def test_room_for_gangs_of_one_shape_is_counted_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Each pressing gang looked at every machine, once a second."""
+    looks = []
+    for gangs in (1, 12):
+        bench = Bench(machines=4)
+        for number in range(gangs):
+            gang = bench.job(make_spec(number, frames=2, cards=1.0))
+            gang.pressing = True
+        counted = Calls(monkeypatch, "_free_slots")
+        bench.realm._wish_for_one_zone({}, [BREED])
+        looks.append(counted.taken())
+        monkeypatch.undo()
+    assert looks == [1, 1]
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from random import Random
+from typing import Any
 
 import pytest
 
 from tests.conftest import Bench, make_spec
 from topazhold.core.jobs import JobState, Run
+from topazhold.core.realm import Realm
 
 
 def stops(bench: Bench) -> list[tuple[str, int, float | None]]:
@@ -178,3 +180,49 @@
     counted = bench.realm.changes
     bench.report("host-0", smoke_s=20.0)
     assert bench.realm.changes > counted, "it takes no more work"
+
+
+@pytest.mark.parametrize("seed", range(8))
+def test_what_a_round_remembers_changes_no_decision(
+    seed: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The same day with every hold checked and every array's room looked for anew."""
+
+    class Forgetful(set[object]):
+        def add(self, kind: object) -> None:
+            pass
+
+    def play(forgets: bool) -> tuple[list[object], int]:
+        looks = 0
+        with monkeypatch.context() as patch:
+            if forgets:
+                patch.setattr(Realm, "_check_due", lambda *args: True)
+            fault = Realm._hold_fault
+
+            def counted(self: Realm, *args: Any) -> str | None:
+                nonlocal looks
+                looks += 1
+                return fault(self, *args)
+
+            patch.setattr(Realm, "_hold_fault", counted)
+            survey = Realm._survey
+
+            def forget(self: Realm, *args: Any) -> None:
+                survey(self, *args)
+                self._full = Forgetful()
+
+            if forgets:
+                patch.setattr(Realm, "_survey", forget)
+            day = Day(seed)
+            story: list[object] = []
+            for _ in range(300):
+                if day.rng.random() < 0.4:
+                    day.later()
+                day.settle()
+                story.append((day.event(), stops(day.bench)))
+            return story, looks
+
+    remembered, few = play(forgets=False)
+    anew, many = play(forgets=True)
+    assert remembered == anew
+    assert few <= many
--- /dev/null
+++ b/tools/__init__.py
@@ -0,0 +1,1 @@
+"""Programs for developers; the product does not use them."""
--- /dev/null
+++ b/tools/costs.py
@@ -0,0 +1,225 @@
+"""What the pieces of a leader's work cost on this machine, without a bench.
+
+    python -m tools.costs --machines 168 --tasks 5 --gangs 15 --arrays 30 [--profile plan]
+
+Drives the real HTTP, report, planning, search and summary code over a fleet in memory and
+prints the processor time of one call of each piece. `--profile PIECE` runs that piece under
+the standard library's profiler and prints the costliest functions. The times are those of
+this machine: they are for comparing pieces and versions with each other.
+"""
+
+from __future__ import annotations
+
+import argparse
+import cProfile
+import pstats
+import time
+from collections.abc import Callable, Coroutine
+from random import Random
+from typing import Any
+
+import cbor2
+import msgspec
+
+from tests.conftest import BREED, make_spec
+from tests.standins import settings_for
+from topazhold.control.office import Office
+from topazhold.control.telling import Telling
+from topazhold.core.holds import Hold, HoldBook
+from topazhold.core.jobs import Job, Run
+from topazhold.core.preemption import rank, turn
+from topazhold.core.realm import Realm
+from topazhold.core.search import SearchRules, search
+from topazhold.io.http import Answer
+from topazhold.io.links import encode
+from topazhold.io.server import Connection
+from topazhold.settings import Operator
+from topazhold.wire.codec import read
+from topazhold.wire.messages import FrameReport, Orders, Report
+
+TERM = 5
+#: Tasks of the gangs and arrays, in turn, as on the sites that this was written for.
+GANG_SIZES = (1, 2, 4, 8)
+ARRAY_SIZE = 18
+SEARCH_TRIES = 4
+
+
+class Fleet:
+    """A leader's realm with machines that run tasks, and jobs that wait."""
+
+    def __init__(self, machines: int, tasks: int, gangs: int, arrays: int) -> None:
+        self.now = 1000.0
+        self.rng = Random(1)
+        self.settings = settings_for("node-0", "a", [])
+        for team in self.settings.cluster.teams:
+            team.gpus = team.gpus_max = 1e6
+        self.book = HoldBook("node-0")
+        self.operator = Operator()
+        self.realm = Realm(self.settings, self.operator, TERM, self.book, self.rng, self.now)
+        self.realm.breeds = {"b1": BREED}
+        self.reports: list[Report] = []
+        self.number = 0
+        for number in range(machines):
+            self._machine(f"host-{number:06d}", "ab"[number % 2])
+        self._fill(tasks)
+        for number in range(gangs):
+            job = self._job(shape="gang", frames=GANG_SIZES[number % len(GANG_SIZES)], cards=4.0)
+            names = self.rng.sample(list(self.realm.machines), job.spec.frames)
+            hold = Hold(job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, turn(job))
+            self.book.holds.setdefault("node-0", {})[job.id] = hold
+        for _ in range(arrays):
+            self._job(shape="batch", frames=ARRAY_SIZE, cards=1.0)
+        for report in self.reports:
+            self.hear(report)
+
+    def _job(self, **changes: Any) -> Job:
+        self.number += 1
+        job = Job(make_spec(self.number, **changes), self.now, 1e9 + self.now, "node-0")
+        self.realm.add_job(job)
+        return job
+
+    def _machine(self, name: str, zone: str) -> None:
+        report = Report(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
+        self.reports.append(report)
+        self.hear(report)
+
+    def _fill(self, tasks: int) -> None:
+        """Every machine runs so many small tasks."""
+        for report in self.reports:
+            job = self._job(shape="batch", frames=max(1, tasks), cards=0.8, vcpus=1.0)
+            for index in range(tasks):
+                run = Run(job, index, self.number, report.box, self.now)
+                run.written(self.now)
+                run.order(1, self.now)
+                self.realm._attach(run)
+                report.frames.append(FrameReport(run.frame, run.attempt, "running"))
+
+    def hear(self, report: Report) -> list[Any]:
+        """A report of the same tasks, with the next number."""
+        report.tally += 1
+        machine = self.realm.report(report, False, self.now)
+        assert machine is not None
+        self.realm.wants_plan(machine, self.now)
+        return self.realm.answer(machine, report, self.now)
+
+
+class EndlessSocket:
+    """Receives the same request again and again; what is sent is dropped."""
+
+    def __init__(self, request: bytes) -> None:
+        self._request = request
+
+    async def recv(self, size: int) -> bytes:
+        return self._request
+
+    async def sendall(self, data: bytes) -> None:
+        pass
+
+
+def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as exc:
+        return exc.value
+    raise AssertionError("it waits")
+
+
+def http_exchange(body: bytes) -> Callable[[], None]:
+    """Receive a report and send an answer without commands."""
+    head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
+    connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)  # type: ignore[arg-type]
+    answer = Answer(200, Orders(TERM, []))
+
+    def exchange() -> None:
+        finish(connection.receive())
+        finish(connection.send(answer))
+
+    return exchange
+
+
+async def nothing(message: tuple[Any, ...]) -> None:
+    """In place of the links to other controllers."""
+
+
+def summary_of(fleet: Fleet) -> Callable[[], None]:
+    office = Office(fleet.settings, None, fleet.realm, TERM, 1, lambda now: True)  # type: ignore[arg-type]
+    telling = Telling(office, fleet.operator.summary_s, nothing)
+
+    def summary() -> None:
+        fleet.now += 1.0
+        encode(("summary", TERM, telling.summary(fleet.now)))
+
+    return summary
+
+
+def search_of(fleet: Fleet) -> Callable[[], None]:
+    """The search for a gang of four."""
+    realm = fleet.realm
+    job = next(job for job in realm.jobs.values() if job.gang and job.spec.frames == 4)
+    caches = {zone: realm.offers(zone, fleet.now, job) for zone in "ab"}
+    rules = SearchRules(2.0, 16, 20, 1.0, 1.0)
+    directory = realm.directory()
+
+    def one() -> None:
+        search(fleet.rng, directory, caches, job.spec, rank(job), {}, rules, SEARCH_TRIES)
+
+    return one
+
+
+def pieces(fleet: Fleet) -> dict[str, Callable[[], Any]]:
+    report = fleet.reports[0]
+    body = cbor2.dumps(msgspec.to_builtins(report))
+    return {
+        "http": http_exchange(body),
+        "decode": lambda: read(body, Report),
+        "report": lambda: fleet.hear(report),
+        "tick": lambda: fleet.realm.tick(fleet.now),
+        "rent": lambda: fleet.realm.rent(fleet.now),
+        "summary": summary_of(fleet),
+        "search": search_of(fleet),
+        "plan": lambda: fleet.realm.plan(fleet.now),
+    }
+
+
+def cost_ms(piece: Callable[[], Any]) -> float:
+    """The least mean of five runs, in milliseconds."""
+    piece()
+    began = time.process_time()
+    piece()
+    count = max(3, int(0.05 / max(time.process_time() - began, 1e-6)))
+    best = float("inf")
+    for _ in range(5):
+        began = time.process_time()
+        for _ in range(count):
+            piece()
+        best = min(best, (time.process_time() - began) / count)
+    return 1000 * best
+
+
+def main() -> None:
+    """Print what each piece costs, or the profile of one."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawTextHelpFormatter
+    )
+    parser.add_argument("--machines", type=int, default=168)
+    parser.add_argument("--tasks", type=int, default=5, help="tasks that each machine runs")
+    parser.add_argument("--gangs", type=int, default=15, help="gangs that wait, with a hold")
+    parser.add_argument("--arrays", type=int, default=30, help="arrays that wait")
+    parser.add_argument("--profile", metavar="PIECE", help="the piece to run under the profiler")
+    parser.add_argument("--rounds", type=int, default=200, help="calls under the profiler")
+    args = parser.parse_args()
+    fleet = Fleet(args.machines, args.tasks, args.gangs, args.arrays)
+    found = pieces(fleet)
+    if args.profile is None:
+        for name, piece in found.items():
+            print(f"{name:10} {cost_ms(piece):8.4f} ms")
+        return
+    profiler = cProfile.Profile()
+    for _ in range(args.rounds):
+        profiler.runcall(found[args.profile])
+    pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
+
+
+if __name__ == "__main__":
+    main()
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -55,10 +55,13 @@
     wire.FLUSHING: RunState.FLUSHING,
 }
 
+# Tuples: looking an enum's member up in a set calls its hash function, in Python.
 #: States in which the worker is known to have the task.
-ON_MACHINE = frozenset(_OBSERVED.values())
+ON_MACHINE = tuple(_OBSERVED.values())
+#: Those of them in which the task has its image.
+WITH_IMAGE = (RunState.GATHERING, RunState.RUNNING, RunState.FLUSHING)
 #: States in which no launch has left this node, so dropping the run is safe.
-UNSENT = frozenset((RunState.INTENDED, RunState.WRITTEN))
+UNSENT = (RunState.INTENDED, RunState.WRITTEN)
 
 
 class Run:
@@ -170,6 +173,7 @@
         self.node = node
         self.mark = 0
         self.state = JobState.LIVE
+        self.gang = spec.gang
         self.need: Room = (spec.vcpus, spec.cards, spec.ram_gb)
         self.level = wire.URGENCIES.index(spec.urgency)
         self.within = False
@@ -194,10 +198,6 @@
 
     # -- tasks -----------------------------------------------------------
 
-    @property
-    def gang(self) -> bool:
-        return self.spec.gang
-
     @property
     def waiting_count(self) -> int:
         """Tasks that are neither done nor on a machine."""
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -12,7 +12,7 @@
 
 from topazhold.core import gangs, quota, records, renting
 from topazhold.core.estimates import Estimates
-from topazhold.core.holds import HeldRooms, HoldBook
+from topazhold.core.holds import HeldRooms, Hold, HoldBook
 from topazhold.core.jobs import UNSENT, Job, JobState, Room, Run, RunState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.search import Offer
@@ -63,6 +63,7 @@
         self.cancel_s = workers.cancel_s
         self.lag_s = cluster.cloud.list_lag_s
         self.hold_lapse_s = operator.hold_lapse_s
+        self.summary_s = operator.summary_s
         self.clock = gangs.GangClock(workers.report_s, workers.gang_wait_s)
         self.rent_rules = renting.RentRules(
             operator.headroom_share, operator.idle_boots, operator.use_spot
@@ -90,6 +91,8 @@
         # Counts what a plan may depend on, time aside: jobs and machines that come, go or
         # change their state, and tasks that are placed or are gone.
         self.changes = 0
+        # Of these, machines that come, go, or can be used or not as they could before.
+        self.fleet_changes = 0
         self._guaranteed_stale = True
         self._gone: dict[str, None] = {}
         self._over: dict[str, None] = {}
@@ -109,6 +112,9 @@
         self._lower: dict[str, LowerWork] = {}
         self._least: Room = NO_ROOM
         self._needs: set[Room] = set()  # sizes of tasks that wait
+        self._full: set[object] = set()  # kinds of arrays that found no room
+        # By gang: the hold that was last checked, and the count of the fleet's changes then.
+        self._checked: dict[str, tuple[Hold, int]] = {}
         # Of the last look at all machines: zone -> up, silent, deaf.
         self._counts: dict[str, tuple[int, int, int]] = {}
         self._counted_at = -1.0
@@ -143,6 +149,11 @@
             self._starved_since.pop(job.id, None)
             self._wanting_since.pop(job.id, None)
             self._soon_known.pop(job.id, None)
+            self._checked.pop(job.id, None)
+
+    def _fleet_changed(self) -> None:
+        self.changes += 1
+        self.fleet_changes += 1
 
     def add_machine(self, name: str, zone: str, spot: bool, breed: str, now: float) -> Machine:
         """A machine was rented, listed, reported or found in the intents."""
@@ -151,7 +162,7 @@
             machine = Machine(name, zone, spot, self.breeds.get(breed), now)
             self.machines[name] = machine
             self.zone_of[name] = zone
-            self.changes += 1
+            self._fleet_changed()
         return machine
 
     def machine_gone(self, name: str, now: float) -> None:
@@ -167,7 +178,7 @@
         for run in list(machine.runs.values()):
             self._drop(run, now)
         del self.machines[name]
-        self.changes += 1
+        self._fleet_changed()
         self._known_offers.pop(name, None)
         self.zone_of.pop(name, None)
         machine.leave(now)
@@ -183,7 +194,7 @@
         if machine.state is not MachineState.RELEASING:
             log.info("machine %s released: %s", machine.name, why)
             machine.release(why, now)
-            self.changes += 1
+            self._fleet_changed()
             self.releases[machine.name] = why
             for run in list(machine.runs.values()):
                 if run.state in UNSENT and not run.unsure:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-from topazhold.core.jobs import ON_MACHINE, Room, Run, RunState
+from topazhold.core.jobs import WITH_IMAGE, Room, Run
 from topazhold.wire.messages import Breed
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
@@ -169,7 +169,7 @@
             return 0.0
         queue = {comb: size_gb}
         for run in self.runs.values():
-            if run.present and run.state not in ON_MACHINE - {RunState.PULLING}:
+            if run.present and run.state not in WITH_IMAGE:
                 spec = run.job.spec
                 if spec.comb not in self.images:
                     queue.setdefault(spec.comb, spec.image_gb)
@@ -182,10 +182,14 @@
 
 def times_fits(need: Room, room: Room, most: int) -> int:
     """How many tasks of this size the room takes, up to `most`."""
-    count = float(most)
-    for part, whole in zip(need, room, strict=True):
-        if part > SLACK:
-            count = min(count, (whole + SLACK) // part)
+    # Written out: called for each machine, waiting job and round of planning.
+    count: float = most
+    if need[0] > SLACK:
+        count = min(count, (room[0] + SLACK) // need[0])
+    if need[1] > SLACK:
+        count = min(count, (room[1] + SLACK) // need[1])
+    if need[2] > SLACK:
+        count = min(count, (room[2] + SLACK) // need[2])
     return max(0, int(count))
 
 
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -94,7 +94,7 @@
         if not machine.empty:
             machine.idle_since = now
         if self._availability(machine, now) != before:
-            self.changes += 1
+            self._fleet_changed()
         return machine
 
     def _availability(self, machine: Machine, now: float) -> tuple[MachineState, bool, bool]:
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -10,8 +10,11 @@
 from topazhold.core.search import Offer, Rank
 from topazhold.wire import messages as wire
 
-#: How old the offer of a machine may be on which nothing changed.
+#: How old the offer of a machine may be on which nothing changed, in report periods.
 SAME_OFFER_REPORTS = 1.0
+#: The same for summaries and searches, as a share of the time between two summaries in the
+#: state service, if that is longer: the other controllers' searches see no newer ones.
+SAME_OFFER_SUMMARIES = 0.5
 #: Natural ends listed in an offer.
 MOST_RUNGS = 4
 
@@ -19,17 +22,20 @@
 class Offering(Observing):
     """Offers of machines, each made anew only where something changed."""
 
-    def _present_offer(self, machine: Machine, now: float) -> Offer | None:
+    def _present_offer(self, machine: Machine, now: float, shared: bool = False) -> Offer | None:
         """The machine's offer, made anew only where something changed on it.
 
         Making every offer anew for every summary and search took a fifth of a leader's
-        time with 790 machines.
+        time with 790 machines. `shared`: it is for a summary or a search.
         """
         if machine.state is not MachineState.STARTING and not self.usable(machine, now):
             return None
         known = self._known_offers.get(machine.name)
         if known is not None and known[0] == machine.changes:
-            if now - known[1] < SAME_OFFER_REPORTS * self.report_s:
+            age_s = SAME_OFFER_REPORTS * self.report_s
+            if shared:
+                age_s = max(age_s, SAME_OFFER_SUMMARIES * self.summary_s)
+            if now - known[1] < age_s:
                 return known[2]
         offer = self._offer(machine, now)
         self._known_offers[machine.name] = (machine.changes, now, offer)
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -70,6 +70,7 @@
     def _survey(self, jobs: list[Job], now: float) -> None:
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
+        self._full = set()
         self._held = HeldRooms(self.book, self._turn_of, lambda hold: self._gathers(hold, now))
         self._needs = needs = {job.need for job in jobs}
         self._least = (
@@ -234,10 +235,7 @@
         hold = self.book.of_job(job.id)
         if hold is None or self.spent(job, hold):
             return
-        fault = self._hold_fault(job, hold)
-        if fault is not None:
-            log.info("hold of %s refused: %s", job.id, fault)
-            self.rejected[job.id] = hold.serial
+        if self._check_due(job, hold) and self._refuse(job, hold):
             return
         if not self._limit_reachable(job):
             return
@@ -268,6 +266,7 @@
                 runs.append(self._new_run(job, next(tasks), self.machines[name], attempt, now))
         gangs.begin(job, runs, now)
         self._held.release(job.id)
+        self._full.clear()
         job.starting_hold = hold.serial
         planned += runs
         log.info(
@@ -289,6 +288,21 @@
             and self._limit_reachable(job)
         )
 
+    def _check_due(self, job: Job, hold: Hold) -> bool:
+        """Whether a hold has to be checked: it is new, or machines have changed since."""
+        checked = self._checked.get(job.id)
+        return checked is None or checked[0] is not hold or checked[1] != self.fleet_changes
+
+    def _refuse(self, job: Job, hold: Hold) -> bool:
+        """Refuse a hold that can't be honoured; whether that was so."""
+        self._checked[job.id] = (hold, self.fleet_changes)
+        fault = self._hold_fault(job, hold)
+        if fault is None:
+            return False
+        log.info("hold of %s refused: %s", job.id, fault)
+        self.rejected[job.id] = hold.serial
+        return True
+
     def _hold_fault(self, job: Job, hold: Hold) -> str | None:
         """Why a hold can't be honoured, whatever time passes."""
         spec = job.spec
@@ -408,8 +422,17 @@
     def _array_places(
         self, job: Job, taken: Mapping[str, Room], now: float
     ) -> list[tuple[Machine, int]]:
-        """Machines with room, the ones where tasks start soonest first."""
+        """Machines with room, the ones where tasks start soonest first.
+
+        Where an array finds none, one of the same kind whose turn comes later finds none
+        in this round: holds keep the more from it, and room only gets less.
+        """
         spec = job.spec
+        level = job.level if spec.cap_s > 0 else None
+        types = tuple(spec.breeds) if spec.breeds is not None else None
+        kind = (job.need, level, types, spec.apiary, spec.drones)
+        if kind in self._full:
+            return []
         found = []
         for machine in self._roomy:
             # Usable when the round began, and nothing is heard in between.
@@ -429,6 +452,8 @@
                     cost += 2 * self.report_s  # an empty machine can be returned
                 cost += 5 * self.report_s * len(machine.error_jobs)
                 found.append((cost, room[1], machine.name, machine, count))
+        if not found and not job.failed_on:
+            self._full.add(kind)
         found.sort(key=lambda place: place[:3])
         return [(place[3], place[4]) for place in found]
 
--- a/topazhold/core/realm.py
+++ b/topazhold/core/realm.py
@@ -104,7 +104,7 @@
         found = []
         for machine in self.machines.values():
             if machine.zone == zone and machine.breed is not None:
-                offer = self._present_offer(machine, now)
+                offer = self._present_offer(machine, now, shared=True)
                 if offer is not None:
                     found.append(offer)
         found.sort(key=sooner)
@@ -143,30 +143,44 @@
             and job.spec.same_place
             and job.spec.apiary is None
         ]
+        # Gangs of one shape find the same room: counted once for all of them.
+        counted: dict[object, dict[str, int]] = {}
         for job in sorted(gangs, key=lambda job: (job.arrived, job.id)):
             breed = renting.best_breed(job.spec, breeds)
             if breed is None or not self._limit_reachable(job):
                 continue
-            free: dict[str, int] = dict.fromkeys(breed.apiaries, 0)
-            spot = job.spec.drones and self.rent_rules.use_spot and breed.market_price is not None
-            there: dict[str, int] = {}
-            for machine in self.machines.values():
-                if not renting.counted(machine) or machine.breed is None:
-                    continue
-                there[machine.zone] = there.get(machine.zone, 0) + (machine.spot is spot)
-                if allowed(job.spec, machine.breed.label, machine.zone, machine.spot):
-                    slots = times_fits(job.need, machine.free(), job.spec.frames)
-                    free[machine.zone] = free.get(machine.zone, 0) + slots
+            types = tuple(job.spec.breeds) if job.spec.breeds is not None else None
+            shape = (job.need, job.spec.frames, job.spec.drones, types, breed.label)
+            free = counted.get(shape)
+            if free is None:
+                free = counted[shape] = self._free_slots(job, breed)
             if max(free.values()) >= job.spec.frames or sum(free.values()) < job.spec.frames:
                 continue
             zone = max(breed.apiaries, key=lambda zone: (free[zone], zone))
             whole = (breed.vcpus, breed.cards, breed.ram_gb)
             each = times_fits(job.need, whole, job.spec.frames)
             more = math.ceil((job.spec.frames - free[zone]) / each)
+            spot = job.spec.drones and self.rent_rules.use_spot and breed.market_price is not None
+            there = sum(
+                machine.zone == zone and machine.spot is spot and renting.counted(machine)
+                for machine in self.machines.values()
+                if machine.breed is not None
+            )
             wish = found.setdefault((breed.label, spot), renting.Wish())
-            wish.at_least(there.get(zone, 0) + more, zone)
+            wish.at_least(there + more, zone)
             return  # one at a time
 
+    def _free_slots(self, job: Job, breed: Breed) -> dict[str, int]:
+        """Zone by zone, how many tasks of a job the machines have room for now or soon."""
+        free: dict[str, int] = dict.fromkeys(breed.apiaries, 0)
+        for machine in self.machines.values():
+            if not renting.counted(machine) or machine.breed is None:
+                continue
+            if allowed(job.spec, machine.breed.label, machine.zone, machine.spot):
+                slots = times_fits(job.need, machine.free(), job.spec.frames)
+                free[machine.zone] = free.get(machine.zone, 0) + slots
+        return free
+
     def rent(self, now: float) -> list[renting.Ask]:
         """Rental requests; idle machines that are not wanted go to `releases`."""
         breeds = list(self.breeds.values())
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -122,10 +122,12 @@
 class Slot:
     """Room for one task: the `nth` of this job's on its machine."""
 
-    __slots__ = ("offer", "nth", "delay", "ready", "cost")
+    __slots__ = ("offer", "name", "zone", "nth", "delay", "ready", "cost")
 
     def __init__(self, offer: Offer, nth: int, delay: float, ready: float, cost: float) -> None:
         self.offer = offer
+        self.name = offer.name
+        self.zone = offer.zone
         self.nth = nth
         self.delay = delay  # wait for room
         self.ready = ready  # wait for room and image
@@ -255,7 +257,7 @@
     cost = 0.0
     shared = False
     for slot in group:
-        zone = slot.offer.zone
+        zone = slot.zone
         zones[zone] = zones.get(zone, 0) + 1
         if slot.nth:
             shared = True
@@ -277,7 +279,7 @@
     """The nth slot of a machine counts on the ones before it."""
     counts: dict[str, list[int]] = {}
     for slot in group:
-        counts.setdefault(slot.offer.name, []).append(slot.nth)
+        counts.setdefault(slot.name, []).append(slot.nth)
     return any(max(nths) >= len(nths) for nths in counts.values())
 
 
@@ -329,7 +331,7 @@
         return None
     counts: dict[str, int] = {}
     for slot in best:
-        counts[slot.offer.name] = counts.get(slot.offer.name, 0) + 1
+        counts[slot.name] = counts.get(slot.name, 0) + 1
     wait = max(slot.ready for slot in best)
     return Group(score, wait, max(slot.delay for slot in best), counts)
 
@@ -340,7 +342,7 @@
     zones: dict[str, int] = {}
     group: list[Slot] = []
     for slot in sorted(slots, key=lambda slot: (slot.ready + slot.cost, slot.nth)):
-        zone = slot.offer.zone
+        zone = slot.zone
         if zones.get(zone, 0) < most:
             zones[zone] = zones.get(zone, 0) + 1
             group.append(slot)
@@ -398,7 +400,7 @@
         slots = gather(rng, directory, caches, spec, rank, taken, rules, seen)
         if slots and spec.same_place and math.comb(len(slots), spec.frames) <= MOST_GROUPS:
             # All groups of this zone are looked at the first time.
-            zone = slots[0].offer.zone
+            zone = slots[0].zone
             if zone in settled:
                 continue
             settled.add(zone)
--- a/topazhold/wire/codec.py
+++ b/topazhold/wire/codec.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import math
+import typing
+from functools import cache
 from typing import Any, TypeVar
 
 import cbor2
@@ -50,8 +52,19 @@
     return len(msgspec.json.encode(value))
 
 
+@cache
+def _fields_with_floats(kind: Any) -> tuple[str, ...]:
+    """The fields of a struct that may hold a number with a fraction."""
+    hints: dict[str, Any] = typing.get_type_hints(kind)
+    return tuple(
+        name
+        for name in getattr(kind, "__struct_fields__", ())
+        if hints[name] in (float, Any) or float in typing.get_args(hints[name])
+    )
+
+
 def _refuse_non_finite(message: Any) -> None:
-    for name in getattr(message, "__struct_fields__", ()):
+    for name in _fields_with_floats(message.__class__):
         value = getattr(message, name)
         if isinstance(value, float) and not math.isfinite(value):
             raise BadMessage(f"{name}: not a finite number")
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import re
+from functools import lru_cache
 from typing import Any
 
 import msgspec
@@ -51,6 +52,9 @@
 
 LISTED_FAILED = "failed"
 
+#: Task names whose parts are remembered: every report names all tasks of its machine.
+MOST_NAMES = 4096
+
 _JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
 
 
@@ -234,6 +238,7 @@
     return f"{job}/{index}"
 
 
+@lru_cache(maxsize=MOST_NAMES)
 def split_frame(frame: str) -> tuple[str, int] | None:
     """Job and number of a task name, or None if it is none."""
     job, _, number = frame.rpartition("/")
