--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -14,8 +14,7 @@
 from topazhold.control.cloud import Cloud, CloudDown
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.leading import Leading
-from topazhold.control.office import TXN_BYTES
-from topazhold.control.relay import SILENT_GRANTS, Shelter
+from topazhold.control.relay import SILENT_GRANTS, WorkerFallback
 from topazhold.control.store import (
     DECISIONS,
     LEASES,
@@ -24,10 +23,11 @@
     Store,
     WatchLost,
 )
+from topazhold.control.term_context import TXN_BYTES
 from topazhold.control.users import Users, users_request
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
-from topazhold.core.holds import HoldBook
+from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import NO_AIM, Job
 from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
 from topazhold.core.placements import Placements
@@ -41,7 +41,7 @@
 from topazhold.settings import Operator, Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
-from topazhold.wire.messages import Breed, Entry, JobSpec, Orders, Report
+from topazhold.wire.messages import Commands, Entry, JobSpec, MachineType, Report
 
 log = logging.getLogger(__name__)
 
@@ -54,11 +54,11 @@
 RECEIPT_REPORTS = 0.1
 #: The catalog's prices move slowly.
 CATALOG_REPORTS = 60
-#: How often the leader tells her peers the summary, about.
+#: How often the leader tells its peers the summary, about.
 PEER_SUMMARY_S = 1.0
 #: Share of the sockets for those who connect to this node.
 SERVED_SHARE = 0.8
-#: Messages with sheltered workers' reports a report period, and the size of one; the
+#: Messages with kept workers' reports a report period, and the size of one; the
 #: share of a transaction's changes for them where only the state service is left.
 RELAY_FRAMES = 8
 RELAY_FRAME_BYTES = FRAME_LIMIT // 4
@@ -99,10 +99,10 @@
             dial(address(settings.outside.cloud), 2), cluster.cloud.rps, timeout_s=5.0
         )
         self.leadership = Leadership(self.name)
-        self.book = HoldBook(self.name)
-        self.breeds: dict[str, Breed] = {}
+        self.hold_table = HoldTable(self.name)
+        self.machine_types: dict[str, MachineType] = {}
         self.view = View()
-        self.booking = Booking(settings, operator, self.store, self.book, self.rng)
+        self.booking = Booking(settings, operator, self.store, self.hold_table, self.rng)
         workers = cluster.workers
         self.cancellations = Cancellations(
             f"{self.name}-{time.time_ns():x}", workers.cancel_s, workers.lease_s
@@ -118,12 +118,12 @@
         self.users = Users(
             settings,
             self.store,
-            self.breeds,
+            self.machine_types,
             self._accepted,
             self._running_count,
             self._cancelled,
         )
-        self.shelter = Shelter(
+        self.fallback = WorkerFallback(
             self.leadership,
             settings.domain,
             len(settings.seeds),
@@ -134,7 +134,7 @@
         )
         self.barred_until = 0.0
         self.leading: Leading | None = None
-        self.permit: int | None = None
+        self.lease_id: int | None = None
         self.valid_until = 0.0
         self._election = curio.Event()
         self.links = {seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds}
@@ -219,9 +219,9 @@
         add the load balancer's pauses to it. A node that alone can't reach it
         sends users elsewhere.
         """
-        if not self.breeds:
+        if not self.machine_types:
             return False
-        return self._served(now) or not self.shelter.alone(now)
+        return self._served(now) or not self.fallback.alone(now)
 
     async def _report(self, body: bytes) -> Answer:
         try:
@@ -240,15 +240,15 @@
             lead.leader = None
             return Answer(421, wire.redirect(None))
         now = await curio.clock()
-        if self.shelter.adrift(self._served(now), now):
+        if self.fallback.isolated(self._served(now), now):
             # Nothing that this node hears reaches anybody: not even a leader may
-            # hold workers here, once her grant may have passed on.
+            # hold workers here, once its grant may have passed on.
             if now > self.valid_until:
-                if not (self._informed(now) and self.shelter.keeps_adrift(rep, now)):
+                if not (self._informed(now) and self.fallback.keeps_isolated(rep, now)):
                     return Answer(421, wire.redirect(None))
         if leading is None or not lead.leads:
-            if self._informed(now) and self.shelter.keeps(rep, now):
-                self.shelter.keep(rep)
+            if self._informed(now) and self.fallback.keeps(rep, now):
+                self.fallback.keep(rep)
                 return self._answer_kept(rep, lead.term)
             leader = lead.leader if lead.leader != self.name else None
             return Answer(421, wire.redirect(leader))
@@ -256,22 +256,24 @@
             if not self._informed(now):
                 return Answer(421, wire.redirect(None))
             return self._answer_kept(rep, leading.term)
-        _, calls = await leading.hear(rep)
+        _, commands = await leading.hear(rep)
         if self.leading is not leading:
             return Answer(421, wire.redirect(None))
-        return Answer(200, Orders(leading.term, calls))
+        return Answer(200, Commands(leading.term, commands))
 
     def _informed(self, now: float) -> bool:
         """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
-        return self.cancellations.informed and self.shelter.informed(now)
+        return self.cancellations.informed and self.fallback.informed(now)
 
     def _answer_kept(self, rep: Report, term: int) -> Answer:
-        """A 200 without a realm: nothing but the kills that the record asks for."""
+        """A 200 without a scheduler: nothing but the kills that the record asks for."""
         self.placements.seen(rep)
-        calls = self.cancellations.kills(rep)
-        if calls:
-            log.info("%d tasks of cancelled jobs on %s killed in an answer", len(calls), rep.box)
-        return Answer(200, Orders(term, calls))
+        commands = self.cancellations.kills(rep)
+        if commands:
+            log.info(
+                "%d tasks of cancelled jobs on %s killed in an answer", len(commands), rep.machine
+            )
+        return Answer(200, Commands(term, commands))
 
     # -- cancellations -------------------------------------------------------
 
@@ -297,7 +299,7 @@
             await self._tell_cancellations(peer)
         now = await curio.clock()
         end = now + RECEIPT_REPORTS * self.report_s
-        while now < end and self.shelter.hears_peers(now):
+        while now < end and self.fallback.hears_peers(now):
             if any(self.cancellations.peer_has(peer, job) for peer in self.links):
                 return
             await curio.ignore_after(end - now, self._receipt.wait)
@@ -337,12 +339,12 @@
             await self.leading.accepted(job)
         if job.gang:
             waits = self.settings.cluster.aimed_waits()
-            job.aimed_wait_s = waits.get(job.spec.lane, (NO_AIM, NO_AIM))[0]
+            job.aimed_wait_s = waits.get(job.spec.job_class, (NO_AIM, NO_AIM))[0]
             await self.booking.accepted(job, await curio.clock())
 
     def _running_count(self, job_id: str) -> int:
         if self.leading is not None and self.leading.loaded:
-            job = self.leading.realm.jobs.get(job_id)
+            job = self.leading.scheduler.jobs.get(job_id)
             return job.running_count() if job is not None else 0
         return self.view.running.get(job_id, 0)
 
@@ -353,13 +355,13 @@
         while True:
             sent = await curio.clock()
             try:
-                if self.permit is None:
-                    self.permit = await self.store.grant(self.grant_s)
+                if self.lease_id is None:
+                    self.lease_id = await self.store.grant(self.grant_s)
                     self.booking.reset()
-                    log.info("lease %d granted", self.permit)
-                elif not await self.store.touch(self.permit):
-                    log.info("lease %d ended", self.permit)
-                    self.permit = None
+                    log.info("lease %d granted", self.lease_id)
+                elif not await self.store.touch(self.lease_id):
+                    log.info("lease %d ended", self.lease_id)
+                    self.lease_id = None
                     await self._depose("the lease ended")
                     continue
                 self.valid_until = sent + self.grant_s * (1 - DRIFT)
@@ -377,20 +379,20 @@
         while True:
             try:
                 entry = await self.store.get(LEADER_KEY, LEASES)
-                harvest = entry.mark if entry is not None else None
+                seen_revision = entry.revision if entry is not None else None
                 if entry is None:
                     self.leadership.vacant()
                     free = self.leadership.role is Role.FOLLOWER
                     barred = await curio.clock() < self.barred_until
-                    if self.permit is not None and free and not barred:
+                    if self.lease_id is not None and free and not barred:
                         await self._stand()
                     else:
                         await curio.sleep(0.05 * self.grant_s)
                     continue
                 if await self._former_self(entry):
                     continue
-                await self._seen_leader(entry.data, entry.mark)
-                await self._follow(harvest or 0)
+                await self._seen_leader(entry.data, entry.revision)
+                await self._follow(seen_revision or 0)
             except WatchLost:
                 continue
             except TROUBLE as exc:
@@ -407,29 +409,29 @@
         value = read_value(entry.data)
         if value is None or value[0] != self.name or self.leadership.leads:
             return False
-        if entry.permit is None:
+        if entry.lease_id is None:
             return False
-        log.info("ending the lease %d of an earlier life", entry.permit)
-        await self.store.end_grant(entry.permit)
-        if entry.permit == self.permit:
-            self.permit = None
+        log.info("ending the lease %d of an earlier life", entry.lease_id)
+        await self.store.end_grant(entry.lease_id)
+        if entry.lease_id == self.lease_id:
+            self.lease_id = None
         return True
 
-    async def _follow(self, harvest: int) -> None:
+    async def _follow(self, seen_revision: int) -> None:
         """Wait until the leadership key changes."""
         while True:
-            page = await self.store.watch(LEADER_KEY, harvest, 4 * self.grant_s)
-            harvest = max(harvest, page.harvest)
+            page = await self.store.watch(LEADER_KEY, seen_revision, 4 * self.grant_s)
+            seen_revision = max(seen_revision, page.revision)
             for event in page.events:
-                key, data, mark = wire.event_key(event)
+                key, data, revision = wire.event_key(event)
                 if key != LEADER_KEY:
                     continue
                 if data is None:
                     log.info("the leadership is vacant")
                     return
-                await self._seen_leader(data, mark)
+                await self._seen_leader(data, revision)
 
-    async def _seen_leader(self, data: Any, mark: int) -> None:
+    async def _seen_leader(self, data: Any, revision: int) -> None:
         value = read_value(data)
         if value is None:
             return
@@ -442,17 +444,17 @@
 
     async def _stand(self) -> None:
         lead = self.leadership
-        permit = self.permit
-        assert permit is not None
+        lease_id = self.lease_id
+        assert lease_id is not None
         lead.stand()
         try:
             last = await self.store.get(TERM_KEY, LEASES)
             term = max(lead.term, int(last.data["crown"]) if last is not None else 0) + 1
-            token = f"{self.name}-{permit}-{term}"
+            token = f"{self.name}-{lease_id}-{term}"
             value = {**lead.value(term), "by": token}
-            mark = await self.store.commit(
-                [(LEADER_KEY, 0), (TERM_KEY, last.mark if last is not None else 0)],
-                [wire.put(LEADER_KEY, value, permit), wire.put(TERM_KEY, value)],
+            revision = await self.store.commit(
+                [(LEADER_KEY, 0), (TERM_KEY, last.revision if last is not None else 0)],
+                [wire.put(LEADER_KEY, value, lease_id), wire.put(TERM_KEY, value)],
                 LEASES,
                 LEADER_KEY,
                 token,
@@ -464,7 +466,7 @@
         except TROUBLE:
             lead.step_down()
             raise
-        if self.permit != permit:
+        if self.lease_id != lease_id:
             lead.step_down()
             return
         lead.win(term)
@@ -475,10 +477,10 @@
             self.operator,
             self.store,
             self.cloud,
-            self.book,
-            self.breeds,
+            self.hold_table,
+            self.machine_types,
             term,
-            mark,
+            revision,
             self.rng,
             await curio.clock(),
             self._tell,
@@ -521,10 +523,10 @@
 
     async def _drop_lease(self) -> None:
         """Free the leadership at once, so that others need not wait for it to lapse."""
-        permit, self.permit = self.permit, None
-        if permit is not None:
+        lease_id, self.lease_id = self.lease_id, None
+        if lease_id is not None:
             try:
-                await self.store.end_grant(permit)
+                await self.store.end_grant(lease_id)
             except TROUBLE as exc:
                 log.debug("lease not dropped: %s", exc)
 
@@ -539,7 +541,7 @@
         lead = self.leadership
         silent: list[str] | None = None
         if self.leading is not None and self.leading.loaded:
-            silent = pack_names(self.leading.realm.unreached(await curio.clock()))
+            silent = pack_names(self.leading.scheduler.unreached(await curio.clock()))
         served = self.store.failing_since is None
         cancellations = self.cancellations
         enforces = silent is not None or bool(self.placements.places)
@@ -570,7 +572,7 @@
             _, peer, term, leader, silent, served, enforces, record, receipts = message
             from_leader = silent is not None and peer == leader
             now = await curio.clock()
-            self.shelter.heard(
+            self.fallback.heard(
                 str(peer),
                 bool(served),
                 unpack_names(silent) if from_leader else None,
@@ -616,7 +618,7 @@
     # -- workers that the leader can't reach ----------------------------------------
 
     async def _relay_loop(self) -> None:
-        """Pass sheltered workers' reports on: by the link, or the state service."""
+        """Pass kept workers' reports on: by the link, or the state service."""
         state = self.settings.cluster.state
         limit = int(state.value_kb * 1024 * 0.9)
         while True:
@@ -625,9 +627,9 @@
             link = self.links.get(lead.leader or "")
             if link is None:
                 continue
-            if not self.shelter.leader_cut(await curio.clock()):
+            if not self.fallback.leader_cut(await curio.clock()):
                 for _ in range(RELAY_FRAMES):
-                    reports = self.shelter.take(RELAY_FRAME_BYTES)
+                    reports = self.fallback.take(RELAY_FRAME_BYTES)
                     if not reports:
                         break
                     await link.send(encode(("relay", lead.term, reports)))
@@ -637,12 +639,12 @@
             changes = []
             most = min(int(state.txn_ops * RELAY_SHARE), TXN_BYTES // limit)
             for number in range(max(1, most)):
-                reports = self.shelter.take(limit)
+                reports = self.fallback.take(limit)
                 if not reports:
                     break
                 key = f"{records.RELAY_PREFIX}{self.name}/{number}"
                 value = {"crown": lead.term, "reports": reports}
-                changes.append(wire.put(key, value, self.permit))
+                changes.append(wire.put(key, value, self.lease_id))
             if not changes:
                 continue
             try:
@@ -657,7 +659,7 @@
             await curio.sleep(0.5 * self.grant_s)
             leading = self.leading
             now = await curio.clock()
-            if leading is None or not leading.loaded or not leading.realm.cut_from_workers(now):
+            if leading is None or not leading.loaded or not leading.scheduler.cut_from_workers(now):
                 continue
             log.info("node %s hears too few of the workers that others hear", self.name)
             self.barred_until = now + 2 * lease_s
@@ -696,17 +698,17 @@
             if now - booking.wrote_at < 1.0:
                 await curio.sleep(1.0 - (now - booking.wrote_at))
             booking.wake.clear()
-            permit = self.permit
-            if permit is None:
+            lease_id = self.lease_id
+            if lease_id is None:
                 continue
             try:
-                busy = await self._book(permit, await curio.clock())
+                busy = await self._book(lease_id, await curio.clock())
             except TROUBLE as exc:
                 log.debug("booking: %s", exc)
             else:
                 await curio.sleep(busy * SEARCH_PAUSE)
 
-    async def _book(self, permit: int, now: float) -> float:
+    async def _book(self, lease_id: int, now: float) -> float:
         """One round of searches; the time that it kept this process busy."""
         leading = self.leading
         booking = self.booking
@@ -722,26 +724,26 @@
                 await self._fetch_summary(now)
             await self._wanted_of_follower(now)
             if booking.wanted:
-                await booking.read_book()
+                await booking.read_holds()
         began = time.monotonic()
         booking.round(view, now, MOST_SEARCHED if leading is not None else self._searches)
         busy = time.monotonic() - began
-        if await booking.write(permit, now) and leading is not None:
-            await leading.stir()
+        if await booking.write(lease_id, now) and leading is not None:
+            await leading.request_plan()
         return busy
 
     def _wanted_of_leader(self, leading: Leading, now: float) -> None:
-        """Her own gangs, and those whose controller is gone or finds nothing."""
+        """Its own gangs, and those whose controller is gone or finds nothing."""
         wanted = self.booking.wanted
-        waiting = {job.id: job for job in leading.realm.waiting_gangs(now)}
+        waiting = {job.id: job for job in leading.scheduler.waiting_gangs(now)}
         for job_id in list(wanted):
             if job_id not in waiting:
                 self.booking.forget(job_id)
         for job in waiting.values():
-            others = job.node != self.name and job.node in self.book.marks
+            others = job.node != self.name and job.node in self.hold_table.revisions
             # Its own controller searches; two at once would only replace each
             # other's holds. The leader steps in where nothing comes of it.
-            if others and leading.realm.wanting_s(job, now) < 2 * self.operator.summary_s:
+            if others and leading.scheduler.wanting_s(job, now) < 2 * self.operator.summary_s:
                 if job.id not in self.booking.mine:
                     self.booking.forget(job.id)
                     continue
@@ -751,7 +753,7 @@
             else:
                 known.turn = turn(job)
             hold = self.booking.mine.get(job.id)
-            if hold is not None and leading.realm.spent(job, hold):
+            if hold is not None and leading.scheduler.spent(job, hold):
                 del self.booking.mine[job.id]
 
     async def _wanted_of_follower(self, now: float) -> None:
@@ -762,7 +764,7 @@
             told = waiting.get(job_id)
             if told is None:
                 # Started, or over; if the leader has only not heard of it yet,
-                # she will name this node as its searcher.
+                # it will name this node as its searcher.
                 if self.view.at - wanted.since > 2 * PEER_SUMMARY_S and self.view.all_waiting:
                     booking.forget(job_id)
             else:
@@ -782,7 +784,7 @@
         if entry is None:
             return None
         try:
-            return records.read_live(entry.data, entry.mark, time.time(), 0.0).spec
+            return records.read_live(entry.data, entry.revision, time.time(), 0.0).spec
         except (BadMessage, ValueError):
             return None
 
@@ -791,8 +793,10 @@
     async def _catalog_loop(self) -> None:
         while True:
             try:
-                breeds = await self.cloud.catalog()
-                self.breeds.update({breed.label: breed for breed in breeds})
+                machine_types = await self.cloud.catalog()
+                self.machine_types.update(
+                    {machine_type.name: machine_type for machine_type in machine_types}
+                )
                 await curio.sleep(CATALOG_REPORTS * self.report_s)
             except CloudDown as exc:
                 log.debug("catalog: %s", exc)
--- a/topazhold/control/relay.py
+++ b/topazhold/control/relay.py
@@ -1,6 +1,6 @@
 """What a follower does for workers that the leader can't reach.
 
-A follower sends workers to the leader. When she is cut from them, or there is
+A follower sends workers to the leader. When it is cut from them, or there is
 none just now, that would cost them their leases and so their tasks. It then
 answers with the known term and no commands, and passes their reports on.
 """
@@ -25,10 +25,10 @@
 
 
 def _news(rep: Report) -> bool:
-    return any(frame.stage == wire.ENDED for frame in rep.frames)
+    return any(task_name.state == wire.ENDED for task_name in rep.tasks)
 
 
-class Adrift:
+class IsolatedNode:
     """Which workers a node keeps that is cut from all but its workers.
 
     Its answers keep their tasks alive and lead nowhere else. If only this node
@@ -52,31 +52,29 @@
         self._way_out = False
 
     def keeps(self, rep: Report, now: float) -> bool:
-        sent = self._sent.pop(rep.box, None)
+        sent = self._sent.pop(rep.machine, None)
         if sent is not None:
-            self._back[rep.box] = now
+            self._back[rep.machine] = now
             self._way_out = False
-        if rep.box in self._back:
+        if rep.machine in self._back:
             # It went round and found nobody. It stays for a lease time.
-            if now - self._back[rep.box] < self._lease_s:
+            if now - self._back[rep.machine] < self._lease_s:
                 return True
-            del self._back[rep.box]
-        elif rep.apiary != self._zone or any(
-            now - at > self._lease_s for at in self._sent.values()
-        ):
+            del self._back[rep.machine]
+        elif rep.zone != self._zone or any(now - at > self._lease_s for at in self._sent.values()):
             self._way_out = True
         if self._way_out:
-            self._sent[rep.box] = now
+            self._sent[rep.machine] = now
             return False
-        idle = not rep.frames
+        idle = not rep.tasks
         if idle or not (self._sent or self._back):
             # Those with nothing to lose go first; else one for all.
-            self._sent[rep.box] = now
+            self._sent[rep.machine] = now
             return False
         return True
 
 
-class Shelter:
+class WorkerFallback:
     """Decides which workers to keep here, and collects their reports."""
 
     def __init__(
@@ -92,7 +90,7 @@
         self._lead = leadership
         self._zone = zone
         self._peers = peers
-        self._adrift = Adrift(zone, lease_s)
+        self._isolated = IsolatedNode(zone, lease_s)
         self._silence_s = SILENT_GRANTS * grant_s
         self._lease_s = lease_s
         # A task that an answer keeps alive lives for a lease more. Until so long after
@@ -102,7 +100,7 @@
         self._since = now
         self._heard: dict[str, float] = {}  # peers, by the time of their last ping
         self._served: dict[str, bool] = {}  # whether the state service serves them
-        self._silent: set[str] = set()  # machines that the leader says she can't hear
+        self._silent: set[str] = set()  # machines that the leader says it can't hear
         self._sent_away: dict[str, float] = {}
         self._kept: dict[str, Report] = {}
 
@@ -114,7 +112,7 @@
         now: float,
         enforces: bool = True,
     ) -> None:
-        """A peer's ping; the leader's carries the machines that she does not hear."""
+        """A peer's ping; the leader's carries the machines that it does not hear."""
         self._heard[peer] = now
         self._enforcing = enforces
         self._served[peer] = served
@@ -142,7 +140,7 @@
         last = max(self._heard.values(), default=self._since)
         return now - last < 2 * self._silence_s or self._enforcing or now - last < self._unheard_s
 
-    def adrift(self, served: bool, now: float) -> bool:
+    def isolated(self, served: bool, now: float) -> bool:
         """Whether this node reaches neither the state service nor any peer."""
         quiet_s = 2 * self._silence_s
         lost = (
@@ -152,12 +150,12 @@
             and all(now - at > quiet_s for at in self._heard.values())
         )
         if not lost:
-            self._adrift.end()
+            self._isolated.end()
         return lost
 
-    def keeps_adrift(self, rep: Report, now: float) -> bool:
+    def keeps_isolated(self, rep: Report, now: float) -> bool:
         """Whether to answer a worker here although nothing comes of it."""
-        return rep.term == self._lead.term > 0 and self._adrift.keeps(rep, now)
+        return rep.term == self._lead.term > 0 and self._isolated.keeps(rep, now)
 
     def leader_cut(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
@@ -171,22 +169,22 @@
             return False
         if lead.leader is None or lead.leader == lead.node or self.leader_cut(now):
             return True
-        if rep.box not in self._silent:
-            self._sent_away.pop(rep.box, None)
+        if rep.machine not in self._silent:
+            self._sent_away.pop(rep.machine, None)
             return False
-        # The leader lives and does not hear this worker. It is sent to her once
+        # The leader lives and does not hear this worker. It is sent to it once
         # per lease time, which it survives if the way is still closed.
-        last = self._sent_away.setdefault(rep.box, now)
+        last = self._sent_away.setdefault(rep.machine, now)
         if now - last < self._lease_s:
             return True
-        self._sent_away[rep.box] = now
+        self._sent_away[rep.machine] = now
         return False
 
     def keep(self, rep: Report) -> None:
         """Pass it on with the next; a late copy does not take a newer one's place."""
-        kept = self._kept.get(rep.box)
-        if kept is None or (rep.flight, rep.tally) > (kept.flight, kept.tally):
-            self._kept[rep.box] = rep
+        kept = self._kept.get(rep.machine)
+        if kept is None or (rep.session, rep.sequence) > (kept.session, kept.sequence):
+            self._kept[rep.machine] = rep
 
     def take(self, limit: int) -> list[Any]:
         """Reports to pass on, as many as fit; the others follow next time.
@@ -195,12 +193,14 @@
         """
         packed: list[Any] = []
         size = 0
-        for box in sorted(self._kept, key=lambda box: not _news(self._kept[box])):
-            item = msgspec.to_builtins(self._kept[box])
+        for machine_name in sorted(
+            self._kept, key=lambda machine_name: not _news(self._kept[machine_name])
+        ):
+            item = msgspec.to_builtins(self._kept[machine_name])
             of_item = json_size(item) + 1
             if of_item <= limit and size + of_item > limit:
                 break
-            del self._kept[box]
+            del self._kept[machine_name]
             if of_item <= limit:  # one that fits no value only keeps its lease here
                 size += of_item
                 packed.append(item)
--- a/topazhold/control/store.py
+++ b/topazhold/control/store.py
@@ -137,28 +137,34 @@
         """All entries under a prefix, and the revision of the first page."""
         entries: list[Entry] = []
         after: str | None = None
-        harvest: int | None = None
+        seen_revision: int | None = None
         while True:
             target = wire.store_query(prefix, after, PAGE)
             status, body = await self._ask("GET", target, None, rank)
             if status != 200:
                 raise StoreDown(f"status {status}")
             page = read(body, wire.EntryPage)
-            harvest = page.harvest if harvest is None else harvest
+            seen_revision = page.revision if seen_revision is None else seen_revision
             entries += page.entries
             if not page.truncated or not page.entries:
-                return entries, harvest
+                return entries, seen_revision
             after = page.entries[-1].key
 
     async def multi(
-        self, guards: list[tuple[str, int]], then: list[dict[str, Any]], rank: float
+        self, conditions: list[tuple[str, int]], operations: list[dict[str, Any]], rank: float
     ) -> int:
         """One transaction; the new revision. Raises Conflict."""
-        body = wire.multi_body([wire.guard(key, mark) for key, mark in guards], then)
-        status, answer = await self._ask("POST", wire.MULTI_PATH, body, rank, writes=len(then))
+        body = wire.multi_body(
+            [wire.condition(key, revision) for key, revision in conditions], operations
+        )
+        status, answer = await self._ask(
+            "POST", wire.MULTI_PATH, body, rank, writes=len(operations)
+        )
         if status == 200:
-            log.debug("%d changes written, the first to %s", len(then), _first_key(then))
-            return read(answer, wire.Committed).harvest
+            log.debug(
+                "%d changes written, the first to %s", len(operations), _first_key(operations)
+            )
+            return read(answer, wire.Committed).revision
         if status == 409:
             raise Conflict(read(answer, wire.Committed).failed)
         # 400 comes where a lease ended while the transaction was on its way.
@@ -167,8 +173,8 @@
 
     async def commit(
         self,
-        guards: list[tuple[str, int]],
-        then: list[dict[str, Any]],
+        conditions: list[tuple[str, int]],
+        operations: list[dict[str, Any]],
         rank: float,
         probe: str,
         token: str,
@@ -185,13 +191,13 @@
         start = await curio.clock()
         while True:
             try:
-                return await self.multi(guards, then, rank)
+                return await self.multi(conditions, operations, rank)
             except Conflict:
                 if not unknown:
                     raise
                 entry = await self._probe(probe, start, give_up_s)
                 if entry is not None and _token(entry) == token:
-                    return entry.mark
+                    return entry.revision
                 raise
             except StoreUnknown:
                 unknown = True
@@ -216,11 +222,11 @@
         status, answer = await self._ask("POST", wire.GRANTS_PATH, body, LEASES)
         if status != 200:
             raise StoreDown(f"status {status}")
-        return read(answer, wire.Granted).permit
+        return read(answer, wire.Granted).lease_id
 
-    async def touch(self, permit: int) -> bool:
+    async def touch(self, lease_id: int) -> bool:
         """Renew a grant; False if it has ended."""
-        target = f"{wire.GRANTS_PATH}/{permit}{wire.TOUCH_END}"
+        target = f"{wire.GRANTS_PATH}/{lease_id}{wire.TOUCH_END}"
         status, _ = await self._ask("POST", target, {}, LEASES)
         if status == 404:
             return False
@@ -228,8 +234,8 @@
             raise StoreDown(f"status {status}")
         return True
 
-    async def end_grant(self, permit: int) -> None:
-        await self._ask("DELETE", f"{wire.GRANTS_PATH}/{permit}", None, LEASES)
+    async def end_grant(self, lease_id: int) -> None:
+        await self._ask("DELETE", f"{wire.GRANTS_PATH}/{lease_id}", None, LEASES)
 
     async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
         """Changes under a prefix after a revision; waits for one."""
@@ -249,8 +255,8 @@
         return read(body, wire.WatchPage)
 
 
-def _first_key(then: list[dict[str, Any]]) -> str:
-    return wire.changed_key(then[0]) if then else "nothing"
+def _first_key(operations: list[dict[str, Any]]) -> str:
+    return wire.changed_key(operations[0]) if operations else "nothing"
 
 
 def _token(entry: Entry) -> Any:
--- a/topazhold/control/telling.py
+++ b/topazhold/control/summaries.py
@@ -10,8 +10,8 @@
 import curio
 
 from topazhold.control.booking import View
-from topazhold.control.office import TXN_BYTES, Office
 from topazhold.control.store import DECISIONS, TROUBLE, Conflict
+from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.jobs import JobState, RunState
 from topazhold.core.machines import Machine
@@ -35,16 +35,16 @@
     return [machine.name, machine.endpoint, jobs]
 
 
-class Telling:
+class SummaryPublisher:
     """Summaries: to peers every report period, to the state service as configured."""
 
     def __init__(
         self,
-        office: Office,
+        context: TermContext,
         summary_s: float,
         tell: Callable[[tuple[Any, ...]], Awaitable[None]],
     ) -> None:
-        self._office = office
+        self._context = context
         self._summary_s = summary_s
         self._tell = tell
         self._told: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint
@@ -52,7 +52,7 @@
 
     def placed(self) -> list[list[Any]]:
         """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
-        return [_place(machine) for machine in self._office.realm.machines.values()]
+        return [_place(machine) for machine in self._context.scheduler.machines.values()]
 
     def tell_anew(self) -> None:
         """Tell of every machine once more."""
@@ -60,7 +60,7 @@
 
     def placed_news(self) -> list[list[Any]]:
         """Machines that have changed, and a few others in turn, for who missed them."""
-        machines = self._office.realm.machines
+        machines = self._context.scheduler.machines
         self._rounds += 1
         items: list[list[Any]] = []
         for number, machine in enumerate(machines.values()):
@@ -78,37 +78,37 @@
 
     def view(self, now: float) -> View:
         """The fleet for this node's own searches, fresh."""
-        realm = self._office.realm
+        scheduler = self._context.scheduler
         view = View()
         view.at = now
-        view.term = self._office.term
-        view.directory = realm.directory()
-        largest = realm.largest_gang(now)
-        view.caches = {zone: realm.offers(zone, now, largest) for zone in self._office.zones}
+        view.term = self._context.term
+        view.directory = scheduler.directory()
+        largest = scheduler.largest_gang(now)
+        view.caches = {zone: scheduler.offers(zone, now, largest) for zone in self._context.zones}
         return view
 
     def summary(self, now: float) -> dict[str, Any]:
         """What the other controllers are told: a value per zone, one for jobs."""
-        realm = self._office.realm
+        scheduler = self._context.scheduler
         values: dict[str, Any] = {}
-        largest = realm.largest_gang(now)
-        directory = realm.directory()
-        for zone in self._office.zones:
-            cache = [offer.pack() for offer in realm.offers(zone, now, largest)]
+        largest = scheduler.largest_gang(now)
+        directory = scheduler.directory()
+        for zone in self._context.zones:
+            cache = [offer.pack() for offer in scheduler.offers(zone, now, largest)]
             names = [name for name, of_zone in directory if of_zone == zone]
             values[zone] = {"cache": cache, "all": pack_names(names)}
         waiting = [
-            [job.id, job.node, *turn(job), realm.needs_hold(job)]
-            for job in realm.waiting_gangs(now)
+            [job.id, job.node, *turn(job), scheduler.needs_hold(job)]
+            for job in scheduler.waiting_gangs(now)
         ]
         running: dict[str, int] = {}
-        for job in realm.jobs.values():
+        for job in scheduler.jobs.values():
             if job.state is JobState.LIVE and len(running) < MOST_TOLD:
                 count = sum(run.state is RunState.RUNNING for run in job.runs.values())
                 if count:
                     running[job.id] = count
         values[""] = {
-            "crown": self._office.term,
+            "crown": self._context.term,
             "at": time.time(),
             "waiting": waiting,
             "running": running,
@@ -122,17 +122,19 @@
         must not look as if it waited no more.
         """
         # All zones' values are written in one transaction, however many there are.
-        limit = min(self._office.value_limit - 1024, TXN_BYTES // (len(self._office.zones) + 1))
+        limit = min(self._context.value_limit - 1024, TXN_BYTES // (len(self._context.zones) + 1))
         jobs = values[""]
         waiting = cut_summary(jobs["waiting"], limit - json_size(jobs["running"]), json_size)
         cut = len(waiting) < len(jobs["waiting"])
-        then = [wire.put(records.SUMMARY_PREFIX + "*", {**jobs, "waiting": waiting, "cut": cut})]
-        for zone in self._office.zones:
+        operations = [
+            wire.put(records.SUMMARY_PREFIX + "*", {**jobs, "waiting": waiting, "cut": cut})
+        ]
+        for zone in self._context.zones:
             value = values[zone]
             room = limit - json_size(value["all"])
             value = {**value, "cache": cut_summary(value["cache"], room, json_size)}
-            then.append(wire.put(records.SUMMARY_PREFIX + zone, value))
-        return then
+            operations.append(wire.put(records.SUMMARY_PREFIX + zone, value))
+        return operations
 
     async def loop(self) -> None:
         """Peers hear every report period; the state service has it as configured."""
@@ -140,17 +142,19 @@
         while True:
             now = await curio.clock()
             values = self.summary(now)
-            await self._tell(("summary", self._office.term, values))
+            await self._tell(("summary", self._context.term, values))
             items = self.placed_news()
             if items:
-                await self._tell(("placed", self._office.term, items))
+                await self._tell(("placed", self._context.term, items))
             if now - written_at >= self._summary_s:
                 written_at = now
-                then = self._stored(values)
+                operations = self._stored(values)
                 try:
-                    await self._office.store.multi(self._office.guards(), then, DECISIONS)
+                    await self._context.store.multi(
+                        self._context.conditions(), operations, DECISIONS
+                    )
                 except Conflict as exc:
-                    await self._office.repair(exc.keys)
+                    await self._context.repair(exc.keys)
                 except TROUBLE as exc:
                     log.debug("summary not written: %s", exc)
-            await curio.sleep(max(1.0, 0.5 * self._office.report_s))
+            await curio.sleep(max(1.0, 0.5 * self._context.report_s))
--- a/topazhold/control/office.py
+++ b/topazhold/control/term_context.py
@@ -1,4 +1,7 @@
-"""What all duties of a term share: its number, the realm, and what is learnt on a failed guard."""
+"""What all duties of a term share.
+
+Its number, the scheduler, and what is learnt from a failed condition of a transaction.
+"""
 
 from __future__ import annotations
 
@@ -11,10 +14,10 @@
 from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
+from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.leadership import LEADER_KEY
-from topazhold.core.realm import Realm
-from topazhold.core.shelves import Shelves
+from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
@@ -32,16 +35,16 @@
     """The term is over."""
 
 
-class Office:
+class TermContext:
     """One term's common ground."""
 
     def __init__(
         self,
         settings: Settings,
         store: Store,
-        realm: Realm,
+        scheduler: Scheduler,
         term: int,
-        mark: int,
+        revision: int,
         assured: Callable[[float], bool],
         cancellations: Cancellations | None = None,
     ) -> None:
@@ -49,9 +52,9 @@
         self.node = settings.node_name
         self.zones = cluster.zones
         self.store = store
-        self.realm = realm
+        self.scheduler = scheduler
         self.term = term
-        self.mark = mark
+        self.revision = revision
         if cancellations is None:
             workers = cluster.workers
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
@@ -62,7 +65,7 @@
         self.block_s = cluster.workers.lease_s
         self.value_limit = int(cluster.state.value_kb * 1024 * 0.9)
         self.txn_ops = cluster.state.txn_ops
-        self.shelves = Shelves(self.value_limit)
+        self.shards = IntentShards(self.value_limit)
         self.wake = curio.Event()
         self._sequence = 0
 
@@ -70,11 +73,11 @@
         self._sequence += 1
         return f"q{self.term}-{self._sequence}"
 
-    def guards(self) -> list[tuple[str, int]]:
-        """Every transaction of hers fails once her term is over."""
-        return [(LEADER_KEY, self.mark)]
+    def conditions(self) -> list[tuple[str, int]]:
+        """Every transaction of the leader fails once its term is over."""
+        return [(LEADER_KEY, self.revision)]
 
-    async def stir(self) -> None:
+    async def request_plan(self) -> None:
         """Something changed: plan soon."""
         await self.wake.set()
 
@@ -88,8 +91,8 @@
                     await self._reread_job(key[len(records.LIVE_PREFIX) :])
                 elif key.startswith(records.ON_PREFIX):
                     entry = await self.store.get(key, DECISIONS)
-                    mark = entry.mark if entry is not None else 0
-                    self.shelves.marked(key[len(records.ON_PREFIX) :], mark)
+                    revision = entry.revision if entry is not None else 0
+                    self.shards.marked(key[len(records.ON_PREFIX) :], revision)
             except TROUBLE as exc:
                 log.debug("repair of %s: %s", key, exc)
 
@@ -98,9 +101,9 @@
         if entry is None:
             await self.job_over(job_id)
         else:
-            job = self.realm.jobs.get(job_id)
+            job = self.scheduler.jobs.get(job_id)
             if job is not None:
-                job.mark = entry.mark
+                job.revision = entry.revision
 
     async def cancelled(self, job_id: str, at: float) -> None:
         """A job is cancelled since `at`, by the time of day; a committed fact.
@@ -110,8 +113,8 @@
         """
         wall, now = time.time(), await curio.clock()
         self.cancellations.add(job_id, at, wall)
-        self.realm.job_over(job_id, False, now - max(0.0, wall - at), now)
-        await self.stir()
+        self.scheduler.job_over(job_id, False, now - max(0.0, wall - at), now)
+        await self.request_plan()
 
     async def learn_cancelled(self) -> None:
         """All that the record names; what was read at a take-over may be older."""
@@ -121,11 +124,11 @@
     async def job_over(self, job_id: str) -> None:
         """A live job's key is gone: find out how it ended.
 
-        A job that she has not seen complete can only have been cancelled: nobody but
+        A job that it has not seen complete can only have been cancelled: nobody but
         its users and the leader ends jobs. So its tasks are stopped without a read.
         What can't be read now is asked again by whoever moves the job.
         """
-        job = self.realm.jobs.get(job_id)
+        job = self.scheduler.jobs.get(job_id)
         if job is not None and job.state is JobState.LIVE and not job.complete:
             at = self.cancellations.at(job_id)
             await self.cancelled(job_id, time.time() if at is None else at)
@@ -141,7 +144,7 @@
         at = now
         if entry is not None:
             at = now - max(0.0, time.time() - float(entry.data.get("at", time.time())))
-        self.realm.job_over(job_id, done, at, now)
+        self.scheduler.job_over(job_id, done, at, now)
         if job is not None:
             await self.drop_parts(job)
 
@@ -151,7 +154,7 @@
         for start in range(0, len(keys), self.txn_ops):
             drops = [wire.drop(key) for key in keys[start : start + self.txn_ops]]
             try:
-                await self.store.multi(self.guards(), drops, DECISIONS)
+                await self.store.multi(self.conditions(), drops, DECISIONS)
             except (*TROUBLE, Conflict) as exc:
                 log.debug("parts of %s stay: %s", job.id, exc)
                 return
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -19,7 +19,7 @@
 from topazhold.settings import Settings, Team
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, convert, json_size, unpack
-from topazhold.wire.messages import Breed, JobSpec
+from topazhold.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger(__name__)
 
@@ -45,7 +45,7 @@
         self,
         settings: Settings,
         store: Store,
-        breeds: dict[str, Breed],
+        machine_types: dict[str, MachineType],
         accepted: Callable[[Job], Awaitable[None]],
         running: Callable[[str], int],
         cancelled: Callable[[str, float], Awaitable[None]],
@@ -54,7 +54,7 @@
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._value_limit = int(settings.cluster.state.value_kb * 1024)
         self._store = store
-        self._breeds = breeds
+        self._machine_types = machine_types
         self._accepted = accepted
         self._running = running
         self._cancelled = cancelled  # told before any user is
@@ -132,10 +132,10 @@
         if json_size(value) > self._value_limit:
             return Answer(400)
         key = records.live_key(job_id)
-        guards = [(key, 0), (records.over_key(job_id), 0)]
+        conditions = [(key, 0), (records.over_key(job_id), 0)]
         try:
-            job.mark = await self._store.commit(
-                guards, [wire.put(key, value)], USERS, key, token, OUTCOME_S
+            job.revision = await self._store.commit(
+                conditions, [wire.put(key, value)], USERS, key, token, OUTCOME_S
             )
         except Conflict:
             known = await self._state(job_id)
@@ -143,11 +143,11 @@
         log.info(
             "job %s accepted: %s, %s %s of %d for %s",
             job_id,
-            spec.lane,
+            spec.job_class,
             spec.urgency,
             spec.shape,
-            spec.frames,
-            spec.crew,
+            spec.tasks,
+            spec.team,
         )
         await self._accepted(job)
         return Answer(201, wire.job_answer(job_id, wire.PENDING))
@@ -161,23 +161,23 @@
         fault = spec.fault()
         if fault is not None:
             return 400, None, f"bad {fault}"
-        if not self._breeds:
+        if not self._machine_types:
             return 503, None, "machine types not known yet"
-        if spec.breeds is not None:
+        if spec.machine_types is not None:
             # Types that the cloud does not have can't be used; this bounds the list.
-            known = sorted(set(spec.breeds) & self._breeds.keys())
-            spec = msgspec.structs.replace(spec, breeds=known)
-        team = self._teams.get(spec.crew)
+            known = sorted(set(spec.machine_types) & self._machine_types.keys())
+            spec = msgspec.structs.replace(spec, machine_types=known)
+        team = self._teams.get(spec.team)
         if team is None or not self._team_takes(team, spec):
             return 422, None, "unknown team, or more than its limit"
-        if not renting.fits_some_type(spec, self._breeds.values()):
+        if not renting.fits_some_type(spec, self._machine_types.values()):
             return 422, None, "fits no allowed machine type"
         return 201, spec, ""
 
     @staticmethod
     def _team_takes(team: Team, spec: JobSpec) -> bool:
-        tasks = spec.frames if spec.gang else 1
-        return team_limit_allows(team, spec.vcpus * tasks, spec.cards * tasks)
+        tasks = spec.tasks if spec.gang else 1
+        return team_limit_allows(team, spec.cpus * tasks, spec.gpus * tasks)
 
     # -- poll --------------------------------------------------------------
 
@@ -222,7 +222,7 @@
             value = records.over_value(entry.data["spec"], wire.ABORTED, at, token)
             try:
                 await self._store.commit(
-                    [(live, entry.mark), (over, 0)],
+                    [(live, entry.revision), (over, 0)],
                     [wire.drop(live), wire.put(over, value)],
                     USERS,
                     over,
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Call, FrameReport, Report
+from topazhold.wire.messages import Command, Report, TaskReport
 
 #: A cancellation is kept for so many times `cancel_s` and a lease together: by then
 #: its tasks are long gone, and so are late copies of reports that show them.
@@ -72,19 +72,23 @@
 
     # -- workers -------------------------------------------------------------
 
-    def shown(self, frames: Iterable[FrameReport]) -> list[FrameReport]:
+    def shown(self, tasks: Iterable[TaskReport]) -> list[TaskReport]:
         """Those tasks of a report that a cancellation ends."""
         if not self._entries:
             return []
         return [
-            frame
-            for frame in frames
-            if frame.stage != wire.ENDED and frame.frame.partition("/")[0] in self._entries
+            task_name
+            for task_name in tasks
+            if task_name.state != wire.ENDED
+            and task_name.task_name.partition("/")[0] in self._entries
         ]
 
-    def kills(self, rep: Report) -> list[Call]:
+    def kills(self, rep: Report) -> list[Command]:
         """Kills, with the attempts that the report names; they need no knowledge of the jobs."""
-        return [wire.kill(frame.frame, frame.attempt, 0.0) for frame in self.shown(rep.frames)]
+        return [
+            wire.kill(task_name.task_name, task_name.attempt, 0.0)
+            for task_name in self.shown(rep.tasks)
+        ]
 
     # -- peers ---------------------------------------------------------------
 
--- a/topazhold/core/estimates.py
+++ b/topazhold/core/estimates.py
@@ -16,21 +16,21 @@
     def __init__(self) -> None:
         self._log_ratio: dict[str, float] = {}
 
-    def learn(self, lane: str, estimated_s: float, actual_s: float) -> None:
+    def learn(self, job_class: str, estimated_s: float, actual_s: float) -> None:
         if estimated_s <= 0 or actual_s <= 0:
             return
         limit = math.log(BOUND)
         seen = max(-limit, min(limit, math.log(actual_s / estimated_s)))
-        old = self._log_ratio.get(lane, 0.0)
-        self._log_ratio[lane] = old + LEARNING * (seen - old)
+        old = self._log_ratio.get(job_class, 0.0)
+        self._log_ratio[job_class] = old + LEARNING * (seen - old)
 
-    def correction(self, lane: str) -> float:
-        return math.exp(self._log_ratio.get(lane, 0.0))
+    def correction(self, job_class: str) -> float:
+        return math.exp(self._log_ratio.get(job_class, 0.0))
 
-    def run_s(self, lane: str, estimated_s: float) -> float:
-        return estimated_s * self.correction(lane)
+    def run_s(self, job_class: str, estimated_s: float) -> float:
+        return estimated_s * self.correction(job_class)
 
-    def remaining_s(self, lane: str, estimated_s: float, elapsed_s: float) -> float:
+    def remaining_s(self, job_class: str, estimated_s: float, elapsed_s: float) -> float:
         """Never near zero: a task that outlives its estimate has some way to go."""
-        whole = self.run_s(lane, estimated_s)
+        whole = self.run_s(job_class, estimated_s)
         return max(whole - elapsed_s, 0.15 * whole, 0.0)
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -22,7 +22,7 @@
     job.enter_gang_state(GangState.STARTING, now)
 
 
-def stop(job: Job, settle_s: float, now: float) -> list[Run]:
+def stop(job: Job, grace_s: float, now: float) -> list[Run]:
     """Tell all tasks at once; the runs that this newly tells are returned.
 
     A stop reaches a gang in order only if every task is told within
@@ -31,9 +31,9 @@
     told = []
     for run in job.runs.values():
         if run.present:
-            if not run.stopping or (run.stop_settle or 0.0) > settle_s:
+            if not run.stopping or (run.stop_grace or 0.0) > grace_s:
                 told.append(run)
-            run.stop(settle_s, now)
+            run.stop(grace_s, now)
     job.enter_gang_state(GangState.STOPPING, now)
     return told
 
@@ -47,7 +47,7 @@
         return None
     if job.gang_state is GangState.WAITING:
         return None
-    if len(runs) + job.done_count < job.spec.frames:
+    if len(runs) + job.done_count < job.spec.tasks:
         return "a task is gone"
     if job.gang_state is GangState.STARTING:
         if any(run.state is RunState.RUNNING for run in runs.values()):
@@ -80,7 +80,7 @@
     """A new leader's first view of a gang: its intents are its tasks."""
     if not job.runs:
         job.enter_gang_state(GangState.WAITING, now)
-    elif len(job.runs) < job.spec.frames or len({r.attempt for r in job.runs.values()}) > 1:
+    elif len(job.runs) < job.spec.tasks or len({r.attempt for r in job.runs.values()}) > 1:
         job.enter_gang_state(GangState.STOPPING, now)
     else:
         job.enter_gang_state(GangState.STARTING, now)
--- a/topazhold/core/holds.py
+++ b/topazhold/core/holds.py
@@ -94,35 +94,35 @@
     return found
 
 
-class HoldBook:
+class HoldTable:
     """All controllers' holds, as far as this one has read them."""
 
     def __init__(self, node: str) -> None:
         self.node = node
-        self.marks: dict[str, int] = {}
+        self.revisions: dict[str, int] = {}
         self.holds: dict[str, dict[str, Hold]] = {}
 
-    def read(self, node: str, data: Any, mark: int) -> None:
+    def read(self, node: str, data: Any, revision: int) -> None:
         """A controller's value was read, or seen to change."""
-        if mark < self.marks.get(node, 0):
+        if revision < self.revisions.get(node, 0):
             return
-        self.marks[node] = mark
+        self.revisions[node] = revision
         self.holds[node] = {hold.job: hold for hold in unpack_value(data)}
 
-    def lapse(self, node: str, mark: int) -> None:
+    def lapse(self, node: str, revision: int) -> None:
         """A controller's value is gone with its lease."""
-        if mark >= self.marks.get(node, 0):
-            self.marks.pop(node, None)
+        if revision >= self.revisions.get(node, 0):
+            self.revisions.pop(node, None)
             self.holds.pop(node, None)
 
     def replace(self, entries: dict[str, tuple[Any, int]]) -> None:
         """The whole book was read anew."""
-        for node in list(self.marks):
+        for node in list(self.revisions):
             if node not in entries:
-                del self.marks[node]
+                del self.revisions[node]
                 self.holds.pop(node, None)
-        for node, (data, mark) in entries.items():
-            self.read(node, data, mark)
+        for node, (data, revision) in entries.items():
+            self.read(node, data, revision)
 
     def of_job(self, job: str) -> Hold | None:
         """The newest hold of a job, whoever made it."""
@@ -147,11 +147,11 @@
             add_hold(rooms, hold)
         return rooms
 
-    def guards(self) -> list[tuple[str, int]]:
+    def conditions(self) -> list[tuple[str, int]]:
         """Marks that a booking depends on, its own value's included."""
-        marks = {node: mark for node, mark in self.marks.items()}
-        marks.setdefault(self.node, 0)
-        return [(HOLD_PREFIX + node, mark) for node, mark in sorted(marks.items())]
+        revisions = {node: revision for node, revision in self.revisions.items()}
+        revisions.setdefault(self.node, 0)
+        return [(HOLD_PREFIX + node, revision) for node, revision in sorted(revisions.items())]
 
 
 class HeldRooms:
@@ -159,7 +159,7 @@
 
     def __init__(
         self,
-        book: HoldBook,
+        hold_table: HoldTable,
         turn_of: Callable[[Hold], Turn | None],
         gathers: Callable[[Hold], bool],
     ) -> None:
@@ -168,7 +168,7 @@
         `gathers` tells whether the job is getting its room just now.
         """
         self._gathers = gathers
-        turns = [(turn_of(hold), hold) for hold in book.all()]
+        turns = [(turn_of(hold), hold) for hold in hold_table.all()]
         self._waiting = sorted(
             ((turn, hold.serial, hold) for turn, hold in turns if turn is not None),
             key=lambda item: item[:2],
--- /dev/null
+++ b/topazhold/core/intent_shards.py
@@ -0,0 +1,129 @@
+"""Which machines' intents share a value of the state service.
+
+A value per machine made a launch on each of seventy machines cost seventy of
+the twenty changes that the state service takes in a second. Machines of a zone
+share a shard, so a gang or a burst costs a few.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Mapping
+from typing import Any
+
+from topazhold.core import records
+from topazhold.core.machines import Machine
+from topazhold.wire.codec import json_size
+
+#: Machines that share a value; fewer if their intents don't fit.
+MOST_ON_SHELF = 16
+
+
+class IntentShard:
+    """One value: its mark, and the machines whose intents it holds."""
+
+    __slots__ = ("name", "revision", "machines")
+
+    def __init__(self, name: str, revision: int = 0) -> None:
+        self.name = name
+        self.revision = revision
+        self.machines: set[str] = set()
+
+
+class IntentShards:
+    """All shards of a term."""
+
+    def __init__(self, limit: int) -> None:
+        self._limit = limit  # size of a value
+        self._shards: dict[str, IntentShard] = {}
+        self._of: dict[str, IntentShard] = {}
+        self._unwritten: set[IntentShard] = set()  # took machines over, not written since
+        self._last = 0
+
+    def found(self, name: str, revision: int, machines: Iterable[str]) -> None:
+        """A shard that an earlier term has left."""
+        assert name not in self._shards
+        shard = self._shards[name] = IntentShard(name, revision)
+        if name.isdecimal():
+            self._last = max(self._last, int(name))
+        for machine in machines:
+            old = self._of.get(machine)
+            if old is None or old.revision < revision:
+                self._put(machine, shard)
+
+    def _put(self, machine: str, shard: IntentShard) -> None:
+        old = self._of.get(machine)
+        if old is not None:
+            old.machines.discard(machine)
+        shard.machines.add(machine)
+        self._of[machine] = shard
+
+    def _new(self) -> IntentShard:
+        self._last += 1
+        name = f"{self._last:04d}"
+        shard = self._shards[name] = IntentShard(name)
+        return shard
+
+    def of(self, machine: Machine, machines: Mapping[str, Machine]) -> IntentShard:
+        """The machine's shard; it gets one of its zone's with a free place."""
+        shard = self._of.get(machine.name)
+        if shard is None:
+            for other in self._shards.values():
+                zones = {machines[name].zone for name in other.machines if name in machines}
+                if len(other.machines) < MOST_ON_SHELF and zones <= {machine.zone}:
+                    shard = other
+                    break
+            else:
+                shard = self._new()
+            self._put(machine.name, shard)
+        return shard
+
+    def gone(self, machine: str) -> IntentShard | None:
+        """A machine is gone; the shard that still holds its intents, if any does."""
+        shard = self._of.pop(machine, None)
+        if shard is not None:
+            shard.machines.discard(machine)
+        return shard
+
+    def marked(self, name: str, revision: int) -> None:
+        """A shard was written, or read again after its guard failed."""
+        shard = self._shards.get(name)
+        if shard is not None:
+            shard.revision = revision
+            if revision:
+                self._unwritten.discard(shard)
+
+    def unwritten(self) -> list[IntentShard]:
+        """Shards that took machines over and have not been written since."""
+        return sorted(self._unwritten, key=lambda shard: shard.name)
+
+    @staticmethod
+    def value(shard: IntentShard, machines: Mapping[str, Machine], token: str) -> Any:
+        """What the shard's value is to be."""
+        present = sorted(name for name in shard.machines if name in machines)
+        return records.on_value([machines[name] for name in present], token)
+
+    def values(
+        self, shards: Iterable[IntentShard], machines: Mapping[str, Machine], token: str
+    ) -> dict[str, tuple[int, Any]]:
+        """Mark and new value of each shard; one that is too full gives machines away.
+
+        A shard that took machines over goes along until it is written: if a
+        transaction with both failed and the next one had the old shard alone,
+        the intents of the machines that left it would be nowhere.
+        """
+        found: dict[str, tuple[int, Any]] = {}
+        waiting = sorted({*shards, *self._unwritten}, key=lambda shard: shard.name)
+        while waiting:
+            shard = waiting.pop(0)
+            present = sorted(name for name in shard.machines if name in machines)
+            value = self.value(shard, machines, token)
+            if json_size(value) > self._limit and len(present) > 1:
+                # Its old value still names them: a new leader takes both as they are.
+                other = self._new()
+                for name in present[len(present) // 2 :]:
+                    self._put(name, other)
+                self._unwritten.add(other)
+                waiting += [shard, other]
+                continue
+            found[shard.name] = (shard.revision, value)
+        return found
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -72,17 +72,17 @@
         "index",
         "attempt",
         "machine",
-        "flight",
+        "session",
         "state",
         "since",
-        "ordered_tally",
+        "ordered_sequence",
         "running_since",
-        "stop_settle",
+        "stop_grace",
         "stop_at",
         "unsure",
         "cause",
         "kept",
-        "frame",
+        "task_name",
     )
 
     def __init__(self, job: Job, index: int, attempt: int, machine: str, now: float) -> None:
@@ -90,13 +90,13 @@
         self.index = index
         self.attempt = attempt
         self.machine = machine
-        self.frame = wire.frame_name(job.id, index)
-        self.flight = 0
+        self.task_name = wire.task_name_of(job.id, index)
+        self.session = 0
         self.state = RunState.INTENDED
         self.since = now
-        self.ordered_tally = -1
+        self.ordered_sequence = -1
         self.running_since: float | None = None
-        self.stop_settle: float | None = None
+        self.stop_grace: float | None = None
         self.stop_at = 0.0
         self.unsure = False
         self.cause: str | None = None
@@ -112,13 +112,13 @@
         assert self.state is RunState.INTENDED
         self._enter(RunState.WRITTEN, now)
 
-    def order(self, tally: int, now: float) -> None:
-        """The launch goes out in the answer to report `tally`."""
+    def order(self, sequence: int, now: float) -> None:
+        """The launch goes out in the answer to report `sequence`."""
         assert self.state is RunState.WRITTEN
-        self.ordered_tally = tally
+        self.ordered_sequence = sequence
         self._enter(RunState.ORDERED, now)
 
-    def order_lost(self, now: float) -> None:
+    def launch_lost(self, now: float) -> None:
         """A newer report lacks the task: that answer was dropped for good."""
         assert self.state is RunState.ORDERED
         self._enter(RunState.WRITTEN, now)
@@ -144,17 +144,17 @@
         """It is proven that the task is not on its machine and won't be."""
         self._enter(RunState.GONE, now)
 
-    def stop(self, settle_s: float, now: float) -> None:
+    def stop(self, grace_s: float, now: float) -> None:
         """Ask for a stop; a later call can only shorten the grace."""
-        if self.stop_settle is None:
+        if self.stop_grace is None:
             self.stop_at = now
-            self.stop_settle = settle_s
+            self.stop_grace = grace_s
         else:
-            self.stop_settle = min(self.stop_settle, settle_s)
+            self.stop_grace = min(self.stop_grace, grace_s)
 
     @property
     def stopping(self) -> bool:
-        return self.stop_settle is not None
+        return self.stop_grace is not None
 
     @property
     def present(self) -> bool:
@@ -171,17 +171,17 @@
         self.arrived = arrived  # on the local steady clock
         self.submitted = submitted  # time of day
         self.node = node
-        self.mark = 0
+        self.revision = 0
         self.state = JobState.LIVE
         self.gang = spec.gang
-        self.need: Room = (spec.vcpus, spec.cards, spec.ram_gb)
+        self.need: Room = (spec.cpus, spec.gpus, spec.memory_gb)
         self.level = wire.URGENCIES.index(spec.urgency)
         self.within = False
         self.aimed_wait_s = NO_AIM
         self.pressing = False  # a gang that has waited long
         self.gathers_until = -1e9  # work gives way to it, on all its machines
         self.runs: dict[int, Run] = {}
-        self.done = bytearray(spec.frames)
+        self.done = bytearray(spec.tasks)
         self.done_count = 0
         self.unsaved: set[int] = set()  # parts with marks not yet saved
         self.saved_at = arrived
@@ -201,7 +201,7 @@
     @property
     def waiting_count(self) -> int:
         """Tasks that are neither done nor on a machine."""
-        return self.spec.frames - self.done_count - len(self.runs)
+        return self.spec.tasks - self.done_count - len(self.runs)
 
     def running_count(self) -> int:
         return sum(1 for run in self.runs.values() if run.state is RunState.RUNNING)
@@ -212,7 +212,7 @@
             index = heapq.heappop(self.again)
             if not self.done[index] and index not in self.runs:
                 yield index
-        while self.fresh < self.spec.frames:
+        while self.fresh < self.spec.tasks:
             index = self.fresh
             self.fresh += 1
             if not self.done[index] and index not in self.runs:
@@ -241,7 +241,7 @@
 
     @property
     def complete(self) -> bool:
-        return self.done_count == self.spec.frames
+        return self.done_count == self.spec.tasks
 
     def zones_used(self, zone_of: dict[str, str]) -> dict[str, int]:
         """Present tasks per zone; machines unknown by now count under ''."""
@@ -277,7 +277,7 @@
     def load_part(self, part: int, text: str) -> None:
         for offset in _text_to_marks(text):
             index = part * PART + offset
-            if index < self.spec.frames and not self.done[index]:
+            if index < self.spec.tasks and not self.done[index]:
                 self.done[index] = 1
                 self.done_count += 1
 
--- a/topazhold/core/leadership.py
+++ b/topazhold/core/leadership.py
@@ -1,6 +1,6 @@
 """Who is leader, as one controller knows it.
 
-The leader holds a leased key in the state service. Her terms are numbered; the
+The leader holds a leased key in the state service. Its terms are numbered; the
 number is the fencing token that workers check. It is kept in a second key that is
 never leased: both are written in one conditional transaction, so a number is given
 once. Every transaction of a term guards the leased key's mark, so a late one fails
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -1,7 +1,7 @@
 """What the leader knows: jobs, machines, and the runs of tasks on them.
 
 The layers above it each add one duty: `ordering` (commands), `stopping`,
-`observing` (reports and lists), `placing`, and `realm` on top of all.
+`observing` (reports and lists), `placing`, and `scheduler` on top of all.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from topazhold.core import gangs, quota, records, renting
 from topazhold.core.estimates import Estimates
-from topazhold.core.holds import HeldRooms, Hold, HoldBook
+from topazhold.core.holds import HeldRooms, Hold, HoldTable
 from topazhold.core.jobs import UNSENT, Job, JobState, Room, Run, RunState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.search import Offer
 from topazhold.settings import Operator, Settings
-from topazhold.wire.messages import Breed
+from topazhold.wire.messages import MachineType
 
 log = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
         settings: Settings,
         operator: Operator,
         term: int,
-        book: HoldBook,
+        hold_table: HoldTable,
         rng: Random,
         now: float,
     ) -> None:
@@ -71,20 +71,20 @@
         self.most_machine_runs = max(
             1, int(cluster.state.value_kb * 1024 - 512) // records.RUN_BYTES
         )
-        self.book = book
+        self.hold_table = hold_table
         self.rng = rng
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
         self.zone_of: dict[str, str] = {}
-        self.breeds: dict[str, Breed] = {}
+        self.machine_types: dict[str, MachineType] = {}
         self.usage = quota.Usage(cluster.teams)
         self.estimates = Estimates()
         self.refusals = renting.Refusals()
         self.last_arrival = now
         self.next_attempt = term * ATTEMPTS_PER_TERM
         # What is to be done by the outside:
-        self.strikes: set[str] = set()  # machines to send kills to directly
-        self.rings: set[str] = set()  # machines to be made to report at once
+        self.to_command: set[str] = set()  # machines to send kills to directly
+        self.to_wake: set[str] = set()  # machines to be made to report at once
         self.releases: dict[str, str] = {}  # machines to release, with the reason
         self.finished: list[Job] = []  # jobs to move to `over`
         self.rejected: dict[str, int] = {}  # holds that can't be honoured, by serial
@@ -107,7 +107,7 @@
         self.reserve_share = operator.reserve_share
         self._free_plain = 0.0
         # Of the round of planning that is under way:
-        self._held = HeldRooms(book, lambda hold: None, lambda hold: False)
+        self._held = HeldRooms(hold_table, lambda hold: None, lambda hold: False)
         self._roomy: list[Machine] = []
         self._lower: dict[str, LowerWork] = {}
         self._least: Room = NO_ROOM
@@ -130,17 +130,17 @@
         if job.id not in self.jobs and job.id not in self._over:
             self.jobs[job.id] = job
             self.changes += 1
-            if job.spec.lane in self.aimed_waits:
-                job.aimed_wait_s = self.aimed_waits[job.spec.lane][0]
+            if job.spec.job_class in self.aimed_waits:
+                job.aimed_wait_s = self.aimed_waits[job.spec.job_class][0]
             self._guaranteed_stale = True
             self.last_arrival = max(self.last_arrival, job.arrived)
 
     def patience_s(self, job: Job) -> float:
         """How long a gang waits like any other. The larger it is, the more seldom its
         room comes free by chance, and the sooner it has to press."""
-        _, longest = self.aimed_waits.get(job.spec.lane, (0.0, self.longest_wait_s))
+        _, longest = self.aimed_waits.get(job.spec.job_class, (0.0, self.longest_wait_s))
         longest = min(longest, self.longest_wait_s)
-        return PATIENCE[job.level] * longest / math.sqrt(job.spec.frames)
+        return PATIENCE[job.level] * longest / math.sqrt(job.spec.tasks)
 
     def forget_if_over(self, job: Job) -> None:
         if job.state is not JobState.LIVE and not job.runs:
@@ -155,11 +155,13 @@
         self.changes += 1
         self.fleet_changes += 1
 
-    def add_machine(self, name: str, zone: str, spot: bool, breed: str, now: float) -> Machine:
+    def add_machine(
+        self, name: str, zone: str, spot: bool, machine_type: str, now: float
+    ) -> Machine:
         """A machine was rented, listed, reported or found in the intents."""
         machine = self.machines.get(name)
         if machine is None:
-            machine = Machine(name, zone, spot, self.breeds.get(breed), now)
+            machine = Machine(name, zone, spot, self.machine_types.get(machine_type), now)
             self.machines[name] = machine
             self.zone_of[name] = zone
             self._fleet_changed()
@@ -170,7 +172,7 @@
         machine = self.machines.get(name)
         self._remember(self._gone, name)
         self.releases.pop(name, None)
-        self.strikes.discard(name)
+        self.to_command.discard(name)
         if machine is None:
             return
         # While the machine is still known: a run dropped after that would
@@ -255,7 +257,7 @@
         elapsed = run.job.progress_s
         if run.running_since is not None:
             elapsed += now - run.running_since
-        return self.estimates.remaining_s(spec.lane, spec.forage_s, elapsed)
+        return self.estimates.remaining_s(spec.job_class, spec.estimated_run_s, elapsed)
 
     def refresh_guarantees(self) -> None:
         if self._guaranteed_stale:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -6,7 +6,7 @@
 from enum import Enum
 
 from topazhold.core.jobs import WITH_IMAGE, Room, Run
-from topazhold.wire.messages import Breed
+from topazhold.wire.messages import MachineType
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
 SLACK = 1e-6
@@ -24,24 +24,26 @@
 class Machine:
     """One rented machine."""
 
-    def __init__(self, name: str, zone: str, spot: bool, breed: Breed | None, now: float) -> None:
+    def __init__(
+        self, name: str, zone: str, spot: bool, machine_type: MachineType | None, now: float
+    ) -> None:
         self.name = name
         self.zone = zone
         self.spot = spot
-        self.breed = breed
+        self.machine_type = machine_type
         self.state = MachineState.STARTING
         self.since = now
         self.rented_at = now
         self.endpoint: str | None = None
-        self.flight = 0
-        self.tally = -1
+        self.session = 0
+        self.sequence = -1
         self.term = 0
         self.heard_at: float | None = None
         self.answered_at = -1e9  # last report that was answered, here or by a follower
-        self.flight_at = now  # when the present session was first heard of
-        self.lost_orders = 0  # answers with launches that can be seen not to have arrived
+        self.session_at = now  # when the present session was first heard of
+        self.lost_commands = 0  # answers with launches that can be seen not to have arrived
         self.deaf_since: float | None = None
-        self.rumour = False  # known by a report alone that may be a late copy
+        self.unconfirmed = False  # known by a report alone that may be a late copy
         self.gone_at: float | None = None  # end announced by a notice
         self.runs: dict[tuple[str, int], Run] = {}
         self.used: Room = (0.0, 0.0, 0.0)
@@ -54,9 +56,9 @@
         self.why = ""
         self.reached_at = -1e9  # last report that came to this node itself
         self.announced_at = -1e9
-        self.struck_at = -1e9  # last commanded directly
+        self.commanded_at = -1e9  # last commanded directly
         self.changes = 0  # of what an offer of its room says
-        self.bells: list[tuple[str, int]] = []  # ended tasks kept uncleared, to ring with
+        self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept uncleared, to ring with
 
     # -- changes of state ------------------------------------------------
 
@@ -74,7 +76,7 @@
             self._enter(MachineState.UNSYNCED, now)
             self.idle_since = now
         if synced:
-            self.rumour = False
+            self.unconfirmed = False
             if self.state is MachineState.UNSYNCED:
                 self._enter(MachineState.READY, now)
 
@@ -87,7 +89,7 @@
 
     def hears_again(self) -> bool:
         """The worker has acted on an answer; whether that is news."""
-        self.lost_orders = 0
+        self.lost_commands = 0
         was = self.deaf_since is not None
         self.deaf_since = None
         return was
@@ -116,9 +118,9 @@
 
     @property
     def total(self) -> Room:
-        if self.breed is None:
+        if self.machine_type is None:
             return (0.0, 0.0, 0.0)
-        return (self.breed.vcpus, self.breed.cards, self.breed.ram_gb)
+        return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
 
     def attach(self, run: Run) -> None:
         """A run is, or may come to be, on the machine."""
@@ -139,11 +141,15 @@
 
     def free(self) -> Room:
         """Room that nothing on the machine, or on its way there, takes."""
-        breed = self.breed
-        if breed is None:
+        machine_type = self.machine_type
+        if machine_type is None:
             return (0.0, 0.0, 0.0)
         used = self.used
-        return (breed.vcpus - used[0], breed.cards - used[1], breed.ram_gb - used[2])
+        return (
+            machine_type.cpus - used[0],
+            machine_type.gpus - used[1],
+            machine_type.memory_gb - used[2],
+        )
 
     @property
     def empty(self) -> bool:
@@ -151,29 +157,29 @@
 
     # -- images ----------------------------------------------------------
 
-    def fetched(self, comb: str, size_gb: float) -> None:
+    def fetched(self, image: str, size_gb: float) -> None:
         """Keep the least recently used images out, as the worker does."""
-        if comb not in self.images:
+        if image not in self.images:
             self.changes += 1
-        self.images[comb] = size_gb
-        self.images.move_to_end(comb)
-        room = self.breed.local_gb if self.breed else 0.0
+        self.images[image] = size_gb
+        self.images.move_to_end(image)
+        room = self.machine_type.cache_gb if self.machine_type else 0.0
         total = sum(self.images.values())
         while total > room and len(self.images) > 1:
             _, size = self.images.popitem(last=False)
             total -= size
 
-    def fetch_s(self, comb: str, size_gb: float) -> float:
+    def fetch_s(self, image: str, size_gb: float) -> float:
         """Expected time until the image is there, other fetches included."""
-        if comb in self.images or self.breed is None:
+        if image in self.images or self.machine_type is None:
             return 0.0
-        queue = {comb: size_gb}
+        queue = {image: size_gb}
         for run in self.runs.values():
             if run.present and run.state not in WITH_IMAGE:
                 spec = run.job.spec
-                if spec.comb not in self.images:
-                    queue.setdefault(spec.comb, spec.image_gb)
-        return sum(queue.values()) / self.breed.fetch_gb_per_s
+                if spec.image not in self.images:
+                    queue.setdefault(spec.image, spec.image_gb)
+        return sum(queue.values()) / self.machine_type.fetch_gb_per_s
 
 
 def fits(need: Room, room: Room) -> bool:
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -9,14 +9,14 @@
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.stopping import Stopping
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import FrameReport, ListedBox, Report
+from topazhold.wire.messages import ListedMachine, Report, TaskReport
 
 log = logging.getLogger(__name__)
 
 #: A job that failed on so many machines is taken to be at fault itself.
 BAD_JOB_MACHINES = 3
 #: So many answers with launches that did not arrive make a machine deaf.
-LOST_ORDERS = 2
+LOST_COMMANDS = 2
 #: A session that ends so soon (in leases) after an answer has not heard the answer,
 #: and one that lasts so long has heard some.
 UNHEARD_LEASES = 0.7
@@ -28,22 +28,28 @@
 class Observing(Stopping):
     """What reports and lists say, and what they prove."""
 
-    def listed(self, boxes: Iterable[ListedBox], asked_at: float, now: float) -> None:
+    def listed(self, machine_names: Iterable[ListedMachine], asked_at: float, now: float) -> None:
         """A whole machine list, asked for at `asked_at`."""
         names = set()
-        for box in boxes:
-            if box.id in self._gone:
+        for machine_name in machine_names:
+            if machine_name.id in self._gone:
                 continue
-            names.add(box.id)
-            machine = self.machines.get(box.id)
+            names.add(machine_name.id)
+            machine = self.machines.get(machine_name.id)
             if machine is None:
-                machine = self.add_machine(box.id, box.apiary, box.drones, box.breed, now)
-                machine.rented_at = now - box.age_s
-            machine.rumour = False
+                machine = self.add_machine(
+                    machine_name.id,
+                    machine_name.zone,
+                    machine_name.spot,
+                    machine_name.machine_type,
+                    now,
+                )
+                machine.rented_at = now - machine_name.age_s
+            machine.unconfirmed = False
             if machine.endpoint is None:
-                machine.endpoint = box.endpoint
+                machine.endpoint = machine_name.endpoint
             machine.unlisted = 0
-            if box.stage == wire.LISTED_FAILED:
+            if machine_name.state == wire.LISTED_FAILED:
                 self.release(machine, "failed", now)
         for machine in list(self.machines.values()):
             if machine.name in names or now - machine.rented_at < 4 * self.lag_s:
@@ -63,24 +69,24 @@
         answer of a report that is still under way, so what it lacks proves
         nothing about a launch ordered there.
         """
-        machine = self.machines.get(rep.box)
+        machine = self.machines.get(rep.machine)
         if machine is None:
-            if direct or rep.box in self._gone:
+            if direct or rep.machine in self._gone:
                 return None
-            machine = self.add_machine(rep.box, rep.apiary, rep.drones, rep.breed, now)
+            machine = self.add_machine(rep.machine, rep.zone, rep.spot, rep.machine_type, now)
             # A late copy may tell of a machine that is long gone. Until it is
             # listed, or reports under this term, it is not counted on.
-            machine.rumour = True
-        if machine.breed is None:
-            machine.breed = self.breeds.get(rep.breed)
+            machine.unconfirmed = True
+        if machine.machine_type is None:
+            machine.machine_type = self.machine_types.get(rep.machine_type)
         if machine.state is MachineState.RELEASING:
             return None
         before = self._availability(machine, now)
-        if (rep.flight, rep.tally) <= (machine.flight, machine.tally):
+        if (rep.session, rep.sequence) <= (machine.session, machine.sequence):
             return None
-        if rep.flight > machine.flight:
-            self._new_flight(machine, rep.flight, now)
-        machine.tally = rep.tally
+        if rep.session > machine.session:
+            self._new_session(machine, rep.session, now)
+        machine.sequence = rep.sequence
         machine.endpoint = rep.endpoint
         synced = rep.term == self.term
         machine.hear(synced, now)
@@ -89,8 +95,8 @@
             machine.answered_at = now
             if not relayed:
                 machine.reached_at = now
-        self._notice(machine, rep.smoke_s, now)
-        self._frames(machine, rep, synced, direct, now)
+        self._notice(machine, rep.notice_s, now)
+        self._observe_tasks(machine, rep, synced, direct, now)
         if not machine.empty:
             machine.idle_since = now
         if self._availability(machine, now) != before:
@@ -101,29 +107,29 @@
         """Whether new work may go to a machine, as far as its reports decide that."""
         return machine.state, machine.deaf, self.usable(machine, now)
 
-    def _new_flight(self, machine: Machine, flight: int, now: float) -> None:
+    def _new_session(self, machine: Machine, session: int, now: float) -> None:
         """The worker's lease ended: all tasks of the earlier session are gone."""
         for run in list(machine.runs.values()):
             # A launch is ordered only in the session that its intent names, and
             # the worker drops answers to reports of an earlier one. So a newer
             # session settles an earlier term's intents too, also those of a
             # deaf machine, which never reports under the new term.
-            if not run.unsure or run.flight < flight:
+            if not run.unsure or run.session < session:
                 self._drop(run, now)
         machine.strays.clear()
-        if machine.flight:
-            log.info("machine %s began session %d", machine.name, flight)
+        if machine.session:
+            log.info("machine %s began session %d", machine.name, session)
             if now - machine.answered_at < UNHEARD_LEASES * self.lease_s:
                 self._deafen(machine, "its lease ended though it was answered", now)
-        machine.flight = flight
-        machine.flight_at = now
+        machine.session = session
+        machine.session_at = now
 
     def _judge_hearing(self, machine: Machine, rep: Report, now: float) -> None:
         """Whether answers reach the worker, as far as its reports show it."""
         term_before, machine.term = machine.term, rep.term
         heard = (
             rep.term == self.term != term_before
-            or now - machine.flight_at > HEARD_LEASES * self.lease_s
+            or now - machine.session_at > HEARD_LEASES * self.lease_s
         )
         if heard and machine.hears_again():
             log.info("machine %s hears again", machine.name)
@@ -136,56 +142,56 @@
             if run.state in UNSENT and not run.unsure:
                 self._drop(run, now)
 
-    def _notice(self, machine: Machine, smoke_s: float | None, now: float) -> None:
-        if smoke_s is None:
+    def _notice(self, machine: Machine, notice_s: float | None, now: float) -> None:
+        if notice_s is None:
             return
         if machine.gone_at is None:
-            log.info("machine %s will be taken in %.1f s", machine.name, smoke_s)
-        machine.gone_at = now + smoke_s
+            log.info("machine %s will be taken in %.1f s", machine.name, notice_s)
+        machine.gone_at = now + notice_s
         machine.drain("notice", now)
 
-    def _frames(
+    def _observe_tasks(
         self, machine: Machine, rep: Report, synced: bool, direct: bool, now: float
     ) -> None:
         seen: set[tuple[str, int]] = set()
         strays: dict[tuple[str, int], str] = {}
-        for frame in rep.frames:
-            key = wire.split_frame(frame.frame)
+        for task_name in rep.tasks:
+            key = wire.split_task_name(task_name.task_name)
             if key is None:
                 continue
             run = machine.runs.get(key)
-            if run is not None and run.attempt == frame.attempt:
+            if run is not None and run.attempt == task_name.attempt:
                 seen.add(key)
-                self._observe(machine, run, frame, now)
-            elif frame.stage == wire.ENDED:
-                if frame.cause == wire.CAUSE_DONE:
+                self._observe(machine, run, task_name, now)
+            elif task_name.state == wire.ENDED:
+                if task_name.cause == wire.CAUSE_DONE:
                     self._credit(key, now)
             else:
-                self._stray(machine, key, frame, strays, now)
+                self._stray(machine, key, task_name, strays, now)
         machine.strays = strays
         lost = False
         for key, run in list(machine.runs.items()):
             if key not in seen:
                 lost |= self._absent(run, rep, synced, direct, now)
         if lost:
-            machine.lost_orders += 1
-            if machine.lost_orders >= LOST_ORDERS:
+            machine.lost_commands += 1
+            if machine.lost_commands >= LOST_COMMANDS:
                 self._deafen(machine, "launches don't arrive", now)
 
-    def _observe(self, machine: Machine, run: Run, frame: FrameReport, now: float) -> None:
-        if frame.stage == wire.ENDED:
-            self._ended(machine, run, frame, now)
+    def _observe(self, machine: Machine, run: Run, task_name: TaskReport, now: float) -> None:
+        if task_name.state == wire.ENDED:
+            self._ended(machine, run, task_name, now)
             return
         if run.state is RunState.INTENDED:
             return
         if run.state is RunState.ORDERED and not run.unsure:
             machine.hears_again()
         before = run.state
-        run.observe(frame.stage, now)
+        run.observe(task_name.state, now)
         machine.changes += run.state is not before
         if run.state in (RunState.GATHERING, RunState.RUNNING):
             spec = run.job.spec
-            machine.fetched(spec.comb, spec.image_gb)
+            machine.fetched(spec.image, spec.image_gb)
 
     def _absent(self, run: Run, rep: Report, synced: bool, direct: bool, now: float) -> bool:
         """A run that the report lacks; whether its launch can be seen to be lost."""
@@ -195,11 +201,11 @@
         elif run.state is RunState.ORDERED:
             # Reports go out one at a time, so this one was sent after the
             # answer with the launch was carried out or dropped for good.
-            if not direct and rep.tally > run.ordered_tally:
+            if not direct and rep.sequence > run.ordered_sequence:
                 if run.stopping:
                     self._drop(run, now)
                 else:
-                    run.order_lost(now)
+                    run.launch_lost(now)
                 return True
         elif run.state in ON_MACHINE:
             self._drop(run, now)
@@ -209,42 +215,42 @@
         self,
         machine: Machine,
         key: tuple[str, int],
-        frame: FrameReport,
+        task_name: TaskReport,
         strays: dict[tuple[str, int], str],
         now: float,
     ) -> None:
         """A task that no intent of ours explains: it must go, and counts till then."""
         job = self.jobs.get(key[0])
-        if job is not None and key[1] < job.spec.frames and key[1] not in job.runs:
-            run = Run(job, key[1], frame.attempt, machine.name, now)
+        if job is not None and key[1] < job.spec.tasks and key[1] not in job.runs:
+            run = Run(job, key[1], task_name.attempt, machine.name, now)
             run.state = RunState.ORDERED
-            run.observe(frame.stage, now)
+            run.observe(task_name.state, now)
             self._attach(run)
             self._stop_run(run, 0.0, "unexpected", now)
             if job.gang and job.state is JobState.LIVE:
                 self._stop_gang(job, 0.0, "unexpected task", now)
             return
-        strays[(frame.frame, frame.attempt)] = frame.stage
-        self.strikes.add(machine.name)
+        strays[(task_name.task_name, task_name.attempt)] = task_name.state
+        self.to_command.add(machine.name)
 
-    def _ended(self, machine: Machine, run: Run, frame: FrameReport, now: float) -> None:
+    def _ended(self, machine: Machine, run: Run, task_name: TaskReport, now: float) -> None:
         job = run.job
-        cause = frame.cause or ""
-        run.end(cause, bool(frame.kept), now)
+        cause = task_name.cause or ""
+        run.end(cause, bool(task_name.kept), now)
         log.info(
             "task %s try %d on %s ended: %s%s",
-            run.frame,
+            run.task_name,
             run.attempt,
             machine.name,
             cause,
-            " (saved)" if frame.kept else "",
+            " (saved)" if task_name.kept else "",
         )
         spec = job.spec
         if cause == wire.CAUSE_DONE:
             machine.error_jobs.clear()
-            machine.fetched(spec.comb, spec.image_gb)
+            machine.fetched(spec.image, spec.image_gb)
             if run.running_since is not None and job.progress_s == 0.0 and not run.stopping:
-                self.estimates.learn(spec.lane, spec.forage_s, now - run.running_since)
+                self.estimates.learn(spec.job_class, spec.estimated_run_s, now - run.running_since)
             self._credit((job.id, run.index), now)
         elif cause == wire.CAUSE_ERROR:
             self._failed(machine, job, now)
@@ -265,8 +271,8 @@
         total = job.progress_s + max(0.0, ran)
         if run.kept:
             job.progress_s = total
-        elif job.spec.cap_s > 0:
-            job.progress_s = max(job.progress_s, total - total % job.spec.cap_s)
+        elif job.spec.checkpoint_s > 0:
+            job.progress_s = max(job.progress_s, total - total % job.spec.checkpoint_s)
 
     def _failed(self, machine: Machine, job: Job, now: float) -> None:
         """A task ended with `error`: is it the machine or the job?"""
@@ -286,12 +292,12 @@
     def _credit(self, key: tuple[str, int], now: float) -> None:
         """A task has completed."""
         job = self.jobs.get(key[0])
-        if job is None or job.state is not JobState.LIVE or key[1] >= job.spec.frames:
+        if job is None or job.state is not JobState.LIVE or key[1] >= job.spec.tasks:
             return
         done_before = job.done_count
         if job.gang:
             # A gang completes together: one task done means all are.
-            for index in range(job.spec.frames):
+            for index in range(job.spec.tasks):
                 job.mark_done(index)
         else:
             job.mark_done(key[1])
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -42,26 +42,26 @@
         return offer
 
     def _offer(self, machine: Machine, now: float) -> Offer:
-        assert machine.breed is not None
+        assert machine.machine_type is not None
         rungs: list[tuple[float, Room]] = []
         evictable: list[tuple[Rank, float, Room]] = []
         if machine.state is MachineState.STARTING:
-            wait = machine.breed.ready_s - (now - machine.rented_at)
+            wait = machine.machine_type.boot_s - (now - machine.rented_at)
             rungs.append((max(wait, 2 * self.report_s), machine.total))
         else:
             room = machine.free()
             # A worker that can be rung takes a launch at once, others at their
             # next report.
-            rungs.append((0.0 if machine.bells else 0.5 * self.report_s, room))
+            rungs.append((0.0 if machine.wake_tasks else 0.5 * self.report_s, room))
             ends = []
             for run in machine.runs.values():
                 if run.present:
                     if run.stopping:
-                        left = max(0.0, run.job.spec.seal_s - (now - run.stop_at)) + self.report_s
+                        left = max(0.0, run.job.spec.save_s - (now - run.stop_at)) + self.report_s
                     else:
                         left = self.remaining_s(run, now)
                         if run.state is not RunState.RUNNING:
-                            left += machine.fetch_s(run.job.spec.comb, run.job.spec.image_gb)
+                            left += machine.fetch_s(run.job.spec.image, run.job.spec.image_gb)
                     ends.append((left, run.job.need))
             ends.sort(key=lambda end: end[0])
             step = max(1, (len(ends) + MOST_RUNGS - 1) // MOST_RUNGS)
@@ -73,12 +73,12 @@
         return Offer(
             machine.name,
             machine.zone,
-            machine.breed.label,
+            machine.machine_type.name,
             machine.spot,
             frozenset(machine.images),
             rungs,
             evictable,
-            machine.breed.fetch_gb_per_s,
+            machine.machine_type.fetch_gb_per_s,
         )
 
     def _evictable(self, machine: Machine) -> list[tuple[Rank, float, Room]]:
@@ -90,7 +90,7 @@
             job = run.job
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
-            seal = job.spec.seal_s if job.spec.cap_s > 0 else 0.0
+            seal = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
             kind = (job.within, job.level)
             _, room, longest = kinds.get(kind, (job, NO_ROOM, 0.0))
             kinds[kind] = (job, plus(room, job.need), max(longest, seal))
@@ -110,4 +110,4 @@
     @staticmethod
     def _boot_s(machine: Machine) -> float:
         """The usual boot time of the machine's type."""
-        return machine.breed.ready_s if machine.breed is not None else 0.0
+        return machine.machine_type.boot_s if machine.machine_type is not None else 0.0
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -9,12 +9,12 @@
 from topazhold.core.ledger import Ledger
 from topazhold.core.machines import Machine, MachineState
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Call, Report
+from topazhold.wire.messages import Command, Report
 
 log = logging.getLogger(__name__)
 
 #: Ended tasks left on a worker to ring with.
-MOST_BELLS = 3
+MOST_WAKE_TASKS = 3
 
 
 class Ordering(Ledger):
@@ -22,32 +22,36 @@
 
     def answer(
         self, machine: Machine, rep: Report, now: float, launches: bool = True
-    ) -> list[Call]:
+    ) -> list[Command]:
         """The commands for a report's answer: clears, kills, launches, in this order."""
-        calls = self._clears(machine, rep) + self.kills(machine)
+        commands = self._clears(machine, rep) + self.kills(machine)
         if launches and machine.state is MachineState.READY and rep.term == self.term:
             for run in machine.runs.values():
                 # Only in the session that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
-                if run.state is RunState.WRITTEN and not run.stopping and run.flight == rep.flight:
-                    run.order(rep.tally, now)
-                    log.info("launch %s try %d on %s", run.frame, run.attempt, machine.name)
-                    calls.append(wire.launch(run.frame, run.attempt))
-        return calls
+                if (
+                    run.state is RunState.WRITTEN
+                    and not run.stopping
+                    and run.session == rep.session
+                ):
+                    run.order(rep.sequence, now)
+                    log.info("launch %s try %d on %s", run.task_name, run.attempt, machine.name)
+                    commands.append(wire.launch(run.task_name, run.attempt))
+        return commands
 
-    def _clears(self, machine: Machine, rep: Report) -> list[Call]:
+    def _clears(self, machine: Machine, rep: Report) -> list[Command]:
         """Clears for ended tasks, but for a few that are kept to ring with.
 
         A change of a worker's tasks makes it report at once. Clearing the kept
         task directly is such a change, so a launch need not wait for the next
         regular report.
         """
-        calls = []
-        for frame in rep.frames:
-            if frame.stage != wire.ENDED:
+        commands = []
+        for task_name in rep.tasks:
+            if task_name.state != wire.ENDED:
                 continue
-            if frame.cause == wire.CAUSE_DONE:
-                key = wire.split_frame(frame.frame)
+            if task_name.cause == wire.CAUSE_DONE:
+                key = wire.split_task_name(task_name.task_name)
                 job = self.jobs.get(key[0]) if key else None
                 if (
                     job is not None
@@ -56,50 +60,52 @@
                     and key[1] // PART in job.unsaved
                 ):
                     continue  # the worker's word is the only record until it is saved
-            calls.append(wire.clear(frame.frame, frame.attempt))
-        machine.changes += bool(machine.bells) is not bool(calls)
-        machine.bells = [(call.frame, call.attempt) for call in calls[:MOST_BELLS]]
-        return calls[MOST_BELLS:]
+            commands.append(wire.clear(task_name.task_name, task_name.attempt))
+        machine.changes += bool(machine.wake_tasks) is not bool(commands)
+        machine.wake_tasks = [
+            (command.task_name, command.attempt) for command in commands[:MOST_WAKE_TASKS]
+        ]
+        return commands[MOST_WAKE_TASKS:]
 
-    def direct_calls(self, machine: Machine) -> list[Call]:
+    def direct_commands(self, machine: Machine) -> list[Command]:
         """What goes out directly: kills, and the ring for a waiting launch."""
-        calls = self.kills(machine)
-        if machine.name in self.rings:
-            self.rings.discard(machine.name)
-            if machine.bells:
-                calls.append(wire.clear(*machine.bells.pop()))
-                machine.changes += not machine.bells
-        return calls
+        commands = self.kills(machine)
+        if machine.name in self.to_wake:
+            self.to_wake.discard(machine.name)
+            if machine.wake_tasks:
+                commands.append(wire.clear(*machine.wake_tasks.pop()))
+                machine.changes += not machine.wake_tasks
+        return commands
 
-    def _ring(self, machine: Machine, now: float) -> None:
-        if machine.bells and now - (machine.heard_at or 0.0) > 0.1 * self.report_s:
-            self.rings.add(machine.name)
-            self.strikes.add(machine.name)
+    def _wake(self, machine: Machine, now: float) -> None:
+        if machine.wake_tasks and now - (machine.heard_at or 0.0) > 0.1 * self.report_s:
+            self.to_wake.add(machine.name)
+            self.to_command.add(machine.name)
 
     def fresh(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
         return machine.heard_at is not None and now - machine.heard_at < 2.5 * self.report_s
 
-    def strike_order(self, names: Iterable[str], now: float) -> list[Machine]:
+    def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
         """Whom to command directly first: the living, and those with cancelled work."""
         found = []
         for name in names:
             machine = self.machines.get(name)
             if machine is not None and machine.endpoint is not None:
-                key = (not self.fresh(machine, now), not self.must_go(name), machine.struck_at)
+                key = (not self.fresh(machine, now), not self.must_go(name), machine.commanded_at)
                 found.append((key, machine))
         found.sort(key=lambda item: (item[0], item[1].name))
         return [machine for _, machine in found]
 
-    def kills(self, machine: Machine) -> list[Call]:
+    def kills(self, machine: Machine) -> list[Command]:
         """Kills for all that must leave the machine; every one can be repeated."""
-        calls = []
+        commands = []
         for run in machine.runs.values():
-            if run.stop_settle is None or run.state in UNSENT:
+            if run.stop_grace is None or run.state in UNSENT:
                 continue
-            if run.state is RunState.FLUSHING and run.stop_settle > 0:
+            if run.state is RunState.FLUSHING and run.stop_grace > 0:
                 continue
-            calls.append(wire.kill(run.frame, run.attempt, run.stop_settle))
-        for frame, attempt in machine.strays:
-            calls.append(wire.kill(frame, attempt, 0.0))
-        return calls
+            commands.append(wire.kill(run.task_name, run.attempt, run.stop_grace))
+        for task_name, attempt in machine.strays:
+            commands.append(wire.kill(task_name, attempt, 0.0))
+        return commands
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placements.py
@@ -11,22 +11,22 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import ListedBox, Report
+from topazhold.wire.messages import ListedMachine, Report
 
-#: Machines known; the leader's list is bounded by what she can use.
+#: Machines known; the leader's list is bounded by what it can use.
 MOST_MACHINES = 10_000
 
 
 class Place:
     """One machine: how to reach it, and whose tasks may be on it."""
 
-    __slots__ = ("endpoint", "jobs", "flight", "tally", "looks")
+    __slots__ = ("endpoint", "jobs", "session", "sequence", "looks")
 
     def __init__(self, endpoint: str | None) -> None:
         self.endpoint = endpoint
         self.jobs: frozenset[str] = frozenset()
-        self.flight = 0
-        self.tally = -1
+        self.session = 0
+        self.sequence = -1
         self.looks = 0.0  # when it was last looked at, on the steady clock
 
 
@@ -60,19 +60,21 @@
 
     def seen(self, rep: Report) -> None:
         """A worker's own word; an older one than is known says nothing."""
-        place = self._place(rep.box, rep.endpoint)
-        if (rep.flight, rep.tally) <= (place.flight, place.tally):
+        place = self._place(rep.machine, rep.endpoint)
+        if (rep.session, rep.sequence) <= (place.session, place.sequence):
             return
-        place.flight, place.tally = rep.flight, rep.tally
+        place.session, place.sequence = rep.session, rep.sequence
         place.jobs = frozenset(
-            frame.frame.partition("/")[0] for frame in rep.frames if frame.stage != wire.ENDED
+            task_name.task_name.partition("/")[0]
+            for task_name in rep.tasks
+            if task_name.state != wire.ENDED
         )
 
-    def listed(self, boxes: Iterable[ListedBox]) -> None:
+    def listed(self, machine_names: Iterable[ListedMachine]) -> None:
         """The cloud's list: machines that nobody has told of."""
-        for box in boxes:
-            if box.endpoint is not None:
-                self._place(box.id, box.endpoint)
+        for machine_name in machine_names:
+            if machine_name.endpoint is not None:
+                self._place(machine_name.id, machine_name.endpoint)
 
     def gone(self, name: str) -> None:
         self.places.pop(name, None)
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -33,7 +33,7 @@
     What many jobs ask for is added up once per round: what holds keep, which
     machines have room at all, what a team's lower work takes. Done per job, a
     round's cost grew with jobs times machines times holds, and a leader of 150
-    machines spent her whole share of a core on it.
+    machines spent its whole share of a core on it.
     """
 
     def wants_plan(self, machine: Machine, now: float) -> bool:
@@ -71,7 +71,9 @@
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
         self._full = set()
-        self._held = HeldRooms(self.book, self._turn_of, lambda hold: self._gathers(hold, now))
+        self._held = HeldRooms(
+            self.hold_table, self._turn_of, lambda hold: self._gathers(hold, now)
+        )
         self._needs = needs = {job.need for job in jobs}
         self._least = (
             min(need[0] for need in needs),
@@ -111,7 +113,7 @@
         soon = True
         for name, count in hold.slots.items():
             machine = self.machines.get(name)
-            known_type = machine is not None and machine.breed is not None
+            known_type = machine is not None and machine.machine_type is not None
             offer = self._present_offer(machine, now) if machine and known_type else None
             if machine is None or offer is None:
                 soon = False
@@ -130,19 +132,19 @@
         return soon
 
     def _claim(self, job: Job) -> None:
-        old = self._claims.get(job.spec.crew, (0.0, 0.0))
-        size = job.spec.frames
-        self._claims[job.spec.crew] = (old[0] + job.need[0] * size, old[1] + job.need[1] * size)
+        old = self._claims.get(job.spec.team, (0.0, 0.0))
+        size = job.spec.tasks
+        self._claims[job.spec.team] = (old[0] + job.need[0] * size, old[1] + job.need[1] * size)
 
     def _claimed(self, job: Job) -> tuple[float, float]:
-        return self._claims.get(job.spec.crew, (0.0, 0.0))
+        return self._claims.get(job.spec.team, (0.0, 0.0))
 
     def _lower_runs(self, job: Job) -> list[Run]:
         """Runs of the same team that a gang may stop to get at its limit."""
         return [
             run
             for other in self.jobs.values()
-            if other.spec.crew == job.spec.crew
+            if other.spec.team == job.spec.team
             and other.level > job.level
             # Work that ranks before the gang would be placed again at once.
             and preemption.rank(other) > preemption.rank(job)
@@ -150,14 +152,14 @@
             if run.present and not (other.gang and other.gang_state is GangState.STARTING)
         ]
 
-    def _lower_work(self, crew: str) -> LowerWork:
+    def _lower_work(self, team_name: str) -> LowerWork:
         """What each job of a team has on machines; added up once per round."""
-        found = self._lower.get(crew)
+        found = self._lower.get(team_name)
         if found is not None:
             return found
-        found = self._lower[crew] = []
+        found = self._lower[team_name] = []
         for job in self.jobs.values():
-            if job.spec.crew != crew or not job.runs:
+            if job.spec.team != team_name or not job.runs:
                 continue
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
@@ -170,28 +172,28 @@
 
     def _limit_reachable(self, job: Job) -> bool:
         """Whether the gang fits its team's limit, lower work of the team stopped."""
-        if self.usage.allows(job, job.spec.frames):
+        if self.usage.allows(job, job.spec.tasks):
             return True
-        vcpus = cards = 0.0
+        cpus = gpus = 0.0
         rank = preemption.rank(job)
-        for level, of_rank, of_vcpus, of_cards in self._lower_work(job.spec.crew):
+        for level, of_rank, of_vcpus, of_cards in self._lower_work(job.spec.team):
             if level > job.level and of_rank > rank:
-                vcpus += of_vcpus
-                cards += of_cards
-        return self.usage.allows(job, job.spec.frames, (-vcpus, -cards))
+                cpus += of_vcpus
+                gpus += of_cards
+        return self.usage.allows(job, job.spec.tasks, (-cpus, -gpus))
 
     def _make_limit(self, job: Job, now: float) -> None:
         """Stop the team's own lower work until the gang fits the limit."""
-        vcpus = cards = 0.0
+        cpus = gpus = 0.0
         runs = self._lower_runs(job)
         runs.sort(key=lambda run: (not run.stopping, preemption.loss(run, now)))
         for run in runs:
-            if self.usage.allows(job, job.spec.frames, (-vcpus, -cards)):
+            if self.usage.allows(job, job.spec.tasks, (-cpus, -gpus)):
                 return
-            vcpus += run.job.need[0]
-            cards += run.job.need[1]
+            cpus += run.job.need[0]
+            gpus += run.job.need[1]
             if not run.stopping and run.state is not RunState.INTENDED:
-                self.stop_for_room(run, f"limit of {job.spec.crew} for {job.id}", now)
+                self.stop_for_room(run, f"limit of {job.spec.team} for {job.id}", now)
 
     def _waiting_jobs(self, now: float) -> list[Job]:
         jobs = [
@@ -212,13 +214,17 @@
     def _due(self, job: Job) -> float:
         """When the job should have begun: deadlines by slack, others by arrival."""
         spec = job.spec
-        if spec.bloom_s is None:
+        if spec.deadline_s is None:
             return job.arrived
-        return job.arrived + spec.bloom_s - self.estimates.run_s(spec.lane, spec.forage_s)
+        return (
+            job.arrived
+            + spec.deadline_s
+            - self.estimates.run_s(spec.job_class, spec.estimated_run_s)
+        )
 
     def _new_run(self, job: Job, index: int, machine: Machine, attempt: int, now: float) -> Run:
         run = Run(job, index, attempt, machine.name, now)
-        run.flight = machine.flight
+        run.session = machine.session
         machine.attach(run)
         self.usage.add(job)
         return run
@@ -232,7 +238,7 @@
         return len(machine.runs) + count <= self.most_machine_runs
 
     def _plan_gang(self, job: Job, planned: list[Run], now: float) -> None:
-        hold = self.book.of_job(job.id)
+        hold = self.hold_table.of_job(job.id)
         if hold is None or self.spent(job, hold):
             return
         if self._check_due(job, hold) and self._refuse(job, hold):
@@ -250,7 +256,7 @@
         if short:
             self._make_room(job, short, taken, now)
             return
-        if not self.usage.allows(job, job.spec.frames, self._claimed(job)):
+        if not self.usage.allows(job, job.spec.tasks, self._claimed(job)):
             # The machines are free and only the team's own limit is in the way.
             if self._claimed(job) == (0.0, 0.0):
                 self._make_limit(job, now)
@@ -260,7 +266,7 @@
             return
         attempt = self._attempt()
         runs: list[Run] = []
-        tasks = iter(range(job.spec.frames))
+        tasks = iter(range(job.spec.tasks))
         for name, count in hold.slots.items():
             for _ in range(count):
                 runs.append(self._new_run(job, next(tasks), self.machines[name], attempt, now))
@@ -306,25 +312,25 @@
     def _hold_fault(self, job: Job, hold: Hold) -> str | None:
         """Why a hold can't be honoured, whatever time passes."""
         spec = job.spec
-        if sum(hold.slots.values()) != spec.frames or min(hold.slots.values()) < 1:
+        if sum(hold.slots.values()) != spec.tasks or min(hold.slots.values()) < 1:
             return "wrong number of tasks"
         zones: dict[str, int] = {}
         for name, count in hold.slots.items():
             machine = self.machines.get(name)
-            if machine is None or machine.breed is None:
+            if machine is None or machine.machine_type is None:
                 return f"{name} is not known"
             if machine.state in (MachineState.DRAINING, MachineState.RELEASING):
                 return f"{name} is leaving"
             if machine.deaf:
                 return f"{name} is deaf"
-            if not allowed(spec, machine.breed.label, machine.zone, machine.spot):
+            if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
                 return f"{name} is not allowed"
             if times_fits(job.need, machine.total, count) < count:
                 return f"{name} is too small"
             zones[machine.zone] = zones.get(machine.zone, 0) + count
         if spec.same_place and len(zones) > 1:
             return "more than one zone"
-        if spec.scatter and max(zones.values()) > (spec.frames + 1) // 2:
+        if spec.scatter and max(zones.values()) > (spec.tasks + 1) // 2:
             return "too many in one zone"
         return None
 
@@ -356,10 +362,10 @@
         spec = job.spec
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
-        taken = self._held.taken(job.id, preemption.turn(job), spec.cap_s > 0)
+        taken = self._held.taken(job.id, preemption.turn(job), spec.checkpoint_s > 0)
         places = self._array_places(job, taken, now)
         zones = job.zones_used(self.zone_of) if spec.same_place or spec.scatter else {}
-        most_in_zone = (spec.frames + 1) // 2
+        most_in_zone = (spec.tasks + 1) // 2
         only: str | None = None
         if spec.same_place:
             only = self._array_zone(zones, places)
@@ -402,12 +408,12 @@
         Also within its guarantee, if it may use spot machines: ordinary ones are all
         that those have who may not.
         """
-        if not self.keeps_reserve or job.spec.lane in self.aimed_waits:
+        if not self.keeps_reserve or job.spec.job_class in self.aimed_waits:
             return False
-        if job.within and not job.spec.drones:
+        if job.within and not job.spec.spot:
             return False
         # Its tasks seldom start all at once: half a run's time is left for that.
-        run_s = self.estimates.run_s(job.spec.lane, job.spec.forage_s)
+        run_s = self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
         return now < self._due(job) - self.lease_s - 0.5 * run_s
 
     def _array_zone(self, zones: dict[str, int], places: list[tuple[Machine, int]]) -> str:
@@ -428,25 +434,25 @@
         in this round: holds keep the more from it, and room only gets less.
         """
         spec = job.spec
-        level = job.level if spec.cap_s > 0 else None
-        types = tuple(spec.breeds) if spec.breeds is not None else None
-        kind = (job.need, level, types, spec.apiary, spec.drones)
+        level = job.level if spec.checkpoint_s > 0 else None
+        types = tuple(spec.machine_types) if spec.machine_types is not None else None
+        kind = (job.need, level, types, spec.zone, spec.spot)
         if kind in self._full:
             return []
         found = []
         for machine in self._roomy:
             # Usable when the round began, and nothing is heard in between.
-            if machine.breed is None:
+            if machine.machine_type is None:
                 continue
-            if not allowed(spec, machine.breed.label, machine.zone, machine.spot):
+            if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
                 continue
             if machine.name in job.failed_on and len(job.failed_on) < BAD_JOB_MACHINES:
                 continue
             room = plus(machine.free(), taken.get(machine.name, NO_ROOM), -1.0)
-            count = times_fits(job.need, room, spec.frames)
+            count = times_fits(job.need, room, spec.tasks)
             if count:
-                cost = machine.fetch_s(spec.comb, spec.image_gb)
-                if spec.drones and not machine.spot:
+                cost = machine.fetch_s(spec.image, spec.image_gb)
+                if spec.spot and not machine.spot:
                     cost += 4 * self.report_s
                 if machine.empty:
                     cost += 2 * self.report_s  # an empty machine can be returned
@@ -468,9 +474,9 @@
         wanted = min(job.waiting_count, MOST_CALLED_BACK)
         choices: list[tuple[float, str]] = []
         for machine in self.machines.values():
-            if not self.usable(machine, now) or machine.breed is None:
+            if not self.usable(machine, now) or machine.machine_type is None:
                 continue
-            if not allowed(job.spec, machine.breed.label, machine.zone, machine.spot):
+            if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 continue
             held = taken.get(machine.name, NO_ROOM)
             found = preemption.victims(machine, job.need, job, self.usage, held, now)
@@ -487,7 +493,7 @@
                 if not found:
                     break
                 for run in found:
-                    self.stop_for_room(run, f"guarantee of {job.spec.crew}", now)
+                    self.stop_for_room(run, f"guarantee of {job.spec.team}", now)
                 wanted -= 1
 
     def intents_written(self, runs: Iterable[Run], now: float) -> None:
@@ -501,7 +507,7 @@
                 if run.stopping:
                     self._drop(run, now)
                 else:
-                    self._ring(self.machines[run.machine], now)
+                    self._wake(self.machines[run.machine], now)
 
     def intents_failed(self, runs: Iterable[Run], now: float) -> None:
         """The transaction failed for good: none of it was or will be written."""
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -46,8 +46,8 @@
         return True
     return (
         job.within
-        and victim.spec.crew != job.spec.crew
-        and usage.beyond_guarantee(victim.spec.crew)
+        and victim.spec.team != job.spec.team
+        and usage.beyond_guarantee(victim.spec.team)
     )
 
 
@@ -59,7 +59,7 @@
     job = run.job
     tasks = len(job.runs) if job.gang else 1
     elapsed = now - run.running_since if run.running_since is not None else 0.0
-    lost = job.spec.seal_s if job.spec.cap_s > 0 else elapsed
+    lost = job.spec.save_s if job.spec.checkpoint_s > 0 else elapsed
     more_urgent = max(0, level - job.level)
     return (lost + 1.0) * tasks + 10.0 * (3 - job.level) + 60.0 * more_urgent
 
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -9,11 +9,11 @@
 from topazhold.settings import Team
 
 
-def team_limit_allows(team: Team, vcpus: float, cards: float) -> bool:
+def team_limit_allows(team: Team, cpus: float, gpus: float) -> bool:
     """Whether so much may be in use at once; a limit of 0 means none."""
-    if team.cpus_max and vcpus > team.cpus_max + SLACK:
+    if team.cpus_max and cpus > team.cpus_max + SLACK:
         return False
-    return not team.gpus_max or cards <= team.gpus_max + SLACK
+    return not team.gpus_max or gpus <= team.gpus_max + SLACK
 
 
 class Usage:
@@ -24,7 +24,7 @@
         self._used: dict[str, list[float]] = {name: [0.0, 0.0] for name in self.teams}
 
     def add(self, job: Job, count: int = 1) -> None:
-        used = self._used.setdefault(job.spec.crew, [0.0, 0.0])
+        used = self._used.setdefault(job.spec.team, [0.0, 0.0])
         used[0] += job.need[0] * count
         used[1] += job.need[1] * count
 
@@ -37,7 +37,7 @@
         `claimed` is what others of the team are to have first; a negative
         amount is what some of them would give up.
         """
-        team = self.teams.get(job.spec.crew)
+        team = self.teams.get(job.spec.team)
         if team is None:
             return False
         used = self._used[team.name]
@@ -47,10 +47,10 @@
             used[1] + claimed[1] + job.need[1] * count,
         )
 
-    def beyond_guarantee(self, crew: str) -> bool:
+    def beyond_guarantee(self, team_name: str) -> bool:
         """Whether the team borrows."""
-        team = self.teams.get(crew)
-        used = self._used.get(crew)
+        team = self.teams.get(team_name)
+        used = self._used.get(team_name)
         if team is None or used is None:
             return True
         for least, amount in ((team.cpus, used[0]), (team.gpus, used[1])):
@@ -58,8 +58,8 @@
                 return True
         return not team.cpus and not team.gpus
 
-    def used(self, crew: str) -> tuple[float, float]:
-        used = self._used.get(crew, (0.0, 0.0))
+    def used(self, team_name: str) -> tuple[float, float]:
+        used = self._used.get(team_name, (0.0, 0.0))
         return (used[0], used[1])
 
 
@@ -67,10 +67,10 @@
     """Set `within` on jobs that fit their team's guarantee with its earlier ones."""
     sums: dict[str, list[float]] = {}
     for job in sorted(jobs, key=lambda job: (job.submitted, job.id)):
-        team = teams.get(job.spec.crew)
-        total = sums.setdefault(job.spec.crew, [0.0, 0.0])
-        total[0] += job.need[0] * job.spec.frames
-        total[1] += job.need[1] * job.spec.frames
+        team = teams.get(job.spec.team)
+        total = sums.setdefault(job.spec.team, [0.0, 0.0])
+        total[0] += job.need[0] * job.spec.tasks
+        total[1] += job.need[1] * job.spec.tasks
         job.within = team is not None and _within(team, total)
 
 
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -36,8 +36,8 @@
     return f"{PART_PREFIX}{job}/{part:03d}"
 
 
-def on_key(shelf: str) -> str:
-    return ON_PREFIX + shelf
+def on_key(shard: str) -> str:
+    return ON_PREFIX + shard
 
 
 def live_value(job: Job, token: str) -> dict[str, Any]:
@@ -55,14 +55,14 @@
     return value
 
 
-def read_live(data: Any, mark: int, now: float, clock: float) -> Job:
+def read_live(data: Any, revision: int, now: float, clock: float) -> Job:
     """A job out of its live value; `now` is the time of day, `clock` the steady one."""
     if not isinstance(data, dict):
         raise BadMessage("not a live job")
     spec = convert(data.get("spec"), JobSpec)
     submitted = float(data.get("at", now))
     job = Job(spec, clock - max(0.0, now - submitted), submitted, str(data.get("node", "")))
-    job.mark = mark
+    job.revision = revision
     if data.get("done"):
         job.load_part(0, data["done"])
     return job
@@ -105,46 +105,48 @@
 
 
 def on_value(machines: Iterable[Machine], token: str) -> Any:
-    """A shelf's intents: everything that may be, or may come to be, on its machines."""
-    boxes = {}
+    """A shard's intents: everything that may be, or may come to be, on its machines."""
+    machine_names = {}
     for machine in machines:
         if machine.runs:
-            breed = machine.breed.label if machine.breed is not None else ""
-            boxes[machine.name] = [
-                machine.flight,
+            machine_type = machine.machine_type.name if machine.machine_type is not None else ""
+            machine_names[machine.name] = [
+                machine.session,
                 machine.zone,
                 machine.spot,
-                breed,
+                machine_type,
                 [[run.job.id, run.index, run.attempt] for run in machine.runs.values()],
             ]
-    return {"by": token, "boxes": boxes}
+    return {"by": token, "boxes": machine_names}
 
 
 class Intents(NamedTuple):
     """What may be on one machine."""
 
     machine: str
-    flight: int
+    session: int
     zone: str
     spot: bool
-    breed: str
+    machine_type: str
     runs: list[tuple[str, int, int]]
 
 
 def read_on(data: Any) -> tuple[list[Intents], list[str]]:
-    """The machines of a shelf, and the names of those that can't be read."""
+    """The machines of a shard, and the names of those that can't be read."""
     found: list[Intents] = []
     unreadable: list[str] = []
-    boxes = data.get("boxes") if isinstance(data, dict) else None
-    for name, item in boxes.items() if isinstance(boxes, dict) else ():
+    machine_names = data.get("boxes") if isinstance(data, dict) else None
+    for name, item in machine_names.items() if isinstance(machine_names, dict) else ():
         try:
-            flight, zone, spot, breed, runs = item
+            session, zone, spot, machine_type, runs = item
             packed = [(str(job), int(index), int(attempt)) for job, index, attempt in runs]
-            found.append(Intents(str(name), int(flight), str(zone), bool(spot), str(breed), packed))
+            found.append(
+                Intents(str(name), int(session), str(zone), bool(spot), str(machine_type), packed)
+            )
         except (TypeError, ValueError):
             unreadable.append(str(name))
     return found, unreadable
 
 
 def parts_of(job: Job) -> int:
-    return (job.spec.frames + PART - 1) // PART
+    return (job.spec.tasks + PART - 1) // PART
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -9,7 +9,7 @@
 from topazhold.core.machines import Machine, MachineState, times_fits
 from topazhold.core.search import allowed
 from topazhold.settings import Team
-from topazhold.wire.messages import Breed, JobSpec
+from topazhold.wire.messages import JobSpec, MachineType
 
 #: Most machines that the cloud gives at one request.
 MOST_RENTED = 50
@@ -20,10 +20,10 @@
 class Ask:
     """A rental request, still to be named."""
 
-    __slots__ = ("breed", "zone", "spot", "count")
+    __slots__ = ("machine_type", "zone", "spot", "count")
 
-    def __init__(self, breed: str, zone: str, spot: bool, count: int) -> None:
-        self.breed = breed
+    def __init__(self, machine_type: str, zone: str, spot: bool, count: int) -> None:
+        self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
         self.count = count
@@ -44,34 +44,36 @@
     def __init__(self) -> None:
         self._until: dict[tuple[str, str, bool], tuple[float, float]] = {}
 
-    def refused(self, breed: str, zone: str, spot: bool, base_s: float, now: float) -> None:
-        key = (breed, zone, spot)
+    def refused(self, machine_type: str, zone: str, spot: bool, base_s: float, now: float) -> None:
+        key = (machine_type, zone, spot)
         _, pause = self._until.get(key, (0.0, 0.0))
         pause = min(max(base_s, pause * 2), base_s * 4)
         self._until[key] = (now + pause, pause)
 
-    def granted(self, breed: str, zone: str, spot: bool) -> None:
-        self._until.pop((breed, zone, spot), None)
+    def granted(self, machine_type: str, zone: str, spot: bool) -> None:
+        self._until.pop((machine_type, zone, spot), None)
 
-    def open(self, breed: str, zone: str, spot: bool, now: float) -> bool:
-        return self._until.get((breed, zone, spot), (0.0, 0.0))[0] <= now
+    def open(self, machine_type: str, zone: str, spot: bool, now: float) -> bool:
+        return self._until.get((machine_type, zone, spot), (0.0, 0.0))[0] <= now
 
 
-def best_breed(spec: JobSpec, breeds: Iterable[Breed]) -> Breed | None:
+def best_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> MachineType | None:
     """The cheapest type per task that may run the job."""
-    need = (spec.vcpus, spec.cards, spec.ram_gb)
+    need = (spec.cpus, spec.gpus, spec.memory_gb)
     best: tuple[float, str] | None = None
-    chosen: Breed | None = None
-    for breed in breeds:
-        if spec.breeds is not None and breed.label not in spec.breeds:
+    chosen: MachineType | None = None
+    for machine_type in machine_types:
+        if spec.machine_types is not None and machine_type.name not in spec.machine_types:
             continue
-        if spec.apiary is not None and spec.apiary not in breed.apiaries:
+        if spec.zone is not None and spec.zone not in machine_type.zones:
             continue
-        count = times_fits(need, (breed.vcpus, breed.cards, breed.ram_gb), spec.frames)
+        count = times_fits(
+            need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), spec.tasks
+        )
         if count:
-            key = (breed.hourly / count, breed.label)
+            key = (machine_type.price / count, machine_type.name)
             if best is None or key < best:
-                best, chosen = key, breed
+                best, chosen = key, machine_type
     return chosen
 
 
@@ -105,7 +107,7 @@
 
 def wishes(
     jobs: Iterable[Job],
-    breeds: list[Breed],
+    machine_types: list[MachineType],
     teams: dict[str, Team],
     zone_of: dict[str, str],
     rules: RentRules,
@@ -116,7 +118,7 @@
     Headroom is kept only while jobs keep coming.
     """
     found: Wishes = {}
-    gangs: list[tuple[Wish, Job, float, Breed]] = []
+    gangs: list[tuple[Wish, Job, float, MachineType]] = []
     counts: dict[str, int] = {}
     for zone in zone_of.values():
         counts[zone] = counts.get(zone, 0) + 1
@@ -124,26 +126,26 @@
     for job in sorted(jobs, key=lambda job: (not job.within, job.level, job.arrived)):
         if job.state is not JobState.LIVE:
             continue
-        breed = best_breed(job.spec, breeds)
-        if breed is None:
+        machine_type = best_type(job.spec, machine_types)
+        if machine_type is None:
             continue
-        tasks = job.spec.frames - job.done_count
+        tasks = job.spec.tasks - job.done_count
         if job.need[1] > 0:
-            tasks = min(tasks, int(room.get(job.spec.crew, 0.0) // job.need[1]))
-            room[job.spec.crew] = room.get(job.spec.crew, 0.0) - tasks * job.need[1]
+            tasks = min(tasks, int(room.get(job.spec.team, 0.0) // job.need[1]))
+            room[job.spec.team] = room.get(job.spec.team, 0.0) - tasks * job.need[1]
         if tasks <= 0:
             continue
-        whole = (breed.vcpus, breed.cards, breed.ram_gb)
+        whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         machines = tasks / times_fits(job.need, whole, 1 << 20)
-        spot = job.spec.drones and rules.use_spot and breed.market_price is not None
-        wish = found.setdefault((breed.label, spot), Wish())
+        spot = job.spec.spot and rules.use_spot and machine_type.spot_price is not None
+        wish = found.setdefault((machine_type.name, spot), Wish())
         bound = _bound_zone(job, zone_of)
         wish.add(machines, bound)
         if bound is None and job.gang and not job.runs:
-            gangs.append((wish, job, machines, breed))
-    for wish, job, machines, breed in gangs:
+            gangs.append((wish, job, machines, machine_type))
+    for wish, job, machines, machine_type in gangs:
         # Room that is there, but in the wrong zones, lets no gang start.
-        by_size = sorted(breed.apiaries, key=lambda zone: -counts.get(zone, 0))
+        by_size = sorted(machine_type.zones, key=lambda zone: -counts.get(zone, 0))
         if job.spec.same_place:
             wish.at_least(machines, by_size[0])
         elif job.spec.scatter and len(by_size) > 1:
@@ -156,8 +158,8 @@
 
 def _bound_zone(job: Job, zone_of: dict[str, str]) -> str | None:
     """The only zone that the job's waiting tasks may go to, if there is one."""
-    if job.spec.apiary is not None:
-        return job.spec.apiary
+    if job.spec.zone is not None:
+        return job.spec.zone
     if job.spec.same_place:
         for run in job.runs.values():
             if run.present and run.machine in zone_of:
@@ -167,7 +169,7 @@
 
 def counted(machine: Machine) -> bool:
     """Whether a machine counts as capacity, now or soon."""
-    if machine.deaf or machine.rumour:
+    if machine.deaf or machine.unconfirmed:
         return False
     return machine.state in (MachineState.STARTING, MachineState.UNSYNCED, MachineState.READY)
 
@@ -175,14 +177,16 @@
 class Fleet:
     """Machines of one type, counted by zone and kind."""
 
-    def __init__(self, breed: Breed, machines: Iterable[Machine]) -> None:
+    def __init__(self, machine_type: MachineType, machines: Iterable[Machine]) -> None:
         self.machines = [
             machine
             for machine in machines
-            if counted(machine) and machine.breed is not None and machine.breed.label == breed.label
+            if counted(machine)
+            and machine.machine_type is not None
+            and machine.machine_type.name == machine_type.name
         ]
         self.zones: dict[tuple[str, bool], int] = {
-            (zone, spot): 0 for zone in breed.apiaries for spot in (True, False)
+            (zone, spot): 0 for zone in machine_type.zones for spot in (True, False)
         }
         for machine in self.machines:
             key = (machine.zone, machine.spot)
@@ -192,28 +196,32 @@
         return sum(number for (_, kind), number in self.zones.items() if kind is spot)
 
 
-def rent(found: Wishes, breed: Breed, fleet: Fleet, refusals: Refusals, now: float) -> list[Ask]:
+def rent(
+    found: Wishes, machine_type: MachineType, fleet: Fleet, refusals: Refusals, now: float
+) -> list[Ask]:
     """Requests that bring a type's capacity up to what is wished.
 
     Spot machines are asked for first; what the cloud won't give of them is
     made up by ordinary ones.
     """
-    cheap = found.get((breed.label, True), Wish())
-    plain = found.get((breed.label, False), Wish())
+    cheap = found.get((machine_type.name, True), Wish())
+    plain = found.get((machine_type.name, False), Wish())
     # Ordinary machines beyond their own wish serve spot work too.
     spare = max(0, fleet.count(False) - math.ceil(plain.total))
     asks, missing, missing_zones = _ask(
-        breed, True, math.ceil(cheap.total) - spare, cheap.zones, fleet, refusals, now
+        machine_type, True, math.ceil(cheap.total) - spare, cheap.zones, fleet, refusals, now
     )
     zones = dict(plain.zones)
     for zone, number in missing_zones.items():
         zones[zone] = zones.get(zone, 0.0) + number
-    more, _, _ = _ask(breed, False, math.ceil(plain.total) + missing, zones, fleet, refusals, now)
+    more, _, _ = _ask(
+        machine_type, False, math.ceil(plain.total) + missing, zones, fleet, refusals, now
+    )
     return asks + more
 
 
 def _ask(
-    breed: Breed,
+    machine_type: MachineType,
     spot: bool,
     total: int,
     zones: dict[str, float],
@@ -222,7 +230,9 @@
     now: float,
 ) -> tuple[list[Ask], int, dict[str, int]]:
     """Requests of one kind, and what can't be asked for: in all, and by zone."""
-    usable = [zone for zone in breed.apiaries if refusals.open(breed.label, zone, spot, now)]
+    usable = [
+        zone for zone in machine_type.zones if refusals.open(machine_type.name, zone, spot, now)
+    ]
     counts = dict.fromkeys(usable, 0)
     missing_zones: dict[str, int] = {}
     for zone, number in zones.items():
@@ -241,12 +251,17 @@
         missing = sum(missing_zones.values())
     else:
         missing = max(short, sum(missing_zones.values()), 0)
-    asks = [Ask(breed.label, zone, spot, number) for zone, number in counts.items() if number]
+    asks = [Ask(machine_type.name, zone, spot, number) for zone, number in counts.items() if number]
     return asks, missing, missing_zones
 
 
 def returns(
-    found: Wishes, breed: Breed, fleet: Fleet, rules: RentRules, growing: bool, now: float
+    found: Wishes,
+    machine_type: MachineType,
+    fleet: Fleet,
+    rules: RentRules,
+    growing: bool,
+    now: float,
 ) -> list[Machine]:
     """Idle machines beyond what is wished, the longest idle first.
 
@@ -254,8 +269,8 @@
     what it costs till then is what renting it anew would cost. When no jobs
     come any more there is less to wait for.
     """
-    cheap = found.get((breed.label, True), Wish())
-    plain = found.get((breed.label, False), Wish())
+    cheap = found.get((machine_type.name, True), Wish())
+    plain = found.get((machine_type.name, False), Wish())
     short_spot = max(0.0, cheap.total - fleet.count(True))
     extra = {
         False: fleet.count(False) - math.ceil(plain.total + short_spot),
@@ -263,7 +278,7 @@
     }
     floor = {(zone, False): number for zone, number in plain.zones.items()}
     floor.update({(zone, True): number for zone, number in cheap.zones.items()})
-    patience = rules.idle_boots * breed.ready_s * (1.0 if growing else IDLE_WHEN_QUIET)
+    patience = rules.idle_boots * machine_type.boot_s * (1.0 if growing else IDLE_WHEN_QUIET)
     idle = [
         machine
         for machine in fleet.machines
@@ -283,11 +298,11 @@
     return chosen
 
 
-def fits_some_type(spec: JobSpec, breeds: Iterable[Breed]) -> bool:
+def fits_some_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> bool:
     """Whether a task fits an allowed type in an allowed zone."""
-    need = (spec.vcpus, spec.cards, spec.ram_gb)
+    need = (spec.cpus, spec.gpus, spec.memory_gb)
     return any(
-        times_fits(need, (breed.vcpus, breed.cards, breed.ram_gb), 1) == 1
-        and any(allowed(spec, breed.label, zone, False) for zone in breed.apiaries)
-        for breed in breeds
+        times_fits(need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), 1) == 1
+        and any(allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones)
+        for machine_type in machine_types
     )
--- a/topazhold/core/realm.py
+++ b/topazhold/core/scheduler.py
@@ -1,4 +1,4 @@
-"""The leader's view of jobs and machines, and her decisions.
+"""The leader's view of jobs and machines, and its decisions.
 
 Events come in as method calls that carry the time; what is to be done comes
 out in the queues (`strikes`, `releases`, `finished`) and from `plan` and
@@ -16,13 +16,13 @@
 from topazhold.core.machines import Machine, times_fits
 from topazhold.core.placing import Placing
 from topazhold.core.search import CACHE_LENGTH, Offer, allowed, sooner
-from topazhold.wire.messages import Breed
+from topazhold.wire.messages import MachineType
 
 #: How old a list of offers may be.
 OFFER_REPORTS = 0.2
 
 
-class Realm(Placing):
+class Scheduler(Placing):
     """All duties together, with what others are told and what is rented."""
 
     def waiting_gangs(self, now: float) -> list[Job]:
@@ -43,13 +43,13 @@
         return now - self._wanting_since.setdefault(job.id, now)
 
     def needs_hold(self, job: Job) -> bool:
-        hold = self.book.of_job(job.id)
+        hold = self.hold_table.of_job(job.id)
         return hold is None or self.spent(job, hold)
 
     def largest_gang(self, now: float) -> Job | None:
         """The waiting gang with the most tasks that must share a zone."""
         gangs = [job for job in self.waiting_gangs(now) if job.spec.same_place]
-        return max(gangs, key=lambda job: (job.spec.frames, job.id), default=None)
+        return max(gangs, key=lambda job: (job.spec.tasks, job.id), default=None)
 
     def offers(self, zone: str, now: float, largest: Job | None = None) -> list[Offer]:
         """The zone's cache: machines with room, soonest free first.
@@ -75,7 +75,7 @@
             return found[:CACHE_LENGTH] + [
                 offer for offer in found[CACHE_LENGTH:] if offer.name in held
             ]
-        length = max(CACHE_LENGTH, math.ceil(self.alpha * largest.spec.frames))
+        length = max(CACHE_LENGTH, math.ceil(self.alpha * largest.spec.tasks))
         rank = preemption.rank(largest)
         fitting = sorted(
             found,
@@ -92,7 +92,7 @@
     def _held_rooms(self) -> dict[str, Room]:
         """What all holds together keep, machine by machine."""
         rooms: dict[str, Room] = {}
-        for hold in self.book.all():
+        for hold in self.hold_table.all():
             add_hold(rooms, hold)
         return rooms
 
@@ -103,7 +103,7 @@
             return found
         found = []
         for machine in self.machines.values():
-            if machine.zone == zone and machine.breed is not None:
+            if machine.zone == zone and machine.machine_type is not None:
                 offer = self._present_offer(machine, now, shared=True)
                 if offer is not None:
                     found.append(offer)
@@ -126,7 +126,7 @@
             and not math.isinf(self._patience_leases(machine, now))
         )
 
-    def _wish_for_one_zone(self, found: renting.Wishes, breeds: list[Breed]) -> None:
+    def _wish_for_one_zone(self, found: renting.Wishes, machine_types: list[MachineType]) -> None:
         """Machines for a gang that presses while its room is there, but in several zones.
 
         What is wished for a zone counts on others' work there to end in time. Beside
@@ -141,67 +141,78 @@
             and job.state is JobState.LIVE
             and not job.runs
             and job.spec.same_place
-            and job.spec.apiary is None
+            and job.spec.zone is None
         ]
         # Gangs of one shape find the same room: counted once for all of them.
         counted: dict[object, dict[str, int]] = {}
         for job in sorted(gangs, key=lambda job: (job.arrived, job.id)):
-            breed = renting.best_breed(job.spec, breeds)
-            if breed is None or not self._limit_reachable(job):
+            machine_type = renting.best_type(job.spec, machine_types)
+            if machine_type is None or not self._limit_reachable(job):
                 continue
-            types = tuple(job.spec.breeds) if job.spec.breeds is not None else None
-            shape = (job.need, job.spec.frames, job.spec.drones, types, breed.label)
+            types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
+            shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
             free = counted.get(shape)
             if free is None:
-                free = counted[shape] = self._free_slots(job, breed)
-            if max(free.values()) >= job.spec.frames or sum(free.values()) < job.spec.frames:
+                free = counted[shape] = self._free_slots(job, machine_type)
+            if max(free.values()) >= job.spec.tasks or sum(free.values()) < job.spec.tasks:
                 continue
-            zone = max(breed.apiaries, key=lambda zone: (free[zone], zone))
-            whole = (breed.vcpus, breed.cards, breed.ram_gb)
-            each = times_fits(job.need, whole, job.spec.frames)
-            more = math.ceil((job.spec.frames - free[zone]) / each)
-            spot = job.spec.drones and self.rent_rules.use_spot and breed.market_price is not None
+            zone = max(machine_type.zones, key=lambda zone: (free[zone], zone))
+            whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+            each = times_fits(job.need, whole, job.spec.tasks)
+            more = math.ceil((job.spec.tasks - free[zone]) / each)
+            spot = (
+                job.spec.spot and self.rent_rules.use_spot and machine_type.spot_price is not None
+            )
             there = sum(
                 machine.zone == zone and machine.spot is spot and renting.counted(machine)
                 for machine in self.machines.values()
-                if machine.breed is not None
+                if machine.machine_type is not None
             )
-            wish = found.setdefault((breed.label, spot), renting.Wish())
+            wish = found.setdefault((machine_type.name, spot), renting.Wish())
             wish.at_least(there + more, zone)
             return  # one at a time
 
-    def _free_slots(self, job: Job, breed: Breed) -> dict[str, int]:
+    def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
         """Zone by zone, how many tasks of a job the machines have room for now or soon."""
-        free: dict[str, int] = dict.fromkeys(breed.apiaries, 0)
+        free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
         for machine in self.machines.values():
-            if not renting.counted(machine) or machine.breed is None:
+            if not renting.counted(machine) or machine.machine_type is None:
                 continue
-            if allowed(job.spec, machine.breed.label, machine.zone, machine.spot):
-                slots = times_fits(job.need, machine.free(), job.spec.frames)
+            if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                slots = times_fits(job.need, machine.free(), job.spec.tasks)
                 free[machine.zone] = free.get(machine.zone, 0) + slots
         return free
 
     def rent(self, now: float) -> list[renting.Ask]:
         """Rental requests; idle machines that are not wanted go to `releases`."""
-        breeds = list(self.breeds.values())
+        machine_types = list(self.machine_types.values())
         self.refresh_guarantees()
-        slowest = max((breed.ready_s for breed in breeds), default=0.0)
+        slowest = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
         growing = now - self.last_arrival < max(slowest, self.lease_s)
         found = renting.wishes(
-            self.jobs.values(), breeds, self.usage.teams, self.zone_of, self.rent_rules, growing
+            self.jobs.values(),
+            machine_types,
+            self.usage.teams,
+            self.zone_of,
+            self.rent_rules,
+            growing,
         )
-        self._wish_for_one_zone(found, breeds)
+        self._wish_for_one_zone(found, machine_types)
         self._lower = {}
-        held = {name for hold in self.book.all() if self._binding(hold) for name in hold.slots}
+        held = {
+            name for hold in self.hold_table.all() if self._binding(hold) for name in hold.slots
+        }
         asks: list[renting.Ask] = []
-        for breed in breeds:
+        for machine_type in machine_types:
             # What has been silent for a lease is made up for, whether it comes back
             # or not; in a cut nothing is.
             fleet = renting.Fleet(
-                breed, [m for m in self.machines.values() if not self._missed(m, now)]
+                machine_type, [m for m in self.machines.values() if not self._missed(m, now)]
             )
-            asks += renting.rent(found, breed, fleet, self.refusals, now)
-            for machine in renting.returns(found, breed, fleet, self.rent_rules, growing, now):
+            asks += renting.rent(found, machine_type, fleet, self.refusals, now)
+            for machine in renting.returns(
+                found, machine_type, fleet, self.rent_rules, growing, now
+            ):
                 if machine.name not in held:
                     self.release(machine, "idle", now)
         return asks
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -34,13 +34,22 @@
 class Offer:
     """What one machine can give, and when."""
 
-    __slots__ = ("name", "zone", "breed", "spot", "images", "rungs", "evictable", "fetch_rate")
+    __slots__ = (
+        "name",
+        "zone",
+        "machine_type",
+        "spot",
+        "images",
+        "rungs",
+        "evictable",
+        "fetch_rate",
+    )
 
     def __init__(
         self,
         name: str,
         zone: str,
-        breed: str,
+        machine_type: str,
         spot: bool,
         images: frozenset[str],
         rungs: list[tuple[float, Room]],
@@ -49,7 +58,7 @@
     ) -> None:
         self.name = name
         self.zone = zone
-        self.breed = breed
+        self.machine_type = machine_type
         self.spot = spot
         self.images = images
         self.rungs = rungs  # (seconds from now, room free then)
@@ -73,8 +82,8 @@
         if not self.rungs:
             return True
         room = plus(self.rungs[-1][1], held.get(self.name, (0.0, 0.0, 0.0)), -1.0)
-        cards = self.rungs[-1][1][1] > 0
-        return (room[1] if cards else room[0]) <= SLACK
+        gpus = self.rungs[-1][1][1] > 0
+        return (room[1] if gpus else room[0]) <= SLACK
 
     def ready_for(self, rank: Rank, need: Room) -> float:
         """How soon there is room for one task of this size."""
@@ -86,7 +95,7 @@
     def pack(self) -> list[Any]:
         return [
             self.name,
-            self.breed,
+            self.machine_type,
             self.spot,
             sorted(self.images),
             [[round(delay, 1), *(round(part, 3) for part in room)] for delay, room in self.rungs],
@@ -101,11 +110,11 @@
 def unpack_offer(zone: str, data: Any) -> Offer:
     """Read an offer out of a zone's summary; ValueError if it is none."""
     try:
-        name, breed, spot, images, rungs, evictable, rate = data
+        name, machine_type, spot, images, rungs, evictable, rate = data
         return Offer(
             str(name),
             zone,
-            str(breed),
+            str(machine_type),
             bool(spot),
             frozenset(images),
             [(float(r[0]), (float(r[1]), float(r[2]), float(r[3]))) for r in rungs],
@@ -159,31 +168,31 @@
         self.preference_s = preference_s  # seconds that a full preference is worth
 
 
-def allowed(spec: JobSpec, breed: str, zone: str, spot: bool) -> bool:
+def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
     """Whether the job may be on such a machine."""
-    if spec.breeds is not None and breed not in spec.breeds:
+    if spec.machine_types is not None and machine_type not in spec.machine_types:
         return False
-    if spec.apiary is not None and zone != spec.apiary:
+    if spec.zone is not None and zone != spec.zone:
         return False
-    return spec.drones or not spot
+    return spec.spot or not spot
 
 
 def offer_slots(
     offer: Offer, spec: JobSpec, rank: Rank, held: Room | None, most: int, rules: SearchRules
 ) -> list[Slot]:
     """Up to `most` slots of one machine, soonest first."""
-    if not allowed(spec, offer.breed, offer.zone, offer.spot):
+    if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
         return []
-    need = (spec.vcpus, spec.cards, spec.ram_gb)
+    need = (spec.cpus, spec.gpus, spec.memory_gb)
     fetch = 0.0
-    if spec.comb not in offer.images:
+    if spec.image not in offer.images:
         fetch = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
     slots: list[Slot] = []
     whole = offer.rungs[-1][1] if offer.rungs else need
     for delay, room in offer.ladder(rank, held):
         count = times_fits(need, room, most)
         cost = 0.0
-        if spec.drones and not offer.spot:
+        if spec.spot and not offer.spot:
             cost += rules.preference_s  # leave ordinary machines to those who need them
         if room[1] > 0:
             left = (room[1] - need[1]) / room[1]
@@ -212,8 +221,8 @@
     `seen` keeps the slots of caches that an earlier try of the same search read.
     """
     seen = {} if seen is None else seen
-    want = max(spec.frames, math.ceil(rules.alpha * spec.frames))
-    pivots = [zone for _, zone in directory if spec.apiary is None or zone == spec.apiary]
+    want = max(spec.tasks, math.ceil(rules.alpha * spec.tasks))
+    pivots = [zone for _, zone in directory if spec.zone is None or zone == spec.zone]
     found: list[Slot] = []
     visited: set[str] = set()
     while pivots and len(found) < want:
@@ -226,7 +235,7 @@
             seen[zone] = _cache_slots(caches.get(zone, ()), spec, rank, taken, rules)
         near = seen[zone]
         if spec.same_place:
-            if len(near) >= spec.frames:
+            if len(near) >= spec.tasks:
                 return near[:want]
             continue  # this zone can't take the gang; another pivot
         if spec.scatter:
@@ -245,7 +254,7 @@
     """All slots of a zone's cache, the soonest ready first."""
     slots: list[Slot] = []
     for offer in offers:
-        slots += offer_slots(offer, spec, rank, taken.get(offer.name), spec.frames, rules)
+        slots += offer_slots(offer, spec, rank, taken.get(offer.name), spec.tasks, rules)
     slots.sort(key=lambda slot: (slot.ready + slot.cost, slot.nth))
     return slots
 
@@ -269,7 +278,7 @@
     centre = max(zones.values())
     if spec.same_place and len(zones) > 1:
         return math.inf
-    if spec.scatter and centre > (spec.frames + 1) // 2:
+    if spec.scatter and centre > (spec.tasks + 1) // 2:
         return math.inf
     distance = len(group) - centre
     return wait + rules.distance_s * distance + cost / len(group)
@@ -290,7 +299,7 @@
     than a swap loop tries, and a gang of one has two. With more, the swap loop
     improves groups round by round.
     """
-    size = spec.frames
+    size = spec.tasks
     if len(slots) < size:
         return None
     first = _first_group(slots, spec)
@@ -338,7 +347,7 @@
 
 def _first_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
     """The soonest slots, with the earlier ones of every machine, zone caps kept."""
-    most = (spec.frames + 1) // 2 if spec.scatter else spec.frames
+    most = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
     zones: dict[str, int] = {}
     group: list[Slot] = []
     for slot in sorted(slots, key=lambda slot: (slot.ready + slot.cost, slot.nth)):
@@ -346,7 +355,7 @@
         if zones.get(zone, 0) < most:
             zones[zone] = zones.get(zone, 0) + 1
             group.append(slot)
-            if len(group) == spec.frames:
+            if len(group) == spec.tasks:
                 return group
     return None
 
@@ -377,7 +386,7 @@
             count = held.get(offer.name, 0)
             if count:
                 group += offer_slots(offer, spec, rank, taken.get(offer.name), count, rules)
-    if len(group) != spec.frames:
+    if len(group) != spec.tasks:
         return math.inf
     return score_group(group, spec, rules)
 
@@ -398,7 +407,7 @@
     settled: set[str] = set()
     for _ in range(tries):
         slots = gather(rng, directory, caches, spec, rank, taken, rules, seen)
-        if slots and spec.same_place and math.comb(len(slots), spec.frames) <= MOST_GROUPS:
+        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MOST_GROUPS:
             # All groups of this zone are looked at the first time.
             zone = slots[0].zone
             if zone in settled:
@@ -439,8 +448,8 @@
     A machine whose cards are all taken is not free for the CPUs and memory that are
     left: such ones stood before those about to come up.
     """
-    cards = bool(offer.rungs) and offer.rungs[-1][1][1] > 0
+    gpus = bool(offer.rungs) and offer.rungs[-1][1][1] > 0
     for delay, room in offer.rungs:
-        if room[0] > 0 and (room[1] > 0 or not cards):
+        if room[0] > 0 and (room[1] > 0 or not gpus):
             return (delay, -room[1])
     return (math.inf, 0.0)
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -53,18 +53,20 @@
                 self._stop_run(run, 0.0, "job aborted", now)
         self.forget_if_over(job)
 
-    def _stop_run(self, run: Run, settle_s: float, why: str, now: float) -> None:
+    def _stop_run(self, run: Run, grace_s: float, why: str, now: float) -> None:
         if run.state is RunState.WRITTEN:
             self._drop(run, now)  # no launch has left
             return
-        if not run.stopping or (run.stop_settle or 0.0) > settle_s:
-            log.info("task %s try %d on %s stopped: %s", run.frame, run.attempt, run.machine, why)
+        if not run.stopping or (run.stop_grace or 0.0) > grace_s:
+            log.info(
+                "task %s try %d on %s stopped: %s", run.task_name, run.attempt, run.machine, why
+            )
             self._leaves(run)
-        run.stop(settle_s, now)
+        run.stop(grace_s, now)
 
-    def _stop_gang(self, job: Job, settle_s: float, why: str, now: float) -> None:
+    def _stop_gang(self, job: Job, grace_s: float, why: str, now: float) -> None:
         """Stop a whole gang in order; unsent tasks simply leave."""
-        told = gangs.stop(job, settle_s, now)
+        told = gangs.stop(job, grace_s, now)
         if told:
             log.info("gang %s stopped: %s", job.id, why)
         for run in told:
@@ -76,14 +78,14 @@
     def _leaves(self, run: Run) -> None:
         """A kill is to be sent."""
         self.changes += 1
-        self.strikes.add(run.machine)
+        self.to_command.add(run.machine)
         machine = self.machines.get(run.machine)
         if machine is not None:
             machine.changes += 1
 
     def stop_for_room(self, run: Run, why: str, now: float) -> None:
         job = run.job
-        settle = job.spec.seal_s + self.report_s if job.spec.cap_s > 0 else 0.0
+        settle = job.spec.save_s + self.report_s if job.spec.checkpoint_s > 0 else 0.0
         if job.gang:
             self._stop_gang(job, settle, why, now)
         else:
@@ -115,7 +117,9 @@
             running = before is GangState.RUNNING or any(
                 run.state is RunState.FLUSHING for run in job.runs.values()
             )
-            settle = job.spec.seal_s + self.report_s if running and job.spec.cap_s > 0 else 0.0
+            settle = (
+                job.spec.save_s + self.report_s if running and job.spec.checkpoint_s > 0 else 0.0
+            )
             self._stop_gang(job, settle, why, now)
             gangs.step(job, self.clock, now)
         self.changes += job.gang_state is not before
@@ -131,7 +135,7 @@
                 age = now - job.cancelled_at
                 # A new leader first hears the workers, unless there is no time; past
                 # `cancel_s` nothing is gained by haste. After an outage of that length
-                # she released 120 machines unheard, whose tasks had long been killed.
+                # it released 120 machines unheard, whose tasks had long been killed.
                 past = age > self.cancel_s
                 hearing_s = self.lease_s if past else 2.5 * self.report_s
                 no_time = not past and age > 0.8 * self.cancel_s
@@ -140,9 +144,9 @@
                 if age > 0.6 * self.cancel_s and heard_out and machine is not None:
                     # A task that nobody can be shown to have stopped takes its
                     # machine with it: after cancel_s it must not be anywhere.
-                    self.release(machine, f"can't stop {run.frame}", now)
+                    self.release(machine, f"can't stop {run.task_name}", now)
                 elif now - run.stop_at > self.report_s:
-                    self.strikes.add(run.machine)
+                    self.to_command.add(run.machine)
 
     def unreached(self, now: float) -> list[str]:
         """Machines whose reports have not come here for a while."""
@@ -168,7 +172,7 @@
         """Whether a worker has to be told of this term directly.
 
         It may be with a former leader who knows of no other; once it has seen
-        the new term, her answers are void and its reports tell her so.
+        the new term, its answers are void and its reports tell it so.
         """
         return (
             machine.state is MachineState.UNSYNCED
@@ -181,7 +185,7 @@
             self.releases.setdefault(machine.name, machine.why)
             return
         if state is MachineState.STARTING:
-            ready = machine.breed.ready_s if machine.breed else 60.0
+            ready = machine.machine_type.boot_s if machine.machine_type else 60.0
             if now - machine.rented_at > 4.0 * ready and now - self.since > self.lease_s:
                 self.release(machine, "never came up", now)
             elif machine.unlisted >= 3:
@@ -191,7 +195,7 @@
             self._drain(machine, now)
         if self.needs_announcing(machine, now) and now - machine.announced_at > self.report_s:
             machine.announced_at = now
-            self.strikes.add(machine.name)
+            self.to_command.add(machine.name)
         deaf_since = machine.deaf_since
         if deaf_since is not None and now - deaf_since > DEAF_LEASES * self.lease_s:
             up, _, deaf = self._zone_counts(machine.zone, now)
@@ -255,4 +259,4 @@
 
     def _would_lose(self, run: Run, left: float, now: float) -> bool:
         """Whether a task on a machine with so much time left had better save now."""
-        return run.job.spec.cap_s > 0 and self.remaining_s(run, now) > left - self.report_s
+        return run.job.spec.checkpoint_s > 0 and self.remaining_s(run, now) > left - self.report_s
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -33,7 +33,7 @@
 
 class Objective(msgspec.Struct):
     kind: str
-    lane: str | None = msgspec.field(name="class", default=None)
+    job_class: str | None = msgspec.field(name="class", default=None)
     within_s: float | None = None
 
 
@@ -75,9 +75,9 @@
         """Shortest and longest aim for a start, of each class that has any."""
         found: dict[str, tuple[float, float]] = {}
         for aim in self.objectives:
-            if aim.kind == "wait" and aim.lane is not None and aim.within_s is not None:
-                short, long = found.get(aim.lane, (aim.within_s, aim.within_s))
-                found[aim.lane] = (min(short, aim.within_s), max(long, aim.within_s))
+            if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
+                short, long = found.get(aim.job_class, (aim.within_s, aim.within_s))
+                found[aim.job_class] = (min(short, aim.within_s), max(long, aim.within_s))
         return found
 
 
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 import msgspec
+from msgspec import field
 
 JOBS_PATH = "/api/jobs"
 CANCEL_END = "/cancel"
@@ -32,7 +33,7 @@
 BATCH = "batch"
 DAEMON = "daemon"  # tasks that run until their user cancels them; placed like an array's
 URGENCIES = ("critical", "urgent", "normal", "best_effort")
-MOST_FRAMES = 100_000
+MOST_TASKS = 100_000
 LONGEST_NAME = 200
 BODY_LIMIT = 64 * 1024
 
@@ -62,33 +63,34 @@
     """What a user asks for."""
 
     id: str
-    lane: str
-    crew: str
+    job_class: str = field(name="lane")
+    team: str = field(name="crew")
     shape: str
     urgency: str
-    frames: int
-    vcpus: float
-    cards: float
-    ram_gb: float
-    comb: str
+    tasks: int = field(name="frames")
+    cpus: float = field(name="vcpus")  # of each task, as are the next two
+    gpus: float = field(name="cards")
+    memory_gb: float = field(name="ram_gb")
+    image: str = field(name="comb")
     image_gb: float
     same_place: bool
     scatter: bool
-    drones: bool
-    forage_s: float
-    cap_s: float
-    seal_s: float
-    breeds: list[str] | None = None
-    apiary: str | None = None
-    bloom_s: float | None = None
+    spot: bool = field(name="drones")  # whether spot machines may be used
+    estimated_run_s: float = field(name="forage_s")
+    checkpoint_s: float = field(name="cap_s")  # interval of checkpoints; 0: none
+    save_s: float = field(name="seal_s")
+    machine_types: list[str] | None = field(name="breeds", default=None)
+    zone: str | None = field(name="apiary", default=None)
+    deadline_s: float | None = field(name="bloom_s", default=None)
 
     @property
     def gang(self) -> bool:
+        """Whether all tasks run at the same time or none does."""
         return self.shape == GANG
 
     def fault(self) -> str | None:
         """The first field that is out of its range, or None."""
-        for name in ("id", "lane", "crew", "comb"):
+        for name in ("id", "job_class", "team", "image"):
             if not 0 < len(getattr(self, name)) <= LONGEST_NAME:
                 return name
         if not valid_job_id(self.id):
@@ -97,108 +99,129 @@
             return "shape"
         if self.urgency not in URGENCIES:
             return "urgency"
-        if not 1 <= self.frames <= MOST_FRAMES:
-            return "frames"
-        for name in ("vcpus", "cards", "ram_gb", "image_gb", "forage_s", "cap_s", "seal_s"):
+        if not 1 <= self.tasks <= MOST_TASKS:
+            return "tasks"
+        for name in _AMOUNTS:
             if getattr(self, name) < 0:
                 return name
-        if self.bloom_s is not None and self.bloom_s < 0:
-            return "bloom_s"
+        if self.deadline_s is not None and self.deadline_s < 0:
+            return "deadline_s"
         return None
 
 
-class FrameReport(msgspec.Struct):
+#: Fields of a job that can't be negative.
+_AMOUNTS = (
+    "cpus",
+    "gpus",
+    "memory_gb",
+    "image_gb",
+    "estimated_run_s",
+    "checkpoint_s",
+    "save_s",
+)
+
+
+class TaskReport(msgspec.Struct):
     """One task as its worker sees it."""
 
-    frame: str
-    attempt: int = msgspec.field(name="try")
-    stage: str
+    task_name: str = field(name="frame")
+    attempt: int = field(name="try")
+    state: str = field(name="stage")
     cause: str | None = None
-    kept: bool | None = None
+    kept: bool | None = None  # whether its progress was saved
 
 
 class Report(msgspec.Struct):
     """What a worker tells about its machine."""
 
-    box: str
+    machine: str = field(name="box")
     endpoint: str
-    breed: str
-    apiary: str
-    drones: bool
-    flight: int
-    tally: int
-    term: int = msgspec.field(name="crown")  # its highest fencing token
-    frames: list[FrameReport]
-    smoke_s: float | None = None
+    machine_type: str = field(name="breed")
+    zone: str = field(name="apiary")
+    spot: bool = field(name="drones")
+    session: int = field(name="flight")
+    sequence: int = field(name="tally")
+    term: int = field(name="crown")  # its highest fencing token
+    tasks: list[TaskReport] = field(name="frames")
+    notice_s: float | None = field(name="smoke_s", default=None)
 
 
-class Call(msgspec.Struct, omit_defaults=True):
+class Command(msgspec.Struct, omit_defaults=True):
     """A command to a worker."""
 
-    call: str
-    frame: str
-    attempt: int = msgspec.field(name="try")
-    settle_s: float | None = None
+    kind: str = field(name="call")
+    task_name: str = field(name="frame")
+    attempt: int = field(name="try")
+    grace_s: float | None = field(name="settle_s", default=None)
 
 
-def launch(frame: str, attempt: int) -> Call:
-    return Call(LAUNCH, frame, attempt)
+def launch(task_name: str, attempt: int) -> Command:
+    """Start a task."""
+    return Command(LAUNCH, task_name, attempt)
 
 
-def kill(frame: str, attempt: int, settle_s: float) -> Call:
-    return Call(KILL, frame, attempt, settle_s)
+def kill(task_name: str, attempt: int, grace_s: float) -> Command:
+    """Stop a task; it saves if there is time for it."""
+    return Command(KILL, task_name, attempt, grace_s)
 
 
-def clear(frame: str, attempt: int) -> Call:
-    return Call(CLEAR, frame, attempt)
+def clear(task_name: str, attempt: int) -> Command:
+    """Remove an ended task from the worker's reports."""
+    return Command(CLEAR, task_name, attempt)
 
 
-class Orders(msgspec.Struct, omit_defaults=True):
+class Commands(msgspec.Struct, omit_defaults=True):
     """Commands, with the right to give them."""
 
-    term: int = msgspec.field(name="crown")  # the fencing token
-    calls: list[Call]
-    flight: int | None = None
+    term: int = field(name="crown")  # the fencing token
+    commands: list[Command] = field(name="calls")
+    session: int | None = field(name="flight", default=None)
 
 
-class Breed(msgspec.Struct):
+class MachineType(msgspec.Struct):
     """A machine type of the cloud."""
 
-    label: str
-    vcpus: float
-    cards: float
-    ram_gb: float
-    hourly: float
-    ready_s: float
-    apiaries: list[str]
-    local_gb: float = 0.0
+    name: str = field(name="label")
+    cpus: float = field(name="vcpus")
+    gpus: float = field(name="cards")
+    memory_gb: float = field(name="ram_gb")
+    price: float = field(name="hourly")
+    boot_s: float = field(name="ready_s")
+    zones: list[str] = field(name="apiaries")
+    cache_gb: float = field(name="local_gb", default=0.0)
     fetch_gb_per_s: float = 1.0
-    market_price: float | None = None
+    spot_price: float | None = field(name="market_price", default=None)
 
 
 class Catalog(msgspec.Struct):
-    breeds: list[Breed]
+    """All machine types."""
+
+    machine_types: list[MachineType] = field(name="breeds")
 
 
-class ListedBox(msgspec.Struct):
+class ListedMachine(msgspec.Struct):
     """A machine in the cloud's list."""
 
     id: str
-    breed: str
-    apiary: str
-    stage: str
-    drones: bool = False
+    machine_type: str = field(name="breed")
+    zone: str = field(name="apiary")
+    state: str = field(name="stage")
+    spot: bool = field(name="drones", default=False)
     endpoint: str | None = None
     age_s: float = 0.0
 
 
-class BoxPage(msgspec.Struct):
-    boxes: list[ListedBox]
+class MachinePage(msgspec.Struct):
+    """A part of the cloud's list."""
+
+    machines: list[ListedMachine] = field(name="boxes")
     truncated: bool = False
 
 
 class Rented(msgspec.Struct):
-    boxes: list[str]
+    """The answer to a rental request."""
+
+    machines: list[str] = field(name="boxes")
 
 
 class Entry(msgspec.Struct):
@@ -206,104 +229,135 @@
 
     key: str
     data: Any
-    mark: int
-    permit: int | None = None
+    revision: int = field(name="mark")
+    lease_id: int | None = field(name="permit", default=None)
 
 
 class EntryPage(msgspec.Struct):
+    """A part of the entries under a prefix."""
+
     entries: list[Entry]
-    harvest: int
+    revision: int = field(name="harvest")
     truncated: bool = False
 
 
 class WatchPage(msgspec.Struct):
-    harvest: int
+    """Changes since a revision."""
+
+    revision: int = field(name="harvest")
     events: list[dict[str, Any]]
 
 
 class Granted(msgspec.Struct):
-    permit: int
+    """A new lease."""
+
+    lease_id: int = field(name="permit")
 
 
 class Committed(msgspec.Struct):
-    harvest: int
+    """The outcome of a transaction."""
+
+    revision: int = field(name="harvest")
     failed: list[str] = []
 
 
 def valid_job_id(text: str) -> bool:
+    """Whether a text has the form of job ids."""
     return _JOB_ID.match(text) is not None
 
 
-def frame_name(job: str, index: int) -> str:
+def task_name_of(job: str, index: int) -> str:
+    """The name of a job's task."""
     return f"{job}/{index}"
 
 
 @lru_cache(maxsize=MOST_NAMES)
-def split_frame(frame: str) -> tuple[str, int] | None:
+def split_task_name(task_name: str) -> tuple[str, int] | None:
     """Job and number of a task name, or None if it is none."""
-    job, _, number = frame.rpartition("/")
+    job, _, number = task_name.rpartition("/")
     if not valid_job_id(job) or not number.isdecimal() or len(number) > 6:
         return None
     return job, int(number)
 
 
-def job_answer(job: str, stage: str, done: int = 0, running: int = 0) -> dict[str, Any]:
-    return {"id": job, "stage": stage, "done": done, "running": running}
+def job_answer(job: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+    """What a user is told of a job."""
+    return {"id": job, "stage": state, "done": done, "running": running}
 
 
 def redirect(leader: str | None) -> dict[str, Any]:
+    """The body that sends a worker to the leader."""
     return {"queen": leader} if leader else {}
 
 
-def rent_body(ask: str, breed: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
-    return {"swarm_ask": ask, "breed": breed, "apiary": zone, "drones": spot, "count": count}
+def rent_body(request: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """A rental request; its name is never used again."""
+    return {
+        "swarm_ask": request,
+        "breed": machine_type,
+        "apiary": zone,
+        "drones": spot,
+        "count": count,
+    }
 
 
 def release_body(names: list[str]) -> dict[str, Any]:
+    """A request to release machines."""
     return {"boxes": names}
 
 
 def list_query(after: str | None, most: int) -> str:
+    """The target that lists machines."""
     return f"{MACHINES_PATH}?most={most}" + (f"&from={after}" if after else "")
 
 
 def store_query(prefix: str, after: str | None, most: int) -> str:
+    """The target that lists entries of the state service."""
     return f"{STORE_PATH}?under={prefix}&most={most}" + (f"&from={after}" if after else "")
 
 
 def watch_query(prefix: str, since: int, block_ms: int) -> str:
+    """The target that waits for changes under a prefix."""
     return f"{WATCH_PATH}?under={prefix}&from={since}&block_ms={block_ms}"
 
 
-def guard(key: str, mark: int) -> dict[str, Any]:
-    return {"key": key, "mark": mark}
+def condition(key: str, revision: int) -> dict[str, Any]:
+    """A transaction's condition: the key has this revision (0: it does not exist)."""
+    return {"key": key, "mark": revision}
 
 
-def put(key: str, data: Any, permit: int | None = None) -> dict[str, Any]:
-    change = {"put": key, "data": data}
-    if permit is not None:
-        change["permit"] = permit
-    return change
+def put(key: str, data: Any, lease_id: int | None = None) -> dict[str, Any]:
+    """A transaction's operation that writes a value."""
+    operation = {"put": key, "data": data}
+    if lease_id is not None:
+        operation["permit"] = lease_id
+    return operation
 
 
 def drop(key: str) -> dict[str, Any]:
+    """A transaction's operation that removes a key."""
     return {"drop": key}
 
 
-def changed_key(change: dict[str, Any]) -> str:
-    return str(change.get("put") or change["drop"])
+def changed_key(operation: dict[str, Any]) -> str:
+    """The key that an operation changes."""
+    return str(operation.get("put") or operation["drop"])
 
 
-def multi_body(guards: list[dict[str, Any]], then: list[dict[str, Any]]) -> dict[str, Any]:
-    return {"guards": guards, "then": then}
+def multi_body(
+    conditions: list[dict[str, Any]], operations: list[dict[str, Any]]
+) -> dict[str, Any]:
+    """A transaction."""
+    return {"guards": conditions, "then": operations}
 
 
 def event_key(event: dict[str, Any]) -> tuple[str, Any, int]:
-    """Key, value (None for a drop) and mark of a watch event."""
+    """Key, value (None for a drop) and revision of a watch event."""
     if "put" in event:
         return event["put"], event.get("data"), event.get("mark", 0)
     return event["drop"], None, event.get("mark", 0)
 
 
 def grant_body(ttl_ms: int) -> dict[str, Any]:
+    """A request for a lease."""
     return {"ttl_ms": ttl_ms}
