--- a/tests/standins.py
+++ b/tests/standins.py
@@ -805,9 +805,11 @@
 
     node = Node(settings, Operator(), dial)
     node.rng.seed(world.rng.random())
-    node.links = {  # type: ignore[assignment]
-        other: PeerLink(world, name, other) for other in world.names if other != name
-    }
+    node.links.update(
+        {  # type: ignore[dict-item]
+            other: PeerLink(world, name, other) for other in world.names if other != name
+        }
+    )
     host = settings.bind
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -52,6 +52,8 @@
     (25, ["refused_then_down", "peers_refuse", "freeze_leader", "state_slow", "cancel_at_end"]),
     (26, ["late_writes", "crash_election", "roll", "zones_cut", "odd_requests"]),
     (27, ["refused_then_down", "crash_all", "machine_cut", "late_copies"]),
+    (28, ["slow", "slow", "crash_leader", "hang"]),
+    (29, ["slow", "refused_then_down", "late_copies", "roll"]),
     (15, ["leader_off_all_but_workers", "crash_election", "blink", "late_copies"]),
 ]
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -83,6 +83,7 @@
         self._looked_at = 0.0
         self.refusals: dict[int, int] = {}
         self.frozen: dict[str, float] = {}  # controllers that stand still, until when
+        self.work_s = 0.0  # what each message, in or out, keeps a controller busy
         self.peers_refuse = False
         self.cancel_at_end = 0.0  # share of the jobs that end
         self.ending: list[str] = []
@@ -90,9 +91,12 @@
         self.odd_answers: dict[str, set[int]] = {}
 
     async def thawed(self, name: str) -> None:
-        """Wait while a controller stands still; its clocks run on."""
+        """Wait while a controller stands still, or is busy with what came before; its
+        clocks run on."""
         while self.clock.now < self.frozen.get(name, 0.0):
             await curio.sleep(self.frozen[name] - self.clock.now)
+        if self.work_s:
+            self.frozen[name] = self.clock.now + self.work_s
 
     def note(self, text: str) -> None:
         self.notes.append(f"{self.clock.now - 1000:8.2f} {text}")
@@ -502,6 +506,11 @@
             await self.cut(kind, name, for_s)
         elif kind == "odd_requests":
             await self.odd_requests(for_s)
+        elif kind == "slow":
+            # Leaders get more messages than they have time for; all else is late by less.
+            self.work_s = rng.uniform(0.03, 0.08)
+            await curio.sleep(2 * for_s)
+            self.work_s = 0.0
         elif kind == "cancel_at_end":
             self.cancel_at_end = 0.3
             await curio.sleep(for_s)
--- /dev/null
+++ b/topazhold/control/gang_search.py
@@ -0,0 +1,174 @@
+"""The loop that searches for gangs: which ones, in which view of the fleet."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Callable
+from typing import Any
+
+import curio
+
+from topazhold.control.booking import MOST_SEARCHED, Booking, View, Wanted, searches_beside
+from topazhold.control.leading import Leading
+from topazhold.control.store import DECISIONS, TROUBLE, Store
+from topazhold.core import records
+from topazhold.core.preemption import turn
+from topazhold.settings import Operator, Settings
+from topazhold.wire.codec import BadMessage
+from topazhold.wire.messages import JobSpec
+
+log = logging.getLogger(__name__)
+
+#: How often the leader tells its peers the summary, about.
+PEER_SUMMARY_S = 1.0
+#: Time left to reports and users after a round of searches, as a multiple of its own.
+SEARCH_PAUSE = 4.0
+
+
+class GangSearch:
+    """Searches for the gangs that this controller accepted, as leader also for others.
+
+    `leading` gives the term that this controller leads, if it does, and `lease_id` the
+    lease that its holds hang on.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        operator: Operator,
+        store: Store,
+        booking: Booking,
+        view: View,
+        leading: Callable[[], Leading | None],
+        lease_id: Callable[[], int | None],
+    ) -> None:
+        self._node = settings.node_name
+        self._summary_s = operator.summary_s
+        self._store = store
+        self._booking = booking
+        self._view = view
+        self._leading = leading
+        self._lease_id = lease_id
+        self._fetched_at = -1e9
+        self._searches = searches_beside(settings.cluster.limits.cpu_share)
+
+    def read_summary(self, values: dict[str, Any], now: float) -> None:
+        """A summary, as old as it is: a transaction may be carried out late, after newer
+        ones, and a message may be held up on its way."""
+        jobs = values.get("")
+        if not isinstance(jobs, dict) or self._view.older(jobs):
+            return
+        for zone, data in values.items():
+            if zone:
+                self._view.read_zone(zone, data)
+            else:
+                self._view.read_jobs(data)
+        self._view.at = now - max(0.0, time.time() - self._view.written)
+
+    async def _fetch_summary(self, now: float) -> None:
+        entries, _ = await self._store.entries(records.SUMMARY_PREFIX)
+        values = {
+            entry.key[len(records.SUMMARY_PREFIX) :].replace("*", ""): entry.data
+            for entry in entries
+        }
+        self.read_summary(values, now)
+
+    async def loop(self) -> None:
+        """At most one write of holds a second."""
+        booking = self._booking
+        while True:
+            await curio.ignore_after(1.0, booking.wake.wait)
+            now = await curio.clock()
+            if now - booking.wrote_at < 1.0:
+                await curio.sleep(1.0 - (now - booking.wrote_at))
+            booking.wake.clear()
+            lease_id = self._lease_id()
+            if lease_id is None:
+                continue
+            try:
+                busy = await self._book(lease_id, await curio.clock())
+            except TROUBLE as exc:
+                log.debug("booking: %s", exc)
+            else:
+                await curio.sleep(busy * SEARCH_PAUSE)
+
+    async def _book(self, lease_id: int, now: float) -> float:
+        """One round of searches; the time that it kept this process busy."""
+        leading = self._leading()
+        booking = self._booking
+        if leading is not None:
+            if not leading.loaded:
+                return 0.0
+            self._wanted_of_leader(leading, now)
+            view = leading.view(now) if booking.wanted else self._view
+        else:
+            view = self._view
+            if now - max(view.at, self._fetched_at) > self._summary_s:
+                self._fetched_at = now
+                await self._fetch_summary(now)
+            await self._wanted_of_follower(now)
+            if booking.wanted:
+                await booking.read_holds()
+        began = time.monotonic()
+        booking.round(view, now, MOST_SEARCHED if leading is not None else self._searches)
+        busy = time.monotonic() - began
+        if await booking.write(lease_id, now) and leading is not None:
+            await leading.request_plan()
+        return busy
+
+    def _wanted_of_leader(self, leading: Leading, now: float) -> None:
+        """Its own gangs, and those whose controller is gone or finds nothing."""
+        wanted = self._booking.wanted
+        waiting = {job.id: job for job in leading.scheduler.waiting_gangs(now)}
+        for job_id in list(wanted):
+            if job_id not in waiting:
+                self._booking.forget(job_id)
+        for job in waiting.values():
+            others = job.node != self._node and job.node in self._booking.hold_table.revisions
+            # Its own controller searches; two at once would only replace each
+            # other's holds. The leader steps in where nothing comes of it.
+            if others and leading.scheduler.wanting_s(job, now) < 2 * self._summary_s:
+                if job.id not in self._booking.mine:
+                    self._booking.forget(job.id)
+                    continue
+            known = wanted.get(job.id)
+            if known is None:
+                wanted[job.id] = Wanted(job.spec, turn(job), job.arrived)
+            else:
+                known.turn = turn(job)
+            hold = self._booking.mine.get(job.id)
+            if hold is not None and leading.scheduler.spent(job, hold):
+                del self._booking.mine[job.id]
+
+    async def _wanted_of_follower(self, now: float) -> None:
+        """Gangs accepted here that the leader still lists as waiting."""
+        booking = self._booking
+        waiting = self._view.waiting
+        for job_id, wanted in list(booking.wanted.items()):
+            told = waiting.get(job_id)
+            if told is None:
+                # Started, or over; if the leader has only not heard of it yet,
+                # it will name this node as its searcher.
+                if self._view.at - wanted.since > 2 * PEER_SUMMARY_S and self._view.all_waiting:
+                    booking.forget(job_id)
+            else:
+                wanted.turn = told[1]
+                if told[2]:
+                    hold = booking.mine.get(job_id)
+                    if hold is not None and time.time() - hold.made > self._summary_s:
+                        del booking.mine[job_id]  # refused, or used up
+        for job_id, (node, its_turn, _) in waiting.items():
+            if node == self._node and job_id not in booking.wanted:
+                spec = await self._read_spec(job_id)
+                if spec is not None:
+                    booking.wanted[job_id] = Wanted(spec, its_turn, now)
+
+    async def _read_spec(self, job_id: str) -> JobSpec | None:
+        entry = await self._store.get(records.live_key(job_id), DECISIONS)
+        if entry is None:
+            return None
+        try:
+            return records.read_live(entry.data, entry.revision, time.time(), 0.0).spec
+        except (BadMessage, ValueError):
+            return None
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -10,38 +10,36 @@
 
 import curio
 
-from topazhold.control.booking import MOST_SEARCHED, Booking, View, Wanted, searches_beside
+from topazhold.control.booking import Booking, View
 from topazhold.control.cloud import Cloud, CloudDown
 from topazhold.control.enforcing import Enforcer
+from topazhold.control.gang_search import GangSearch
 from topazhold.control.leading import Leading
 from topazhold.control.relay import SILENT_GRANTS, WorkerFallback
+from topazhold.control.report_relay import ReportRelay
 from topazhold.control.store import (
-    DECISIONS,
     LEASES,
     TROUBLE,
     Conflict,
     Store,
     WatchLost,
 )
-from topazhold.control.term_context import TXN_BYTES
 from topazhold.control.users import Users, users_request
-from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import NO_AIM, Job
 from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
 from topazhold.core.placements import Placements
-from topazhold.core.preemption import turn
 from topazhold.core.search import pack_names, unpack_names
 from topazhold.io.account import Account, Duty
 from topazhold.io.client import Client
 from topazhold.io.http import Answer, Request
-from topazhold.io.links import FRAME_LIMIT, Link, Listener, encode
+from topazhold.io.links import Link, Listener, encode
 from topazhold.io.server import Server
 from topazhold.settings import Operator, Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
-from topazhold.wire.messages import Commands, Entry, JobSpec, MachineType, Report
+from topazhold.wire.messages import Commands, Entry, MachineType, Report
 
 log = logging.getLogger(__name__)
 
@@ -60,17 +58,8 @@
 RECEIPT_REPORTS = 0.1
 #: The catalog's prices move slowly.
 CATALOG_REPORTS = 60
-#: How often the leader tells its peers the summary, about.
-PEER_SUMMARY_S = 1.0
 #: Share of the sockets for those who connect to this node.
 SERVED_SHARE = 0.8
-#: Messages with kept workers' reports a report period, and the size of one; the
-#: share of a transaction's changes for them where only the state service is left.
-RELAY_FRAMES = 8
-RELAY_FRAME_BYTES = FRAME_LIMIT // 4
-RELAY_SHARE = 0.25
-#: Time left to reports and users after a round of searches, as a multiple of its own.
-SEARCH_PAUSE = 4.0
 
 
 def lease_time_s(settings: Settings) -> float:
@@ -132,7 +121,6 @@
         self.enforcer = Enforcer(
             settings, self.cancellations, self.placements, self.cloud, dial, self._seen_to
         )
-        self._fetched_at = -1e9
         self._leader_loaded: tuple[str, float] = ("", -1e9)  # whose ping said so, when
         self._peer_boots: dict[str, str] = {}
         self._receipt = curio.Event()  # set, and replaced, when a peer acknowledges
@@ -159,7 +147,23 @@
         self.valid_until = 0.0
         self._election = curio.Event()
         self.links = {seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds}
-        self._searches = searches_beside(cluster.limits.cpu_share)
+        self.gang_search = GangSearch(
+            settings,
+            operator,
+            self.store,
+            self.booking,
+            self.view,
+            lambda: self.leading,
+            lambda: self.lease_id,
+        )
+        self.report_relay = ReportRelay(
+            settings,
+            self.store,
+            self.leadership,
+            self.fallback,
+            self.links,
+            lambda: self.lease_id,
+        )
         self._share(False)
 
     def _share(self, leads: bool) -> None:
@@ -203,8 +207,8 @@
                 (Duty.OTHER, self._leading_loop),
                 (Duty.CLOUD, self._catalog_loop),
                 (Duty.PEERS, self._ping_loop),
-                (Duty.SEARCHES, self._booking_loop),
-                (Duty.PEERS, self._relay_loop),
+                (Duty.SEARCHES, self.gang_search.loop),
+                (Duty.PEERS, self.report_relay.loop),
                 (Duty.OTHER, self._resign_loop),
                 (Duty.COMMANDS, self.enforcer.loop),
             ):
@@ -622,7 +626,7 @@
         elif tag == "summary":
             _, term, values = message
             if int(term) >= self.leadership.term and self.leading is None:
-                self._read_summary(values, await curio.clock())
+                self.gang_search.read_summary(values, await curio.clock())
 
     async def _level(self, peer: str, record: Any, receipts: Any) -> None:
         """Compare the records of cancellations with a peer's."""
@@ -636,43 +640,6 @@
         of_boot, upto = receipts.get(self.name, ("", -1))
         await self._hear_receipt(peer, str(of_boot), int(upto))
 
-    # -- workers that the leader can't reach ----------------------------------------
-
-    async def _relay_loop(self) -> None:
-        """Pass kept workers' reports on: by the link, or the state service."""
-        state = self.settings.cluster.state
-        limit = int(state.value_kb * 1024 * 0.9)
-        while True:
-            await curio.sleep(self.report_s)
-            lead = self.leadership
-            link = self.links.get(lead.leader or "")
-            if link is None:
-                continue
-            if not self.fallback.leader_cut(await curio.clock()):
-                for _ in range(RELAY_FRAMES):
-                    reports = self.fallback.take(RELAY_FRAME_BYTES)
-                    if not reports:
-                        break
-                    await link.send(encode(("relay", lead.term, reports)))
-                continue
-            # A whole zone's reports don't fit one value: several, within a share of
-            # what a transaction takes and of the changes a second.
-            changes = []
-            most = min(int(state.txn_ops * RELAY_SHARE), TXN_BYTES // limit)
-            for number in range(max(1, most)):
-                reports = self.fallback.take(limit)
-                if not reports:
-                    break
-                key = f"{records.RELAY_PREFIX}{self.name}/{number}"
-                value = {"crown": lead.term, "reports": reports}
-                changes.append(wire.put(key, value, self.lease_id))
-            if not changes:
-                continue
-            try:
-                await self.store.multi([], changes, DECISIONS)
-            except (*TROUBLE, Conflict) as exc:
-                log.debug("reports not relayed: %s", exc)
-
     async def _resign_loop(self) -> None:
         """A leader that hardly hears any worker, while others do, makes room."""
         lease_s = self.settings.cluster.workers.lease_s
@@ -687,128 +654,6 @@
             await self._depose("cut from the workers")
             await self._drop_lease()
 
-    # -- booking ---------------------------------------------------------------
-
-    def _read_summary(self, values: dict[str, Any], now: float) -> None:
-        """A summary, as old as it is: a transaction may be carried out late, after newer
-        ones, and a message may be held up on its way."""
-        jobs = values.get("")
-        if not isinstance(jobs, dict) or self.view.older(jobs):
-            return
-        for zone, data in values.items():
-            if zone:
-                self.view.read_zone(zone, data)
-            else:
-                self.view.read_jobs(data)
-        self.view.at = now - max(0.0, time.time() - self.view.written)
-
-    async def _fetch_summary(self, now: float) -> None:
-        entries, _ = await self.store.entries(records.SUMMARY_PREFIX)
-        values = {
-            entry.key[len(records.SUMMARY_PREFIX) :].replace("*", ""): entry.data
-            for entry in entries
-        }
-        self._read_summary(values, now)
-
-    async def _booking_loop(self) -> None:
-        """At most one write of holds a second."""
-        booking = self.booking
-        while True:
-            await curio.ignore_after(1.0, booking.wake.wait)
-            now = await curio.clock()
-            if now - booking.wrote_at < 1.0:
-                await curio.sleep(1.0 - (now - booking.wrote_at))
-            booking.wake.clear()
-            lease_id = self.lease_id
-            if lease_id is None:
-                continue
-            try:
-                busy = await self._book(lease_id, await curio.clock())
-            except TROUBLE as exc:
-                log.debug("booking: %s", exc)
-            else:
-                await curio.sleep(busy * SEARCH_PAUSE)
-
-    async def _book(self, lease_id: int, now: float) -> float:
-        """One round of searches; the time that it kept this process busy."""
-        leading = self.leading
-        booking = self.booking
-        if leading is not None:
-            if not leading.loaded:
-                return 0.0
-            self._wanted_of_leader(leading, now)
-            view = leading.view(now) if booking.wanted else self.view
-        else:
-            view = self.view
-            if now - max(view.at, self._fetched_at) > self.operator.summary_s:
-                self._fetched_at = now
-                await self._fetch_summary(now)
-            await self._wanted_of_follower(now)
-            if booking.wanted:
-                await booking.read_holds()
-        began = time.monotonic()
-        booking.round(view, now, MOST_SEARCHED if leading is not None else self._searches)
-        busy = time.monotonic() - began
-        if await booking.write(lease_id, now) and leading is not None:
-            await leading.request_plan()
-        return busy
-
-    def _wanted_of_leader(self, leading: Leading, now: float) -> None:
-        """Its own gangs, and those whose controller is gone or finds nothing."""
-        wanted = self.booking.wanted
-        waiting = {job.id: job for job in leading.scheduler.waiting_gangs(now)}
-        for job_id in list(wanted):
-            if job_id not in waiting:
-                self.booking.forget(job_id)
-        for job in waiting.values():
-            others = job.node != self.name and job.node in self.hold_table.revisions
-            # Its own controller searches; two at once would only replace each
-            # other's holds. The leader steps in where nothing comes of it.
-            if others and leading.scheduler.wanting_s(job, now) < 2 * self.operator.summary_s:
-                if job.id not in self.booking.mine:
-                    self.booking.forget(job.id)
-                    continue
-            known = wanted.get(job.id)
-            if known is None:
-                wanted[job.id] = Wanted(job.spec, turn(job), job.arrived)
-            else:
-                known.turn = turn(job)
-            hold = self.booking.mine.get(job.id)
-            if hold is not None and leading.scheduler.spent(job, hold):
-                del self.booking.mine[job.id]
-
-    async def _wanted_of_follower(self, now: float) -> None:
-        """Gangs accepted here that the leader still lists as waiting."""
-        booking = self.booking
-        waiting = self.view.waiting
-        for job_id, wanted in list(booking.wanted.items()):
-            told = waiting.get(job_id)
-            if told is None:
-                # Started, or over; if the leader has only not heard of it yet,
-                # it will name this node as its searcher.
-                if self.view.at - wanted.since > 2 * PEER_SUMMARY_S and self.view.all_waiting:
-                    booking.forget(job_id)
-            else:
-                wanted.turn = told[1]
-                if told[2]:
-                    hold = booking.mine.get(job_id)
-                    if hold is not None and time.time() - hold.made > self.operator.summary_s:
-                        del booking.mine[job_id]  # refused, or used up
-        for job_id, (node, its_turn, _) in waiting.items():
-            if node == self.name and job_id not in booking.wanted:
-                spec = await self._read_spec(job_id)
-                if spec is not None:
-                    booking.wanted[job_id] = Wanted(spec, its_turn, now)
-
-    async def _read_spec(self, job_id: str) -> JobSpec | None:
-        entry = await self.store.get(records.live_key(job_id), DECISIONS)
-        if entry is None:
-            return None
-        try:
-            return records.read_live(entry.data, entry.revision, time.time(), 0.0).spec
-        except (BadMessage, ValueError):
-            return None
-
     # -- the catalog -------------------------------------------------------------
 
     async def _catalog_loop(self) -> None:
--- /dev/null
+++ b/topazhold/control/report_relay.py
@@ -0,0 +1,82 @@
+"""Passes reports that a follower has answered on to the leader."""
+
+from __future__ import annotations
+
+import logging
+from collections.abc import Callable, Mapping
+
+import curio
+
+from topazhold.control.relay import WorkerFallback
+from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
+from topazhold.control.term_context import TXN_BYTES
+from topazhold.core import records
+from topazhold.core.leadership import Leadership
+from topazhold.io.links import FRAME_LIMIT, Link, encode
+from topazhold.settings import Settings
+from topazhold.wire import messages as wire
+
+log = logging.getLogger(__name__)
+
+#: Messages with kept workers' reports a report period, and the size of one; the
+#: share of a transaction's changes for them where only the state service is left.
+RELAY_FRAMES = 8
+RELAY_FRAME_BYTES = FRAME_LIMIT // 4
+RELAY_SHARE = 0.25
+
+
+class ReportRelay:
+    """Sends kept reports by the link to the leader, or through the state service."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        store: Store,
+        leadership: Leadership,
+        fallback: WorkerFallback,
+        links: Mapping[str, Link],
+        lease_id: Callable[[], int | None],
+    ) -> None:
+        self._node = settings.node_name
+        self._report_s = settings.cluster.workers.report_s
+        self._limits = settings.cluster.state
+        self._store = store
+        self._leadership = leadership
+        self._fallback = fallback
+        self._links = links
+        self._lease_id = lease_id
+
+    async def loop(self) -> None:
+        """Pass kept workers' reports on: by the link, or the state service."""
+        state = self._limits
+        limit = int(state.value_kb * 1024 * 0.9)
+        while True:
+            await curio.sleep(self._report_s)
+            lead = self._leadership
+            link = self._links.get(lead.leader or "")
+            if link is None:
+                continue
+            if not self._fallback.leader_cut(await curio.clock()):
+                for _ in range(RELAY_FRAMES):
+                    reports = self._fallback.take(RELAY_FRAME_BYTES)
+                    if not reports:
+                        break
+                    await link.send(encode(("relay", lead.term, reports)))
+                continue
+            # A whole zone's reports don't fit one value: several, within a share of
+            # what a transaction takes and of the changes a second.
+            changes = []
+            most = min(int(state.txn_ops * RELAY_SHARE), TXN_BYTES // limit)
+            for number in range(max(1, most)):
+                reports = self._fallback.take(limit)
+                if not reports:
+                    break
+                key = f"{records.RELAY_PREFIX}{self._node}/{number}"
+                value = {"crown": lead.term, "reports": reports}
+                changes.append(wire.put(key, value, self._lease_id()))
+            if not changes:
+                continue
+            try:
+                await self._store.multi([], changes, DECISIONS)
+            except (*TROUBLE, Conflict) as exc:
+                log.debug("reports not relayed: %s", exc)
