--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,7 +10,7 @@
 import logging
 import selectors
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Awaitable, Callable, Coroutine
 from random import Random
 from typing import Any
 
@@ -37,6 +37,15 @@
     return {_BODY_NAMES.get(name, name): value for name, value in fields.items()}
 
 
+def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as exc:
+        return exc.value
+    raise AssertionError("it waits")
+
+
 # -- virtual time ------------------------------------------------------------
 
 
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Coroutine
 from random import Random
 from typing import Any
 
 import cbor2
 import h11
 
+from tests.standins import finish
 from topazhold.io.heads import MOST_HEADS, parse_request_head, render_answer_head
 from topazhold.io.http import Answer, Request
 from topazhold.io.server import Connection
@@ -30,15 +30,6 @@
         self.sent.append(data)
 
 
-def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that never waits."""
-    try:
-        coroutine.send(None)
-    except StopIteration as exc:
-        return exc.value
-    raise AssertionError("it waits")
-
-
 def exchange(pieces: list[bytes], answers: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
     """All requests of a connection as the server sees them, and all that it sends."""
     sock = ScriptedSocket(list(pieces))
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -49,3 +49,31 @@
     assert json_size(operations) < 60 * 1024
     assert all(json_size(change["data"]) < 16 * 1024 for change in operations)
     assert operations[0]["data"]["cut"] is True
+
+
+def test_others_get_their_turn_while_a_summary_is_made(monkeypatch: pytest.MonkeyPatch) -> None:
+    """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
+    settings = settings_for("hive-0", "a", [])
+    settings.cluster.zones = list("abcdef")
+    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    turns: list[int] = []
+    collected: list[dict[str, Any]] = []
+
+    async def other() -> None:
+        while not collected:
+            turns.append(len(turns))
+            await curio.sleep(0)
+
+    async def main(clock: VirtualTime) -> None:
+        context = TermContext(settings, None, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+        summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
+        task = await curio.spawn(other)
+        collected.append(await summaries._collect(1.0))
+        await task.join()
+        collected.append(summaries.summary(1.0))
+
+    run_virtual(main, monkeypatch)
+    assert len(turns) >= 7, "after each zone, and after the jobs"
+    pieces, whole = collected
+    assert pieces.pop("")["waiting"] == whole.pop("")["waiting"]
+    assert pieces == whole
