--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -144,6 +144,25 @@
     serve(main, idle_s=0.4)
 
 
+def test_server_waits_for_an_address_that_is_in_use() -> None:
+    """A controller ended for that, and its platform waits before it starts one again."""
+
+    async def run() -> int:
+        holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        holder.bind(("127.0.0.1", 0))
+        address = holder.getsockname()
+        server = await curio.spawn(Server(echo, 8, 5.0).run, address, daemon=True)
+        await curio.sleep(0.1)
+        assert not server.terminated
+        await holder.close()
+        await curio.sleep(0.5)
+        status, _ = await Client(address).ask("GET", "/", None, 2.0)
+        await server.cancel()
+        return status
+
+    assert curio.run(run) == 200
+
+
 def test_guests_leave_room_for_others() -> None:
     """Users' connections must not keep workers out."""
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+import math
+
 from tests.conftest import Bench, make_spec
 from topazhold.core import preemption, recovery
 from topazhold.core.jobs import GangState, Job, JobState, Run, RunState
@@ -742,3 +744,25 @@
     bench.scheduler.last_arrival = -1e9
     asks = bench.scheduler.rent(bench.now)
     assert [ask.count for ask in asks] == [1]
+
+
+def test_gang_is_not_promised_the_room_of_a_service() -> None:
+    """It held a service's machine for as long as the service ran: its tasks, of 0 s by the
+    estimate, were taken to end at once, and the empty machine looked no better."""
+    bench = Bench(machines=0)
+    for name in ("host-0", "host-1"):
+        bench.report(name)
+    service = bench.job(
+        make_spec(9, tasks=1, shape="daemon", gpus=4.0, estimated_run_s=0.0, checkpoint_s=0.0)
+    )
+    (run,) = bench.plan()
+    for state in ("pulling", "running"):
+        bench.all_report()
+        bench.state(run.machine, state)
+    bench.all_report()
+    offers = {offer.name: offer for offer in bench.scheduler.offers("a", bench.now)}
+    gang = make_spec(1, tasks=1, gpus=4.0)
+    need = (gang.cpus, gang.gpus, gang.memory_gb)
+    assert offers[run.machine].ready_for((1, service.level), need) == math.inf
+    (other,) = offers.keys() - {run.machine}
+    assert offers[other].ready_for((1, service.level), need) < bench.scheduler.report_s
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -14,7 +14,7 @@
 import cProfile
 import pstats
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from random import Random
 from typing import Any
 
@@ -22,7 +22,7 @@
 import msgspec
 
 from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import finish, settings_for
+from tests.standins import settings_for
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import Hold, HoldTable
@@ -118,6 +118,15 @@
         pass
 
 
+def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as exc:
+        return exc.value
+    raise AssertionError("it waits")
+
+
 def http_exchange(body: bytes) -> Callable[[], None]:
     """Receive a report and send an answer without commands."""
     head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
--- a/topazhold/io/http.py
+++ b/topazhold/io/http.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import errno
 import logging
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -14,6 +15,8 @@
 
 #: The most that is received at once.
 CHUNK = 64 * 1024
+#: Pause before another try to bind an address that is in use.
+BIND_RETRY_S = 0.2
 
 
 class Request:
@@ -58,7 +61,7 @@
     address: tuple[str, int], client: Callable[[Any], Awaitable[None]], backlog: int
 ) -> None:
     """Accept connections until cancelled; one failed accept is not the end."""
-    server = tcp_server_socket(address[0], address[1], backlog=backlog)
+    server = await _bind(address, backlog)
     async with server:
         while True:
             try:
@@ -70,6 +73,22 @@
             await curio.spawn(_served, sock, client, daemon=True)
 
 
+async def _bind(address: tuple[str, int], backlog: int) -> Any:
+    """A listening socket, as soon as the address is free.
+
+    Another process may hold it for a moment, as an outgoing connection's own address. A
+    controller that ended for that came up again only after the platform's pause.
+    """
+    while True:
+        try:
+            return tcp_server_socket(address[0], address[1], backlog=backlog)
+        except OSError as exc:
+            if exc.errno != errno.EADDRINUSE:
+                raise
+            log.error("%s:%d is in use, tried again soon", *address)
+            await curio.sleep(BIND_RETRY_S)
+
+
 async def _served(sock: Any, client: Callable[[Any], Awaitable[None]]) -> None:
     async with sock:
         try:
