--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -218,10 +218,10 @@
         return lambda: self.net.hosts[host]
 
     async def until(
-        self, true: Callable[[], Any], what: str = "it", most_s: float = PATIENCE_S
+        self, true: Callable[[], Any], what: str = "it", timeout_s: float = PATIENCE_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
-        end = self.clock.now + most_s
+        end = self.clock.now + timeout_s
         while not true():
             assert self.clock.now < end, f"{what} never came to be"
             await curio.sleep(0.02)
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -79,9 +79,9 @@
         await curio.spawn(self.steps, daemon=True)
         await self.until(lambda: self.leader() is not None)
 
-    async def until(self, true: Callable[[], Any], most_s: float = 60.0) -> None:
+    async def until(self, true: Callable[[], Any], timeout_s: float = 60.0) -> None:
         """Wait until something is so; an assertion fails if it never is."""
-        end = self.clock.now + most_s
+        end = self.clock.now + timeout_s
         while not true():
             assert self.clock.now < end, "it never came to be"
             await curio.sleep(0.01)
@@ -175,9 +175,9 @@
         if name not in self.nodes:
             await start_node(self, name)
 
-    async def new_leader(self, old: str | None, most_s: float = 30.0) -> str:
+    async def new_leader(self, old: str | None, timeout_s: float = 30.0) -> str:
         """Wait until another one leads than `old`."""
-        await self.until(lambda: self.leader() not in (None, old), most_s)
+        await self.until(lambda: self.leader() not in (None, old), timeout_s)
         found = self.leader()
         assert found is not None
         return found
@@ -197,10 +197,10 @@
             self.users.append(user)
             await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
 
-    async def all_over(self, most_s: float = 500.0) -> None:
+    async def all_over(self, timeout_s: float = 500.0) -> None:
         """The troubles are over: every job ends, and none is left waiting."""
         self.calm_at = self.clock.now + 40.0
-        await self.until(lambda: all(user.terminated for user in self.users), most_s)
+        await self.until(lambda: all(user.terminated for user in self.users), timeout_s)
         assert not self.asking
         self.check_shares()
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -389,9 +389,9 @@
         keys = sorted(
             key for key in self.data if key.startswith(args["under"]) and key > args.get("from", "")
         )
-        most = min(int(args.get("most", 1000)), 7)
-        page = [{"key": k, "data": self.data[k][0], "mark": self.data[k][1]} for k in keys[:most]]
-        return 200, {"entries": page, "truncated": len(keys) > most, "harvest": self.revision}
+        limit = min(int(args.get("most", 1000)), 7)
+        page = [{"key": k, "data": self.data[k][0], "mark": self.data[k][1]} for k in keys[:limit]]
+        return 200, {"entries": page, "truncated": len(keys) > limit, "harvest": self.revision}
 
     async def _multi(self, body: Any) -> tuple[int, Any]:
         if self._too_large(body["then"]):
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -10,7 +10,7 @@
 
 from tests.conftest import make_spec
 from tests.standins import settings_for
-from topazhold.control.booking import Booking, View, Wanted, searches_beside
+from topazhold.control.booking import Booking, View, Wanted, max_follower_searches
 from topazhold.control.election import GRANT_BOUNDS, lease_time_s
 from topazhold.core.holds import Hold, HoldTable
 from topazhold.core.jobs import Job
@@ -131,7 +131,12 @@
 
 def test_searches_a_round_follow_the_share_of_a_core() -> None:
     """Sixty-four searches on 18% of a core would keep a lease waiting for a second."""
-    assert [searches_beside(share) for share in (0.05, 0.18, 0.576, 1.476)] == [16, 16, 47, 64]
+    assert [max_follower_searches(share) for share in (0.05, 0.18, 0.576, 1.476)] == [
+        16,
+        16,
+        47,
+        64,
+    ]
 
 
 def test_late_copy_of_a_summary_is_no_news() -> None:
@@ -155,7 +160,7 @@
 
     monkeypatch.setattr(Booking, "_search", search)
     settings = settings_for("hive-0", "a", [])
-    found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1), most_round_s=0.1)  # type: ignore[arg-type]
+    found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1), max_round_s=0.1)  # type: ignore[arg-type]
     for number in range(5):
         spec = make_spec(number)
         found.wanted[spec.id] = Wanted(spec, (0, 0, float(number)), float(number))
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -19,7 +19,7 @@
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.leading import Leading
 from topazhold.control.node import Node
-from topazhold.core.cancellations import MOST_TOLD, Cancellations
+from topazhold.core.cancellations import MAX_SENT, Cancellations
 from topazhold.core.placements import Placements
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Answer
@@ -358,7 +358,7 @@
 
 def test_record_reaches_a_peer_in_parts_and_after_its_restart() -> None:
     here = Cancellations("here-1", 30.0, 10.0)
-    for number in range(2 * MOST_TOLD + 5):
+    for number in range(2 * MAX_SENT + 5):
         assert here.add(f"wk-{number}", 1000.0, 1000.0)
     assert not here.add("wk-3", 1000.0, 1000.0)
     for boot in ("there-1", "there-2"):
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -14,7 +14,7 @@
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import Job, Run, RunState
-from topazhold.core.renting import MOST_RELEASED
+from topazhold.core.renting import MAX_RELEASED_MACHINES
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
 from topazhold.io.http import NoAnswer
@@ -106,6 +106,6 @@
         book.recorded(book.decide_returns(scheduler.releases, clock.now), clock.now)
         request = book.release_request(scheduler.must_go, only_must_go=False)
         assert request is not None
-        assert len(request.names) == MOST_RELEASED and request.names[0] == "host-000249"
+        assert len(request.names) == MAX_RELEASED_MACHINES and request.names[0] == "host-000249"
 
     run_virtual(main, monkeypatch)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -13,7 +13,7 @@
 from tests.traps import POINTS, Trap
 from tests.versions import production
 from topazhold.core.renting import Ask
-from topazhold.duties.book import MOST_KEPT, OrderBook
+from topazhold.duties.book import MAX_ENTRIES, OrderBook
 from topazhold.duties.orders import OrderError, OrderState, ReturnOrder
 from topazhold.duties.records import (
     DUTY_PREFIX,
@@ -384,13 +384,13 @@
 def test_orders_do_not_pile_up() -> None:
     """Closed ones are forgotten, kept ones are bounded, open rentals too."""
     book = OrderBook("hive-0", 7, value_limit=2048, keep_s=1e9)
-    for number in range(2 * MOST_KEPT):
+    for number in range(2 * MAX_ENTRIES):
         name = f"host-{number}"
         book.recorded(book.decide_returns({name: "idle"}, 1.0), 1.0)
         book.release_request(lambda name: False, False)
         book.machines_gone([name], 1.0)
         book.closed(book.to_close(2.0, 16))
-    assert len(book.open_orders()) <= MOST_KEPT + 1
+    assert len(book.open_orders()) <= MAX_ENTRIES + 1
     while book.may_rent():
         rental = book.decide_rental(Ask("b1", "a", False, 1), 1.0)
         book.recorded([rental], 1.0)
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -351,7 +351,7 @@
     patch.setattr(
         OrderBook,
         "to_close",
-        lambda self, now, most: self.of_kind(ReturnOrder, OrderState.CONFIRMED)[:most],
+        lambda self, now, limit: self.of_kind(ReturnOrder, OrderState.CONFIRMED)[:limit],
     )
 
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -34,8 +34,8 @@
 
 def serve(
     main: Callable[[tuple[str, int]], Awaitable[Any]],
-    most: int = 8,
-    most_guests: int = 8,
+    limit: int = 8,
+    max_guests: int = 8,
     idle_s: float = 5.0,
 ) -> Any:
     async def run() -> Any:
@@ -43,7 +43,7 @@
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
         await probe.close()
-        serving = Server(echo, most, idle_s, is_guest, most_guests)
+        serving = Server(echo, limit, idle_s, is_guest, max_guests)
         server = await curio.spawn(serving.run, address, daemon=True)
         await curio.sleep(0.05)
         try:
@@ -123,7 +123,7 @@
         await curio.sleep(0.1)
         assert b" 200 " in await raw(address, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 
-    serve(main, most=4)
+    serve(main, limit=4)
 
 
 def test_idle_connections_are_ended_and_busy_ones_are_not() -> None:
@@ -175,7 +175,7 @@
         await curio.sleep(0.1)
         assert (await clients[2].ask("GET", "/guest", None, 2.0))[0] == 200
 
-    serve(main, most_guests=2)
+    serve(main, max_guests=2)
 
 
 def test_links_carry_tagged_tuples_and_drop_anything_else() -> None:
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -37,8 +37,8 @@
 #: Gangs searched for in one round; the rest wait their turn. A node that is not leader
 #: has time for more, as its share of a core allows: a search takes about so long on a
 #: whole one, and a round must not keep a lease or an answer waiting.
-MOST_SEARCHED = 16
-MOST_SEARCHED_BESIDE = 64
+MAX_SEARCHES = 16
+MAX_FOLLOWER_SEARCHES = 64
 SEARCH_S = 0.003
 ROUND_S = 0.25
 #: Size of a small gang's hold; a value takes so many at the most.
@@ -52,9 +52,9 @@
 BETTER_SHARE = 0.25
 
 
-def searches_beside(cpu_share: float) -> int:
+def max_follower_searches(cpu_share: float) -> int:
     """Searches a round of a node that is not leader."""
-    return max(MOST_SEARCHED, min(MOST_SEARCHED_BESIDE, int(cpu_share * ROUND_S / SEARCH_S)))
+    return max(MAX_SEARCHES, min(MAX_FOLLOWER_SEARCHES, int(cpu_share * ROUND_S / SEARCH_S)))
 
 
 class Wanted:
@@ -126,7 +126,7 @@
         store: Store,
         hold_table: HoldTable,
         rng: Random,
-        most_round_s: float = math.inf,
+        max_round_s: float = math.inf,
     ) -> None:
         workers = settings.cluster.workers
         self.node = settings.node_name
@@ -138,7 +138,7 @@
         self._report_s = workers.report_s
         self._tries = 2 * len(settings.cluster.zones)
         self._limit = int(settings.cluster.state.lasting_value_bytes * records.VALUE_SHARE)
-        self._most_holds = self._limit // HOLD_BYTES
+        self._max_holds = self._limit // HOLD_BYTES
         self._zones = settings.cluster.zones
         self.rules = SearchRules(
             operator.alpha,
@@ -154,7 +154,7 @@
         self._sequence = 0
         self.wrote_at = -1e9
         self.wake = curio.Event()
-        self._most_round_s = most_round_s
+        self._max_round_s = max_round_s
 
     async def accepted(self, job: Job, now: float) -> None:
         """This node has accepted a gang: search for it now."""
@@ -183,7 +183,7 @@
             self._tries,
         )
 
-    def round(self, view: View, now: float, most: int = MOST_SEARCHED) -> None:
+    def round(self, view: View, now: float, limit: int = MAX_SEARCHES) -> None:
         """One round of searches; changes `mine` where a better group turned up."""
         wall = time.time()
         for job, hold in list(self.mine.items()):
@@ -196,15 +196,15 @@
         # that free late were kept while others came up.
         order = sorted(self.wanted.values(), key=lambda w: (w.searched, w.turn, w.since))
         began = time.monotonic()
-        for number, wanted in enumerate(order[:most]):
-            if number and time.monotonic() - began > self._most_round_s:
+        for number, wanted in enumerate(order[:limit]):
+            if number and time.monotonic() - began > self._max_round_s:
                 break  # the others come first in the next round
             wanted.searched = now
             job = wanted.spec.id
             old = self.mine.get(job)
             if old is not None and old.free_now and wall - old.made < self._settle_s:
                 continue  # about to be used
-            if old is None and len(self.mine) >= self._most_holds:
+            if old is None and len(self.mine) >= self._max_holds:
                 continue
             group = self._search(wanted, view, draft)
             if old is not None:
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -39,8 +39,8 @@
         dial: Callable[[tuple[str, int], int], Client],
         hear: Callable[[Report], Awaitable[Any]],
     ) -> None:
-        self._most = max(4, int(sockets * COMMANDING_SHARE))
-        self._most_silent = max(1, int(self._most * SILENT_SHARE))
+        self._max = max(4, int(sockets * COMMANDING_SHARE))
+        self._max_silent = max(1, int(self._max * SILENT_SHARE))
         self._clients = Clients(dial, max(4, int(sockets * KEPT_SHARE)))
         self._context = context
         self._hear = hear
@@ -69,10 +69,10 @@
         due = [name for name in scheduler.to_command if name not in self._striking]
         silent = sum(self._striking.values())
         for machine in scheduler.command_order(due, now):
-            if len(self._striking) >= self._most:
+            if len(self._striking) >= self._max:
                 return
             is_silent = not scheduler.fresh(machine, now)
-            if is_silent and silent >= self._most_silent:
+            if is_silent and silent >= self._max_silent:
                 return  # the living come first in this order
             scheduler.to_command.discard(machine.name)
             commands = scheduler.direct_commands(machine)
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -18,7 +18,7 @@
 from topazhold.control.cloud import Cloud, CloudDown
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.placements import Place, Placements
-from topazhold.core.renting import MOST_RELEASED
+from topazhold.core.renting import MAX_RELEASED_MACHINES
 from topazhold.io.client import Client, Clients
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import Settings, address
@@ -68,9 +68,9 @@
         self._cloud = cloud
         self._seen_to = seen_to  # whether a leader that has loaded knows the cancellation
         self._tell_released = tell_released
-        self._most = max(4, int(settings.cluster.limits.sockets * LOOKING_SHARE))
+        self._max = max(4, int(settings.cluster.limits.sockets * LOOKING_SHARE))
         self._looking: set[str] = set()
-        self._clients = Clients(dial, self._most)
+        self._clients = Clients(dial, self._max)
         self._left_since: dict[str, float] = {}  # jobs that no leader sees to, since when
         self._listed_at = -1e9
         self._releasing = False
@@ -132,7 +132,7 @@
                     first.append(name)
             elif any(place.looks < at <= now for at in sweeps):
                 others.append(name)
-        for name in (first + others)[: self._most - len(self._looking)]:
+        for name in (first + others)[: self._max - len(self._looking)]:
             place = self._placements.places[name]
             place.looks = now
             self._looking.add(name)
@@ -180,7 +180,7 @@
         if not names or self._releasing:
             return
         self._releasing = True
-        await curio.spawn(self._release_now, sorted(names)[:MOST_RELEASED], daemon=True)
+        await curio.spawn(self._release_now, sorted(names)[:MAX_RELEASED_MACHINES], daemon=True)
 
     async def _release_now(self, names: list[str]) -> None:
         try:
--- a/topazhold/control/gang_search.py
+++ b/topazhold/control/gang_search.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from topazhold.control.booking import MOST_SEARCHED, Booking, View, Wanted, searches_beside
+from topazhold.control.booking import MAX_SEARCHES, Booking, View, Wanted, max_follower_searches
 from topazhold.control.leading import Leading
 from topazhold.control.store import DECISIONS, TROUBLE, Store
 from topazhold.core import records
@@ -51,7 +51,7 @@
         self._leading = leading
         self._lease_id = lease_id
         self._fetched_at = -1e9
-        self._searches = searches_beside(settings.cluster.limits.cpu_share)
+        self._searches = max_follower_searches(settings.cluster.limits.cpu_share)
 
     def read_summary(self, values: dict[str, Any], now: float) -> None:
         """A summary, as old as it is: a transaction may be carried out late, after newer
@@ -111,7 +111,7 @@
             if booking.wanted:
                 await booking.read_holds()
         began = time.monotonic()
-        booking.round(view, now, MOST_SEARCHED if leading is not None else self._searches)
+        booking.round(view, now, MAX_SEARCHES if leading is not None else self._searches)
         busy = time.monotonic() - began
         if await booking.write(lease_id, now) and leading is not None:
             await leading.request_plan()
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -49,7 +49,7 @@
             if machine is not None:
                 by_shard.setdefault(context.shards.of(machine, machines).name, []).append(run)
         # The leader's own mark, and one for every value that may be put.
-        most_jobs = (
+        max_jobs = (
             CONDITIONS_PER_OPERATION * context.txn_ops - len(context.conditions()) - context.txn_ops
         )
         batch: list[Run] = []
@@ -57,7 +57,7 @@
         jobs: set[str] = set()
         for shard, of_shard in by_shard.items():
             for run in of_shard:
-                full = run.job.id not in jobs and len(jobs) >= most_jobs
+                full = run.job.id not in jobs and len(jobs) >= max_jobs
                 if full or (shard not in shards and len(shards) >= self._planned_values):
                     yield batch
                     batch, shards, jobs = [], set(), set()
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -103,7 +103,7 @@
             self.store,
             self.hold_table,
             self.rng,
-            most_round_s=ROUND_GRANTS * self.grant_s,
+            max_round_s=ROUND_GRANTS * self.grant_s,
         )
         workers = cluster.workers
         self.cancellations = Cancellations(
@@ -193,7 +193,7 @@
             int(sockets * SERVED_SHARE),
             idle_s=120.0,
             is_guest=users_request,
-            most_guests=int(sockets * self.operator.user_socket_share),
+            max_guests=int(sockets * self.operator.user_socket_share),
         )
         peers = Listener(self.peer_message, idle_s=60.0)
         async with curio.TaskGroup(wait=any) as group:
--- a/topazhold/control/report_relay.py
+++ b/topazhold/control/report_relay.py
@@ -53,7 +53,7 @@
         limit = int(state.lasting_value_bytes * records.VALUE_SHARE)
         # Of the changes a second, as many as a share allows, in a transaction's worth.
         by_rate = RELAY_SHARE * state.lasting_write_rps * self._report_s
-        most = max(1, int(min(by_rate, state.lasting_txn_ops, TXN_BYTES // limit)))
+        max_frames = max(1, int(min(by_rate, state.lasting_txn_ops, TXN_BYTES // limit)))
         while True:
             await curio.sleep(self._report_s)
             lead = self._leadership
@@ -70,7 +70,7 @@
             # A whole zone's reports don't fit one value: several, within a share of
             # what a transaction takes and of the changes a second.
             changes = []
-            for number in range(most):
+            for number in range(max_frames):
                 reports = self._fallback.take(limit)
                 if not reports:
                     break
--- a/topazhold/control/saving.py
+++ b/topazhold/control/saving.py
@@ -17,7 +17,7 @@
 
 
 #: Jobs moved to `over` at the same time.
-MOST_MOVED = 8
+MAX_MOVED_JOBS = 8
 
 
 class Saving:
@@ -33,7 +33,7 @@
             while scheduler.finished:
                 # Several at a time: users expect `done` within seconds, and one slow
                 # answer of the state service kept all others waiting.
-                batch = scheduler.finished[:MOST_MOVED]
+                batch = scheduler.finished[:MAX_MOVED_JOBS]
                 async with curio.TaskGroup() as group:
                     for job in batch:
                         await group.spawn(self.finish, job)
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 #: Running counts told in the summary; they are for display.
-MOST_TOLD = 60
+MAX_SENT = 60
 #: Machines in one message of where tasks may be, and the rounds in which each is named
 #: at least once.
 MAX_PLACED = 500
@@ -126,7 +126,7 @@
         ]
         running: dict[str, int] = {}
         for job in scheduler.jobs.values():
-            if job.state is JobState.LIVE and len(running) < MOST_TOLD:
+            if job.state is JobState.LIVE and len(running) < MAX_SENT:
                 count = sum(run.state is RunState.RUNNING for run in job.runs.values())
                 if count:
                     running[job.id] = count
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -24,9 +24,9 @@
 log = logging.getLogger(__name__)
 
 #: Final answers kept in memory.
-MOST_FINAL = 5000
+MAX_FINAL_ANSWERS = 5000
 #: User requests under way at once; what comes on top is refused at once.
-MOST_AT_ONCE = 24
+MAX_CONCURRENT_REQUESTS = 24
 #: How long an open outcome is looked into; users wait 5 s for a submission.
 OUTCOME_S = 3.0
 #: Retry-After while the state service is out of reach.
@@ -78,7 +78,7 @@
             return Answer(405)
         if rest and not wire.valid_job_id(job):
             return Answer(404)
-        if self._busy >= MOST_AT_ONCE:
+        if self._busy >= MAX_CONCURRENT_REQUESTS:
             return Answer(503, retry_after=await self._busy_wait())
         self._busy += 1
         try:
@@ -105,7 +105,7 @@
 
     def _keep_final(self, job: str, stage: str) -> None:
         self._final[job] = stage
-        if len(self._final) > MOST_FINAL:
+        if len(self._final) > MAX_FINAL_ANSWERS:
             self._final.popitem(last=False)
 
     # -- submit ------------------------------------------------------------
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -13,9 +13,9 @@
 from topazhold.core.search import allowed
 
 #: Tasks of an array that get room back from other teams at once.
-MOST_CALLED_BACK = 16
+MAX_PREEMPTED = 16
 #: Runs planned in one round.
-MOST_PLANNED = 96
+MAX_PLACED_TASKS = 96
 
 
 class ArrayPlacing(PlanRound):
@@ -28,7 +28,7 @@
         taken = self._held.taken(job.id, preemption.turn(job), spec.checkpoint_s > 0)
         places = self._array_places(job, taken, now)
         zones = job.zones_used(self.zone_of) if spec.same_place or spec.scatter else {}
-        most_in_zone = (spec.tasks + 1) // 2
+        max_in_zone = (spec.tasks + 1) // 2
         only: str | None = None
         if spec.same_place:
             only = self._array_zone(zones, places)
@@ -38,14 +38,14 @@
         for machine, count in places:
             if only is not None and machine.zone != only:
                 continue
-            while count > 0 and len(planned) < MOST_PLANNED:
+            while count > 0 and len(planned) < MAX_PLACED_TASKS:
                 if not self._recordable(machine, 1):
                     break
                 if patient and not machine.spot and self._free_plain < job.need[1]:
                     break
                 if not self.usage.allows(job, 1, self._claimed(job)):
                     break
-                if spec.scatter and zones.get(machine.zone, 0) >= most_in_zone:
+                if spec.scatter and zones.get(machine.zone, 0) >= max_in_zone:
                     break
                 index = next(tasks, None)
                 if index is None:
@@ -134,7 +134,7 @@
         if now - since < 2 * self.report_s:
             return
         self._starved_since[job.id] = now
-        wanted = min(job.waiting_count, MOST_CALLED_BACK)
+        wanted = min(job.waiting_count, MAX_PREEMPTED)
         choices: list[tuple[float, str]] = []
         for machine in self.machines.values():
             if not self.usable(machine, now) or machine.machine_type is None:
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -18,9 +18,9 @@
 #: its tasks are long gone, and so are late copies of reports that show them.
 KEEP_TIMES = 4.0
 #: Bound on those kept, whatever their age.
-MOST_KEPT = 20_000
+MAX_ENTRIES = 20_000
 #: Entries in one message; the next follows on the acknowledgement.
-MOST_TOLD = 500
+MAX_SENT = 500
 
 
 class Cancellations:
@@ -50,7 +50,7 @@
         self._entries[job] = (self._last, at)
         while self._entries:
             oldest = next(iter(self._entries))
-            if len(self._entries) <= MOST_KEPT and now - self._entries[oldest][1] < self._keep_s:
+            if len(self._entries) <= MAX_ENTRIES and now - self._entries[oldest][1] < self._keep_s:
                 break
             del self._entries[oldest]
         return True
@@ -104,8 +104,8 @@
                 break
             fresh.append([job, at])
         fresh.reverse()
-        if len(fresh) > MOST_TOLD:
-            fresh = fresh[:MOST_TOLD]
+        if len(fresh) > MAX_SENT:
+            fresh = fresh[:MAX_SENT]
             upto = self._entries[fresh[-1][0]][0]
         return after, upto, fresh
 
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -69,7 +69,7 @@
         self.rent_rules = renting.RentRules(
             operator.headroom_share, operator.idle_boots, operator.use_spot
         )
-        self.most_machine_runs = max(
+        self.max_machine_runs = max(
             1, (cluster.state.lasting_value_bytes - 512) // records.RUN_BYTES
         )
         self.hold_table = hold_table
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -186,10 +186,10 @@
     return need[0] <= room[0] + SLACK and need[1] <= room[1] + SLACK and need[2] <= room[2] + SLACK
 
 
-def times_fits(need: Room, room: Room, most: int) -> int:
-    """How many tasks of this size the room takes, up to `most`."""
+def times_fits(need: Room, room: Room, limit: int) -> int:
+    """How many tasks of this size the room takes, up to `limit`."""
     # Written out: called for each machine, waiting job and round of planning.
-    count: float = most
+    count: float = limit
     if need[0] > SLACK:
         count = min(count, (room[0] + SLACK) // need[0])
     if need[1] > SLACK:
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -16,7 +16,7 @@
 #: state service, if that is longer: the other controllers' searches see no newer ones.
 SAME_OFFER_SUMMARIES = 0.5
 #: Natural ends listed in an offer.
-MOST_RUNGS = 4
+MAX_AVAILABILITY_STEPS = 4
 
 
 class Offering(Observing):
@@ -66,7 +66,7 @@
                             left += machine.fetch_s(run.job.spec.image, run.job.spec.image_gb)
                     ends.append((left, run.job.need))
             ends.sort(key=lambda end: end[0])
-            step = max(1, (len(ends) + MOST_RUNGS - 1) // MOST_RUNGS)
+            step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
             for number, (left, need) in enumerate(ends, start=1):
                 room = plus(room, need)
                 if number % step == 0 or number == len(ends):
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -14,7 +14,7 @@
 log = logging.getLogger(__name__)
 
 #: Ended tasks left on a worker to wake it with.
-MOST_WAKE_TASKS = 3
+MAX_WAKE_TASKS = 3
 #: The answer to a report is made within so many report periods.
 ANSWER_REPORTS = 0.1
 
@@ -65,9 +65,9 @@
             commands.append(wire.clear(task.task_name, task.attempt))
         machine.changes += bool(machine.wake_tasks) is not bool(commands)
         machine.wake_tasks = [
-            (command.task_name, command.attempt) for command in commands[:MOST_WAKE_TASKS]
+            (command.task_name, command.attempt) for command in commands[:MAX_WAKE_TASKS]
         ]
-        return commands[MOST_WAKE_TASKS:]
+        return commands[MAX_WAKE_TASKS:]
 
     def direct_commands(self, machine: Machine) -> list[Command]:
         """What goes out directly: kills, and the ring for a waiting launch."""
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placements.py
@@ -14,7 +14,7 @@
 from topazhold.wire.messages import ListedMachine, Report
 
 #: Machines known; the leader's list is bounded by what it can use.
-MOST_MACHINES = 10_000
+MAX_MACHINES_KNOWN = 10_000
 
 
 class Place:
@@ -41,7 +41,7 @@
         place = self.places.get(name)
         if place is None:
             place = self.places[name] = Place(endpoint)
-            if len(self.places) > MOST_MACHINES:
+            if len(self.places) > MAX_MACHINES_KNOWN:
                 del self.places[next(iter(self.places))]
         elif endpoint:
             place.endpoint = endpoint
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping
 
 from topazhold.core import gangs, preemption
-from topazhold.core.array_placing import MOST_PLANNED
+from topazhold.core.array_placing import MAX_PLACED_TASKS
 from topazhold.core.holds import Hold
 from topazhold.core.jobs import GangState, Job, Room, Run, RunState
 from topazhold.core.ledger import NO_ROOM
@@ -43,7 +43,7 @@
         # that needs more at once waits until they are all done.
         self._claims = {}
         for job in jobs:
-            if len(planned) >= MOST_PLANNED:
+            if len(planned) >= MAX_PLACED_TASKS:
                 break
             if job.gang:
                 self._plan_gang(job, planned, now)
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -194,7 +194,7 @@
 
     def _recordable(self, machine: Machine, count: int) -> bool:
         """Whether the machine's intents still fit a value with so many more tasks."""
-        return len(machine.runs) + count <= self.most_machine_runs
+        return len(machine.runs) + count <= self.max_machine_runs
 
     def _binding(self, hold: Hold) -> bool:
         """Whether a hold still keeps room: its gang waits and may start."""
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -12,9 +12,9 @@
 from topazhold.wire.messages import JobSpec, MachineType
 
 #: Most machines that the cloud gives at one request.
-MOST_RENTED = 50
+MAX_SCALE_OUT_MACHINES = 50
 #: Most machines that the cloud takes back at one request.
-MOST_RELEASED = 100
+MAX_RELEASED_MACHINES = 100
 #: Share of the usual patience with idle machines when no jobs come any more.
 IDLE_WHEN_QUIET = 0.2
 
@@ -254,7 +254,7 @@
     for zone, number in wish.zones.items():
         short = math.ceil(number) - fleet.zones.get((zone, spot), 0)
         if short > 0 and zone in counts:
-            counts[zone] = min(short, MOST_RENTED)
+            counts[zone] = min(short, MAX_SCALE_OUT_MACHINES)
         elif short > 0:
             missing_zones[zone] = short
     short = total - fleet.count(spot) - sum(counts.values())
@@ -264,7 +264,7 @@
             for zone, number in wish.bound.items()
             if zone not in counts
         )
-        for _ in range(min(short, MOST_RENTED)):
+        for _ in range(min(short, MAX_SCALE_OUT_MACHINES)):
             zone = min(
                 usable, key=lambda zone: (fleet.zones.get((zone, spot), 0) + counts[zone], zone)
             )
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -191,9 +191,9 @@
         if job.spec.same_place:
             zone = max(zones, key=lambda zone: (free[zone], zone))
             return (zone, wanted - free[zone]) if free[zone] < wanted else None
-        most = (job.spec.tasks + 1) // 2
+        limit = (job.spec.tasks + 1) // 2
         there = job.zones_used(self.zone_of)
-        allowed_more = {zone: max(0, most - there.get(zone, 0)) for zone in zones}
+        allowed_more = {zone: max(0, limit - there.get(zone, 0)) for zone in zones}
         missing = wanted - sum(min(free[zone], allowed_more[zone]) for zone in zones)
         if missing <= 0:
             return None
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -31,7 +31,7 @@
 #: Machines in a zone's cache.
 CACHE_LENGTH = 20
 #: So many groups at the most are looked at one by one.
-MOST_GROUPS = 70
+MAX_GROUPS = 70
 
 
 class Offer:
@@ -188,9 +188,9 @@
 
 
 def offer_slots(
-    offer: Offer, spec: JobSpec, rank: Rank, held: Room | None, most: int, rules: SearchRules
+    offer: Offer, spec: JobSpec, rank: Rank, held: Room | None, limit: int, rules: SearchRules
 ) -> list[Slot]:
-    """Up to `most` slots of one machine, soonest first."""
+    """Up to `limit` slots of one machine, soonest first."""
     if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
         return []
     need = (spec.cpus, spec.gpus, spec.memory_gb)
@@ -200,7 +200,7 @@
     slots: list[Slot] = []
     whole = offer.rungs[-1][1] if offer.rungs else need
     for delay, room in offer.ladder(rank, held):
-        count = times_fits(need, room, most)
+        count = times_fits(need, room, limit)
         cost = 0.0
         if spec.spot and not offer.spot:
             cost += rules.preference_s  # leave ordinary machines to those who need them
@@ -313,7 +313,7 @@
     if len(slots) < size:
         return None
     first = _first_group(slots, spec)
-    if math.comb(len(slots), size) <= MOST_GROUPS:
+    if math.comb(len(slots), size) <= MAX_GROUPS:
         # Among equals the soonest slots come first, as in the swap loop.
         every = itertools.chain([first] if first else [], itertools.combinations(slots, size))
         chosen = min(every, key=lambda group: score_group(group, spec, rules))
@@ -357,12 +357,12 @@
 
 def _first_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
     """The soonest slots, with the earlier ones of every machine, zone caps kept."""
-    most = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
+    limit = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
     zones: dict[str, int] = {}
     group: list[Slot] = []
     for slot in sorted(slots, key=lambda slot: (slot.ready + slot.cost, slot.nth)):
         zone = slot.zone
-        if zones.get(zone, 0) < most:
+        if zones.get(zone, 0) < limit:
             zones[zone] = zones.get(zone, 0) + 1
             group.append(slot)
             if len(group) == spec.tasks:
@@ -417,7 +417,7 @@
     settled: set[str] = set()
     for _ in range(tries):
         slots = gather(rng, directory, caches, spec, rank, taken, rules, seen)
-        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MOST_GROUPS:
+        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
             # All groups of this zone are looked at the first time.
             zone = slots[0].zone
             if zone in settled:
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 
 from topazhold.core import preemption
-from topazhold.core.array_placing import MOST_PLANNED, ArrayPlacing
+from topazhold.core.array_placing import MAX_PLACED_TASKS, ArrayPlacing
 from topazhold.core.jobs import Job, JobState, Room, Run
 from topazhold.core.ledger import NO_ROOM
 from topazhold.core.machines import Machine, plus, times_fits
@@ -59,7 +59,7 @@
             only = self._array_zone(zones, pairs)
             places = [place for place in places if place.machine.zone == only]
         self._place_replicas(job, places, zones, planned, now)
-        if job.waiting_count > 0 and len(planned) < MOST_PLANNED:
+        if job.waiting_count > 0 and len(planned) < MAX_PLACED_TASKS:
             self._make_service_room(job, taken, zones, now)
 
     def _place_replicas(
@@ -77,7 +77,7 @@
         tasks = job.waiting_tasks()
         heap = [(place.cost_s, place.machine.name, place) for place in places]
         heapq.heapify(heap)
-        while heap and len(planned) < MOST_PLANNED:
+        while heap and len(planned) < MAX_PLACED_TASKS:
             known_cost_s, name, place = heapq.heappop(heap)
             machine = place.machine
             in_zone = zones.get(machine.zone, 0)
@@ -170,7 +170,8 @@
         lost = [
             kind
             for kind in kinds
-            if times_fits(kind, after, MOST_PLANNED) < times_fits(kind, before, MOST_PLANNED)
+            if times_fits(kind, after, MAX_PLACED_TASKS)
+            < times_fits(kind, before, MAX_PLACED_TASKS)
         ]
         return len(lost) / len(kinds) if kinds else 0.0
 
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -18,7 +18,7 @@
 DEAF_LEASES = 2.0
 #: So many machines of a zone with one trouble are taken one by one; more than this
 #: share of the zone, and it is the way to them.
-MOST_LONE = 2
+MAX_SINGLE_FAILURES = 2
 MASS_SHARE = 0.4
 #: A machine counts as silent after so many leases. A lone one is released later, one
 #: of a group later still: those that only hang are back with a new session by then,
@@ -208,7 +208,7 @@
         if deaf_since is not None and now - deaf_since > DEAF_LEASES * self.lease_s:
             up, _, deaf = self._zone_counts(machine.zone, now)
             # Many deaf machines of a zone: then it is the way to them.
-            if not (deaf > MOST_LONE and deaf > MASS_SHARE * up):
+            if not (deaf > MAX_SINGLE_FAILURES and deaf > MASS_SHARE * up):
                 self.release(machine, "deaf", now)
                 return
         silent = self.silent_s(machine, now)
@@ -237,13 +237,13 @@
     def _patience_leases(self, machine: Machine, now: float) -> float:
         """After how many leases of silence a machine is released; infinite in a cut."""
         up, silent, _ = self._zone_counts(machine.zone, now)
-        if silent > MOST_LONE and silent > MASS_SHARE * up:
+        if silent > MAX_SINGLE_FAILURES and silent > MASS_SHARE * up:
             self._cut_seen[machine.zone] = now
         # When the cut ends they come back one by one. The last ones were released
         # as lone silent machines, with all their tasks, once most were back.
         if now - self._cut_seen.get(machine.zone, -1e9) < SILENT_LEASES * self.lease_s:
             return math.inf
-        return GROUP_LEASES if silent > MOST_LONE else SILENT_LEASES
+        return GROUP_LEASES if silent > MAX_SINGLE_FAILURES else SILENT_LEASES
 
     def _zone_counts(self, zone: str, now: float) -> tuple[int, int, int]:
         """Machines of a zone that are up, silent, deaf; counted once per look at all."""
--- a/topazhold/duties/book.py
+++ b/topazhold/duties/book.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from topazhold.core.renting import MOST_RELEASED, Ask
+from topazhold.core.renting import MAX_RELEASED_MACHINES, Ask
 from topazhold.duties.orders import (
     CleanupOrder,
     Order,
@@ -19,7 +19,7 @@
     ReturnOrder,
 )
 from topazhold.duties.records import (
-    MOST_PARTS,
+    MAX_PARTS,
     CleanupRecord,
     OrderRecord,
     RentalRecord,
@@ -28,11 +28,11 @@
 )
 
 #: Returns that are kept after their end; the oldest go first.
-MOST_KEPT = 256
+MAX_ENTRIES = 256
 #: A rental that has been asked for so often without an answer no longer holds up others.
 PATIENT_SENDS = 6
 #: Rentals without an answer, at the most; beyond, nothing more is rented.
-MOST_OPEN_RENTALS = 8
+MAX_OPEN_SCALE_OUTS = 8
 
 AnyOrder = Order[Any]
 Kind = TypeVar("Kind", bound=AnyOrder)
@@ -126,7 +126,7 @@
 
     def decide_cleanup(self, job: str, parts: Iterable[int], wall: float) -> CleanupOrder:
         """Remove the done marks of a job that is over."""
-        record = CleanupRecord(**self._header(wall), job=job, parts=sorted(parts)[:MOST_PARTS])
+        record = CleanupRecord(**self._header(wall), job=job, parts=sorted(parts)[:MAX_PARTS])
         return self._add(CleanupOrder(record))
 
     def inherit(self, record: OrderRecord, now: float) -> AnyOrder | None:
@@ -199,7 +199,7 @@
 
     # -- records ---------------------------------------------------------------
 
-    def to_record(self, most: int) -> list[AnyOrder]:
+    def to_record(self, limit: int) -> list[AnyOrder]:
         """Orders whose records are to be written, within one transaction.
 
         One that was sent without a record gets it later, so that a successor learns of it.
@@ -212,7 +212,7 @@
             if not order.stored and (order.state is OrderState.DECIDED or order.forced)
         ]
         due.sort(key=lambda order: order.forced)
-        return due[:most]
+        return due[:limit]
 
     def recorded(self, orders: Iterable[AnyOrder], now: float) -> None:
         """The records are committed."""
@@ -249,7 +249,7 @@
         if only_must_go:
             due = [item for item in due if not item[0]]
         due.sort(key=lambda item: item[:2])
-        due = due[:MOST_RELEASED]
+        due = due[:MAX_RELEASED_MACHINES]
         if not due:
             return None
         orders = {order.key: order for _, _, order in due}
@@ -282,7 +282,7 @@
             RentalOrder, OrderState.DECIDED, OrderState.RECORDED, OrderState.SENT
         )
         waiting = [order for order in open_rentals if order.sends < PATIENT_SENDS]
-        return not waiting and len(open_rentals) < MOST_OPEN_RENTALS
+        return not waiting and len(open_rentals) < MAX_OPEN_SCALE_OUTS
 
     def sending(self, order: AnyOrder) -> bool:
         """A rental or clean-up is about to be sent; whether it is a repetition."""
@@ -303,7 +303,7 @@
 
     # -- the end -------------------------------------------------------------------
 
-    def to_close(self, now: float, most: int) -> list[AnyOrder]:
+    def to_close(self, now: float, limit: int) -> list[AnyOrder]:
         """Orders whose records are to be removed now.
 
         A return is kept for a while: the list is late, and a successor that knew nothing of
@@ -313,14 +313,14 @@
             order for order in self._orders.values() if order.state is OrderState.CONFIRMED
         ]
         kept = [order for order in confirmed if isinstance(order, ReturnOrder)]
-        early = {order.key for order in kept[: max(0, len(kept) - MOST_KEPT)]}
+        early = {order.key for order in kept[: max(0, len(kept) - MAX_ENTRIES)]}
         return [
             order
             for order in confirmed
             if not isinstance(order, ReturnOrder)
             or now - order.confirmed_at > self._keep_s
             or order.key in early
-        ][:most]
+        ][:limit]
 
     def closed(self, orders: Iterable[AnyOrder]) -> None:
         """The records are removed."""
--- a/topazhold/duties/holder.py
+++ b/topazhold/duties/holder.py
@@ -95,9 +95,9 @@
     async def record(self) -> None:
         """Write the records that are due; orders that fail stay as they are."""
         context = self._context
-        most = min(context.txn_ops, max(1, TXN_BYTES // context.value_limit))
+        limit = min(context.txn_ops, max(1, TXN_BYTES // context.value_limit))
         async with self._recording:
-            while orders := self.book.to_record(most):
+            while orders := self.book.to_record(limit):
                 if not await self._record(orders):
                     return
 
--- a/topazhold/duties/records.py
+++ b/topazhold/duties/records.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from topazhold.core.renting import MOST_RELEASED, MOST_RENTED
+from topazhold.core.renting import MAX_RELEASED_MACHINES, MAX_SCALE_OUT_MACHINES
 from topazhold.wire.codec import BadMessage, convert, json_size
 
 DUTY_PREFIX = "duty/"
@@ -24,7 +24,7 @@
 NAME_LENGTH = 200
 REASON_LENGTH = 60
 #: Parts of one clean-up, at the most.
-MOST_PARTS = 1000
+MAX_PARTS = 1000
 #: What a record takes besides its machines, in bytes of JSON.
 RECORD_BYTES = 400
 MAX_INTEGER = 2**63 - 1
@@ -49,7 +49,9 @@
     machines: Annotated[
         dict[Name, Reason],
         Meta(
-            min_length=1, max_length=MOST_RELEASED, description="reason of the return, by machine"
+            min_length=1,
+            max_length=MAX_RELEASED_MACHINES,
+            description="reason of the return, by machine",
         ),
     ]
 
@@ -61,7 +63,7 @@
     machine_type: Name
     zone: Name
     spot: bool
-    count: Annotated[int, Meta(ge=1, le=MOST_RENTED)]
+    count: Annotated[int, Meta(ge=1, le=MAX_SCALE_OUT_MACHINES)]
 
 
 class CleanupRecord(OrderRecord, frozen=True, kw_only=True):
@@ -70,7 +72,7 @@
     job: Name
     parts: Annotated[
         list[Annotated[int, Meta(ge=0)]],
-        Meta(min_length=1, max_length=MOST_PARTS, description="numbers of the parts"),
+        Meta(min_length=1, max_length=MAX_PARTS, description="numbers of the parts"),
     ]
 
 
@@ -130,7 +132,7 @@
     for name, reason in machines.items():
         reason = reason[:REASON_LENGTH]
         more = json_size({name: reason})
-        if portion and (size + more > value_limit or len(portion) >= MOST_RELEASED):
+        if portion and (size + more > value_limit or len(portion) >= MAX_RELEASED_MACHINES):
             yield portion
             portion, size = {}, RECORD_BYTES
         portion[name] = reason
--- a/topazhold/duties/renting.py
+++ b/topazhold/duties/renting.py
@@ -9,7 +9,7 @@
 
 from topazhold.control.cloud import Cloud, CloudDown, NoCapacity, RequestRefused
 from topazhold.control.term_context import TermContext
-from topazhold.core.renting import MOST_RENTED, Ask
+from topazhold.core.renting import MAX_SCALE_OUT_MACHINES, Ask
 from topazhold.duties.holder import DutyHolder
 from topazhold.duties.orders import RentalOrder
 
@@ -64,7 +64,7 @@
         if asks:
             await self._holder.record()
             await self._complete()
-        return sum(ask.count for ask in asks) >= MOST_RENTED
+        return sum(ask.count for ask in asks) >= MAX_SCALE_OUT_MACHINES
 
     async def _complete(self) -> None:
         """Ask for what is recorded and not answered yet."""
--- a/topazhold/io/account.py
+++ b/topazhold/io/account.py
@@ -23,7 +23,7 @@
 LOOK_REPORTS = 0.5
 STATEMENT_REPORTS = 60
 #: Samples of how late timers fire that one statement is made of, at the most.
-MOST_SAMPLES = 512
+MAX_SAMPLES = 512
 
 
 class Duty(Enum):
@@ -67,7 +67,7 @@
         self._began = 0.0
         self.entries = {duty: Entry() for duty in Duty}  # since the last statement
         self._since = time.monotonic()
-        self._late: deque[float] = deque(maxlen=MOST_SAMPLES)
+        self._late: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     def enter(self, duty: Duty) -> None:
         """From now on the running task works for `duty`."""
--- a/topazhold/io/client.py
+++ b/topazhold/io/client.py
@@ -93,9 +93,9 @@
 class Clients:
     """Clients of many addresses; those used longest ago are given up."""
 
-    def __init__(self, dial: Callable[[tuple[str, int], int], Client], most: int) -> None:
+    def __init__(self, dial: Callable[[tuple[str, int], int], Client], limit: int) -> None:
         self._dial = dial
-        self._most = most
+        self._max = limit
         self._of: OrderedDict[tuple[str, int], Client] = OrderedDict()
 
     async def at(self, address: tuple[str, int], busy: int) -> Client:
@@ -104,7 +104,7 @@
         if client is None:
             client = self._of[address] = self._dial(address, 1)
         self._of.move_to_end(address)
-        while len(self._of) > self._most + busy:
+        while len(self._of) > self._max + busy:
             _, oldest = self._of.popitem(last=False)
             await oldest.close()
         return client
--- a/topazhold/io/heads.py
+++ b/topazhold/io/heads.py
@@ -21,7 +21,7 @@
 HEAD_LIMIT = 16 * 1024
 #: Distinct heads that are remembered, of each kind, and the longest of them.
 MAX_HEADS = 8192
-LONGEST_HEAD = 1024
+MAX_HEAD_BYTES = 1024
 
 _PLAIN_REQUEST = b"GET / HTTP/1.1\r\nHost: any\r\n\r\n"
 
@@ -46,7 +46,7 @@
 @lru_cache(maxsize=MAX_HEADS)
 def parse_request_head(head: bytes) -> RequestHead | None:
     """Read a complete request head; None if it is not that of a plain request."""
-    if len(head) > LONGEST_HEAD:
+    if len(head) > MAX_HEAD_BYTES:
         return None
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
     connection.receive_data(head)
--- a/topazhold/io/server.py
+++ b/topazhold/io/server.py
@@ -135,22 +135,22 @@
     """Serves one address, with a bound on all connections and one on some.
 
     Connections whose first request `is_guest` names are guests: they may take
-    `most_guests` at the most, so that others always find room.
+    `max_guests` at the most, so that others always find room.
     """
 
     def __init__(
         self,
         handler: Handler,
-        most: int,
+        limit: int,
         idle_s: float,
         is_guest: Callable[[Request], bool] = lambda request: False,
-        most_guests: int = 0,
+        max_guests: int = 0,
     ) -> None:
         self._handler = handler
-        self._most = most
+        self._max = limit
         self._idle_s = idle_s
         self._is_guest = is_guest
-        self._most_guests = most_guests
+        self._max_guests = max_guests
         self._open: set[Connection] = set()
         self._guests = 0
 
@@ -176,7 +176,7 @@
                     await connection.task.cancel(blocking=False)
 
     async def _serve(self, sock: Any) -> None:
-        if len(self._open) >= self._most:
+        if len(self._open) >= self._max:
             return  # closing at once lets the load balancer or the worker move on
         connection = Connection(sock, await curio.current_task(), time.monotonic())
         self._open.add(connection)
@@ -200,7 +200,7 @@
                 if request is None:
                     return
                 if isinstance(request, Request) and not guest and self._is_guest(request):
-                    if self._guests >= self._most_guests:
+                    if self._guests >= self._max_guests:
                         request = Answer(503, retry_after=1.0, close=True)
                     else:
                         guest = True
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -33,8 +33,8 @@
 BATCH = "batch"
 DAEMON = "daemon"  # a service: replicas that run until the user cancels the job
 URGENCIES = ("critical", "urgent", "normal", "best_effort")
-MOST_TASKS = 100_000
-LONGEST_NAME = 200
+MAX_TASKS = 100_000
+MAX_NAME_LENGTH = 200
 BODY_LIMIT = 64 * 1024
 
 PULLING = "pulling"
@@ -102,7 +102,7 @@
     def fault(self) -> str | None:
         """The first field that is out of its range, or None."""
         for name in ("id", "job_class", "team", "image"):
-            if not 0 < len(getattr(self, name)) <= LONGEST_NAME:
+            if not 0 < len(getattr(self, name)) <= MAX_NAME_LENGTH:
                 return name
         if not valid_job_id(self.id):
             return "id"
@@ -110,7 +110,7 @@
             return "shape"
         if self.urgency not in URGENCIES:
             return "urgency"
-        if not 1 <= self.tasks <= MOST_TASKS:
+        if not 1 <= self.tasks <= MAX_TASKS:
             return "tasks"
         for name in _AMOUNTS:
             if getattr(self, name) < 0:
@@ -322,14 +322,14 @@
     return {"boxes": names}
 
 
-def list_query(after: str | None, most: int) -> str:
+def list_query(after: str | None, limit: int) -> str:
     """The target that lists machines."""
-    return f"{MACHINES_PATH}?most={most}" + (f"&from={after}" if after else "")
+    return f"{MACHINES_PATH}?most={limit}" + (f"&from={after}" if after else "")
 
 
-def store_query(prefix: str, after: str | None, most: int) -> str:
+def store_query(prefix: str, after: str | None, limit: int) -> str:
     """The target that lists entries of the state service."""
-    return f"{STORE_PATH}?under={prefix}&most={most}" + (f"&from={after}" if after else "")
+    return f"{STORE_PATH}?under={prefix}&most={limit}" + (f"&from={after}" if after else "")
 
 
 def watch_query(prefix: str, since: int, block_ms: int) -> str:
