--- /dev/null
+++ b/tools/compare_messages.py
@@ -0,0 +1,220 @@
+"""Compares two versions by every message that they send on the same seeded days.
+
+    python -m tools.compare_messages --base COMMIT [--seeds 30] [--first-seed 1] [--jobs 4]
+
+The sources of a commit and those of the work tree play the same days in virtual time, each
+with its own test harness and each day in a process of its own. All requests with their
+answers (of users, workers, controllers, to the state service and to the cloud) and all frames
+between controllers must be the same, at the same virtual time. Log lines are not compared.
+Exits with 1 at the first difference, with 2 if a version could not play a day.
+"""
+
+from __future__ import annotations
+
+import io
+import json
+import os
+import subprocess
+import sys
+import tarfile
+import tempfile
+from collections.abc import Iterable, Iterator
+from concurrent.futures import ThreadPoolExecutor
+from contextlib import contextmanager
+from dataclasses import asdict, dataclass
+from itertools import zip_longest
+from pathlib import Path
+
+import click
+
+ROOT = Path(__file__).resolve().parent.parent
+RECORDER = Path(__file__).resolve().with_name("record_messages.py")
+#: What a version needs to play its days.
+SOURCES = ("topazhold", "tests", "deploy")
+#: How much is shown of a message that differs, and of a recorder's last words.
+SHOWN_CHARACTERS = 2000
+
+
+@dataclass(frozen=True)
+class Day:
+    """A day as the harness plays it; `kinds` in capitals are lists of the harness."""
+
+    seed: int
+    kinds: tuple[str, ...] = ()
+    services: float = 0.0
+    upgrade: bool = False
+    jobs: int = 30
+    trouble_s: float = 60.0
+    calm_s: float = 400.0
+
+
+@dataclass(frozen=True)
+class Difference:
+    """The first message that two versions don't share; None where one has no more."""
+
+    index: int
+    base: str | None
+    work: str | None
+
+
+@dataclass(frozen=True)
+class Outcome:
+    """What came of a day: its messages up to the first difference."""
+
+    day: Day
+    messages: int
+    difference: Difference | None
+
+
+class PlayError(Exception):
+    """A version could not play a day."""
+
+
+#: Troubles that are in none of the harness's lists.
+FURTHER_KINDS = (
+    "late_writes",
+    "odd_requests",
+    "cancel_at_end",
+    "refused_then_down",
+    "mute",
+    "slow",
+    "cloud_held",
+    "state_one_way",
+)
+
+
+def day_of(seed: int) -> Day:
+    """The day of a seed: ten sorts in turn, with services on some and an upgrade on one."""
+    sorts = (
+        Day(seed, ("ALL", "MANY")),
+        Day(seed, ("CONTROLLERS", "late_copies")),
+        Day(seed, ("ALL", "MANY", "replicas_end"), services=0.4),
+        Day(seed, ("NETWORK",)),
+        Day(seed, ("ALL", "MANY"), upgrade=True, trouble_s=90.0, jobs=45),
+        Day(seed, ("MACHINES", "replicas_end"), services=0.4),
+        Day(seed, ("OUTSIDE", "crash_leader")),
+        Day(seed, ("ALL", *FURTHER_KINDS)),
+        Day(seed, ("MANY", "crash_leader", "notice")),
+        Day(seed),
+    )
+    return sorts[seed % len(sorts)]
+
+
+def first_difference(base: Iterable[str], work: Iterable[str]) -> tuple[int, Difference | None]:
+    """The number of messages that are the same from the start on, and what comes next."""
+    index = -1
+    for index, (one, other) in enumerate(zip_longest(base, work)):
+        if one != other:
+            return index, Difference(index, one, other)
+    return index + 1, None
+
+
+@contextmanager
+def sources_of(commit: str) -> Iterator[Path]:
+    """A folder with a commit's sources, as long as the context lasts.
+
+    Raises:
+        click.BadParameter: git has no such commit, or the commit lacks the sources.
+    """
+    archive = subprocess.run(["git", "archive", commit, *SOURCES], cwd=ROOT, capture_output=True)
+    if archive.returncode != 0:
+        raise click.BadParameter(archive.stderr.decode(), param_hint="--base")
+    with tempfile.TemporaryDirectory(prefix="messages-") as folder:
+        with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
+            tar.extractall(folder, filter="data")
+        yield Path(folder)
+
+
+def git_folder() -> str:
+    """The repository that the versions take the production version from."""
+    found = subprocess.run(
+        ["git", "rev-parse", "--absolute-git-dir"], cwd=ROOT, capture_output=True, check=True
+    )
+    return found.stdout.decode().strip()
+
+
+def record(root: Path, day: Day, folder: Path, variant: str | None = None) -> Path:
+    """Play a day with the sources below `root`; the file of its messages, one a line.
+
+    Raises:
+        PlayError: the day did not come to its end, or nothing was sent on it.
+    """
+    folder.mkdir(parents=True, exist_ok=True)
+    out = folder / "messages"
+    command = [sys.executable, "-P", str(RECORDER), "--root", str(root), "--out", str(out)]
+    command += ["--day", json.dumps(asdict(day))]
+    if variant is not None:
+        command += ["--variant", variant]
+    environment = os.environ | {
+        "PYTHONHASHSEED": "0",
+        "PYTHONPATH": str(root),
+        "TMPDIR": str(folder),
+        "GIT_DIR": git_folder(),
+    }
+    run = subprocess.run(command, env=environment, capture_output=True, text=True)
+    if run.returncode != 0:
+        raise PlayError(f"seed {day.seed}, {root}:\n{run.stderr[-SHOWN_CHARACTERS:]}")
+    if out.stat().st_size == 0:
+        raise PlayError(f"seed {day.seed}, {root}: no messages")
+    return out
+
+
+def compare_day(base: Path, work: Path, day: Day) -> Outcome:
+    """Play a day with both versions and compare their messages."""
+    with tempfile.TemporaryDirectory(prefix="messages-") as folder:
+        one = record(base, day, Path(folder, "base"))
+        other = record(work, day, Path(folder, "work"))
+        with one.open() as base_lines, other.open() as work_lines:
+            return Outcome(day, *first_difference(base_lines, work_lines))
+
+
+def compare(base: Path, work: Path, days: list[Day], jobs: int) -> Iterator[Outcome]:
+    """The outcomes of the days, in their order, up to the first one that differs."""
+    with ThreadPoolExecutor(jobs) as pool:
+        pending = [pool.submit(compare_day, base, work, day) for day in days]
+        try:
+            for each in pending:
+                outcome = each.result()
+                yield outcome
+                if outcome.difference is not None:
+                    return
+        finally:
+            pool.shutdown(wait=True, cancel_futures=True)
+
+
+def describe(outcome: Outcome, difference: Difference) -> str:
+    """The first difference, for a reader."""
+
+    def shown(message: str | None) -> str:
+        return "no more messages" if message is None else message.strip()[:SHOWN_CHARACTERS]
+
+    return (
+        f"different: seed {outcome.day.seed}, message {difference.index}\n{outcome.day}\n"
+        f"base: {shown(difference.base)}\nwork: {shown(difference.work)}"
+    )
+
+
+@click.command()
+@click.option("--base", required=True, help="The commit to compare the work tree with.")
+@click.option("--seeds", default=30, type=click.IntRange(min=1), help="How many days.")
+@click.option("--first-seed", default=1, help="The seed of the first day.")
+@click.option("--jobs", default=4, type=click.IntRange(min=1), help="Days at the same time.")
+def main(base: str, seeds: int, first_seed: int, jobs: int) -> None:
+    """Compare every message of the work tree with those of a commit, day by day."""
+    days = [day_of(seed) for seed in range(first_seed, first_seed + seeds)]
+    messages = 0
+    with sources_of(base) as folder:
+        try:
+            for outcome in compare(folder, ROOT, days, jobs):
+                messages += outcome.messages
+                if outcome.difference is not None:
+                    click.echo(describe(outcome, outcome.difference))
+                    sys.exit(1)
+        except PlayError as exc:
+            click.echo(f"not played: {exc}", err=True)
+            sys.exit(2)
+    click.echo(f"equal: {messages} messages, {seeds} seeds from {first_seed}, base {base}")
+
+
+if __name__ == "__main__":
+    main()
