--- a/tools/compare_messages.py
+++ b/tools/compare_messages.py
@@ -7,6 +7,8 @@
 answers (of users, workers, controllers, to the state service and to the cloud) and all frames
 between controllers must be the same, at the same virtual time. Log lines are not compared.
 Exits with 1 at the first difference, with 2 if a version could not play a day.
+
+Equal means equal in what the days reach: a change in a branch that no day takes is not seen.
 """
 
 from __future__ import annotations
