--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from topazhold.core.preemption import turn
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Operator
-from topazhold.wire.messages import Command, JobSpec, MachineType, Report, TaskReport
+from topazhold.wire.messages import Command, Heartbeat, JobSpec, MachineType, TaskStatus
 
 
 def make_spec(number: int = 1, **changes: Any) -> JobSpec:
@@ -53,7 +53,7 @@
         self.scheduler = Scheduler(settings, Operator(), term, self.hold_table, Random(1), self.now)
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
         self.sequences: dict[str, int] = {}
-        self.tasks: dict[str, dict[tuple[str, int], TaskReport]] = {}
+        self.tasks: dict[str, dict[tuple[str, int], TaskStatus]] = {}
         for number in range(machines):
             self.report(f"host-{number}", zone="ab"[number % 2])
 
@@ -78,7 +78,7 @@
         name: str,
         zone: str = "a",
         term: int | None = None,
-        session: int = 1,
+        incarnation: int = 1,
         notice_s: float | None = None,
         carry_out: bool = True,
     ) -> list[Command]:
@@ -86,25 +86,25 @@
         self.sequences[name] = self.sequences.get(name, 0) + 1
         tasks = self.tasks.setdefault(name, {})
         machine = self.scheduler.machines.get(name)
-        rep = Report(
+        heartbeat = Heartbeat(
             name,
             f"{name}:9",
             "b1",
             machine.zone if machine else zone,
             False,
-            session,
+            incarnation,
             self.sequences[name],
             self.scheduler.term if term is None else term,
             list(tasks.values()),
             notice_s,
         )
-        heard = self.scheduler.report(rep, False, self.now)
-        commands = self.scheduler.answer(heard, rep, self.now) if heard is not None else []
+        heard = self.scheduler.on_heartbeat(heartbeat, False, self.now)
+        commands = self.scheduler.answer(heard, heartbeat, self.now) if heard is not None else []
         if carry_out:
             for command in commands:
                 key = (command.task_name, command.attempt)
                 if command.kind == "launch":
-                    tasks[key] = TaskReport(command.task_name, command.attempt, "pulling")
+                    tasks[key] = TaskStatus(command.task_name, command.attempt, "pulling")
                 elif command.kind == "clear":
                     tasks.pop(key, None)
         return commands
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -54,7 +54,7 @@
 limits = {{ cpu_share = 1.0, mem_mb = 200.0, sockets = 300 }}
 
 [cluster.workers]
-report_s = {report_s}
+report_s = {heartbeat_interval_s}
 lease_s = {lease_s}
 cancel_s = {cancel_s}
 gang_wait_s = 20.0
@@ -136,7 +136,7 @@
         self.net.hosts[StateService.HOST] = self.state.handle
         self.net.hosts[CloudService.HOST] = self.cloud.handle
         self.settings: Settings = self.node_settings[NAMES[0]]
-        self.settings.cluster.workers.report_s = REPORT_S
+        self.settings.cluster.workers.heartbeat_interval_s = REPORT_S
         self.settings.cluster.workers.lease_s = LEASE_S
         self.settings.cluster.workers.cancel_s = CANCEL_S
         self.settings.cluster.cloud.list_lag_s = 0.5
@@ -169,7 +169,7 @@
                 name=name,
                 zone=ZONES[name],
                 seeds=seeds,
-                report_s=REPORT_S,
+                heartbeat_interval_s=REPORT_S,
                 lease_s=LEASE_S,
                 cancel_s=CANCEL_S,
                 **self.ports[name],
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -36,7 +36,7 @@
         super().__init__(clock, seed, capacity=8)
         for settings in self.node_settings.values():
             workers = settings.cluster.workers
-            workers.report_s, workers.lease_s, workers.cancel_s = SITES[site]
+            workers.heartbeat_interval_s, workers.lease_s, workers.cancel_s = SITES[site]
             settings.cluster.teams[0].gpus_max = settings.cluster.teams[1].gpus_max = 100.0
         self.workers = self.settings.cluster.workers
         self.numbers = 0
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -473,7 +473,7 @@
         self.spot = spot
         self.rng = rng
         self.host = f"{name}:9000"
-        self.session = 1
+        self.incarnation = 1
         self.sequence = 0
         self.term = 0
         self.tasks: dict[tuple[str, int], Task] = {}
@@ -540,7 +540,7 @@
             "breed": "b1",
             "apiary": self.zone,
             "drones": self.spot,
-            "flight": self.session,
+            "flight": self.incarnation,
             "tally": self.sequence,
             "crown": self.term,
             "smoke_s": smoke,
@@ -558,11 +558,15 @@
             if now < self.hanging_until:
                 await curio.sleep(0.2)
                 continue
-            pause = await self._report_once()
+            pause = await self._heartbeat_once()
             end = self.world.clock.now + pause * self.rng.uniform(0.75, 1.25)
             floor = self.world.clock.now + min(pause, 0.5)
             while self.world.clock.now < end and not self.gone:
-                if self.changed and self.world.clock.now >= floor and pause == workers.report_s:
+                if (
+                    self.changed
+                    and self.world.clock.now >= floor
+                    and pause == workers.heartbeat_interval_s
+                ):
                     break
                 await curio.sleep(0.1)
                 self._check_lease()
@@ -571,7 +575,7 @@
         lease_s = self.world.settings.cluster.workers.lease_s
         if self.world.clock.now - self.lease_from > lease_s and self.up:
             self.world.note(f"{self.name}: lease ended")
-            self.new_session()
+            self.begin_incarnation()
 
     def die(self) -> None:
         """It stops with all that is on it, and is listed as running for a while."""
@@ -580,35 +584,37 @@
         self.failed_at = self.world.clock.now + 8.0
         self.world.net.hosts.pop(self.host, None)
 
-    def new_session(self) -> None:
+    def begin_incarnation(self) -> None:
         """All tasks are gone, and the next session begins."""
         self.tasks.clear()
-        self.session += 1
+        self.incarnation += 1
         self.lease_from = self.world.clock.now
         self.changed = True
 
-    async def _report_once(self) -> float:
+    async def _heartbeat_once(self) -> float:
         world = self.world
         self.changed = False
         sent = world.clock.now
-        session = self.session
+        incarnation = self.incarnation
         names = world.names
         target = names[self.node % len(names)]
-        rep = self.report()
-        self.past_reports = [*self.past_reports[-40:], rep]
-        await world.net.copy(self.host, names, "POST", "/v1/report", rep)
+        heartbeat = self.report()
+        self.past_reports = [*self.past_reports[-40:], heartbeat]
+        await world.net.copy(self.host, names, "POST", "/v1/report", heartbeat)
         try:
             if sent < self.mute_until:
                 await curio.sleep(0.5)
                 raise NotSent(target)
-            status, body = await world.net.ask(self.host, target, "POST", "/v1/report", rep, 4.0)
+            status, body = await world.net.ask(
+                self.host, target, "POST", "/v1/report", heartbeat, 4.0
+            )
             if sent < self.deaf_until:
                 await curio.sleep(max(0.0, sent + 4.0 - world.clock.now))
                 raise NoAnswer(target)
         except (NotSent, NoAnswer):
             self.node += 1
             return 1.0
-        if self.gone or session != self.session:
+        if self.gone or incarnation != self.incarnation:
             return 0.5
         answer = _read(body)
         if status == 421 and answer and answer.get("queen") in world.names:
@@ -620,14 +626,14 @@
             self.node += 1
             return 1.0
         if answer["crown"] < self.term:
-            return float(world.settings.cluster.workers.report_s)
+            return float(world.settings.cluster.workers.heartbeat_interval_s)
         if answer["crown"] > self.term:
             self.term = answer["crown"]
             self.changed = True
         self.lease_from = sent
         self.answered_by[target] = world.clock.now
         self._carry_out(answer["calls"])
-        return float(world.settings.cluster.workers.report_s)
+        return float(world.settings.cluster.workers.heartbeat_interval_s)
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         if self.gone or self.world.clock.now < self.deaf_until:
@@ -638,7 +644,7 @@
         self.late_commands += late and path == "/commands"
         if path != "/commands":
             return 200, self.report()
-        if body["crown"] < self.term or body["flight"] != self.session:
+        if body["crown"] < self.term or body["flight"] != self.incarnation:
             return 409, self.report()
         if body["crown"] > self.term:
             self.term = body["crown"]
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -57,10 +57,10 @@
         await ready.wait()
         clock.work(0.5)
 
-    run(account, (Duty.REPORTS, report), (Duty.PLANNING, plan))
+    run(account, (Duty.HEARTBEATS, report), (Duty.PLANNING, plan))
     found = taken(account)
     assert found[Duty.PLANNING] == (3.0, 1)
-    assert found[Duty.REPORTS] == (0.5, 2)
+    assert found[Duty.HEARTBEATS] == (0.5, 2)
     assert account.statement().startswith(
         "busy 100.0% of 4 s: planning 85.71% (1, 3000.00 ms, at most 3000)"
     )
@@ -71,7 +71,7 @@
     account = Account()
 
     async def connection() -> None:
-        for duty in (Duty.REPORTS, Duty.USERS):
+        for duty in (Duty.HEARTBEATS, Duty.USERS):
             clock.work(1.0)
             account.enter(duty)
             clock.work(1.0)
@@ -87,7 +87,7 @@
 
     curio.run(main, activations=[account])
     found = taken(account)
-    assert found[Duty.REPORTS] == (2.0, 1)
+    assert found[Duty.HEARTBEATS] == (2.0, 1)
     assert found[Duty.USERS] == (2.0, 2)  # and its end
     assert found[Duty.OTHER][0] == 1.0
 
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -29,7 +29,7 @@
     """Tasks of a silent machine are placed again without proof."""
 
     def watch(self: Scheduler, machine: Any, now: float) -> None:
-        if self.silent_s(machine, now) > 2 * self.report_s:
+        if self.silent_s(machine, now) > 2 * self.heartbeat_interval_s:
             for run in list(machine.runs.values()):
                 self._drop(run, now)
 
@@ -113,15 +113,15 @@
 
 def believe_late_copies(patch: pytest.MonkeyPatch) -> None:
     """An older report counts like a new one."""
-    report = Scheduler.report
+    report = Scheduler.on_heartbeat
 
-    def heard(self: Scheduler, rep: Any, *args: Any, **kwargs: Any) -> Any:
-        machine = self.machines.get(rep.machine)
+    def heard(self: Scheduler, heartbeat: Any, *args: Any, **kwargs: Any) -> Any:
+        machine = self.machines.get(heartbeat.machine)
         if machine is not None:
             machine.sequence = -1
-        return report(self, rep, *args, **kwargs)
+        return report(self, heartbeat, *args, **kwargs)
 
-    patch.setattr(Scheduler, "report", heard)
+    patch.setattr(Scheduler, "on_heartbeat", heard)
 
 
 VARIANTS: list[tuple[Patch, str, list[str]]] = [
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -23,7 +23,7 @@
 from topazhold.core.placements import Placements
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Answer
-from topazhold.wire.messages import Commands, Report, TaskReport
+from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
 
 Twist = Callable[[Scene, str, str], Awaitable[None]]
 
@@ -83,7 +83,7 @@
         assert leader is not None
         confirmer = scene.others(leader)[0]
         jobs = await scene.jobs_running(4, confirmer, gpus=2.0)
-        await curio.sleep(3 * scene.workers.report_s)
+        await curio.sleep(3 * scene.workers.heartbeat_interval_s)
         if before is not None:
             before(scene)
         scene.state.refused.add(leader)
@@ -144,7 +144,7 @@
         terms.append(scene.nodes[new].leading.term)
         named = [m for m in scene.nodes[new].leading.scheduler.machines.values() if m.runs]
         assert len(named) > 3, "as far as she knows the tasks may be there"
-        await curio.sleep(4 * scene.workers.report_s)
+        await curio.sleep(4 * scene.workers.heartbeat_interval_s)
         scene.state.set_down(True)
 
     monkeypatch.setattr(Scheduler, "release", noted)
@@ -248,7 +248,7 @@
         for _ in range(4):
             if states == ["written"]:
                 # No report comes that the launch could go out with, for a moment.
-                await curio.sleep(2 * scene.workers.report_s)
+                await curio.sleep(2 * scene.workers.heartbeat_interval_s)
                 for worker in scene.cloud.workers.values():
                     worker.hanging_until = scene.clock.now + 1.0
             job = await scene.submit(confirmer)
@@ -268,7 +268,7 @@
             await curio.sleep(0.6 * scene.workers.cancel_s)
             scene.state.set_down(False)
             scene.state.refused.clear()
-            await curio.sleep(2 * scene.workers.report_s)
+            await curio.sleep(2 * scene.workers.heartbeat_interval_s)
             found = scene.leader()
             assert found is not None
             leader = found
@@ -286,7 +286,7 @@
     scene = launch_in_flight(monkeypatch, seed, states)
     assert_rules(scene)
     # A launch that had left already may start its task before the kill is there.
-    assert scene.took_s() < 3 * scene.workers.report_s
+    assert scene.took_s() < 3 * scene.workers.heartbeat_interval_s
     assert scene.launched_late == []
 
 
@@ -336,7 +336,7 @@
     no_enforcer(monkeypatch)
     assert gap(leader_ends, monkeypatch, "hive").broken == []
     monkeypatch.setattr(
-        Node, "_answer_kept", lambda self, rep, term: Answer(200, Commands(term, []))
+        Node, "_answer_kept", lambda self, heartbeat, term: Answer(200, Commands(term, []))
     )
     assert breaks_on_some_seed(leader_ends, monkeypatch)
 
@@ -390,9 +390,9 @@
 
 
 def test_older_word_of_a_worker_says_nothing_of_its_tasks() -> None:
-    def report(sequence: int, jobs: list[str]) -> Report:
-        tasks = [TaskReport(f"{job}/0", 1, "running") for job in jobs]
-        return Report("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
+    def report(sequence: int, jobs: list[str]) -> Heartbeat:
+        tasks = [TaskStatus(f"{job}/0", 1, "running") for job in jobs]
+        return Heartbeat("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
 
     placements = Placements()
     placements.told(3, [["host-1", "h:1", ["wk-1"]]])
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -47,10 +47,10 @@
     )
 
 
-def read_reports(version: Version, reports: Any) -> Any:
+def read_heartbeats(version: Version, heartbeats: Any) -> Any:
     convert = version.load("wire.codec", "convert")
-    kind = version.load("wire.messages", "Report")
-    return [msgspec.to_builtins(convert(item, kind)) for item in reports]
+    kind = version.load("wire.messages", "Heartbeat")
+    return [msgspec.to_builtins(convert(item, kind)) for item in heartbeats]
 
 
 def view_meaning(view: Any) -> Any:
@@ -106,7 +106,7 @@
     if first in ("queen", "crown"):
         return version.load("core.leadership", "read_value")(data)
     if first == "relay":
-        return data["crown"], read_reports(version, data["reports"])
+        return data["crown"], read_heartbeats(version, data["reports"])
     assert first == "sum"
     return summary_meaning(version, key, data)
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -44,13 +44,13 @@
 
         look()
         assert made.taken() == machines
-        bench.now += scheduler.report_s
+        bench.now += scheduler.heartbeat_interval_s
         bench.all_report()
         look()
         assert made.taken() == 0, "nothing has changed"
         bench.job(make_spec(1, shape="batch", tasks=1, gpus=1.0))
         assert len(bench.plan()) == 1
-        bench.now += 0.5 * scheduler.report_s
+        bench.now += 0.5 * scheduler.heartbeat_interval_s
         look()
         assert made.taken() == 1, "one machine has got a task"
         bench.now += 0.5 * scheduler.summary_s
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -35,7 +35,7 @@
 
 def test_living_and_cancelled_are_commanded_first(bench: Bench) -> None:
     scheduler = bench.scheduler
-    bench.now += 3 * scheduler.report_s
+    bench.now += 3 * scheduler.heartbeat_interval_s
     bench.report("host-2", zone="a")
     bench.report("host-3", zone="b")
     cancelled_run(scheduler, 7, "host-3", bench.now)
@@ -83,7 +83,7 @@
         living.heard_at = await curio.clock()
         for number, name in enumerate(scheduler.machines):
             cancelled_run(scheduler, number, name, clock.now)
-        to_command = DirectCommands(context, 640, DeadClient, lambda rep: None)  # type: ignore[arg-type]
+        to_command = DirectCommands(context, 640, DeadClient, lambda heartbeat: None)  # type: ignore[arg-type]
         await to_command.round()
         await curio.sleep(0.01)
         assert "10.0.1.49" in DeadClient.asked
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -48,7 +48,7 @@
         held = first.past_reports[-1]
         assert any(task_name["frame"].startswith(job) for task_name in held["frames"])
         await scene.end(old)
-        first.new_session()
+        first.begin_incarnation()
         first.mute_until = scene.clock.now + 60.0
         first.node = 0
         new = await scene.new_leader(old)
@@ -275,13 +275,13 @@
         await scene.begin()
         coming = await curio.spawn(scene.users_come, 20, 20.0, daemon=True)
         await curio.sleep(15.0)
-        sessions = {w.name: w.session for w in scene.cloud.workers.values() if w.up}
+        sessions = {w.name: w.incarnation for w in scene.cloud.workers.values() if w.up}
         assert scene.busy_workers()
         for name in list(scene.nodes):
             await scene.end(name)
         await curio.sleep(1.3 * scene.workers.lease_s)
         assert all(
-            worker.session > sessions[worker.name]
+            worker.incarnation > sessions[worker.name]
             for worker in scene.cloud.workers.values()
             if worker.name in sessions
         ), "every lease has ended"
@@ -394,18 +394,18 @@
             await scene.back(leader, 0.5)
             leader = await scene.new_leader(leader)
         assert leader is not None
-        await curio.sleep(3 * scene.workers.report_s)
+        await curio.sleep(3 * scene.workers.heartbeat_interval_s)
         jobs = await scene.jobs_running(2, leader, gpus=4.0, tasks=2, zone="b")
         await scene.jobs_running(1, leader, gpus=4.0, tasks=1, zone="a")
         inside = [worker for worker in scene.busy_workers() if worker.zone == "b"]
-        sessions = {worker.name: worker.session for worker in inside}
+        sessions = {worker.name: worker.incarnation for worker in inside}
         assert len(inside) > 2, "too many to be taken for lone silent machines"
         for other in ["a", *OUTSIDE]:
             scene.net.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
         assert await scene.cancel(jobs[0], leader) == 200
         await curio.sleep(1.4 * scene.workers.lease_s)
-        kept = [w for w in inside if not w.gone and w.session == sessions[w.name]]
+        kept = [w for w in inside if not w.gone and w.incarnation == sessions[w.name]]
         assert kept, "longer than a lease, and not all was lost"
         await curio.sleep(scene.workers.cancel_s - scene.workers.lease_s)
         scene.net.cuts.clear()
@@ -438,7 +438,7 @@
                 if scene.rng.random() < 0.5:
                     scene.cloud.take(worker)
                 else:
-                    worker.new_session()
+                    worker.begin_incarnation()
         assert lost > 0
         await scene.users_come(6, 5.0)
         await scene.all_over()
@@ -491,17 +491,18 @@
             await curio.sleep(1.0)
             workers = list(scene.cloud.workers.values())
             if second % 8 == 4:  # drawn, there were sometimes none
-                scene.rng.choice(workers).new_session()
+                scene.rng.choice(workers).begin_incarnation()
             for worker in workers:
                 past = [
-                    rep
-                    for rep in worker.past_reports[:-1]
-                    if (rep["flight"], rep["tally"]) < (worker.session, worker.sequence)
+                    heartbeat
+                    for heartbeat in worker.past_reports[:-1]
+                    if (heartbeat["flight"], heartbeat["tally"])
+                    < (worker.incarnation, worker.sequence)
                 ]
-                for rep in scene.rng.sample(past, min(2, len(past))):
-                    old += rep["flight"] < worker.session
+                for heartbeat in scene.rng.sample(past, min(2, len(past))):
+                    old += heartbeat["flight"] < worker.incarnation
                     name = scene.rng.choice(list(scene.nodes))
-                    await scene.net.hosts[name](worker.host, "POST", "/v1/report", rep)
+                    await scene.net.hosts[name](worker.host, "POST", "/v1/report", heartbeat)
         assert old > 5, "some were from earlier sessions"
         await coming.join()
         await scene.all_over()
@@ -530,7 +531,7 @@
 
     scene = play_scene(act, monkeypatch, site)
     assert_rules(scene)
-    assert scene.took_s() < 3 * scene.workers.report_s
+    assert scene.took_s() < 3 * scene.workers.heartbeat_interval_s
 
 
 @pytest.mark.parametrize("site", ["hive", "maps"])
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -82,11 +82,11 @@
     def report(self) -> None:
         self.bench.report(self.rng.choice(list(self.bench.scheduler.machines)))
 
-    def new_session(self) -> None:
+    def begin_incarnation(self) -> None:
         name = self.rng.choice(list(self.bench.scheduler.machines))
         self.bench.tasks[name].clear()
-        session = self.bench.scheduler.machines[name].session + 1
-        self.bench.report(name, session=session)
+        incarnation = self.bench.scheduler.machines[name].incarnation + 1
+        self.bench.report(name, incarnation=incarnation)
 
     def newcomer(self) -> None:
         """A machine reports for the first time."""
@@ -111,7 +111,7 @@
 
     def event(self) -> str:
         often = ("new_job", "book_again", "progress", "progress", "report", "report", "tick")
-        seldom = ("new_session", "cancel", "newcomer", "comes_back")
+        seldom = ("begin_incarnation", "cancel", "newcomer", "comes_back")
         kind = self.rng.choice((*often, *seldom))
         getattr(self, kind)()
         return kind
@@ -122,8 +122,8 @@
             pass
 
     def later(self) -> None:
-        """A part of a report period, within which every machine reports."""
-        self.bench.now += self.rng.uniform(0.05, 1.0) * self.bench.scheduler.report_s
+        """A part of a heartbeat interval, within which every machine reports."""
+        self.bench.now += self.rng.uniform(0.05, 1.0) * self.bench.scheduler.heartbeat_interval_s
         for name in list(self.bench.scheduler.machines):
             if name != self.silent:
                 self.bench.report(name)
@@ -167,7 +167,7 @@
         bench.all_report()
         counted = bench.scheduler.changes
         for _ in range(5):
-            bench.now += bench.scheduler.report_s
+            bench.now += bench.scheduler.heartbeat_interval_s
             bench.all_report()
         assert bench.scheduler.changes == counted
 
@@ -176,7 +176,7 @@
     """Seen to fail without the look at what a report changes of its machine."""
     bench = Bench(machines=2)
     counted = bench.scheduler.changes
-    bench.now += 4 * bench.scheduler.report_s
+    bench.now += 4 * bench.scheduler.heartbeat_interval_s
     bench.report("host-0")
     assert bench.scheduler.changes > counted, "it was silent, and takes work again"
     counted = bench.scheduler.changes
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -4,12 +4,14 @@
 
 from topazhold.control.relay import WorkerFallback
 from topazhold.core.leadership import Leadership, Role
-from topazhold.wire.messages import Report, TaskReport
+from topazhold.wire.messages import Heartbeat, TaskStatus
 
 
-def report(term: int = 7, machine: str = "host-1", zone: str = "a", busy: bool = False) -> Report:
-    tasks = [TaskReport("wk-1/0", 1, "running")] if busy else []
-    return Report(machine, "h:1", "b1", zone, False, 1, 1, term, tasks)
+def report(
+    term: int = 7, machine: str = "host-1", zone: str = "a", busy: bool = False
+) -> Heartbeat:
+    tasks = [TaskStatus("wk-1/0", 1, "running")] if busy else []
+    return Heartbeat(machine, "h:1", "b1", zone, False, 1, 1, term, tasks)
 
 
 def follower(leader: str | None = "hive-1", term: int = 7) -> tuple[WorkerFallback, Leadership]:
@@ -135,10 +137,10 @@
     learnt of ended tasks minutes late."""
     fallback, _ = follower()
     for number in range(150):
-        rep = report(machine=f"host-{number}", busy=True)
+        heartbeat = report(machine=f"host-{number}", busy=True)
         if number >= 145:
-            rep.tasks[0].state = "ended"
-        fallback.keep(rep)
+            heartbeat.tasks[0].state = "ended"
+        fallback.keep(heartbeat)
     assert {item["box"] for item in fallback.take(1200)} >= {f"host-{n}" for n in range(145, 150)}
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -11,7 +11,7 @@
 from topazhold.core.records import Intents
 from topazhold.core.renting import counted
 from topazhold.core.search import PRESSING
-from topazhold.wire.messages import ListedMachine, Report, TaskReport
+from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
 
 def launched(commands: list) -> list[str]:
@@ -58,8 +58,10 @@
     (run,) = bench.plan()
     bench.report(run.machine, carry_out=False)
     bench.sequences[run.machine] += 1
-    rep = Report(run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, [])
-    bench.scheduler.report(rep, True, bench.now)
+    heartbeat = Heartbeat(
+        run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, []
+    )
+    bench.scheduler.on_heartbeat(heartbeat, True, bench.now)
     assert run.state is RunState.ORDERED
 
 
@@ -122,7 +124,7 @@
 def test_lost_gang_member_stops_the_rest_and_the_gang_waits_again(bench: Bench) -> None:
     job = running_gang(bench)
     bench.tasks["host-0"].clear()  # a new session: its tasks are gone
-    bench.report("host-0", session=2)
+    bench.report("host-0", incarnation=2)
     bench.scheduler.tick(bench.now)
     assert job.gang_state is GangState.STOPPING
     commands = bench.report("host-2")
@@ -150,7 +152,7 @@
     for name in ("host-0", "host-2"):
         bench.state(name, "gathering")
     bench.all_report()
-    bench.now += 1.6 * bench.scheduler.report_s
+    bench.now += 1.6 * bench.scheduler.heartbeat_interval_s
     bench.scheduler.tick(bench.now)
     assert job.gang_state is GangState.STOPPING
 
@@ -404,7 +406,7 @@
     recovery.take_over(bench.scheduler, [job], intents, bench.now)
     for index, name in enumerate(("host-0", "host-2")):
         task_name = f"wk-000001/{index}"
-        bench.tasks[name] = {(task_name, 77): TaskReport(task_name, 77, "flushing")}
+        bench.tasks[name] = {(task_name, 77): TaskStatus(task_name, 77, "flushing")}
         bench.report(name)
     bench.state("host-0", "ended", "stopped", kept=True)
     bench.report("host-0")
@@ -450,14 +452,14 @@
     assert run.state is RunState.PULLING
     bench.tasks[run.machine] = {}
     bench.now += 0.5
-    bench.report(run.machine, session=2)
+    bench.report(run.machine, incarnation=2)
     machine = bench.scheduler.machines[run.machine]
     assert machine.deaf and run.state is RunState.GONE
     again = bench.plan()
     assert again and again[0].machine != run.machine, "placed again, elsewhere"
     for _ in range(14):  # a session that outlasts its lease has heard answers
         bench.now += 1.0
-        bench.report(run.machine, session=2)
+        bench.report(run.machine, incarnation=2)
     assert not machine.deaf
 
 
@@ -476,7 +478,7 @@
 
 def test_hang_longer_than_a_lease_is_not_deafness(bench: Bench) -> None:
     bench.now += 30.0
-    bench.report("host-0", session=2)
+    bench.report("host-0", incarnation=2)
     assert not bench.scheduler.machines["host-0"].deaf
 
 
@@ -487,9 +489,9 @@
     intents = [Intents("host-0", 3, "a", False, "b1", [("wk-000001", 0, 77)])]
     recovery.take_over(bench.scheduler, [job], intents, bench.now)
     bench.report("host-1")
-    bench.report("host-0", term=7, session=3)
+    bench.report("host-0", term=7, incarnation=3)
     assert bench.plan() == [], "the same session proves nothing"
-    bench.report("host-0", term=7, session=4)
+    bench.report("host-0", term=7, incarnation=4)
     assert [run.machine for run in bench.plan()] == ["host-1"]
 
 
@@ -497,7 +499,7 @@
     """What makes the proof above hold."""
     bench.job(make_spec(shape="batch", tasks=1))
     (run,) = bench.plan()
-    run.session = 9
+    run.incarnation = 9
     assert launched(bench.report(run.machine)) == []
 
 
@@ -613,11 +615,13 @@
     bench.job(make_spec(shape="batch", tasks=1))
     (run,) = bench.plan()
     bench.sequences[run.machine] += 1
-    rep = Report(run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, [])
-    machine = bench.scheduler.report(rep, False, bench.now)
+    heartbeat = Heartbeat(
+        run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, []
+    )
+    machine = bench.scheduler.on_heartbeat(heartbeat, False, bench.now)
     assert machine is not None
-    assert bench.scheduler.answer(machine, rep, bench.now, launches=False) == []
-    assert launched(bench.scheduler.answer(machine, rep, bench.now)) == ["wk-000001/0"]
+    assert bench.scheduler.answer(machine, heartbeat, bench.now, launches=False) == []
+    assert launched(bench.scheduler.answer(machine, heartbeat, bench.now)) == ["wk-000001/0"]
 
 
 def test_cache_names_held_machines_in_any_case() -> None:
@@ -686,7 +690,7 @@
     missed = [m for m in bench.scheduler.machines.values() if bench.scheduler._missed(m, bench.now)]
     assert len(missed) == silent, "made up for, in case they are dead"
     for number in range(silent - 1):
-        bench.report(f"host-{number:02d}", session=2)
+        bench.report(f"host-{number:02d}", incarnation=2)
     bench.now += 1.0
     bench.scheduler.tick(bench.now)
     assert list(bench.scheduler.releases) == [f"host-{silent - 1:02d}"], "the lone one goes"
@@ -723,7 +727,7 @@
     array = bench.job(make_spec(2, shape="batch", tasks=1, gpus=1.0, urgency="best_effort"))
     assert bench.plan() == []
     other.spec.estimated_run_s = 300.0
-    bench.now += bench.scheduler.report_s
+    bench.now += bench.scheduler.heartbeat_interval_s
     assert [run.job for run in bench.plan()] == [array]
 
 
@@ -766,7 +770,7 @@
     need = (gang.cpus, gang.gpus, gang.memory_gb)
     assert offers[run.machine].ready_for((1, service.level), need) == math.inf
     (other,) = offers.keys() - {run.machine}
-    assert offers[other].ready_for((1, service.level), need) < bench.scheduler.report_s
+    assert offers[other].ready_for((1, service.level), need) < bench.scheduler.heartbeat_interval_s
 
 
 def test_gang_that_must_be_in_two_zones_gets_a_machine_in_the_full_one() -> None:
@@ -837,7 +841,7 @@
         if offer.name == borrowed[0].machine
     )
     by_guarantee, pressing = (0, 3), (PRESSING, 3)
-    soon_s = 3 * bench.scheduler.report_s
+    soon_s = 3 * bench.scheduler.heartbeat_interval_s
     assert offer.ready_for(by_guarantee, room) < soon_s
     assert offer.ready_for(pressing, room) > soon_s
     more_urgent = (PRESSING, 1)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -96,7 +96,7 @@
         bench.scheduler.tick(bench.now)
         assert bench.plan() == []
     bench.tasks[lost].clear()
-    bench.report(lost, session=2)
+    bench.report(lost, incarnation=2)
     assert [run.index for run in bench.plan()] == [0]
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,7 @@
 from topazhold.core.jobs import Job
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, pack, read, unpack
-from topazhold.wire.messages import JobSpec, Report
+from topazhold.wire.messages import Heartbeat, JobSpec
 
 
 def fields(**changes: Any) -> dict[str, Any]:
@@ -80,7 +80,7 @@
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_any_bytes_are_refused_or_read(body: bytes) -> None:
     try:
-        read(body, Report)
+        read(body, Heartbeat)
     except BadMessage:
         pass
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -33,7 +33,9 @@
 #: have other names now: today's name -> production's. Whoever uses both versions names
 #: things as they are called today, and gets at them by `Version.module` and `member`.
 PRODUCTION_MODULES: dict[str, str] = {}
-PRODUCTION_MEMBERS: dict[str, str] = {}
+PRODUCTION_MEMBERS: dict[str, str] = {
+    "Heartbeat": "Report",
+}
 
 _IMPORT = re.compile(rf"^(\s*(?:from|import)\s+){PACKAGE}\b", re.MULTILINE)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -669,7 +669,7 @@
             elif kind == "mute":
                 worker.mute_until = self.clock.now + for_s
             elif kind == "blink":
-                worker.new_session()
+                worker.begin_incarnation()
             elif kind == "notice":
                 worker.gone_at = self.clock.now + self.rng.uniform(2.0, 10.0)
             elif kind == "taken":
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -35,7 +35,7 @@
 from topazhold.io.server import Connection
 from topazhold.settings import Operator
 from topazhold.wire.codec import read
-from topazhold.wire.messages import Commands, Report, TaskReport
+from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
 
 TERM = 5
 #: Tasks of the gangs and arrays, in turn, as on the sites that this was written for.
@@ -59,7 +59,7 @@
             self.settings, self.operator, TERM, self.hold_table, self.rng, self.now
         )
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
-        self.reports: list[Report] = []
+        self.heartbeats: list[Heartbeat] = []
         self.number = 0
         for number in range(machines):
             self._machine(f"host-{number:06d}", "ab"[number % 2])
@@ -71,7 +71,7 @@
             self.hold_table.holds.setdefault("node-0", {})[job.id] = hold
         for _ in range(arrays):
             self._job(shape="batch", tasks=ARRAY_SIZE, gpus=1.0)
-        for report in self.reports:
+        for report in self.heartbeats:
             self.hear(report)
 
     def _job(self, **changes: Any) -> Job:
@@ -81,25 +81,25 @@
         return job
 
     def _machine(self, name: str, zone: str) -> None:
-        report = Report(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
-        self.reports.append(report)
+        report = Heartbeat(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
+        self.heartbeats.append(report)
         self.hear(report)
 
     def _fill(self, tasks: int) -> None:
         """Every machine runs so many small tasks."""
-        for report in self.reports:
+        for report in self.heartbeats:
             job = self._job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
             for index in range(tasks):
                 run = Run(job, index, self.number, report.machine, self.now)
                 run.written(self.now)
                 run.order(1, self.now)
                 self.scheduler._attach(run)
-                report.tasks.append(TaskReport(run.task_name, run.attempt, "running"))
+                report.tasks.append(TaskStatus(run.task_name, run.attempt, "running"))
 
-    def hear(self, report: Report) -> list[Any]:
+    def hear(self, report: Heartbeat) -> list[Any]:
         """A report of the same tasks, with the next number."""
         report.sequence += 1
-        machine = self.scheduler.report(report, False, self.now)
+        machine = self.scheduler.on_heartbeat(report, False, self.now)
         assert machine is not None
         self.scheduler.wants_plan(machine, self.now)
         return self.scheduler.answer(machine, report, self.now)
@@ -170,11 +170,11 @@
 
 
 def pieces(fleet: Fleet) -> dict[str, Callable[[], Any]]:
-    report = fleet.reports[0]
+    report = fleet.heartbeats[0]
     body = cbor2.dumps(msgspec.to_builtins(report))
     return {
         "http": http_exchange(body),
-        "decode": lambda: read(body, Report),
+        "decode": lambda: read(body, Heartbeat),
         "report": lambda: fleet.hear(report),
         "tick": lambda: fleet.scheduler.tick(fleet.now),
         "rent": lambda: fleet.scheduler.rent(fleet.now),
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -46,9 +46,9 @@
 #: Seconds, as a share of the least time between two writes, after which a booking that
 #: another one came before is tried again.
 CONFLICT_PAUSE_S = 0.25
-#: A new group must be better by this many report periods, and by this share of the
+#: A new group must be better by this many heartbeat intervals, and by this share of the
 #: held group's score, to replace a hold.
-BETTER_REPORTS = 1.0
+BETTER_HEARTBEATS = 1.0
 BETTER_SHARE = 0.25
 
 
@@ -135,7 +135,7 @@
         self._rng = rng
         self._lapse_s = operator.hold_lapse_s
         self._settle_s = operator.summary_s
-        self._report_s = workers.report_s
+        self._heartbeat_interval_s = workers.heartbeat_interval_s
         self._tries = 2 * len(settings.cluster.zones)
         self._limit = int(settings.cluster.state.lasting_value_bytes * records.VALUE_SHARE)
         self._max_holds = self._limit // HOLD_BYTES
@@ -144,8 +144,8 @@
             operator.alpha,
             operator.search_groups,
             operator.search_rounds,
-            distance_s=workers.report_s,
-            preference_s=1.0 * workers.report_s,
+            distance_s=workers.heartbeat_interval_s,
+            preference_s=1.0 * workers.heartbeat_interval_s,
         )
         self.wanted: dict[str, Wanted] = {}
         self.mine: dict[str, Hold] = {}
@@ -235,7 +235,7 @@
             if late:
                 del self.mine[old.job]
             return group
-        margin = max(BETTER_REPORTS * self._report_s, BETTER_SHARE * present)
+        margin = max(BETTER_HEARTBEATS * self._heartbeat_interval_s, BETTER_SHARE * present)
         if group is not None and group.score < present - margin:
             return group
         # Lapsed, and found to be the best all the same: booked anew.
@@ -251,7 +251,7 @@
             group.score,
             self._serial,
             wall,
-            group.room_wait <= self._report_s,
+            group.room_wait <= self._heartbeat_interval_s,
             wanted.turn,
         )
         log.info(
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -12,7 +12,7 @@
 from topazhold.io.links import Link, encode
 
 #: How long a cancellation's answer waits for the first peer to have it.
-RECEIPT_REPORTS = 0.1
+RECEIPT_HEARTBEATS = 0.1
 
 #: Tells whoever leads here of a cancelled job and the time of day of its confirmation.
 TellCancelled = Callable[[str, float], Awaitable[None]]
@@ -28,14 +28,14 @@
     def __init__(
         self,
         node: str,
-        report_s: float,
+        heartbeat_interval_s: float,
         cancellations: Cancellations,
         links: Mapping[str, Link],
         hears_peers: Callable[[float], bool],
         cancelled: TellCancelled,
     ) -> None:
         self._node = node
-        self._report_s = report_s
+        self._heartbeat_interval_s = heartbeat_interval_s
         self._cancellations = cancellations
         self._links = links
         self._hears_peers = hears_peers
@@ -54,7 +54,7 @@
         for peer in self._links:
             await self._tell(peer)
         now = await curio.clock()
-        end = now + RECEIPT_REPORTS * self._report_s
+        end = now + RECEIPT_HEARTBEATS * self._heartbeat_interval_s
         while now < end and self._hears_peers(now):
             if any(self._cancellations.peer_has(peer, job) for peer in self._links):
                 return
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -15,7 +15,7 @@
 from topazhold.settings import address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
-from topazhold.wire.messages import Command, Commands, Report
+from topazhold.wire.messages import Command, Commands, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 #: Of those under way, the share that may wait for workers that are silent.
 SILENT_SHARE = 0.5
 #: Report periods between two rounds at the most.
-ROUND_REPORTS = 0.05
+ROUND_HEARTBEATS = 0.05
 
 
 class DirectCommands:
@@ -37,7 +37,7 @@
         context: TermContext,
         sockets: int,
         dial: Callable[[tuple[str, int], int], Client],
-        hear: Callable[[Report], Awaitable[Any]],
+        hear: Callable[[Heartbeat], Awaitable[Any]],
     ) -> None:
         self._max = max(4, int(sockets * COMMANDING_SHARE))
         self._max_silent = max(1, int(self._max * SILENT_SHARE))
@@ -54,14 +54,16 @@
         """Send kills directly; the next report's answer repeats them."""
         while True:
             due = self._context.commands_due
-            await curio.ignore_after(ROUND_REPORTS * self._context.report_s, due.wait)
+            await curio.ignore_after(
+                ROUND_HEARTBEATS * self._context.heartbeat_interval_s, due.wait
+            )
             due.clear()
             await self.round()
 
     async def round(self) -> None:
         """Send what is due, the living and cancelled work first.
 
-        In order of name, dead machines kept every place for a report period each,
+        In order of name, dead machines kept every place for a heartbeat interval each,
         and the kills for cancelled jobs and the new term came to the living late.
         """
         scheduler = self._context.scheduler
@@ -92,18 +94,18 @@
             del self._striking[machine.name]
 
     async def direct(self, machine: Machine, commands: list[Command]) -> None:
-        """POST /commands; whatever comes back is a report."""
+        """POST /commands; whatever comes back is a heartbeat."""
         assert machine.endpoint is not None
         try:
             client = await self._clients.at(address(machine.endpoint), len(self._striking))
-            orders = Commands(self._context.term, commands, machine.session)
+            orders = Commands(self._context.term, commands, machine.incarnation)
             status, body = await client.ask(
-                "POST", wire.COMMANDS_PATH, orders, self._context.report_s
+                "POST", wire.COMMANDS_PATH, orders, self._context.heartbeat_interval_s
             )
             if status in (200, 409):
-                rep = read(body, Report)
-                if rep.term > self._context.term:
+                heartbeat = read(body, Heartbeat)
+                if heartbeat.term > self._context.term:
                     raise Deposed("a worker knows a higher term")
-                await self._hear(rep)
+                await self._hear(heartbeat)
         except (NotSent, NoAnswer, BadMessage, ValueError) as exc:
             log.debug("direct to %s: %s", machine.name, exc)
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -24,7 +24,7 @@
 from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
-from topazhold.wire.messages import Commands, Report
+from topazhold.wire.messages import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -62,7 +62,7 @@
     ) -> None:
         workers = settings.cluster.workers
         self._cancel_s = workers.cancel_s
-        self._report_s = workers.report_s
+        self._heartbeat_interval_s = workers.heartbeat_interval_s
         self._cancellations = cancellations
         self._placements = placements
         self._cloud = cloud
@@ -77,7 +77,7 @@
 
     async def loop(self) -> None:
         while True:
-            await curio.sleep(0.2 * self._report_s)
+            await curio.sleep(0.2 * self._heartbeat_interval_s)
             await self.round()
 
     def open(self, now: float) -> dict[str, float]:
@@ -156,20 +156,24 @@
         assert place.endpoint is not None
         try:
             client = await self._clients.at(address(place.endpoint), len(self._looking))
-            status, body = await client.ask("GET", wire.STATUS_PATH, None, self._report_s)
+            status, body = await client.ask(
+                "GET", wire.STATUS_PATH, None, self._heartbeat_interval_s
+            )
             if status != 200:
                 return
-            rep = read(body, Report)
-            self._placements.seen(rep)
-            commands = self._cancellations.kills(rep)
+            heartbeat = read(body, Heartbeat)
+            self._placements.seen(heartbeat)
+            commands = self._cancellations.kills(heartbeat)
             if not commands:
                 return
             # Kills are safe from anybody, and a token equal to the worker's is heard.
-            orders = Commands(rep.term, commands, rep.session)
+            orders = Commands(heartbeat.term, commands, heartbeat.incarnation)
             log.info("%d tasks of cancelled jobs on %s killed from here", len(commands), name)
-            status, body = await client.ask("POST", wire.COMMANDS_PATH, orders, self._report_s)
+            status, body = await client.ask(
+                "POST", wire.COMMANDS_PATH, orders, self._heartbeat_interval_s
+            )
             if status in (200, 409):
-                self._placements.seen(read(body, Report))
+                self._placements.seen(read(body, Heartbeat))
         except (NotSent, NoAnswer, BadMessage, ValueError) as exc:
             log.debug("look at %s: %s", name, exc)
         finally:
@@ -188,7 +192,7 @@
             await self._cloud.release(names)
         except CloudDown as exc:
             log.debug("release: %s", exc)
-            await curio.sleep(0.25 * self._report_s)
+            await curio.sleep(0.25 * self._heartbeat_interval_s)
         else:
             for name in names:
                 self._placements.gone(name)
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -33,15 +33,15 @@
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, convert
-from topazhold.wire.messages import Command, MachineType, Report
+from topazhold.wire.messages import Command, Heartbeat, MachineType
 
 log = logging.getLogger(__name__)
 
 #: Shortest times between looks at the clocks of all, and between plans.
-TICK_REPORTS = 0.1
+TICK_HEARTBEATS = 0.1
 #: Without a look for so long, planning is taken to be stuck.
-STUCK_REPORTS = 0.5
-PLAN_REPORTS = 0.06
+STUCK_HEARTBEATS = 0.5
+PLAN_HEARTBEATS = 0.06
 #: Changes that a plan costs at the least, about.
 PLAN_WRITES = 2
 #: Time left to others after deciding, as a multiple of what it took.
@@ -174,29 +174,31 @@
     # -- events ----------------------------------------------------------------
 
     async def plan_now(self, limit_s: float) -> None:
-        """Let one round of planning pass, so that a report's answer can launch."""
+        """Let one round of planning pass, so that a heartbeat's answer can launch."""
         # An event, not a condition: a condition's lock was lost when two time
         # limits ended in one wait, and planning stood still for good.
         await self.context.request_plan()
         await curio.ignore_after(limit_s, self._round.wait)
 
-    async def hear(self, rep: Report, direct: bool = False) -> tuple[Machine | None, list[Command]]:
-        """A worker's report; the commands for its answer."""
+    async def hear(
+        self, heartbeat: Heartbeat, direct: bool = False
+    ) -> tuple[Machine | None, list[Command]]:
+        """A worker's heartbeat; the commands for its answer."""
         now = await curio.clock()
         before = self.scheduler.changes
-        machine = self.scheduler.report(rep, direct, now)
+        machine = self.scheduler.on_heartbeat(heartbeat, direct, now)
         if self.scheduler.changes != before:
             await self.context.request_plan()
         if machine is None or direct:
             return machine, []
         if self._plan_is_due(now) and self.scheduler.wants_plan(machine, now):
-            await self.plan_now(0.1 * self.context.report_s)
-        if (rep.session, rep.sequence) != (machine.session, machine.sequence):
+            await self.plan_now(0.1 * self.context.heartbeat_interval_s)
+        if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
             return machine, []  # a newer one was heard while this one waited
         now = await curio.clock()
         # Once the grant may have passed on, another may be leader: it knows of
         # the intents, but nothing new is to begin behind its back.
-        return machine, self.scheduler.answer(machine, rep, now, self._may_launch(now))
+        return machine, self.scheduler.answer(machine, heartbeat, now, self._may_launch(now))
 
     def _plan_is_due(self, now: float) -> bool:
         """Whether a round of planning may find more than the last one did.
@@ -210,8 +212,8 @@
         """While the state service does not answer, nobody can know what was cancelled."""
         return self.context.assured(now) and self.context.store.answers(now)
 
-    async def _hear_direct(self, rep: Report) -> None:
-        await self.hear(rep, direct=True)
+    async def _hear_direct(self, heartbeat: Heartbeat) -> None:
+        await self.hear(heartbeat, direct=True)
 
     async def accepted(self, job: Job) -> None:
         if self.loaded:
@@ -253,17 +255,17 @@
 
         await self._watch(records.RELAY_PREFIX, apply)
 
-    async def relayed(self, reports: Any) -> None:
+    async def relayed(self, heartbeats: Any) -> None:
         """Reports that a follower took in while this node can't be reached."""
         now = await curio.clock()
         before = self.scheduler.changes
-        for item in reports:
+        for item in heartbeats:
             try:
-                rep = convert(item, Report)
+                heartbeat = convert(item, Heartbeat)
             except BadMessage as exc:
-                log.debug("relayed report unreadable: %s", exc)
+                log.debug("forwarded heartbeat unreadable: %s", exc)
                 continue
-            self.scheduler.report(rep, False, now, relayed=True)
+            self.scheduler.on_heartbeat(heartbeat, False, now, relayed=True)
         if self.scheduler.changes != before:
             await self.context.request_plan()
 
@@ -301,7 +303,7 @@
         while True:
             await curio.sleep(self.context.retry_s)
             now = await curio.clock()
-            if now - self._ticked_at > STUCK_REPORTS * self.context.report_s:
+            if now - self._ticked_at > STUCK_HEARTBEATS * self.context.heartbeat_interval_s:
                 before = self.scheduler.changes
                 self._tick(now)
                 if self.scheduler.changes != before:
@@ -317,7 +319,7 @@
                 # of it in one transaction.
                 await self.context.store.turn(DECISIONS, PLAN_WRITES)
                 now = await curio.clock()
-                if now - self._ticked_at > TICK_REPORTS * self.context.report_s:
+                if now - self._ticked_at > TICK_HEARTBEATS * self.context.heartbeat_interval_s:
                     self._tick(now)
                 self._planned_at = now
                 runs = self.scheduler.plan(now)
@@ -329,4 +331,6 @@
             await passed.set()
             # Something changes all the time. Without a pause that grows with the cost
             # of a round, a leader of many machines did nothing but plan.
-            await curio.sleep(max(PLAN_REPORTS * self.context.report_s, busy * DECIDING_PAUSE))
+            await curio.sleep(
+                max(PLAN_HEARTBEATS * self.context.heartbeat_interval_s, busy * DECIDING_PAUSE)
+            )
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -35,4 +35,4 @@
             else:
                 scheduler.listed(listed, asked, await curio.clock())
                 await self.listed.set()
-            await curio.sleep(max(self._context.report_s, LIST_LAGS * scheduler.lag_s))
+            await curio.sleep(max(self._context.heartbeat_interval_s, LIST_LAGS * scheduler.lag_s))
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -52,14 +52,14 @@
 from topazhold.settings import Operator, Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage, read
-from topazhold.wire.messages import Commands, MachineType, Report
+from topazhold.wire.messages import Commands, Heartbeat, MachineType
 
 log = logging.getLogger(__name__)
 
 #: The most time that a round of searches takes, as a share of a lease's.
 ROUND_GRANTS = 0.1
 #: The catalog's prices move slowly.
-CATALOG_REPORTS = 60
+CATALOG_HEARTBEATS = 60
 #: Share of the sockets for those who connect to this node.
 SERVED_SHARE = 0.8
 
@@ -79,7 +79,7 @@
         self.settings = settings
         self.operator = operator
         self.name = settings.node_name
-        self.report_s = cluster.workers.report_s
+        self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.grant_s = lease_time_s(settings)
         self.rng = Random(f"{self.name}:{time.time_ns()}")
         self._dial = dial
@@ -142,7 +142,7 @@
         self.links = {seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds}
         self.cancellation_exchange = CancellationExchange(
             self.name,
-            self.report_s,
+            self.heartbeat_interval_s,
             self.cancellations,
             self.links,
             self.fallback.hears_peers,
@@ -201,7 +201,7 @@
             await group.spawn(peers.run, address(self.settings.peer_listen))
             for link in self.links.values():
                 await group.spawn(self.account.on_duty, Duty.PEERS, link.run)
-            await group.spawn(self.account.loop, self.report_s, log.info)
+            await group.spawn(self.account.loop, self.heartbeat_interval_s, log.info)
             await group.spawn(self.work)
             log.info("node %s serves %s", self.name, self.settings.bind)
         if group.exception is not None:
@@ -228,11 +228,11 @@
     # -- requests ----------------------------------------------------------
 
     async def handle(self, request: Request) -> Answer:
-        if request.path == wire.REPORT_PATH:
-            self.account.enter(Duty.REPORTS)
+        if request.path == wire.HEARTBEAT_PATH:
+            self.account.enter(Duty.HEARTBEATS)
             if request.method != "POST":
                 return Answer(405)
-            return await self._report(request.body)
+            return await self._heartbeat(request.body)
         if request.path == wire.HEALTH_PATH:
             self.account.enter(Duty.HEALTH)
             if request.method != "GET":
@@ -257,18 +257,18 @@
             return False
         return self._served(now) or not self.fallback.alone(now)
 
-    async def _report(self, body: bytes) -> Answer:
+    async def _heartbeat(self, body: bytes) -> Answer:
         try:
-            rep = read(body, Report)
+            heartbeat = read(body, Heartbeat)
         except BadMessage as exc:
-            log.debug("report refused: %s", exc)
+            log.debug("heartbeat refused: %s", exc)
             return Answer(400)
         lead = self.leadership
         leading = self.leading
-        if rep.term > lead.term:
+        if heartbeat.term > lead.term:
             # A worker knows a term that this node does not: whoever thinks
             # to be leader here is not any more.
-            lead.term = rep.term
+            lead.term = heartbeat.term
             if leading is not None:
                 await self._depose("a worker knows a higher term")
             lead.leader = None
@@ -278,19 +278,19 @@
             # Nothing that this node hears reaches anybody: not even a leader may
             # hold workers here, once its grant may have passed on.
             if not self.lease.assured(now):
-                if not (self._informed(now) and self.fallback.keeps_isolated(rep, now)):
+                if not (self._informed(now) and self.fallback.keeps_isolated(heartbeat, now)):
                     return Answer(421, wire.redirect(None))
         if leading is None or not lead.leads:
-            if self._informed(now) and self.fallback.keeps(rep, now):
-                self.fallback.keep(rep)
-                return self._answer_kept(rep, lead.term)
+            if self._informed(now) and self.fallback.keeps(heartbeat, now):
+                self.fallback.keep(heartbeat)
+                return self._answer_kept(heartbeat, lead.term)
             leader = lead.leader if lead.leader != self.name else None
             return Answer(421, wire.redirect(leader))
         if not leading.loaded:
             if not self._informed(now):
                 return Answer(421, wire.redirect(None))
-            return self._answer_kept(rep, leading.term)
-        _, commands = await leading.hear(rep)
+            return self._answer_kept(heartbeat, leading.term)
+        _, commands = await leading.hear(heartbeat)
         if self.leading is not leading:
             return Answer(421, wire.redirect(None))
         return Answer(200, Commands(leading.term, commands))
@@ -299,13 +299,15 @@
         """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
         return self.cancellations.informed and self.fallback.informed(now)
 
-    def _answer_kept(self, rep: Report, term: int) -> Answer:
+    def _answer_kept(self, heartbeat: Heartbeat, term: int) -> Answer:
         """A 200 without a scheduler: nothing but the kills that the record asks for."""
-        self.placements.seen(rep)
-        commands = self.cancellations.kills(rep)
+        self.placements.seen(heartbeat)
+        commands = self.cancellations.kills(heartbeat)
         if commands:
             log.info(
-                "%d tasks of cancelled jobs on %s killed in an answer", len(commands), rep.machine
+                "%d tasks of cancelled jobs on %s killed in an answer",
+                len(commands),
+                heartbeat.machine,
             )
         return Answer(200, Commands(term, commands))
 
@@ -453,7 +455,7 @@
         elif tag == RELAY:
             relay = Relay(*message)
             if self.leading is not None and self.leading.term == int(relay.term):
-                await self.leading.relayed(relay.reports)
+                await self.leading.relayed(relay.heartbeats)
         elif tag == SUMMARY:
             summary = Summary(*message)
             if int(summary.term) >= self.leadership.term and self.leading is None:
@@ -526,7 +528,7 @@
                 self.machine_types.update(
                     {machine_type.name: machine_type for machine_type in machine_types}
                 )
-                await curio.sleep(CATALOG_REPORTS * self.report_s)
+                await curio.sleep(CATALOG_HEARTBEATS * self.heartbeat_interval_s)
             except CloudDown as exc:
                 log.debug("catalog: %s", exc)
-                await curio.sleep(max(1.0, 0.5 * self.report_s))
+                await curio.sleep(max(1.0, 0.5 * self.heartbeat_interval_s))
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -64,7 +64,7 @@
 
     tag: str
     term: int
-    reports: list[Any]
+    heartbeats: list[Any]
 
 
 class Summary(NamedTuple):
--- a/topazhold/control/relay.py
+++ b/topazhold/control/relay.py
@@ -16,7 +16,7 @@
 from topazhold.core.leadership import Leadership
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
-from topazhold.wire.messages import Report
+from topazhold.wire.messages import Heartbeat
 
 #: A leader that has been silent for this share of a grant's time is cut off.
 SILENT_GRANTS = 0.9
@@ -24,8 +24,8 @@
 DRIFT = 0.002
 
 
-def _news(rep: Report) -> bool:
-    return any(task.state == wire.ENDED for task in rep.tasks)
+def _news(heartbeat: Heartbeat) -> bool:
+    return any(task.state == wire.ENDED for task in heartbeat.tasks)
 
 
 class IsolatedNode:
@@ -51,25 +51,27 @@
         self._back.clear()
         self._way_out = False
 
-    def keeps(self, rep: Report, now: float) -> bool:
-        sent = self._sent.pop(rep.machine, None)
+    def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
+        sent = self._sent.pop(heartbeat.machine, None)
         if sent is not None:
-            self._back[rep.machine] = now
+            self._back[heartbeat.machine] = now
             self._way_out = False
-        if rep.machine in self._back:
+        if heartbeat.machine in self._back:
             # It went round and found nobody. It stays for a lease time.
-            if now - self._back[rep.machine] < self._lease_s:
+            if now - self._back[heartbeat.machine] < self._lease_s:
                 return True
-            del self._back[rep.machine]
-        elif rep.zone != self._zone or any(now - at > self._lease_s for at in self._sent.values()):
+            del self._back[heartbeat.machine]
+        elif heartbeat.zone != self._zone or any(
+            now - at > self._lease_s for at in self._sent.values()
+        ):
             self._way_out = True
         if self._way_out:
-            self._sent[rep.machine] = now
+            self._sent[heartbeat.machine] = now
             return False
-        idle = not rep.tasks
+        idle = not heartbeat.tasks
         if idle or not (self._sent or self._back):
             # Those with nothing to lose go first; else one for all.
-            self._sent[rep.machine] = now
+            self._sent[heartbeat.machine] = now
             return False
         return True
 
@@ -102,7 +104,7 @@
         self._served: dict[str, bool] = {}  # whether the state service serves them
         self._silent: set[str] = set()  # machines that the leader says it can't hear
         self._sent_away: dict[str, float] = {}
-        self._kept: dict[str, Report] = {}
+        self._kept: dict[str, Heartbeat] = {}
 
     def heard(
         self,
@@ -153,38 +155,41 @@
             self._isolated.end()
         return lost
 
-    def keeps_isolated(self, rep: Report, now: float) -> bool:
+    def keeps_isolated(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer a worker here although nothing comes of it."""
-        return rep.term == self._lead.term > 0 and self._isolated.keeps(rep, now)
+        return heartbeat.term == self._lead.term > 0 and self._isolated.keeps(heartbeat, now)
 
     def leader_cut(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
         leader = self._lead.leader
         return leader is not None and (now - self._heard.get(leader, self._since) > self._silence_s)
 
-    def keeps(self, rep: Report, now: float) -> bool:
+    def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer this worker here instead of sending it to the leader."""
         lead = self._lead
-        if lead.term == 0 or rep.term != lead.term:
+        if lead.term == 0 or heartbeat.term != lead.term:
             return False
         if lead.leader is None or lead.leader == lead.node or self.leader_cut(now):
             return True
-        if rep.machine not in self._silent:
-            self._sent_away.pop(rep.machine, None)
+        if heartbeat.machine not in self._silent:
+            self._sent_away.pop(heartbeat.machine, None)
             return False
         # The leader lives and does not hear this worker. It is sent to it once
         # per lease time, which it survives if the way is still closed.
-        last = self._sent_away.setdefault(rep.machine, now)
+        last = self._sent_away.setdefault(heartbeat.machine, now)
         if now - last < self._lease_s:
             return True
-        self._sent_away[rep.machine] = now
+        self._sent_away[heartbeat.machine] = now
         return False
 
-    def keep(self, rep: Report) -> None:
+    def keep(self, heartbeat: Heartbeat) -> None:
         """Pass it on with the next; a late copy does not take a newer one's place."""
-        kept = self._kept.get(rep.machine)
-        if kept is None or (rep.session, rep.sequence) > (kept.session, kept.sequence):
-            self._kept[rep.machine] = rep
+        kept = self._kept.get(heartbeat.machine)
+        if kept is None or (heartbeat.incarnation, heartbeat.sequence) > (
+            kept.incarnation,
+            kept.sequence,
+        ):
+            self._kept[heartbeat.machine] = heartbeat
 
     def take(self, limit: int) -> list[Any]:
         """Reports to pass on, as many as fit; the others follow next time.
--- a/topazhold/control/report_relay.py
+++ b/topazhold/control/report_relay.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Messages with kept workers' reports a report period, and the size of one; the
+#: Messages with kept workers' reports a heartbeat interval, and the size of one; the
 #: share of the changes a second for them where only the state service is left.
 RELAY_FRAMES = 8
 RELAY_FRAME_BYTES = FRAME_LIMIT // 4
@@ -39,7 +39,7 @@
         lease_id: Callable[[], int | None],
     ) -> None:
         self._node = settings.node_name
-        self._report_s = settings.cluster.workers.report_s
+        self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
         self._limits = settings.cluster.state
         self._store = store
         self._leadership = leadership
@@ -52,30 +52,30 @@
         state = self._limits
         limit = int(state.lasting_value_bytes * records.VALUE_SHARE)
         # Of the changes a second, as many as a share allows, in a transaction's worth.
-        by_rate = RELAY_SHARE * state.lasting_write_rps * self._report_s
+        by_rate = RELAY_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
         max_frames = max(1, int(min(by_rate, state.lasting_txn_ops, TXN_BYTES // limit)))
         while True:
-            await curio.sleep(self._report_s)
+            await curio.sleep(self._heartbeat_interval_s)
             lead = self._leadership
             link = self._links.get(lead.leader or "")
             if link is None:
                 continue
             if not self._fallback.leader_cut(await curio.clock()):
                 for _ in range(RELAY_FRAMES):
-                    reports = self._fallback.take(RELAY_FRAME_BYTES)
-                    if not reports:
+                    heartbeats = self._fallback.take(RELAY_FRAME_BYTES)
+                    if not heartbeats:
                         break
-                    await link.send(encode(Relay(RELAY, lead.term, reports)))
+                    await link.send(encode(Relay(RELAY, lead.term, heartbeats)))
                 continue
             # A whole zone's reports don't fit one value: several, within a share of
             # what a transaction takes and of the changes a second.
             changes = []
             for number in range(max_frames):
-                reports = self._fallback.take(limit)
-                if not reports:
+                heartbeats = self._fallback.take(limit)
+                if not heartbeats:
                     break
                 key = f"{records.RELAY_PREFIX}{self._node}/{number}"
-                value = {"crown": lead.term, "reports": reports}
+                value = {"crown": lead.term, "reports": heartbeats}
                 changes.append(wire.put(key, value, self._lease_id()))
             if not changes:
                 continue
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -42,7 +42,7 @@
 
 
 class SummaryPublisher:
-    """Summaries: to peers every report period, to the state service as configured."""
+    """Summaries: to peers every heartbeat interval, to the state service as configured."""
 
     def __init__(
         self,
@@ -176,7 +176,7 @@
                 return
 
     async def loop(self) -> None:
-        """Peers hear every report period; the state service has it as configured."""
+        """Peers hear every heartbeat interval; the state service has it as configured."""
         written_at = -1e9
         while True:
             now = await curio.clock()
@@ -191,4 +191,4 @@
             if now - written_at >= self._summary_s:
                 written_at = now
                 await self._write(self._stored(values))
-            await curio.sleep(max(1.0, 0.5 * self._context.report_s))
+            await curio.sleep(max(1.0, 0.5 * self._context.heartbeat_interval_s))
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -23,8 +23,8 @@
 
 log = logging.getLogger(__name__)
 
-#: Seconds between tries of whatever failed, as a share of the report period.
-RETRY_REPORTS = 0.25
+#: Seconds between tries of whatever failed, as a share of the heartbeat interval.
+RETRY_HEARTBEATS = 0.25
 
 
 #: What values may take of a transaction, whose limit is 64 KiB in all.
@@ -60,8 +60,8 @@
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
         self.cancellations = cancellations
         self.assured = assured  # whether nobody else can be leader yet
-        self.report_s = cluster.workers.report_s
-        self.retry_s = RETRY_REPORTS * self.report_s
+        self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
+        self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.block_s = cluster.workers.lease_s
         self.value_limit = int(cluster.state.lasting_value_bytes * records.VALUE_SHARE)
         self.txn_ops = cluster.state.lasting_txn_ops
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -116,10 +116,10 @@
             if count:
                 cost = machine.fetch_s(spec.image, spec.image_gb)
                 if spec.spot and not machine.spot:
-                    cost += 4 * self.report_s
+                    cost += 4 * self.heartbeat_interval_s
                 if machine.empty:
-                    cost += 2 * self.report_s  # an empty machine can be returned
-                cost += 5 * self.report_s * len(machine.error_jobs)
+                    cost += 2 * self.heartbeat_interval_s  # an empty machine can be returned
+                cost += 5 * self.heartbeat_interval_s * len(machine.error_jobs)
                 found.append((cost, room[1], machine.name, machine, count))
         if not found and not job.failed_on:
             self._full.add(kind)
@@ -131,7 +131,7 @@
         if not job.within or not self.usage.allows(job, 1, self._claimed(job)):
             return
         since = self._starved_since.setdefault(job.id, now)
-        if now - since < 2 * self.report_s:
+        if now - since < 2 * self.heartbeat_interval_s:
             return
         self._starved_since[job.id] = now
         wanted = min(job.waiting_count, MAX_PREEMPTED)
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Command, Report, TaskReport
+from topazhold.wire.messages import Command, Heartbeat, TaskStatus
 
 #: A cancellation is kept for so many times `cancel_s` and a lease together: by then
 #: its tasks are long gone, and so are late copies of reports that show them.
@@ -72,7 +72,7 @@
 
     # -- workers -------------------------------------------------------------
 
-    def shown(self, tasks: Iterable[TaskReport]) -> list[TaskReport]:
+    def shown(self, tasks: Iterable[TaskStatus]) -> list[TaskStatus]:
         """Those tasks of a report that a cancellation ends."""
         if not self._entries:
             return []
@@ -82,9 +82,11 @@
             if task.state != wire.ENDED and task.task_name.partition("/")[0] in self._entries
         ]
 
-    def kills(self, rep: Report) -> list[Command]:
+    def kills(self, heartbeat: Heartbeat) -> list[Command]:
         """Kills, with the attempts that the report names; they need no knowledge of the jobs."""
-        return [wire.kill(task.task_name, task.attempt, 0.0) for task in self.shown(rep.tasks)]
+        return [
+            wire.kill(task.task_name, task.attempt, 0.0) for task in self.shown(heartbeat.tasks)
+        ]
 
     # -- peers ---------------------------------------------------------------
 
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -8,9 +8,9 @@
 class GangClock:
     """Time limits, as ratios to the workers' settings."""
 
-    def __init__(self, report_s: float, gang_wait_s: float) -> None:
-        self.start_s = 1.5 * report_s  # from the last image to all running
-        self.launch_s = 3.5 * report_s  # from the intents to all launches seen
+    def __init__(self, heartbeat_interval_s: float, gang_wait_s: float) -> None:
+        self.start_s = 1.5 * heartbeat_interval_s  # from the last image to all running
+        self.launch_s = 3.5 * heartbeat_interval_s  # from the intents to all launches seen
         self.wait_s = 0.8 * gang_wait_s  # the workers' own limit must not come first
 
 
@@ -68,7 +68,7 @@
         elif run.state not in ON_MACHINE and now - job.gang_since > clock.launch_s:
             return f"{run.machine} did not take its task"
     if not pulling and last_image and now - max(last_image, job.gang_since) > clock.start_s:
-        return "not running a report period after its images"
+        return "not running a heartbeat interval after its images"
     if now - job.gang_since > clock.wait_s:
         waited = [run.since for run in job.runs.values() if run.state is RunState.GATHERING]
         if waited and now - min(waited) > clock.wait_s:
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -24,7 +24,7 @@
 
     INTENDED = "intended"  # planned; the intent may not be written yet
     WRITTEN = "written"  # the intent is in the state service
-    ORDERED = "ordered"  # the launch went out in a report's answer
+    ORDERED = "ordered"  # the launch went out in a heartbeat's answer
     PULLING = "pulling"
     GATHERING = "gathering"
     RUNNING = "running"
@@ -72,10 +72,10 @@
         "index",
         "attempt",
         "machine",
-        "session",
+        "incarnation",
         "state",
         "since",
-        "ordered_sequence",
+        "launch_sequence",
         "running_since",
         "stop_grace",
         "stop_at",
@@ -91,10 +91,10 @@
         self.attempt = attempt
         self.machine = machine
         self.task_name = wire.task_name_of(job.id, index)
-        self.session = 0
+        self.incarnation = 0
         self.state = RunState.INTENDED
         self.since = now
-        self.ordered_sequence = -1
+        self.launch_sequence = -1
         self.running_since: float | None = None
         self.stop_grace: float | None = None
         self.stop_at = 0.0
@@ -115,11 +115,11 @@
     def order(self, sequence: int, now: float) -> None:
         """The launch goes out in the answer to report `sequence`."""
         assert self.state is RunState.WRITTEN
-        self.ordered_sequence = sequence
+        self.launch_sequence = sequence
         self._enter(RunState.ORDERED, now)
 
     def launch_lost(self, now: float) -> None:
-        """A newer report lacks the task: that answer was dropped for good."""
+        """A newer heartbeat lacks the task: that answer was dropped for good."""
         assert self.state is RunState.ORDERED
         self._enter(RunState.WRITTEN, now)
 
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -30,8 +30,8 @@
 #: large fleet loses, and more jobs than end, while a message may be under way.
 MAX_REMEMBERED = 20_000
 
-#: Cards are kept free for classes that are to start within so many report periods.
-RESERVE_REPORTS = 4.0
+#: Cards are kept free for classes that are to start within so many heartbeat intervals.
+RESERVE_HEARTBEATS = 4.0
 
 NO_ROOM: Room = (0.0, 0.0, 0.0)
 
@@ -59,13 +59,13 @@
         self.term = term
         self.since = now
         self.alpha = operator.alpha
-        self.report_s = workers.report_s
+        self.heartbeat_interval_s = workers.heartbeat_interval_s
         self.lease_s = workers.lease_s
         self.cancel_s = workers.cancel_s
         self.lag_s = cluster.cloud.list_lag_s
         self.hold_lapse_s = operator.hold_lapse_s
         self.summary_s = operator.summary_s
-        self.clock = gangs.GangClock(workers.report_s, workers.gang_wait_s)
+        self.clock = gangs.GangClock(workers.heartbeat_interval_s, workers.gang_wait_s)
         self.rent_rules = renting.RentRules(
             operator.headroom_share, operator.idle_boots, operator.use_spot
         )
@@ -105,7 +105,7 @@
         self.aimed_waits = cluster.aimed_waits()
         shortest = min((short for short, _ in self.aimed_waits.values()), default=math.inf)
         # Where work that is stopped has left well before, nothing need be kept free.
-        self.keeps_reserve = shortest < RESERVE_REPORTS * self.report_s
+        self.keeps_reserve = shortest < RESERVE_HEARTBEATS * self.heartbeat_interval_s
         self.reserve_share = operator.reserve_share
         self._free_plain = 0.0
         # Of the round of planning that is under way:
@@ -261,7 +261,7 @@
             and machine.deaf_since is None
             and machine.sick_until <= now
             # Relayed reports don't count: a launch needs an answer of our own.
-            and now - machine.reached_at < 2.5 * self.report_s
+            and now - machine.reached_at < 2.5 * self.heartbeat_interval_s
         )
 
     def remaining_s(self, run: Run, now: float) -> float:
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -9,7 +9,7 @@
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.stopping import Stopping
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import ListedMachine, Report, TaskReport
+from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
 log = logging.getLogger(__name__)
 
@@ -64,43 +64,45 @@
             if asked_at - heard > 2 * self.lag_s:
                 machine.unlisted += 1
 
-    def report(
-        self, rep: Report, direct: bool, now: float, relayed: bool = False
+    def on_heartbeat(
+        self, heartbeat: Heartbeat, direct: bool, now: float, relayed: bool = False
     ) -> Machine | None:
-        """A worker's report; None if it is stale or from a released machine.
+        """A worker's heartbeat; None if it is stale or from a released machine.
 
         `direct` marks the answer of a direct command. It may overtake the
         answer of a report that is still under way, so what it lacks proves
         nothing about a launch ordered there.
         """
-        machine = self.machines.get(rep.machine)
+        machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            if direct or rep.machine in self._gone:
+            if direct or heartbeat.machine in self._gone:
                 return None
-            machine = self.add_machine(rep.machine, rep.zone, rep.spot, rep.machine_type, now)
+            machine = self.add_machine(
+                heartbeat.machine, heartbeat.zone, heartbeat.spot, heartbeat.machine_type, now
+            )
             # A late copy may tell of a machine that is long gone. Until it is
             # listed, or reports under this term, it is not counted on.
             machine.unconfirmed = True
         if machine.machine_type is None:
-            machine.machine_type = self.machine_types.get(rep.machine_type)
+            machine.machine_type = self.machine_types.get(heartbeat.machine_type)
         if machine.state is MachineState.RELEASING:
             return None
         before = self._availability(machine, now)
-        if (rep.session, rep.sequence) <= (machine.session, machine.sequence):
+        if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return None
-        if rep.session > machine.session:
-            self._new_session(machine, rep.session, now)
-        machine.sequence = rep.sequence
-        machine.endpoint = rep.endpoint
-        synced = rep.term == self.term
+        if heartbeat.incarnation > machine.incarnation:
+            self._begin_incarnation(machine, heartbeat.incarnation, now)
+        machine.sequence = heartbeat.sequence
+        machine.endpoint = heartbeat.endpoint
+        synced = heartbeat.term == self.term
         machine.hear(synced, now)
-        self._judge_hearing(machine, rep, now)
+        self._judge_hearing(machine, heartbeat, now)
         if not direct:
             machine.answered_at = now
             if not relayed:
                 machine.reached_at = now
-        self._notice(machine, rep.notice_s, now)
-        self._observe_tasks(machine, rep, synced, direct, now)
+        self._notice(machine, heartbeat.notice_s, now)
+        self._observe_tasks(machine, heartbeat, synced, direct, now)
         if not machine.empty:
             machine.idle_since = now
         if self._availability(machine, now) != before:
@@ -111,29 +113,29 @@
         """Whether new work may go to a machine, as far as its reports decide that."""
         return machine.state, machine.deaf, self.usable(machine, now)
 
-    def _new_session(self, machine: Machine, session: int, now: float) -> None:
-        """The worker's lease ended: all tasks of the earlier session are gone."""
+    def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
+        """The worker's lease ended: all tasks of the earlier incarnation are gone."""
         for run in list(machine.runs.values()):
             # A launch is ordered only in the session that its intent names, and
             # the worker drops answers to reports of an earlier one. So a newer
             # session settles an earlier term's intents too, also those of a
             # deaf machine, which never reports under the new term.
-            if not run.unsure or run.session < session:
+            if not run.unsure or run.incarnation < incarnation:
                 self._drop(run, now)
         machine.strays.clear()
-        if machine.session:
-            log.info("machine %s began session %d", machine.name, session)
+        if machine.incarnation:
+            log.info("machine %s began incarnation %d", machine.name, incarnation)
             if now - machine.answered_at < UNHEARD_LEASES * self.lease_s:
                 self._deafen(machine, "its lease ended though it was answered", now)
-        machine.session = session
-        machine.session_at = now
+        machine.incarnation = incarnation
+        machine.incarnation_since = now
 
-    def _judge_hearing(self, machine: Machine, rep: Report, now: float) -> None:
+    def _judge_hearing(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """Whether answers reach the worker, as far as its reports show it."""
-        term_before, machine.term = machine.term, rep.term
+        term_before, machine.term = machine.term, heartbeat.term
         heard = (
-            rep.term == self.term != term_before
-            or now - machine.session_at > HEARD_LEASES * self.lease_s
+            heartbeat.term == self.term != term_before
+            or now - machine.incarnation_since > HEARD_LEASES * self.lease_s
         )
         if heard and machine.hears_again():
             log.info("machine %s hears again", machine.name)
@@ -155,11 +157,11 @@
         machine.drain("notice", now)
 
     def _observe_tasks(
-        self, machine: Machine, rep: Report, synced: bool, direct: bool, now: float
+        self, machine: Machine, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> None:
         seen: set[tuple[str, int]] = set()
         strays: dict[tuple[str, int], str] = {}
-        for task in rep.tasks:
+        for task in heartbeat.tasks:
             key = wire.split_task_name(task.task_name)
             if key is None:
                 continue
@@ -176,13 +178,13 @@
         lost = False
         for key, run in list(machine.runs.items()):
             if key not in seen:
-                lost |= self._absent(run, rep, synced, direct, now)
+                lost |= self._absent(run, heartbeat, synced, direct, now)
         if lost:
             machine.lost_commands += 1
             if machine.lost_commands >= LOST_COMMANDS:
                 self._deafen(machine, "launches don't arrive", now)
 
-    def _observe(self, machine: Machine, run: Run, task: TaskReport, now: float) -> None:
+    def _observe(self, machine: Machine, run: Run, task: TaskStatus, now: float) -> None:
         if task.state == wire.ENDED:
             self._ended(machine, run, task, now)
             return
@@ -197,7 +199,9 @@
             spec = run.job.spec
             machine.fetched(spec.image, spec.image_gb)
 
-    def _absent(self, run: Run, rep: Report, synced: bool, direct: bool, now: float) -> bool:
+    def _absent(
+        self, run: Run, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
+    ) -> bool:
         """A run that the report lacks; whether its launch can be seen to be lost."""
         if run.unsure:
             if synced:
@@ -205,7 +209,7 @@
         elif run.state is RunState.ORDERED:
             # Reports go out one at a time, so this one was sent after the
             # answer with the launch was carried out or dropped for good.
-            if not direct and rep.sequence > run.ordered_sequence:
+            if not direct and heartbeat.sequence > run.launch_sequence:
                 if run.stopping:
                     self._drop(run, now)
                 else:
@@ -219,7 +223,7 @@
         self,
         machine: Machine,
         key: tuple[str, int],
-        task: TaskReport,
+        task: TaskStatus,
         strays: dict[tuple[str, int], str],
         now: float,
     ) -> None:
@@ -237,7 +241,7 @@
         strays[(task.task_name, task.attempt)] = task.state
         self.to_command.add(machine.name)
 
-    def _ended(self, machine: Machine, run: Run, task: TaskReport, now: float) -> None:
+    def _ended(self, machine: Machine, run: Run, task: TaskStatus, now: float) -> None:
         job = run.job
         cause = task.cause or ""
         run.end(cause, bool(task.kept), now)
@@ -260,9 +264,9 @@
         elif cause == wire.CAUSE_ERROR and not job.service:
             self._failed(machine, job, now)
         elif cause == wire.CAUSE_NO_ROOM:
-            machine.sick_until = now + 2 * self.report_s
+            machine.sick_until = now + 2 * self.heartbeat_interval_s
         elif cause == wire.CAUSE_UNKNOWN:
-            job.not_before = now + 2 * self.report_s
+            job.not_before = now + 2 * self.heartbeat_interval_s
         if job.gang and run.running_since is not None and cause != wire.CAUSE_DONE:
             self._gang_progress(run, cause, now)
         if job.service and not run.stopping and cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
@@ -313,7 +317,7 @@
         if run.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
             self._blame(machine, job, now)
         if failures >= BAD_JOB_MACHINES:
-            base_s = self.report_s if others_run else self.lease_s
+            base_s = self.heartbeat_interval_s if others_run else self.lease_s
             job.not_before = now + base_s * 2 ** min(failures - BAD_JOB_MACHINES, MAX_DOUBLINGS)
 
     def _blame(self, machine: Machine, job: Job, now: float) -> None:
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -10,8 +10,8 @@
 from topazhold.core.search import PRESSING, Offer, Rank
 from topazhold.wire import messages as wire
 
-#: How old the offer of a machine may be on which nothing changed, in report periods.
-SAME_OFFER_REPORTS = 1.0
+#: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
+SAME_OFFER_HEARTBEATS = 1.0
 #: The same for summaries and searches, as a share of the time between two summaries in the
 #: state service, if that is longer: the other controllers' searches see no newer ones.
 SAME_OFFER_SUMMARIES = 0.5
@@ -32,7 +32,7 @@
             return None
         known = self._known_offers.get(machine.name)
         if known is not None and known[0] == machine.changes:
-            age_s = SAME_OFFER_REPORTS * self.report_s
+            age_s = SAME_OFFER_HEARTBEATS * self.heartbeat_interval_s
             if shared:
                 age_s = max(age_s, SAME_OFFER_SUMMARIES * self.summary_s)
             if now - known[1] < age_s:
@@ -47,19 +47,22 @@
         evictable: list[tuple[Rank, float, Room]] = []
         if machine.state is MachineState.STARTING:
             wait = machine.machine_type.boot_s - (now - machine.rented_at)
-            rungs.append((max(wait, 2 * self.report_s), machine.total))
+            rungs.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
         else:
             room = machine.free()
             # A worker that can be rung takes a launch at once, others at their
             # next report.
-            rungs.append((0.0 if machine.wake_tasks else 0.5 * self.report_s, room))
+            rungs.append((0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, room))
             ends = []
             for run in machine.runs.values():
                 # A service's replica does not end by itself. Its estimate of 0 s made it seem
                 # about to: a gang held the machine for good while another stood empty.
                 if run.present and (run.stopping or not run.job.service):
                     if run.stopping:
-                        left = max(0.0, run.job.spec.save_s - (now - run.stop_at)) + self.report_s
+                        left = (
+                            max(0.0, run.job.spec.save_s - (now - run.stop_at))
+                            + self.heartbeat_interval_s
+                        )
                     else:
                         left = self.remaining_s(run, now)
                         if run.state is not RunState.RUNNING:
@@ -119,7 +122,7 @@
             if preemption.behind(rank, job):
                 room = plus(room, of_kind)
                 delay = max(delay, seal)
-        return self.report_s + delay, room
+        return self.heartbeat_interval_s + delay, room
 
     @staticmethod
     def _boot_s(machine: Machine) -> float:
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -9,47 +9,47 @@
 from topazhold.core.ledger import Ledger
 from topazhold.core.machines import Machine, MachineState
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Command, Report
+from topazhold.wire.messages import Command, Heartbeat
 
 log = logging.getLogger(__name__)
 
 #: Ended tasks left on a worker to wake it with.
 MAX_WAKE_TASKS = 3
-#: The answer to a report is made within so many report periods.
-ANSWER_REPORTS = 0.1
+#: The answer to a report is made within so many heartbeat intervals.
+ANSWER_HEARTBEATS = 0.1
 
 
 class Ordering(Ledger):
     """What a worker is told."""
 
     def answer(
-        self, machine: Machine, rep: Report, now: float, launches: bool = True
+        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
     ) -> list[Command]:
-        """The commands for a report's answer: clears, kills, launches, in this order."""
-        commands = self._clears(machine, rep) + self.kills(machine)
-        if launches and machine.state is MachineState.READY and rep.term == self.term:
+        """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
+        commands = self._clears(machine, heartbeat) + self.kills(machine)
+        if launches and machine.state is MachineState.READY and heartbeat.term == self.term:
             for run in machine.runs.values():
                 # Only in the session that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
                 if (
                     run.state is RunState.WRITTEN
                     and not run.stopping
-                    and run.session == rep.session
+                    and run.incarnation == heartbeat.incarnation
                 ):
-                    run.order(rep.sequence, now)
+                    run.order(heartbeat.sequence, now)
                     log.info("launch %s try %d on %s", run.task_name, run.attempt, machine.name)
                     commands.append(wire.launch(run.task_name, run.attempt))
         return commands
 
-    def _clears(self, machine: Machine, rep: Report) -> list[Command]:
+    def _clears(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
         """Clears for ended tasks, but for a few that are kept to ring with.
 
         A change of a worker's tasks makes it report at once. Clearing the kept
         task directly is such a change, so a launch need not wait for the next
-        regular report.
+        regular heartbeat.
         """
         commands = []
-        for task in rep.tasks:
+        for task in heartbeat.tasks:
             if task.state != wire.ENDED:
                 continue
             if task.cause == wire.CAUSE_DONE:
@@ -94,8 +94,8 @@
             self.to_command.add(machine.name)
 
     def just_heard(self, machine: Machine, now: float) -> bool:
-        """Whether the answer to the machine's last report may not be made yet."""
-        return now - (machine.heard_at or 0.0) <= ANSWER_REPORTS * self.report_s
+        """Whether the answer to the machine's last heartbeat may not be made yet."""
+        return now - (machine.heard_at or 0.0) <= ANSWER_HEARTBEATS * self.heartbeat_interval_s
 
     def wake_those_left(self, now: float) -> None:
         """Wake the workers whose launches came too late for the answer that was due."""
@@ -111,7 +111,10 @@
 
     def fresh(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
-        return machine.heard_at is not None and now - machine.heard_at < 2.5 * self.report_s
+        return (
+            machine.heard_at is not None
+            and now - machine.heard_at < 2.5 * self.heartbeat_interval_s
+        )
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
         """Whom to command directly first: the living, and those with cancelled work."""
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placements.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import ListedMachine, Report
+from topazhold.wire.messages import Heartbeat, ListedMachine
 
 #: Machines known; the leader's list is bounded by what it can use.
 MAX_MACHINES_KNOWN = 10_000
@@ -20,12 +20,12 @@
 class Place:
     """One machine: how to reach it, and whose tasks may be on it."""
 
-    __slots__ = ("endpoint", "jobs", "session", "sequence", "looks")
+    __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "looks")
 
     def __init__(self, endpoint: str | None) -> None:
         self.endpoint = endpoint
         self.jobs: frozenset[str] = frozenset()
-        self.session = 0
+        self.incarnation = 0
         self.sequence = -1
         self.looks = 0.0  # when it was last looked at, on the steady clock
 
@@ -58,14 +58,14 @@
             else:
                 self._place(str(name), endpoint).jobs = frozenset(map(str, jobs))
 
-    def seen(self, rep: Report) -> None:
+    def seen(self, heartbeat: Heartbeat) -> None:
         """A worker's own word; an older one than is known says nothing."""
-        place = self._place(rep.machine, rep.endpoint)
-        if (rep.session, rep.sequence) <= (place.session, place.sequence):
+        place = self._place(heartbeat.machine, heartbeat.endpoint)
+        if (heartbeat.incarnation, heartbeat.sequence) <= (place.incarnation, place.sequence):
             return
-        place.session, place.sequence = rep.session, rep.sequence
+        place.incarnation, place.sequence = heartbeat.incarnation, heartbeat.sequence
         place.jobs = frozenset(
-            task.task_name.partition("/")[0] for task in rep.tasks if task.state != wire.ENDED
+            task.task_name.partition("/")[0] for task in heartbeat.tasks if task.state != wire.ENDED
         )
 
     def listed(self, listed_machines: Iterable[ListedMachine]) -> None:
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -158,7 +158,7 @@
                 return
             chosen += found
         # From now on not even work that yields may come in between.
-        job.gathers_until = now + 2 * self.report_s
+        job.gathers_until = now + 2 * self.heartbeat_interval_s
         for run in chosen:
             if not run.stopping:
                 self.stop_for_room(run, f"room for {job.id}", now)
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -11,9 +11,9 @@
 from topazhold.core.machines import Machine, MachineState, fits, plus
 from topazhold.core.offering import Offering
 
-#: A hold whose room is all there within so many report periods binds work that
+#: A hold whose room is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
-SOON_REPORTS = 6.0
+SOON_HEARTBEATS = 6.0
 LATE_BOOTS = 1.5
 
 
@@ -65,9 +65,13 @@
         return job.gathers_until > now or self._soon(hold, job, now)
 
     def _soon(self, hold: Hold, job: Job, now: float) -> bool:
-        """Whether all room of a hold is likely to be there within a few report periods."""
+        """Whether all room of a hold is likely to be there within a few heartbeat intervals."""
         known = self._soon_known.get(job.id)
-        if known is not None and known[0] == hold.serial and now - known[1] < self.report_s:
+        if (
+            known is not None
+            and known[0] == hold.serial
+            and now - known[1] < self.heartbeat_interval_s
+        ):
             return known[2]
         soon = True
         for name, count in hold.slots.items():
@@ -84,7 +88,7 @@
             # Natural ends only: whether others can be stopped, `_make_room` finds out.
             whole = plus(NO_ROOM, job.need, float(count))
             wait = next((delay for delay, room in offer.rungs if fits(whole, room)), math.inf)
-            if wait >= SOON_REPORTS * self.report_s:
+            if wait >= SOON_HEARTBEATS * self.heartbeat_interval_s:
                 soon = False
                 break
         self._soon_known[job.id] = (hold.serial, now, soon)
@@ -183,7 +187,7 @@
 
     def _new_run(self, job: Job, index: int, machine: Machine, attempt: int, now: float) -> Run:
         run = Run(job, index, attempt, machine.name, now)
-        run.session = machine.session
+        run.incarnation = machine.incarnation
         machine.attach(run)
         self.usage.add(job)
         return run
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -138,7 +138,7 @@
         if machine.runs:
             machine_type = machine.machine_type.name if machine.machine_type is not None else ""
             intents[machine.name] = [
-                machine.session,
+                machine.incarnation,
                 machine.zone,
                 machine.spot,
                 machine_type,
@@ -151,7 +151,7 @@
     """What may be on one machine."""
 
     machine: str
-    session: int
+    incarnation: int
     zone: str
     spot: bool
     machine_type: str
@@ -165,10 +165,12 @@
     boxes = data.get("boxes") if isinstance(data, dict) else None
     for name, item in boxes.items() if isinstance(boxes, dict) else ():
         try:
-            session, zone, spot, machine_type, runs = item
+            incarnation, zone, spot, machine_type, runs = item
             packed = [(str(job), int(index), int(attempt)) for job, index, attempt in runs]
             found.append(
-                Intents(str(name), int(session), str(zone), bool(spot), str(machine_type), packed)
+                Intents(
+                    str(name), int(incarnation), str(zone), bool(spot), str(machine_type), packed
+                )
             )
         except (TypeError, ValueError):
             unreadable.append(str(name))
--- a/topazhold/core/recovery.py
+++ b/topazhold/core/recovery.py
@@ -29,14 +29,14 @@
         scheduler.add_job(job)
         if job.complete and job.state is JobState.LIVE:
             scheduler.finished.append(job)
-    for each in sorted(intents, key=lambda each: each.session):
+    for each in sorted(intents, key=lambda each: each.incarnation):
         machine = scheduler.add_machine(each.machine, each.zone, each.spot, each.machine_type, now)
-        machine.session = each.session
-        if machine.state is MachineState.STARTING and each.session:
+        machine.incarnation = each.incarnation
+        if machine.state is MachineState.STARTING and each.incarnation:
             machine.hear(False, now)
             machine.heard_at = None
         for job_id, index, attempt in each.runs:
-            _adopt(scheduler, job_id, index, attempt, machine.name, each.session, now)
+            _adopt(scheduler, job_id, index, attempt, machine.name, each.incarnation, now)
     for job in list(scheduler.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.resume(job, now)
@@ -49,7 +49,7 @@
     index: int,
     attempt: int,
     machine: str,
-    session: int,
+    incarnation: int,
     now: float,
 ) -> None:
     job = scheduler.jobs.get(job_id)
@@ -64,5 +64,5 @@
             return
         scheduler.supersede(old, now)
     run = Run(job, index, attempt, machine, now)
-    run.session = session
+    run.incarnation = incarnation
     scheduler.adopt(run)
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -19,7 +19,7 @@
 from topazhold.wire.messages import MachineType
 
 #: How old a list of offers may be.
-OFFER_REPORTS = 0.2
+OFFER_HEARTBEATS = 0.2
 
 
 class Scheduler(Placing):
@@ -99,7 +99,7 @@
     def _all_offers(self, zone: str, now: float) -> list[Offer]:
         """Every machine's offer; searches and summaries of about the same time share them."""
         at, found = self._offers.get(zone, (-1e9, []))
-        if now - at < OFFER_REPORTS * self.report_s:
+        if now - at < OFFER_HEARTBEATS * self.heartbeat_interval_s:
             return found
         found = []
         for machine in self.machines.values():
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -12,17 +12,17 @@
 from topazhold.core.machines import Machine, plus, times_fits
 from topazhold.core.search import allowed
 
-#: What a place costs on top of the time until a replica starts there, in report periods:
+#: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
 #: where another replica of the job is, where the machine takes less other work from then
 #: on, where it is empty and could be returned, or may be taken back, or fails tasks.
-SAME_MACHINE_REPORTS = 20.0
-SAME_ZONE_REPORTS = 0.1
-HINDERS_REPORTS = 8.0
-EMPTY_REPORTS = 3.0
-SPOT_REPORTS = 10.0
-ERROR_REPORTS = 5.0
+SAME_MACHINE_HEARTBEATS = 20.0
+SAME_ZONE_HEARTBEATS = 0.1
+HINDERS_HEARTBEATS = 8.0
+EMPTY_HEARTBEATS = 3.0
+SPOT_HEARTBEATS = 10.0
+ERROR_HEARTBEATS = 5.0
 #: A report comes a period after the last one, give or take this share of it.
-REPORT_SPREAD = 0.25
+HEARTBEAT_SPREAD = 0.25
 #: A machine on which a replica failed is avoided for so many leases.
 FAILED_LEASES = 4.0
 #: Kinds of other work that are looked at to tell whether a replica is in their way.
@@ -83,8 +83,10 @@
             in_zone = zones.get(machine.zone, 0)
             if self._zone_full(job, in_zone):
                 continue
-            reports = SAME_MACHINE_REPORTS * on_machine.get(name, 0) + SAME_ZONE_REPORTS * in_zone
-            cost_s = place.cost_s + reports * self.report_s
+            heartbeats = (
+                SAME_MACHINE_HEARTBEATS * on_machine.get(name, 0) + SAME_ZONE_HEARTBEATS * in_zone
+            )
+            cost_s = place.cost_s + heartbeats * self.heartbeat_interval_s
             if cost_s > known_cost_s:
                 heapq.heappush(heap, (cost_s, name, place))
                 continue
@@ -127,18 +129,18 @@
 
     def _place_cost_s(self, job: Job, machine: Machine, now: float) -> float:
         """Time until a replica would start on a machine, and what else speaks against it."""
-        reports = HINDERS_REPORTS * self._hindrance(machine, job.need)
+        heartbeats = HINDERS_HEARTBEATS * self._hindrance(machine, job.need)
         if machine.empty:
-            reports += EMPTY_REPORTS
+            heartbeats += EMPTY_HEARTBEATS
         if machine.spot:
-            reports += SPOT_REPORTS
-        reports += ERROR_REPORTS * len(machine.error_jobs)
+            heartbeats += SPOT_HEARTBEATS
+        heartbeats += ERROR_HEARTBEATS * len(machine.error_jobs)
         failed_at = job.failed_on.get(machine.name)
         if failed_at is not None and now - failed_at < FAILED_LEASES * self.lease_s:
-            reports += SAME_MACHINE_REPORTS
+            heartbeats += SAME_MACHINE_HEARTBEATS
         delay_s = self._launch_delay_s(machine, now)
         delay_s += machine.fetch_s(job.spec.image, job.spec.image_gb)
-        return delay_s + reports * self.report_s
+        return delay_s + heartbeats * self.heartbeat_interval_s
 
     def _launch_delay_s(self, machine: Machine, now: float) -> float:
         """How long until the worker is likely to report, and so can take a launch.
@@ -147,8 +149,8 @@
         sooner (simulated machines).
         """
         heard_at = machine.heard_at if machine.heard_at is not None else now
-        earliest = heard_at + (1.0 - REPORT_SPREAD) * self.report_s
-        latest = heard_at + (1.0 + REPORT_SPREAD) * self.report_s
+        earliest = heard_at + (1.0 - HEARTBEAT_SPREAD) * self.heartbeat_interval_s
+        latest = heard_at + (1.0 + HEARTBEAT_SPREAD) * self.heartbeat_interval_s
         return max(0.0, 0.5 * (max(now, earliest) + latest) - now)
 
     def _hindrance(self, machine: Machine, need: Room) -> float:
@@ -194,7 +196,7 @@
     ) -> None:
         """Stop what costs least for replicas that have no place, as the rules allow."""
         asked_at = self._starved_since.get(job.id)
-        if asked_at is not None and now - asked_at < self.report_s:
+        if asked_at is not None and now - asked_at < self.heartbeat_interval_s:
             return
         self._starved_since[job.id] = now
         coming = 0
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -29,8 +29,8 @@
 GROUP_LEASES = 2.0
 #: One with replicas of services is released once its worker's lease must have ended.
 SERVICE_LEASES = 1.05
-#: Replicas leave a machine that will be taken at the latest so many report periods before.
-LAST_MOVE_REPORTS = 2.0
+#: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
+LAST_MOVE_HEARTBEATS = 2.0
 
 
 class Stopping(Ordering):
@@ -90,7 +90,7 @@
 
     def stop_for_room(self, run: Run, why: str, now: float) -> None:
         job = run.job
-        settle = job.spec.save_s + self.report_s if job.spec.checkpoint_s > 0 else 0.0
+        settle = job.spec.save_s + self.heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
         if job.gang:
             self._stop_gang(job, settle, why, now)
         else:
@@ -124,7 +124,9 @@
                 run.state is RunState.FLUSHING for run in job.runs.values()
             )
             settle = (
-                job.spec.save_s + self.report_s if running and job.spec.checkpoint_s > 0 else 0.0
+                job.spec.save_s + self.heartbeat_interval_s
+                if running and job.spec.checkpoint_s > 0
+                else 0.0
             )
             self._stop_gang(job, settle, why, now)
             gangs.step(job, self.clock, now)
@@ -143,7 +145,7 @@
                 # `cancel_s` nothing is gained by haste. After an outage of that length
                 # it released 120 machines unheard, whose tasks had long been killed.
                 past = age > self.cancel_s
-                hearing_s = self.lease_s if past else 2.5 * self.report_s
+                hearing_s = self.lease_s if past else 2.5 * self.heartbeat_interval_s
                 no_time = not past and age > 0.8 * self.cancel_s
                 heard_out = now - self.since > hearing_s or no_time
                 machine = self.machines.get(run.machine)
@@ -151,12 +153,12 @@
                     # A task that nobody can be shown to have stopped takes its
                     # machine with it: after cancel_s it must not be anywhere.
                     self.release(machine, f"can't stop {run.task_name}", now)
-                elif now - run.stop_at > self.report_s:
+                elif now - run.stop_at > self.heartbeat_interval_s:
                     self.to_command.add(run.machine)
 
     def unreached(self, now: float) -> list[str]:
         """Machines whose reports have not come here for a while."""
-        limit = 2.2 * self.report_s
+        limit = 2.2 * self.heartbeat_interval_s
         return [
             machine.name
             for machine in self.machines.values()
@@ -182,7 +184,7 @@
         """
         return (
             machine.state is MachineState.UNSYNCED
-            and now - max(machine.reached_at, self.since) > 0.4 * self.report_s
+            and now - max(machine.reached_at, self.since) > 0.4 * self.heartbeat_interval_s
         )
 
     def _watch(self, machine: Machine, now: float) -> None:
@@ -201,7 +203,10 @@
             self._drain(machine, now)
         elif machine.runs and not self.usable(machine, now):
             self._drop_unsent(machine, now)
-        if self.needs_announcing(machine, now) and now - machine.announced_at > self.report_s:
+        if (
+            self.needs_announcing(machine, now)
+            and now - machine.announced_at > self.heartbeat_interval_s
+        ):
             machine.announced_at = now
             self.to_command.add(machine.name)
         deaf_since = machine.deaf_since
@@ -276,7 +281,7 @@
         if machine.gone_at is None:
             return
         left = machine.gone_at - now
-        must = left < LAST_MOVE_REPORTS * self.report_s
+        must = left < LAST_MOVE_HEARTBEATS * self.heartbeat_interval_s
         self._move_replicas(machine, "machine will be taken", now, must)
         for run in list(machine.runs.values()):
             if run.stopping or run.job.service or run.state is RunState.INTENDED:
@@ -319,4 +324,7 @@
 
     def _would_lose(self, run: Run, left: float, now: float) -> bool:
         """Whether a task on a machine with so much time left had better save now."""
-        return run.job.spec.checkpoint_s > 0 and self.remaining_s(run, now) > left - self.report_s
+        return (
+            run.job.spec.checkpoint_s > 0
+            and self.remaining_s(run, now) > left - self.heartbeat_interval_s
+        )
--- a/topazhold/duties/cleaning.py
+++ b/topazhold/duties/cleaning.py
@@ -53,7 +53,7 @@
     async def loop(self) -> None:
         """Clean up, again and again."""
         while True:
-            await curio.sleep(self._context.report_s)
+            await curio.sleep(self._context.heartbeat_interval_s)
             if not self._swept:
                 self._swept = await self._attempt(self._sweep)
             if self._holder.book.of_kind(CleanupOrder, *OPEN) and await self._holder.may_act():
--- a/topazhold/duties/holder.py
+++ b/topazhold/duties/holder.py
@@ -29,11 +29,11 @@
 LOOK_GRANTS = 0.1
 #: The lease must have so much of its time left when an order is decided or sent.
 MARGIN_GRANTS = 0.05
-#: After a pause, machines are heard for so many report periods before one is released
+#: After a pause, machines are heard for so many heartbeat intervals before one is released
 #: without a record: what was known of them is old.
-HEARING_REPORTS = 2.5
+HEARING_HEARTBEATS = 2.5
 #: Report periods between two looks for records to remove.
-CLOSING_REPORTS = 1.0
+CLOSING_HEARTBEATS = 1.0
 
 
 class DutyHolder:
@@ -82,7 +82,7 @@
     def may_force(self, now: float) -> bool:
         """Whether what is known of the machines is fresh enough for a forced release."""
         heard_s = now - self.standing.paused_at
-        return heard_s > HEARING_REPORTS * self._context.report_s
+        return heard_s > HEARING_HEARTBEATS * self._context.heartbeat_interval_s
 
     async def watch_clocks(self) -> None:
         """Look often, so that a pause shows before the next order."""
@@ -149,7 +149,7 @@
     async def close_loop(self) -> None:
         """Remove the records of orders that are over."""
         while True:
-            await curio.sleep(CLOSING_REPORTS * self._context.report_s)
+            await curio.sleep(CLOSING_HEARTBEATS * self._context.heartbeat_interval_s)
             await self.close()
 
     async def close(self) -> None:
--- a/topazhold/duties/renting.py
+++ b/topazhold/duties/renting.py
@@ -15,8 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-#: For so many report periods the cloud is not asked again for what it does not have.
-REFUSED_REPORTS = 4
+#: For so many heartbeat intervals the cloud is not asked again for what it does not have.
+REFUSED_HEARTBEATS = 4
 
 
 class RentDuty:
@@ -41,7 +41,7 @@
                 await self._complete()
                 if await self._knows_fleet(since) and self._holder.book.may_rent():
                     more = await self._rent()
-            await curio.sleep(context.retry_s if more else context.report_s)
+            await curio.sleep(context.retry_s if more else context.heartbeat_interval_s)
 
     async def _knows_fleet(self, since: float) -> bool:
         """Whether enough is known of what is rented already.
@@ -78,7 +78,7 @@
         record, book = order.record, self._holder.book
         refusals = self._context.scheduler.refusals
         kind = (record.machine_type, record.zone, record.spot)
-        pause_s = REFUSED_REPORTS * self._context.report_s
+        pause_s = REFUSED_HEARTBEATS * self._context.heartbeat_interval_s
         if book.sending(order):
             log.info("rental %s asked for again", record.request)
         ask = Ask(record.machine_type, record.zone, record.spot, record.count)
--- a/topazhold/duties/term_duties.py
+++ b/topazhold/duties/term_duties.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-#: A return's record is kept for as long as a list, or a late report, may still name the
+#: A return's record is kept for as long as a list, or a late heartbeat, may still name the
 #: machine: so many lags of the list and leases of the workers.
 KEEP_LAGS = 4.0
 KEEP_LEASES = 2.0
--- a/topazhold/io/account.py
+++ b/topazhold/io/account.py
@@ -20,8 +20,8 @@
 from curio.kernel import Activation
 
 #: Report periods between two looks at the timers, and between two statements.
-LOOK_REPORTS = 0.5
-STATEMENT_REPORTS = 60
+LOOK_HEARTBEATS = 0.5
+STATEMENT_HEARTBEATS = 60
 #: Samples of how late timers fire that one statement is made of, at the most.
 MAX_SAMPLES = 512
 
@@ -29,7 +29,7 @@
 class Duty(Enum):
     """What a task works for."""
 
-    REPORTS = "reports"
+    HEARTBEATS = "reports"
     USERS = "users"
     HEALTH = "health checks"
     PLANNING = "planning"
@@ -80,11 +80,11 @@
         self.enter(duty)
         await work()
 
-    async def loop(self, report_s: float, state: Callable[[str], None]) -> None:
-        """Look at the timers, and make a statement every so many report periods."""
-        pause_s = LOOK_REPORTS * report_s
+    async def loop(self, heartbeat_interval_s: float, state: Callable[[str], None]) -> None:
+        """Look at the timers, and make a statement every so many heartbeat intervals."""
+        pause_s = LOOK_HEARTBEATS * heartbeat_interval_s
         while True:
-            for _ in range(int(STATEMENT_REPORTS / LOOK_REPORTS)):
+            for _ in range(int(STATEMENT_HEARTBEATS / LOOK_HEARTBEATS)):
                 due = time.monotonic() + pause_s
                 await curio.sleep(pause_s)
                 self._late.append(max(0.0, time.monotonic() - due))
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -38,7 +38,7 @@
 
 
 class Workers(msgspec.Struct):
-    report_s: float
+    heartbeat_interval_s: float = msgspec.field(name="report_s")
     lease_s: float
     gang_wait_s: float
     gang_peer_s: float
@@ -215,17 +215,17 @@
         fault = _amounts_fault("cluster.state.next", cluster.state.next)
         if fault:
             return fault
-    if cluster.workers.report_s * 2 > cluster.workers.lease_s:
+    if cluster.workers.heartbeat_interval_s * 2 > cluster.workers.lease_s:
         return "cluster.workers.lease_s: shorter than two report_s"
     return None
 
 
 def _amounts_fault(section: str, part: msgspec.Struct) -> str | None:
     """The first field of a section that is not an amount above 0; those left out are none."""
-    for name in part.__struct_fields__:
-        value = getattr(part, name)
+    for field in msgspec.structs.fields(part):
+        value = getattr(part, field.name)
         if isinstance(value, int | float) and (not math.isfinite(value) or value <= 0):
-            return f"{section}.{name}: must be above 0"
+            return f"{section}.{field.encode_name}: must be above 0"
     return None
 
 
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -12,7 +12,7 @@
 JOBS_PATH = "/api/jobs"
 CANCEL_END = "/cancel"
 HEALTH_PATH = "/healthz"
-REPORT_PATH = "/v1/report"
+HEARTBEAT_PATH = "/v1/report"
 COMMANDS_PATH = "/commands"
 STATUS_PATH = "/status"
 CATALOG_PATH = "/catalog"
@@ -137,7 +137,7 @@
 )
 
 
-class TaskReport(msgspec.Struct):
+class TaskStatus(msgspec.Struct):
     """One task as its worker sees it."""
 
     task_name: str = field(name="frame")
@@ -147,7 +147,7 @@
     kept: bool | None = None  # whether its progress was saved
 
 
-class Report(msgspec.Struct):
+class Heartbeat(msgspec.Struct):
     """What a worker tells about its machine."""
 
     machine: str = field(name="box")
@@ -155,10 +155,10 @@
     machine_type: str = field(name="breed")
     zone: str = field(name="apiary")
     spot: bool = field(name="drones")
-    session: int = field(name="flight")
+    incarnation: int = field(name="flight")
     sequence: int = field(name="tally")
     term: int = field(name="crown")  # its highest fencing token
-    tasks: list[TaskReport] = field(name="frames")
+    tasks: list[TaskStatus] = field(name="frames")
     notice_s: float | None = field(name="smoke_s", default=None)
 
 
@@ -191,7 +191,7 @@
 
     term: int = field(name="crown")  # the fencing token
     commands: list[Command] = field(name="calls")
-    session: int | None = field(name="flight", default=None)
+    incarnation: int | None = field(name="flight", default=None)
 
 
 class MachineType(msgspec.Struct):
