--- /dev/null
+++ b/tests/test_rental_limits.py
@@ -0,0 +1,169 @@
+"""How many machines one scale-out request names: the protocol takes 50 at the most."""
+
+from __future__ import annotations
+
+from typing import Any, NamedTuple
+
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from tests.conftest import MACHINE_TYPE, Bench, make_spec
+from topazhold.core.machines import Machine, MachineState
+from topazhold.core.renting import Ask, Fleet, Refusals, Wish, rent
+
+#: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured, and
+#: not taken from the product, which is to be held to it.
+PROTOCOL_MACHINES = 50
+#: One demand may be for so many machines, and so many of a kind may be there.
+MOST_DEMANDED = 130
+MOST_THERE = 40
+NOW = 100.0
+#: The same examples in every run; none are kept.
+SAME_EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True, database=None)
+
+ZONES = st.sampled_from(MACHINE_TYPE.zones)
+ANYWHERE_OR_ZONE = st.none() | ZONES
+#: Zone and kind (True: spot).
+KINDS = st.tuples(ZONES, st.booleans())
+FLEETS = st.dictionaries(KINDS, st.integers(0, MOST_THERE))
+REFUSED = st.sets(KINDS)
+
+
+class Demand(NamedTuple):
+    """Machines wanted of one kind, as it is drawn."""
+
+    machines: list[tuple[int, str | None]]  # so many of a zone, or of any
+    at_once: dict[str, int]  # so many in a zone, of whichever
+
+    @property
+    def total(self) -> int:
+        return sum(machines for machines, _ in self.machines)
+
+    def wish(self) -> Wish:
+        wish = Wish()
+        for machines, zone in self.machines:
+            wish.add(float(machines), zone)
+        for zone, machines in self.at_once.items():
+            wish.at_least(float(machines), zone)
+        return wish
+
+
+SIZES = st.integers(0, MOST_DEMANDED)
+DEMANDS = st.builds(
+    Demand,
+    st.lists(st.tuples(SIZES, ANYWHERE_OR_ZONE), max_size=4),
+    st.dictionaries(ZONES, SIZES),
+)
+#: What one request may name, in all.
+SMALL_DEMANDS = st.builds(
+    Demand,
+    st.lists(st.tuples(st.integers(0, PROTOCOL_MACHINES), ANYWHERE_OR_ZONE), max_size=4),
+    st.just({}),
+).filter(lambda demand: demand.total <= PROTOCOL_MACHINES)
+
+NOTHING = Demand([], {})
+
+
+def fleet_of(counts: dict[tuple[str, bool], int]) -> Fleet:
+    """Machines that are ready, so many of each zone and kind."""
+    machines = []
+    for (zone, spot), count in counts.items():
+        for number in range(count):
+            name = f"host-{zone}-{'spot' if spot else 'ordinary'}-{number}"
+            machine = Machine(name, zone, spot, MACHINE_TYPE, 0.0)
+            machine.state = MachineState.READY
+            machines.append(machine)
+    return Fleet(MACHINE_TYPE, machines)
+
+
+def refuse(refusals: Refusals, kinds: set[tuple[str, bool]], now: float) -> None:
+    """The cloud had none of these just now."""
+    for zone, spot in kinds:
+        refusals.refused(MACHINE_TYPE.name, zone, spot, 10.0, now)
+
+
+def requests_for(
+    spot: Demand,
+    ordinary: Demand,
+    there: dict[tuple[str, bool], int],
+    refused: set[tuple[str, bool]],
+) -> list[Ask]:
+    refusals = Refusals()
+    refuse(refusals, refused, NOW)
+    name = MACHINE_TYPE.name
+    found = {(name, True): spot.wish(), (name, False): ordinary.wish()}
+    return rent(found, MACHINE_TYPE, fleet_of(there), refusals, NOW)
+
+
+def assert_within_protocol(requests: list[Ask]) -> None:
+    for request in requests:
+        assert 1 <= request.count <= PROTOCOL_MACHINES, (
+            f"a request names {request.count} machines of zone {request.zone}, "
+            f"the protocol takes {PROTOCOL_MACHINES}"
+        )
+
+
+@SAME_EXAMPLES
+@given(spot=DEMANDS, ordinary=DEMANDS, there=FLEETS, refused=REFUSED)
+def test_no_scale_out_request_names_more_than_the_protocol_takes(
+    spot: Demand,
+    ordinary: Demand,
+    there: dict[tuple[str, bool], int],
+    refused: set[tuple[str, bool]],
+) -> None:
+    assert_within_protocol(requests_for(spot, ordinary, there, refused))
+
+
+@SAME_EXAMPLES
+@given(
+    jobs=st.lists(
+        st.fixed_dictionaries(
+            {
+                "tasks": st.integers(1, MOST_DEMANDED),
+                "zone": ANYWHERE_OR_ZONE,
+                "spot": st.booleans(),
+                "same_place": st.booleans(),
+            }
+        ),
+        max_size=4,
+    ),
+    there=st.integers(0, 4),
+    refused=REFUSED,
+)
+def test_no_scale_out_request_for_jobs_names_more_than_the_protocol_takes(
+    jobs: list[dict[str, Any]], there: int, refused: set[tuple[str, bool]]
+) -> None:
+    """The whole way, from jobs whose tasks take a machine each."""
+    bench = Bench(machines=there)
+    for number, job in enumerate(jobs):
+        bench.job(make_spec(number, cpus=MACHINE_TYPE.cpus, gpus=0.0, shape="batch", **job))
+    refuse(bench.scheduler.refusals, refused, bench.now)
+    assert_within_protocol(bench.scheduler.rent(bench.now))
+
+
+@SAME_EXAMPLES
+@given(demand=SMALL_DEMANDS, spot=st.booleans())
+def test_small_demands_are_requested_whole_and_once(demand: Demand, spot: bool) -> None:
+    """Control: with nothing there and nothing refused, the requests add up to the demand."""
+    requests = requests_for(*((demand, NOTHING) if spot else (NOTHING, demand)), {}, set())
+    assert_within_protocol(requests)
+    assert sum(request.count for request in requests) == demand.total
+    assert all(request.spot is spot for request in requests)
+
+
+@SAME_EXAMPLES
+@given(demand=SMALL_DEMANDS, spot=st.booleans())
+def test_what_is_there_already_is_not_requested(demand: Demand, spot: bool) -> None:
+    """Control: the fleet of the test counts."""
+    there = {(zone, spot): demand.total for zone in MACHINE_TYPE.zones}
+    assert requests_for(*((demand, NOTHING) if spot else (NOTHING, demand)), there, set()) == []
+
+
+@SAME_EXAMPLES
+@given(demand=SMALL_DEMANDS, refused=REFUSED)
+def test_nothing_is_requested_where_the_cloud_has_just_refused(
+    demand: Demand, refused: set[tuple[str, bool]]
+) -> None:
+    """Control: the refusals of the test count."""
+    requests = requests_for(demand, demand, {}, refused)
+    assert not refused & {(request.zone, request.spot) for request in requests}
