--- /dev/null
+++ b/tests/test_unrecordable_order.py
@@ -0,0 +1,162 @@
+"""A cloud operation whose record is refused, and the operations decided after it."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from functools import partial
+from typing import Any, NamedTuple
+
+import curio
+import msgspec
+import pytest
+
+import topazhold.settings
+from tests.scenes import Scene, assert_rules, play_scene
+from tests.standins import CloudService
+from topazhold.core.renting import Ask
+from topazhold.duties.records import RecordError, write_record
+
+#: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
+PROTOCOL_MACHINES = 50
+#: Within so many report periods an operation is recorded and sent. The scale-out loop goes round
+#: once a period: one until the operation is decided, one for a try that failed, one to spare.
+RECORDED_REPORTS = 3.0
+
+
+class Shown(NamedTuple):
+    """What the state service and the cloud show of an operation."""
+
+    recorded: Callable[[], bool]
+    sent: Callable[[], bool]
+
+
+#: Has the leader decide on an operation, from what it knows of machines and jobs.
+Decide = Callable[[Scene, str], Awaitable[Shown]]
+
+
+async def begin(scene: Scene) -> str:
+    """A leader with more machines than tasks, and no scale-out under way."""
+    await scene.begin(machines=4)
+    await scene.jobs_running(1, scene.names[0], tasks=3, gpus=1.0)
+    leader = scene.leader()
+    assert leader is not None
+    book = scene.nodes[leader].leading.duties.book
+    await scene.until(lambda: book.may_rent() and idle_machines(scene, leader))
+    return leader
+
+
+def idle_machines(scene: Scene, leader: str) -> list[str]:
+    """Machines without tasks that the leader knows of."""
+    busy = {worker.name for worker in scene.busy_workers()}
+    machines = scene.nodes[leader].leading.scheduler.machines
+    return sorted(machines.keys() & scene.cloud.workers.keys() - busy)
+
+
+async def scale_in(scene: Scene, leader: str) -> Shown:
+    """An idle machine is to go."""
+    scheduler = scene.nodes[leader].leading.scheduler
+    name = idle_machines(scene, leader)[0]
+    worker = scene.cloud.workers[name]
+    scheduler.release(scheduler.machines[name], "chosen", scene.clock.now)
+    return Shown(lambda: name in scene.cloud.orders.returns, lambda: worker.gone)
+
+
+async def scale_out(scene: Scene, leader: str) -> Shown:
+    """A job comes that needs more machines than there are."""
+    history, asks = scene.cloud.orders, scene.cloud.asks
+    recorded, sent = set(history.rentals), set(asks)
+    await scene.submit(scene.others(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
+    return Shown(lambda: history.rentals > recorded, lambda: asks.keys() > sent)
+
+
+def decide_unrecordable(scene: Scene, leader: str) -> None:
+    """An operation whose record is refused, however its count came to be."""
+    book = scene.nodes[leader].leading.duties.book
+    order = book.decide_rental(Ask("b1", "a", False, 1), scene.clock.now)
+    order.record = msgspec.structs.replace(order.record, count=PROTOCOL_MACHINES + 1)
+    with pytest.raises(RecordError):
+        write_record(order.record)
+
+
+async def wait_for(scene: Scene, true: Callable[[], bool]) -> bool:
+    """Whether something is so within the time that an operation may take."""
+    end = scene.clock.now + RECORDED_REPORTS * scene.workers.report_s
+    while not true() and scene.clock.now < end:
+        await curio.sleep(0.01)
+    return true()
+
+
+async def assert_recorded_and_sent(scene: Scene, leader: str, decide: Decide) -> None:
+    """Both in time, and in this term."""
+    shown = await decide(scene, leader)
+    await wait_for(scene, lambda: shown.recorded() and shown.sent())
+    assert shown.recorded(), f"not recorded within {RECORDED_REPORTS} report periods"
+    assert shown.sent(), f"not sent within {RECORDED_REPORTS} report periods"
+    assert scene.leader() == leader
+
+
+def refuse_too_many(scene: Scene) -> list[int]:
+    """The cloud calls requests for too many machines malformed; their counts, as they come."""
+    cloud = scene.net.hosts[CloudService.HOST]
+    refused: list[int] = []
+
+    async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+        if method == "POST" and path == "/machines" and body["count"] > PROTOCOL_MACHINES:
+            refused.append(body["count"])
+            return 400, {"error": "malformed"}
+        answer: tuple[int, Any] = await cloud(source, method, path, body)
+        return answer
+
+    scene.net.hosts[CloudService.HOST] = handle
+    return refused
+
+
+DECISIONS = pytest.mark.parametrize("decide", [scale_in, scale_out])
+
+
+@DECISIONS
+def test_unrecordable_operation_does_not_hold_up_others(
+    decide: Decide, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def act(scene: Scene) -> None:
+        leader = await begin(scene)
+        decide_unrecordable(scene, leader)
+        await assert_recorded_and_sent(scene, leader, decide)
+
+    assert_rules(play_scene(act, monkeypatch))
+
+
+@DECISIONS
+def test_operation_alone_is_recorded_and_sent_in_time(
+    decide: Decide, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Control: the same operations with nothing in front of them."""
+
+    async def act(scene: Scene) -> None:
+        leader = await begin(scene)
+        await assert_recorded_and_sent(scene, leader, decide)
+
+    assert_rules(play_scene(act, monkeypatch))
+
+
+@DECISIONS
+def test_without_records_only_the_refused_request_is_lost(
+    decide: Decide, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
+) -> None:
+    """Control, and what the operators' page advises: with `record_orders` off others go on."""
+    unrecorded = partial(topazhold.settings.Operator, record_orders=False)
+    monkeypatch.setattr(topazhold.settings, "Operator", unrecorded)
+
+    async def act(scene: Scene) -> None:
+        scene.cloud.orders.judges = False  # nothing is recorded
+        leader = await begin(scene)
+        refused = refuse_too_many(scene)
+        decide_unrecordable(scene, leader)
+        shown = await decide(scene, leader)
+        assert await wait_for(scene, shown.sent), "held up"
+        await curio.sleep(RECORDED_REPORTS * scene.workers.report_s)
+        assert refused == [PROTOCOL_MACHINES + 1], "asked for once, and lost"
+        assert not shown.recorded()
+
+    assert_rules(play_scene(act, monkeypatch))
+    assert "refused for good" in caplog.text
