--- a/tests/standins.py
+++ b/tests/standins.py
@@ -821,12 +821,12 @@
             return 200, {}
         if body["swarm_ask"] in self.asks:
             return 200, {"boxes": self.asks[body["swarm_ask"]]}
-        room = self.capacity - len(self.workers)
-        if room <= 0:
+        available = self.capacity - len(self.workers)
+        if available <= 0:
             return 503, {"error": "no capacity"}
         names = [
             await self.add(body["apiary"], body["drones"], self.rng.random() > 0.1)
-            for _ in range(min(room, body["count"]))
+            for _ in range(min(available, body["count"]))
         ]
         self.asks[body["swarm_ask"]] = names
         self.orders.rented(source, body["swarm_ask"], names)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -138,7 +138,7 @@
 
 def test_orderly_stop_tells_every_task_with_enough_grace(bench: Bench) -> None:
     job = running_gang(bench)
-    bench.scheduler.stop_for_room(job.runs[0], "test", bench.now)
+    bench.scheduler.preempt(job.runs[0], "test", bench.now)
     assert {run.stop_grace >= job.spec.save_s for run in job.runs.values()} == {True}
     assert bench.scheduler.to_command >= {"host-0", "host-2"}
     assert all(bench.scheduler.kills(bench.scheduler.machines[n]) for n in ("host-0", "host-2"))
@@ -829,7 +829,7 @@
         bench.state(name, "running")
     bench.all_report()
     need = make_spec(3, tasks=1, gpus=4.0, urgency="best_effort")
-    room = (need.cpus, need.gpus, need.memory_gb)
+    available = (need.cpus, need.gpus, need.memory_gb)
     borrowed = [
         run for job in bench.scheduler.jobs.values() if not job.within for run in job.runs.values()
     ]
@@ -842,7 +842,7 @@
     )
     by_guarantee, pressing = (0, 3), (PRESSING, 3)
     soon_s = 3 * bench.scheduler.heartbeat_interval_s
-    assert offer.ready_for(by_guarantee, room) < soon_s
-    assert offer.ready_for(pressing, room) > soon_s
+    assert offer.ready_for(by_guarantee, available) < soon_s
+    assert offer.ready_for(pressing, available) > soon_s
     more_urgent = (PRESSING, 1)
-    assert offer.ready_for(more_urgent, room) < soon_s, "by its urgency it may stop that work"
+    assert offer.ready_for(more_urgent, available) < soon_s, "by its urgency it may stop that work"
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -6,7 +6,7 @@
 
 from tests.conftest import make_spec
 from topazhold.core import search
-from topazhold.core.holds import HeldRooms, Hold, HoldTable, Turn, pack_value
+from topazhold.core.holds import Hold, HoldTable, ReservedResources, Turn, pack_value
 from topazhold.core.search import Offer, SearchRules
 from topazhold.wire.codec import json_size
 
@@ -110,7 +110,7 @@
         "hive-1", pack_value([hold("wk-1", "m1"), hold("wk-3", "m3", (0, 2, 9.0))], "t"), 7
     )
     assert hold_table.taken("wk-2", (1, 2, 4.0), lambda hold: True).keys() == {"m3"}
-    rooms = HeldRooms(hold_table, lambda hold: hold.turn, lambda hold: False)
+    rooms = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: False)
     assert rooms.taken("wk-2", (0, 2, 8.0)) == {}
     assert rooms.taken("wk-2", (1, 2, 4.0)).keys() == {"m3"}
     assert rooms.taken("wk-2", (1, 2, 6.0)).keys() == {"m1", "m3"}
@@ -158,11 +158,11 @@
     hold_table.read(
         "hive-1", pack_value([hold("wk-1", "m1"), hold("wk-3", "m3", (0, 2, 9.0))], "t"), 7
     )
-    rooms = HeldRooms(hold_table, lambda hold: hold.turn, lambda hold: hold.job == "wk-3")
+    rooms = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: hold.job == "wk-3")
     assert rooms.taken("wk-2", (1, 3, 7.0), yields=True).keys() == {"m3"}, "wk-3 gathers"
     assert rooms.taken("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
     assert rooms.taken("wk-2", (1, 3, 8.0), yields=True).keys() == {"m3"}
-    equal = HeldRooms(hold_table, lambda hold: hold.turn, lambda hold: False)
+    equal = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: False)
     assert equal.taken("wk-2", (1, 2, 7.0), yields=True).keys() == {"m1", "m3"}
 
 
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -251,7 +251,7 @@
             group.score,
             self._serial,
             wall,
-            group.room_wait <= self._heartbeat_interval_s,
+            group.capacity_wait <= self._heartbeat_interval_s,
             wanted.turn,
         )
         log.info(
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 
 from topazhold.core import preemption
-from topazhold.core.jobs import Job, Room, Run
-from topazhold.core.ledger import NO_ROOM
-from topazhold.core.machines import Machine, plus, times_fits
+from topazhold.core.jobs import Job, Resources, Run
+from topazhold.core.ledger import NO_RESOURCES
+from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.observing import BAD_JOB_MACHINES
 from topazhold.core.plan_round import PlanRound
 from topazhold.core.search import allowed
@@ -89,7 +89,7 @@
         return max(sums, key=lambda zone: (sums[zone], zone), default="\0none")
 
     def _array_places(
-        self, job: Job, taken: Mapping[str, Room], now: float
+        self, job: Job, taken: Mapping[str, Resources], now: float
     ) -> list[tuple[Machine, int]]:
         """Machines with room, the ones where tasks start soonest first.
 
@@ -103,7 +103,7 @@
         if kind in self._full:
             return []
         found = []
-        for machine in self._roomy:
+        for machine in self._with_capacity:
             # Usable when the round began, and nothing is heard in between.
             if machine.machine_type is None:
                 continue
@@ -111,8 +111,8 @@
                 continue
             if machine.name in job.failed_on and len(job.failed_on) < BAD_JOB_MACHINES:
                 continue
-            room = plus(machine.free(), taken.get(machine.name, NO_ROOM), -1.0)
-            count = times_fits(job.need, room, spec.tasks)
+            available = add_resources(machine.free(), taken.get(machine.name, NO_RESOURCES), -1.0)
+            count = count_fitting(job.need, available, spec.tasks)
             if count:
                 cost = machine.fetch_s(spec.image, spec.image_gb)
                 if spec.spot and not machine.spot:
@@ -120,13 +120,13 @@
                 if machine.empty:
                     cost += 2 * self.heartbeat_interval_s  # an empty machine can be returned
                 cost += 5 * self.heartbeat_interval_s * len(machine.error_jobs)
-                found.append((cost, room[1], machine.name, machine, count))
+                found.append((cost, available[1], machine.name, machine, count))
         if not found and not job.failed_on:
             self._full.add(kind)
         found.sort(key=lambda place: place[:3])
         return [(place[3], place[4]) for place in found]
 
-    def _array_starves(self, job: Job, taken: Mapping[str, Room], now: float) -> None:
+    def _array_starves(self, job: Job, taken: Mapping[str, Resources], now: float) -> None:
         """Within its guarantee a job gets back what other teams have borrowed."""
         if not job.within or not self.usage.allows(job, 1, self._claimed(job)):
             return
@@ -141,7 +141,7 @@
                 continue
             if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 continue
-            held = taken.get(machine.name, NO_ROOM)
+            held = taken.get(machine.name, NO_RESOURCES)
             found = preemption.victims(machine, job.need, job, self.usage, held, now)
             if found:
                 cost = sum(preemption.loss(run, now, job.level) for run in found)
@@ -150,11 +150,11 @@
         # of an array where other arrays' tasks could.
         for _, name in sorted(choices):
             while wanted > 0:
-                held = taken.get(name, NO_ROOM)
+                held = taken.get(name, NO_RESOURCES)
                 machine = self.machines[name]
                 found = preemption.victims(machine, job.need, job, self.usage, held, now)
                 if not found:
                     break
                 for run in found:
-                    self.stop_for_room(run, f"guarantee of {job.spec.team}", now)
+                    self.preempt(run, f"guarantee of {job.spec.team}", now)
                 wanted -= 1
--- a/topazhold/core/holds.py
+++ b/topazhold/core/holds.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
 
-from topazhold.core.jobs import Room
+from topazhold.core.jobs import Resources
 from topazhold.wire import messages as wire
 
 HOLD_PREFIX = "hold/"
@@ -31,7 +31,7 @@
         self,
         job: str,
         slots: dict[str, int],
-        need: Room,
+        need: Resources,
         score: float,
         serial: int,
         made: float,
@@ -133,19 +133,21 @@
         for part in self.holds.values():
             yield from part.values()
 
-    def taken(self, skip_job: str, turn: Turn, binding: Callable[[Hold], bool]) -> dict[str, Room]:
+    def taken(
+        self, skip_job: str, turn: Turn, binding: Callable[[Hold], bool]
+    ) -> dict[str, Resources]:
         """Held room per machine that a job must leave alone when its turn has come.
 
         Only holds of those whose turn comes before bind. Without that exception a
         swarm of guest gangs that books far ahead starves work that goes first,
         and a stream of small gangs starves a large one that came before them.
         """
-        rooms: dict[str, Room] = {}
+        by_machine: dict[str, Resources] = {}
         for hold in self.all():
             if hold.job == skip_job or hold.turn > turn or not binding(hold):
                 continue
-            add_hold(rooms, hold)
-        return rooms
+            add_hold(by_machine, hold)
+        return by_machine
 
     def conditions(self) -> list[tuple[str, int]]:
         """Marks that a booking depends on, its own value's included."""
@@ -154,7 +156,7 @@
         return [(HOLD_PREFIX + node, revision) for node, revision in sorted(revisions.items())]
 
 
-class HeldRooms:
+class ReservedResources:
     """What holds keep, added up as the turns of a round of planning go by."""
 
     def __init__(
@@ -175,13 +177,13 @@
             reverse=True,
         )
         self._own: dict[str, list[tuple[Turn, Hold]]] = {}
-        self._rooms: dict[int, dict[str, Room]] = {}
+        self._by_machine: dict[int, dict[str, Resources]] = {}
 
     def _add(self, turn: Turn, hold: Hold, sign: int = 1) -> None:
         gathers = self._gathers(hold)
         for level in range(-1, LEVELS):
             if level <= turn[1] or gathers:
-                add_hold(self._rooms.setdefault(level, {}), hold, sign)
+                add_hold(self._by_machine.setdefault(level, {}), hold, sign)
 
     def release(self, job: str) -> None:
         """The job begins: its holds keep nothing any more."""
@@ -189,7 +191,7 @@
             self._add(turn, hold, -1)
         self._waiting = [item for item in self._waiting if item[2].job != job]
 
-    def taken(self, skip_job: str, turn: Turn, yields: bool = False) -> Mapping[str, Room]:
+    def taken(self, skip_job: str, turn: Turn, yields: bool = False) -> Mapping[str, Resources]:
         """As `HoldBook.taken`; turns must come in order.
 
         Work that `yields` may use the room of more urgent gangs that still wait
@@ -201,24 +203,24 @@
             self._own.setdefault(hold.job, []).append((of_turn, hold))
             self._add(of_turn, hold)
         level = turn[1] if yields else -1
-        rooms = self._rooms.setdefault(level, {})
+        by_machine = self._by_machine.setdefault(level, {})
         own = [hold for of, hold in self._own.get(skip_job, ()) if level <= of[1]]
         if not own:
-            return rooms
-        rooms = dict(rooms)
+            return by_machine
+        by_machine = dict(by_machine)
         for hold in own:
-            add_hold(rooms, hold, -1)
-        return rooms
+            add_hold(by_machine, hold, -1)
+        return by_machine
 
 
-def add_hold(rooms: dict[str, Room], hold: Hold, sign: int = 1) -> None:
+def add_hold(by_machine: dict[str, Resources], hold: Hold, sign: int = 1) -> None:
     """Add a hold's room, machine by machine."""
     need = hold.need
     for machine, count in hold.slots.items():
-        room = rooms.get(machine, (0.0, 0.0, 0.0))
+        available = by_machine.get(machine, (0.0, 0.0, 0.0))
         times = count * sign
-        rooms[machine] = (
-            room[0] + need[0] * times,
-            room[1] + need[1] * times,
-            room[2] + need[2] * times,
+        by_machine[machine] = (
+            available[0] + need[0] * times,
+            available[1] + need[1] * times,
+            available[2] + need[2] * times,
         )
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -16,7 +16,7 @@
 #: The wait aimed at for a class that has no aim for its start.
 NO_AIM = 1e9
 
-Room = tuple[float, float, float]
+Resources = tuple[float, float, float]
 
 
 class RunState(Enum):
@@ -175,7 +175,7 @@
         self.state = JobState.LIVE
         self.gang = spec.gang
         self.service = spec.service
-        self.need: Room = (spec.cpus, spec.gpus, spec.memory_gb)
+        self.need: Resources = (spec.cpus, spec.gpus, spec.memory_gb)
         self.level = wire.URGENCIES.index(spec.urgency)
         self.within = False
         self.aimed_wait_s = NO_AIM
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -12,8 +12,8 @@
 
 from topazhold.core import gangs, quota, records, renting
 from topazhold.core.estimates import Estimates
-from topazhold.core.holds import HeldRooms, Hold, HoldTable
-from topazhold.core.jobs import UNSENT, Job, JobState, Room, Run, RunState
+from topazhold.core.holds import Hold, HoldTable, ReservedResources
+from topazhold.core.jobs import UNSENT, Job, JobState, Resources, Run, RunState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.search import Offer
 from topazhold.settings import Operator, Settings
@@ -33,7 +33,7 @@
 #: Cards are kept free for classes that are to start within so many heartbeat intervals.
 RESERVE_HEARTBEATS = 4.0
 
-NO_ROOM: Room = (0.0, 0.0, 0.0)
+NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
 #: For each job of a team with tasks on machines: urgency, rank, CPUs, cards.
 LowerWork = list[tuple[int, tuple[int, int], float, float]]
@@ -109,13 +109,13 @@
         self.reserve_share = operator.reserve_share
         self._free_plain = 0.0
         # Of the round of planning that is under way:
-        self._held = HeldRooms(hold_table, lambda hold: None, lambda hold: False)
-        self._roomy: list[Machine] = []
+        self._held = ReservedResources(hold_table, lambda hold: None, lambda hold: False)
+        self._with_capacity: list[Machine] = []
         self._lower: dict[str, LowerWork] = {}
-        self._least: Room = NO_ROOM
-        self._needs: set[Room] = set()  # sizes of tasks that wait
+        self._least: Resources = NO_RESOURCES
+        self._needs: set[Resources] = set()  # sizes of tasks that wait
         self._full: set[object] = set()  # kinds of arrays that found no room
-        self._work_kinds: list[Room] | None = None  # sizes of tasks other than services'
+        self._work_kinds: list[Resources] | None = None  # sizes of tasks other than services'
         self._hindrances: dict[object, float] = {}  # by what services take of a machine
         # By gang: the hold that was last checked, and the count of the fleet's changes then.
         self._checked: dict[str, tuple[Hold, int]] = {}
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-from topazhold.core.jobs import WITH_IMAGE, Room, Run
+from topazhold.core.jobs import WITH_IMAGE, Resources, Run
 from topazhold.wire.messages import MachineType
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
@@ -46,7 +46,7 @@
         self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
         self.gone_at: float | None = None  # end announced by a notice
         self.runs: dict[tuple[str, int], Run] = {}
-        self.used: Room = (0.0, 0.0, 0.0)
+        self.used: Resources = (0.0, 0.0, 0.0)
         self.strays: dict[tuple[str, int], str] = {}  # (frame, try) -> stage; of no job known here
         self.images: OrderedDict[str, float] = OrderedDict()
         self.error_jobs: set[str] = set()
@@ -117,7 +117,7 @@
     # -- room ------------------------------------------------------------
 
     @property
-    def total(self) -> Room:
+    def total(self) -> Resources:
         if self.machine_type is None:
             return (0.0, 0.0, 0.0)
         return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
@@ -126,7 +126,7 @@
         """A run is, or may come to be, on the machine."""
         self.changes += 1
         self.runs[(run.job.id, run.index)] = run
-        self.used = plus(self.used, run.job.need)
+        self.used = add_resources(self.used, run.job.need)
 
     def detach(self, run: Run) -> bool:
         """A run is not here any more; whether it was."""
@@ -136,10 +136,10 @@
         del self.runs[key]
         self.changes += 1
         # Sums drift; an empty machine is exactly empty again.
-        self.used = plus(self.used, run.job.need, -1.0) if self.runs else (0.0, 0.0, 0.0)
+        self.used = add_resources(self.used, run.job.need, -1.0) if self.runs else (0.0, 0.0, 0.0)
         return True
 
-    def free(self) -> Room:
+    def free(self) -> Resources:
         """Room that nothing on the machine, or on its way there, takes."""
         machine_type = self.machine_type
         if machine_type is None:
@@ -163,9 +163,9 @@
             self.changes += 1
         self.images[image] = size_gb
         self.images.move_to_end(image)
-        room = self.machine_type.cache_gb if self.machine_type else 0.0
+        capacity_gb = self.machine_type.cache_gb if self.machine_type else 0.0
         total = sum(self.images.values())
-        while total > room and len(self.images) > 1:
+        while total > capacity_gb and len(self.images) > 1:
             _, size = self.images.popitem(last=False)
             total -= size
 
@@ -182,26 +182,30 @@
         return sum(queue.values()) / self.machine_type.fetch_gb_per_s
 
 
-def fits(need: Room, room: Room) -> bool:
-    return need[0] <= room[0] + SLACK and need[1] <= room[1] + SLACK and need[2] <= room[2] + SLACK
+def fits(need: Resources, available: Resources) -> bool:
+    return (
+        need[0] <= available[0] + SLACK
+        and need[1] <= available[1] + SLACK
+        and need[2] <= available[2] + SLACK
+    )
 
 
-def times_fits(need: Room, room: Room, limit: int) -> int:
+def count_fitting(need: Resources, available: Resources, limit: int) -> int:
     """How many tasks of this size the room takes, up to `limit`."""
     # Written out: called for each machine, waiting job and round of planning.
     count: float = limit
     if need[0] > SLACK:
-        count = min(count, (room[0] + SLACK) // need[0])
+        count = min(count, (available[0] + SLACK) // need[0])
     if need[1] > SLACK:
-        count = min(count, (room[1] + SLACK) // need[1])
+        count = min(count, (available[1] + SLACK) // need[1])
     if need[2] > SLACK:
-        count = min(count, (room[2] + SLACK) // need[2])
+        count = min(count, (available[2] + SLACK) // need[2])
     return max(0, int(count))
 
 
-def plus(room: Room, other: Room, factor: float = 1.0) -> Room:
+def add_resources(available: Resources, other: Resources, factor: float = 1.0) -> Resources:
     return (
-        room[0] + other[0] * factor,
-        room[1] + other[1] * factor,
-        room[2] + other[2] * factor,
+        available[0] + other[0] * factor,
+        available[1] + other[1] * factor,
+        available[2] + other[2] * factor,
     )
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -263,7 +263,7 @@
             self._credit((job.id, run.index), now)
         elif cause == wire.CAUSE_ERROR and not job.service:
             self._failed(machine, job, now)
-        elif cause == wire.CAUSE_NO_ROOM:
+        elif cause == wire.CAUSE_NO_CAPACITY:
             machine.sick_until = now + 2 * self.heartbeat_interval_s
         elif cause == wire.CAUSE_UNKNOWN:
             job.not_before = now + 2 * self.heartbeat_interval_s
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from topazhold.core import preemption
-from topazhold.core.jobs import GangState, Job, Room, RunState
-from topazhold.core.ledger import NO_ROOM
-from topazhold.core.machines import Machine, MachineState, plus
+from topazhold.core.jobs import GangState, Job, Resources, RunState
+from topazhold.core.ledger import NO_RESOURCES
+from topazhold.core.machines import Machine, MachineState, add_resources
 from topazhold.core.observing import Observing
 from topazhold.core.search import PRESSING, Offer, Rank
 from topazhold.wire import messages as wire
@@ -43,16 +43,18 @@
 
     def _offer(self, machine: Machine, now: float) -> Offer:
         assert machine.machine_type is not None
-        rungs: list[tuple[float, Room]] = []
-        evictable: list[tuple[Rank, float, Room]] = []
+        rungs: list[tuple[float, Resources]] = []
+        evictable: list[tuple[Rank, float, Resources]] = []
         if machine.state is MachineState.STARTING:
             wait = machine.machine_type.boot_s - (now - machine.rented_at)
             rungs.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
         else:
-            room = machine.free()
+            available = machine.free()
             # A worker that can be rung takes a launch at once, others at their
             # next report.
-            rungs.append((0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, room))
+            rungs.append(
+                (0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, available)
+            )
             ends = []
             for run in machine.runs.values():
                 # A service's replica does not end by itself. Its estimate of 0 s made it seem
@@ -71,9 +73,9 @@
             ends.sort(key=lambda end: end[0])
             step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
             for number, (left, need) in enumerate(ends, start=1):
-                room = plus(room, need)
+                available = add_resources(available, need)
                 if number % step == 0 or number == len(ends):
-                    rungs.append((left, room))
+                    rungs.append((left, available))
             evictable = self._evictable(machine)
         return Offer(
             machine.name,
@@ -86,27 +88,27 @@
             machine.machine_type.fetch_gb_per_s,
         )
 
-    def _evictable(self, machine: Machine) -> list[tuple[Rank, float, Room]]:
+    def _evictable(self, machine: Machine) -> list[tuple[Rank, float, Resources]]:
         """Room that work of each rank could take from work behind it."""
         # Runs of one kind of job are added up first: this is asked of every
         # machine for every summary.
-        kinds: dict[tuple[bool, int], tuple[Job, Room, float]] = {}
+        kinds: dict[tuple[bool, int], tuple[Job, Resources, float]] = {}
         for run in machine.runs.values():
             job = run.job
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
             seal = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
             kind = (job.within, job.level)
-            _, room, longest = kinds.get(kind, (job, NO_ROOM, 0.0))
-            kinds[kind] = (job, plus(room, job.need), max(longest, seal))
+            _, available, longest = kinds.get(kind, (job, NO_RESOURCES, 0.0))
+            kinds[kind] = (job, add_resources(available, job.need), max(longest, seal))
         found = []
         for level in range(len(wire.URGENCIES)) if kinds else ():
             within, outside, pressing = (
                 self._behind((first, level), list(kinds.values())) for first in (0, 1, PRESSING)
             )
-            if within[1] != NO_ROOM:
+            if within[1] != NO_RESOURCES:
                 found.append(((0, level), *within))
-            if outside[1] != NO_ROOM:
+            if outside[1] != NO_RESOURCES:
                 found.append(((1, level), *outside))
             if pressing[1] != within[1]:
                 # Work that only a guarantee might stop: a pressing gang that counted on it
@@ -114,15 +116,17 @@
                 found.append(((PRESSING, level), *pressing))
         return found
 
-    def _behind(self, rank: Rank, kinds: list[tuple[Job, Room, float]]) -> tuple[float, Room]:
+    def _behind(
+        self, rank: Rank, kinds: list[tuple[Job, Resources, float]]
+    ) -> tuple[float, Resources]:
         """When, and how much, work of a rank could take from work behind it."""
-        room = NO_ROOM
+        available = NO_RESOURCES
         delay = 0.0
         for job, of_kind, seal in kinds:
             if preemption.behind(rank, job):
-                room = plus(room, of_kind)
+                available = add_resources(available, of_kind)
                 delay = max(delay, seal)
-        return self.heartbeat_interval_s + delay, room
+        return self.heartbeat_interval_s + delay, available
 
     @staticmethod
     def _boot_s(machine: Machine) -> float:
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -8,9 +8,9 @@
 from topazhold.core import gangs, preemption
 from topazhold.core.array_placing import MAX_PLACED_TASKS
 from topazhold.core.holds import Hold
-from topazhold.core.jobs import GangState, Job, Room, Run, RunState
-from topazhold.core.ledger import NO_ROOM
-from topazhold.core.machines import Machine, MachineState, fits, plus, times_fits
+from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
+from topazhold.core.ledger import NO_RESOURCES
+from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
 from topazhold.core.search import allowed
 from topazhold.core.service_placing import ServicePlacing
 
@@ -22,12 +22,12 @@
 
     def wants_plan(self, machine: Machine, now: float) -> bool:
         """Whether a round of planning might place something on this machine."""
-        room = machine.free()
-        if not fits(self._least, room) or not self.usable(machine, now):
+        available = machine.free()
+        if not fits(self._least, available) or not self.usable(machine, now):
             return False
         # Asked at every report: of the sizes that the last round saw waiting, not of
         # all jobs.
-        return any(fits(need, room) for need in self._needs)
+        return any(fits(need, available) for need in self._needs)
 
     def plan(self, now: float) -> list[Run]:
         """New runs; their intents are to be written before anything else."""
@@ -62,15 +62,15 @@
         if not self._limit_reachable(job):
             return
         taken = self._held.taken(job.id, preemption.turn(job))
-        short: list[tuple[Machine, Room]] = []
+        short: list[tuple[Machine, Resources]] = []
         for name, count in hold.slots.items():
             machine = self.machines[name]
-            room = plus(machine.free(), taken.get(name, NO_ROOM), -1.0)
-            whole = plus(NO_ROOM, job.need, float(count))
-            if not self.usable(machine, now) or not fits(whole, room):
+            available = add_resources(machine.free(), taken.get(name, NO_RESOURCES), -1.0)
+            whole = add_resources(NO_RESOURCES, job.need, float(count))
+            if not self.usable(machine, now) or not fits(whole, available):
                 short.append((machine, whole))
         if short:
-            self._make_room(job, short, taken, now)
+            self._preempt_for_gang(job, short, taken, now)
             return
         if not self.usage.allows(job, job.spec.tasks, self._claimed(job)):
             # The machines are free and only the team's own limit is in the way.
@@ -130,7 +130,7 @@
                 return f"{name} is deaf"
             if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
                 return f"{name} is not allowed"
-            if times_fits(job.need, machine.total, count) < count:
+            if count_fitting(job.need, machine.total, count) < count:
                 return f"{name} is too small"
             zones[machine.zone] = zones.get(machine.zone, 0) + count
         if spec.same_place and len(zones) > 1:
@@ -139,11 +139,11 @@
             return "too many in one zone"
         return None
 
-    def _make_room(
+    def _preempt_for_gang(
         self,
         job: Job,
-        short: list[tuple[Machine, Room]],
-        taken: Mapping[str, Room],
+        short: list[tuple[Machine, Resources]],
+        taken: Mapping[str, Resources],
         now: float,
     ) -> None:
         """Stop others for a held group, all of it or nothing."""
@@ -152,7 +152,7 @@
             if not self.usable(machine, now):
                 return
             found = preemption.victims(
-                machine, whole, job, self.usage, taken.get(machine.name, NO_ROOM), now
+                machine, whole, job, self.usage, taken.get(machine.name, NO_RESOURCES), now
             )
             if found is None:
                 return
@@ -161,7 +161,7 @@
         job.gathers_until = now + 2 * self.heartbeat_interval_s
         for run in chosen:
             if not run.stopping:
-                self.stop_for_room(run, f"room for {job.id}", now)
+                self.preempt(run, f"room for {job.id}", now)
 
     def intents_written(self, runs: Iterable[Run], now: float) -> None:
         self.changes += 1
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -5,10 +5,10 @@
 import math
 
 from topazhold.core import preemption
-from topazhold.core.holds import HeldRooms, Hold, Turn
+from topazhold.core.holds import Hold, ReservedResources, Turn
 from topazhold.core.jobs import GangState, Job, JobState, Run, RunState
-from topazhold.core.ledger import NO_ROOM, LowerWork
-from topazhold.core.machines import Machine, MachineState, fits, plus
+from topazhold.core.ledger import NO_RESOURCES, LowerWork
+from topazhold.core.machines import Machine, MachineState, add_resources, fits
 from topazhold.core.offering import Offering
 
 #: A hold whose room is all there within so many heartbeat intervals binds work that
@@ -30,7 +30,7 @@
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
         self._full = set()
-        self._held = HeldRooms(
+        self._held = ReservedResources(
             self.hold_table, self._turn_of, lambda hold: self._gathers(hold, now)
         )
         self._needs = needs = {job.need for job in jobs}
@@ -39,16 +39,16 @@
             min(need[1] for need in needs),
             min(need[2] for need in needs),
         )
-        self._roomy = []
+        self._with_capacity = []
         free = total = 0.0
         for machine in self.machines.values():
             if self.usable(machine, now):
-                room = machine.free()
+                available = machine.free()
                 if not machine.spot:
-                    free += room[1]
+                    free += available[1]
                     total += machine.total[1]
-                if fits(self._least, room):
-                    self._roomy.append(machine)
+                if fits(self._least, available):
+                    self._with_capacity.append(machine)
         # Free cards on ordinary machines beyond the headroom kept there. Classes that
         # are to start within seconds can't wait for others to save and leave; so work
         # that can wait does not fill the last machines.
@@ -85,9 +85,11 @@
                 if now - machine.rented_at > LATE_BOOTS * self._boot_s(machine):
                     soon = False
                     break
-            # Natural ends only: whether others can be stopped, `_make_room` finds out.
-            whole = plus(NO_ROOM, job.need, float(count))
-            wait = next((delay for delay, room in offer.rungs if fits(whole, room)), math.inf)
+            # Natural ends only: whether others can be stopped, `_preempt_for_gang` finds out.
+            whole = add_resources(NO_RESOURCES, job.need, float(count))
+            wait = next(
+                (delay for delay, available in offer.rungs if fits(whole, available)), math.inf
+            )
             if wait >= SOON_HEARTBEATS * self.heartbeat_interval_s:
                 soon = False
                 break
@@ -156,7 +158,7 @@
             cpus += run.job.need[0]
             gpus += run.job.need[1]
             if not run.stopping and run.state is not RunState.INTENDED:
-                self.stop_for_room(run, f"limit of {job.spec.team} for {job.id}", now)
+                self.preempt(run, f"limit of {job.spec.team} for {job.id}", now)
 
     def _waiting_jobs(self, now: float) -> list[Job]:
         jobs = [
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from topazhold.core.holds import LATER, Turn
-from topazhold.core.jobs import GangState, Job, Room, Run, RunState
-from topazhold.core.machines import Machine, fits, plus
+from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
+from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
 from topazhold.core.search import PRESSING
 
@@ -74,27 +74,27 @@
 
 
 def victims(
-    machine: Machine, need: Room, job: Job, usage: Usage, held: Room, now: float
+    machine: Machine, need: Resources, job: Job, usage: Usage, held: Resources, now: float
 ) -> list[Run] | None:
     """Runs to stop so that `need` fits; [] if it will fit anyhow, None if it can't."""
-    room = plus(machine.free(), held, -1.0)
+    available = add_resources(machine.free(), held, -1.0)
     candidates: list[Run] = []
     for run in machine.runs.values():
         if not run.present:
             continue
         if run.stopping:
-            room = plus(room, run.job.need)
+            available = add_resources(available, run.job.need)
         elif may_stop(job, run.job, usage) and run.job is not job:
             if run.job.gang and run.job.gang_state is GangState.STARTING:
                 continue  # it has not begun to run; its own clock decides first
             if run.state is not RunState.INTENDED:
                 candidates.append(run)
-    if fits(need, room):
+    if fits(need, available):
         return []
     chosen: list[Run] = []
     for run in sorted(candidates, key=lambda run: loss(run, now, job.level)):
         chosen.append(run)
-        room = plus(room, run.job.need)
-        if fits(need, room):
+        available = add_resources(available, run.job.need)
+        if fits(need, available):
             return chosen
     return None
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from topazhold.core.jobs import Job, JobState
-from topazhold.core.machines import Machine, MachineState, times_fits
+from topazhold.core.machines import Machine, MachineState, count_fitting
 from topazhold.core.search import allowed
 from topazhold.settings import Team
 from topazhold.wire.messages import JobSpec, MachineType
@@ -69,7 +69,7 @@
             continue
         if spec.zone is not None and spec.zone not in machine_type.zones:
             continue
-        count = times_fits(
+        count = count_fitting(
             need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), spec.tasks
         )
         if count:
@@ -131,7 +131,7 @@
     counts: dict[str, int] = {}
     for zone in zone_of.values():
         counts[zone] = counts.get(zone, 0) + 1
-    room = {name: team.gpus_max or math.inf for name, team in teams.items()}
+    available = {name: team.gpus_max or math.inf for name, team in teams.items()}
     for job in sorted(jobs, key=lambda job: (not job.within, job.level, job.arrived)):
         if job.state is not JobState.LIVE:
             continue
@@ -140,12 +140,12 @@
             continue
         tasks = job.spec.tasks - job.done_count
         if job.need[1] > 0:
-            tasks = min(tasks, int(room.get(job.spec.team, 0.0) // job.need[1]))
-            room[job.spec.team] = room.get(job.spec.team, 0.0) - tasks * job.need[1]
+            tasks = min(tasks, int(available.get(job.spec.team, 0.0) // job.need[1]))
+            available[job.spec.team] = available.get(job.spec.team, 0.0) - tasks * job.need[1]
         if tasks <= 0:
             continue
         whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-        machines = tasks / times_fits(job.need, whole, 1 << 20)
+        machines = tasks / count_fitting(job.need, whole, 1 << 20)
         spot = job.spec.spot and rules.use_spot and machine_type.spot_price is not None
         wish = found.setdefault((machine_type.name, spot), Wish())
         bound = _bound_zone(job, zone_of)
@@ -323,7 +323,7 @@
     """Whether a task fits an allowed type in an allowed zone."""
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     return any(
-        times_fits(need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), 1) == 1
+        count_fitting(need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), 1) == 1
         and any(allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones)
         for machine_type in machine_types
     )
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -11,9 +11,9 @@
 
 from topazhold.core import preemption, renting
 from topazhold.core.holds import add_hold
-from topazhold.core.jobs import Job, JobState, Room
+from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.ledger import UP
-from topazhold.core.machines import Machine, times_fits
+from topazhold.core.machines import Machine, count_fitting
 from topazhold.core.placing import Placing
 from topazhold.core.search import CACHE_LENGTH, Offer, allowed, sooner
 from topazhold.wire.messages import MachineType
@@ -65,7 +65,7 @@
         same time the first 20 were soon held, and all other gangs found none.
         """
         found = self._all_offers(zone, now)
-        held = self._held_rooms()
+        held = self._reserved_by_machine()
         whole = {offer.name for offer in found if offer.name in held and offer.full(held)}
         if whole:
             found = [offer for offer in found if offer.name not in whole] + [
@@ -89,12 +89,12 @@
         order = list(dict.fromkeys(both))
         return order[:length] + [offer for offer in order[length:] if offer.name in held]
 
-    def _held_rooms(self) -> dict[str, Room]:
+    def _reserved_by_machine(self) -> dict[str, Resources]:
         """What all holds together keep, machine by machine."""
-        rooms: dict[str, Room] = {}
+        by_machine: dict[str, Resources] = {}
         for hold in self.hold_table.all():
-            add_hold(rooms, hold)
-        return rooms
+            add_hold(by_machine, hold)
+        return by_machine
 
     def _all_offers(self, zone: str, now: float) -> list[Offer]:
         """Every machine's offer; searches and summaries of about the same time share them."""
@@ -160,7 +160,7 @@
                 continue
             zone, tasks = short
             whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-            each = times_fits(job.need, whole, job.spec.tasks)
+            each = count_fitting(job.need, whole, job.spec.tasks)
             more = math.ceil(tasks / each)
             spot = (
                 job.spec.spot and self.rent_rules.use_spot and machine_type.spot_price is not None
@@ -210,7 +210,7 @@
             if not renting.counted(machine) or machine.machine_type is None:
                 continue
             if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
-                slots = times_fits(job.need, machine.free(), job.spec.tasks)
+                slots = count_fitting(job.need, machine.free(), job.spec.tasks)
                 free[machine.zone] = free.get(machine.zone, 0) + slots
         return free
 
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -16,8 +16,8 @@
 from random import Random
 from typing import Any
 
-from topazhold.core.jobs import Room
-from topazhold.core.machines import SLACK, fits, plus, times_fits
+from topazhold.core.jobs import Resources
+from topazhold.core.machines import SLACK, add_resources, count_fitting, fits
 from topazhold.wire.messages import JobSpec
 
 #: (outside its guarantee, urgency): smaller goes first.
@@ -55,8 +55,8 @@
         machine_type: str,
         spot: bool,
         images: frozenset[str],
-        rungs: list[tuple[float, Room]],
-        evictable: list[tuple[Rank, float, Room]],
+        rungs: list[tuple[float, Resources]],
+        evictable: list[tuple[Rank, float, Resources]],
         fetch_rate: float,
     ) -> None:
         self.name = name
@@ -68,37 +68,39 @@
         self.evictable = evictable  # (rank, seconds, room that it may take from others)
         self.fetch_rate = fetch_rate
 
-    def ladder(self, rank: Rank, held: Room | None) -> list[tuple[float, Room]]:
+    def ladder(self, rank: Rank, held: Resources | None) -> list[tuple[float, Resources]]:
         """Room over time for work of a rank, less what others hold."""
         rungs = list(self.rungs)
         if rungs:
-            for delay, room in self._evictable_for(rank):
-                rungs.append((delay, plus(rungs[0][1], room)))
+            for delay, available in self._evictable_for(rank):
+                rungs.append((delay, add_resources(rungs[0][1], available)))
         if held is not None:
-            rungs = [(delay, plus(room, held, -1.0)) for delay, room in rungs]
+            rungs = [(delay, add_resources(available, held, -1.0)) for delay, available in rungs]
         rungs.sort(key=lambda rung: rung[0])
         return rungs
 
-    def _evictable_for(self, rank: Rank) -> list[tuple[float, Room]]:
+    def _evictable_for(self, rank: Rank) -> list[tuple[float, Resources]]:
         """What work of a rank may take from others; a pressing gang has its own entry only
         where it may take less than work within its guarantee."""
-        found = [(delay, room) for of_rank, delay, room in self.evictable if of_rank == rank]
+        found = [
+            (delay, available) for of_rank, delay, available in self.evictable if of_rank == rank
+        ]
         if not found and rank[0] == PRESSING:
             return self._evictable_for((0, rank[1]))
         return found
 
-    def full(self, held: Mapping[str, Room]) -> bool:
+    def full(self, held: Mapping[str, Resources]) -> bool:
         """Whether holds keep all that will ever be free here."""
         if not self.rungs:
             return True
-        room = plus(self.rungs[-1][1], held.get(self.name, (0.0, 0.0, 0.0)), -1.0)
+        available = add_resources(self.rungs[-1][1], held.get(self.name, (0.0, 0.0, 0.0)), -1.0)
         gpus = self.rungs[-1][1][1] > 0
-        return (room[1] if gpus else room[0]) <= SLACK
+        return (available[1] if gpus else available[0]) <= SLACK
 
-    def ready_for(self, rank: Rank, need: Room) -> float:
+    def ready_for(self, rank: Rank, need: Resources) -> float:
         """How soon there is room for one task of this size."""
-        for delay, room in self.ladder(rank, None):
-            if fits(need, room):
+        for delay, available in self.ladder(rank, None):
+            if fits(need, available):
                 return delay
         return math.inf
 
@@ -108,10 +110,13 @@
             self.machine_type,
             self.spot,
             sorted(self.images),
-            [[round(delay, 1), *(round(part, 3) for part in room)] for delay, room in self.rungs],
             [
-                [*rank, round(delay, 1), *(round(part, 3) for part in room)]
-                for rank, delay, room in self.evictable
+                [round(delay, 1), *(round(part, 3) for part in available)]
+                for delay, available in self.rungs
+            ],
+            [
+                [*rank, round(delay, 1), *(round(part, 3) for part in available)]
+                for rank, delay, available in self.evictable
             ],
             round(self.fetch_rate, 3),
         ]
@@ -156,12 +161,14 @@
 class Group:
     """The best group found."""
 
-    __slots__ = ("score", "wait", "room_wait", "slots")
+    __slots__ = ("score", "wait", "capacity_wait", "slots")
 
-    def __init__(self, score: float, wait: float, room_wait: float, slots: dict[str, int]) -> None:
+    def __init__(
+        self, score: float, wait: float, capacity_wait: float, slots: dict[str, int]
+    ) -> None:
         self.score = score
         self.wait = wait
-        self.room_wait = room_wait
+        self.capacity_wait = capacity_wait
         self.slots = slots
 
 
@@ -188,7 +195,7 @@
 
 
 def offer_slots(
-    offer: Offer, spec: JobSpec, rank: Rank, held: Room | None, limit: int, rules: SearchRules
+    offer: Offer, spec: JobSpec, rank: Rank, held: Resources | None, limit: int, rules: SearchRules
 ) -> list[Slot]:
     """Up to `limit` slots of one machine, soonest first."""
     if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
@@ -199,17 +206,17 @@
         fetch = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
     slots: list[Slot] = []
     whole = offer.rungs[-1][1] if offer.rungs else need
-    for delay, room in offer.ladder(rank, held):
-        count = times_fits(need, room, limit)
+    for delay, available in offer.ladder(rank, held):
+        count = count_fitting(need, available, limit)
         cost = 0.0
         if spec.spot and not offer.spot:
             cost += rules.preference_s  # leave ordinary machines to those who need them
-        if room[1] > 0:
-            left = (room[1] - need[1]) / room[1]
+        if available[1] > 0:
+            left = (available[1] - need[1]) / available[1]
             # Fill machines that are in use already: gangs of whole machines find
             # none where every one has a small task on it.
             cost += 0.5 * rules.preference_s * left
-            if need[1] * count < whole[1] and room[1] >= whole[1]:
+            if need[1] * count < whole[1] and available[1] >= whole[1]:
                 cost += BREAK_PREFERENCE * rules.preference_s
         while len(slots) < count:
             slots.append(Slot(offer, len(slots), delay, delay + fetch, cost))
@@ -222,7 +229,7 @@
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
     rank: Rank,
-    taken: Mapping[str, Room],
+    taken: Mapping[str, Resources],
     rules: SearchRules,
     seen: dict[str, list[Slot]] | None = None,
 ) -> list[Slot]:
@@ -258,7 +265,7 @@
     offers: Sequence[Offer],
     spec: JobSpec,
     rank: Rank,
-    taken: Mapping[str, Room],
+    taken: Mapping[str, Resources],
     rules: SearchRules,
 ) -> list[Slot]:
     """All slots of a zone's cache, the soonest ready first."""
@@ -386,7 +393,7 @@
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
     rank: Rank,
-    taken: Mapping[str, Room],
+    taken: Mapping[str, Resources],
     rules: SearchRules,
 ) -> float:
     """What a group that is held already would score by what is known now."""
@@ -407,7 +414,7 @@
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
     rank: Rank,
-    taken: Mapping[str, Room],
+    taken: Mapping[str, Resources],
     rules: SearchRules,
     tries: int,
 ) -> Group | None:
@@ -469,7 +476,7 @@
     left: such ones stood before those about to come up.
     """
     gpus = bool(offer.rungs) and offer.rungs[-1][1][1] > 0
-    for delay, room in offer.rungs:
-        if room[0] > 0 and (room[1] > 0 or not gpus):
-            return (delay, -room[1])
+    for delay, available in offer.rungs:
+        if available[0] > 0 and (available[1] > 0 or not gpus):
+            return (delay, -available[1])
     return (math.inf, 0.0)
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -7,9 +7,9 @@
 
 from topazhold.core import preemption
 from topazhold.core.array_placing import MAX_PLACED_TASKS, ArrayPlacing
-from topazhold.core.jobs import Job, JobState, Room, Run
-from topazhold.core.ledger import NO_ROOM
-from topazhold.core.machines import Machine, plus, times_fits
+from topazhold.core.jobs import Job, JobState, Resources, Run
+from topazhold.core.ledger import NO_RESOURCES
+from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.search import allowed
 
 #: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
@@ -60,7 +60,7 @@
             places = [place for place in places if place.machine.zone == only]
         self._place_replicas(job, places, zones, planned, now)
         if job.waiting_count > 0 and len(planned) < MAX_PLACED_TASKS:
-            self._make_service_room(job, taken, zones, now)
+            self._preempt_for_replica(job, taken, zones, now)
 
     def _place_replicas(
         self,
@@ -111,18 +111,18 @@
         return job.spec.scatter and in_zone >= (job.spec.tasks + 1) // 2
 
     def _service_places(
-        self, job: Job, taken: Mapping[str, Room], now: float
+        self, job: Job, taken: Mapping[str, Resources], now: float
     ) -> list[ServicePlace]:
         """Machines that have room now."""
         spec = job.spec
         places = []
-        for machine in self._roomy:
+        for machine in self._with_capacity:
             if machine.machine_type is None:
                 continue
             if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
                 continue
-            room = plus(machine.free(), taken.get(machine.name, NO_ROOM), -1.0)
-            count = times_fits(job.need, room, spec.tasks)
+            available = add_resources(machine.free(), taken.get(machine.name, NO_RESOURCES), -1.0)
+            count = count_fitting(job.need, available, spec.tasks)
             if count:
                 places.append(ServicePlace(machine, self._place_cost_s(job, machine, now), count))
         return places
@@ -153,31 +153,33 @@
         latest = heard_at + (1.0 + HEARTBEAT_SPREAD) * self.heartbeat_interval_s
         return max(0.0, 0.5 * (max(now, earliest) + latest) - now)
 
-    def _hindrance(self, machine: Machine, need: Room) -> float:
+    def _hindrance(self, machine: Machine, need: Resources) -> float:
         """Of the kinds of other work, the share of which the machine would take fewer tasks."""
         assert machine.machine_type is not None
-        services = NO_ROOM
+        services = NO_RESOURCES
         for run in machine.runs.values():
             if run.job.service:
-                services = plus(services, run.job.need)
+                services = add_resources(services, run.job.need)
         key = (machine.machine_type.name, round(services[0], 3), round(services[2], 3), need)
         found = self._hindrances.get(key)
         if found is None:
-            before = plus(machine.total, services, -1.0)
-            found = self._hindrances[key] = self._lost_share(before, plus(before, need, -1.0))
+            before = add_resources(machine.total, services, -1.0)
+            found = self._hindrances[key] = self._lost_share(
+                before, add_resources(before, need, -1.0)
+            )
         return found
 
-    def _lost_share(self, before: Room, after: Room) -> float:
+    def _lost_share(self, before: Resources, after: Resources) -> float:
         kinds = self._other_work()
         lost = [
             kind
             for kind in kinds
-            if times_fits(kind, after, MAX_PLACED_TASKS)
-            < times_fits(kind, before, MAX_PLACED_TASKS)
+            if count_fitting(kind, after, MAX_PLACED_TASKS)
+            < count_fitting(kind, before, MAX_PLACED_TASKS)
         ]
         return len(lost) / len(kinds) if kinds else 0.0
 
-    def _other_work(self) -> list[Room]:
+    def _other_work(self) -> list[Resources]:
         """The sizes of tasks of other unfinished jobs, the largest first."""
         if self._work_kinds is None:
             sizes = {
@@ -191,8 +193,8 @@
             self._work_kinds = largest_first[:MAX_KINDS]
         return self._work_kinds
 
-    def _make_service_room(
-        self, job: Job, taken: Mapping[str, Room], zones: Mapping[str, int], now: float
+    def _preempt_for_replica(
+        self, job: Job, taken: Mapping[str, Resources], zones: Mapping[str, int], now: float
     ) -> None:
         """Stop what costs least for replicas that have no place, as the rules allow."""
         asked_at = self._starved_since.get(job.id)
@@ -208,7 +210,7 @@
                 continue
             if self._zone_full(job, zones.get(machine.zone, 0)):
                 continue
-            held = taken.get(machine.name, NO_ROOM)
+            held = taken.get(machine.name, NO_RESOURCES)
             found = preemption.victims(machine, job.need, job, self.usage, held, now)
             if found is None:
                 continue
@@ -221,4 +223,4 @@
         for _, _, runs in choices[: max(0, job.waiting_count - coming)]:
             for run in runs:
                 if not run.stopping:
-                    self.stop_for_room(run, f"room for {job.id}", now)
+                    self.preempt(run, f"room for {job.id}", now)
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -88,7 +88,7 @@
         if machine is not None:
             machine.changes += 1
 
-    def stop_for_room(self, run: Run, why: str, now: float) -> None:
+    def preempt(self, run: Run, why: str, now: float) -> None:
         job = run.job
         settle = job.spec.save_s + self.heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
         if job.gang:
@@ -287,7 +287,7 @@
             if run.stopping or run.job.service or run.state is RunState.INTENDED:
                 continue
             if run.state is not RunState.RUNNING or self._would_lose(run, left, now):
-                self.stop_for_room(run, "machine will be taken", now)
+                self.preempt(run, "machine will be taken", now)
         if machine.empty and left < 0:
             self.release(machine, "taken", now)
 
@@ -301,7 +301,7 @@
             if not run.job.service or run.stopping or run.state is RunState.INTENDED:
                 continue
             if must or self._has_other_place(run, now):
-                self.stop_for_room(run, why, now)
+                self.preempt(run, why, now)
 
     def _has_other_place(self, run: Run, now: float) -> bool:
         """Whether some other machine has room for a replica."""
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -48,7 +48,7 @@
 
 CAUSE_DONE = "done"
 CAUSE_ERROR = "error"
-CAUSE_NO_ROOM = "no_room"
+CAUSE_NO_CAPACITY = "no_room"
 CAUSE_UNKNOWN = "unknown"
 
 LISTED_FAILED = "failed"
