--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.standins import settings_for
-from topazhold.core.holds import Hold, HoldTable
 from topazhold.core.jobs import Job, Run
 from topazhold.core.preemption import turn
+from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Operator
 from topazhold.wire.messages import Command, Heartbeat, JobSpec, MachineType, TaskStatus
@@ -49,8 +49,10 @@
     def __init__(self, machines: int = 4, term: int = 5) -> None:
         self.now = 100.0
         settings = settings_for("hive-0", "a", [])
-        self.hold_table = HoldTable("hive-0")
-        self.scheduler = Scheduler(settings, Operator(), term, self.hold_table, Random(1), self.now)
+        self.reservation_table = ReservationTable("hive-0")
+        self.scheduler = Scheduler(
+            settings, Operator(), term, self.reservation_table, Random(1), self.now
+        )
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
         self.sequences: dict[str, int] = {}
         self.tasks: dict[str, dict[tuple[str, int], TaskStatus]] = {}
@@ -62,10 +64,10 @@
         self.scheduler.add_job(job)
         return job
 
-    def hold(self, job: Job, slots: dict[str, int], serial: int = 1) -> Hold:
-        hold = Hold(job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job))
-        self.hold_table.holds.setdefault("hive-0", {})[job.id] = hold
-        return hold
+    def reservation(self, job: Job, slots: dict[str, int], serial: int = 1) -> Reservation:
+        reservation = Reservation(job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job))
+        self.reservation_table.reservations.setdefault("hive-0", {})[job.id] = reservation
+        return reservation
 
     def plan(self) -> list[Run]:
         """Plan and commit."""
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -12,9 +12,9 @@
 from tests.standins import settings_for
 from topazhold.control.booking import Booking, View, Wanted, max_follower_searches
 from topazhold.control.election import GRANT_BOUNDS, lease_time_s
-from topazhold.core.holds import Hold, HoldTable
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import turn
+from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.search import Offer
 from topazhold.settings import Operator
 
@@ -42,13 +42,13 @@
 
 def booking(clock: Clock) -> Booking:
     settings = settings_for("hive-0", "a", [])
-    found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1))  # type: ignore[arg-type]
+    found = Booking(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
     found.wanted[job.id] = Wanted(job.spec, turn(job), 0.0)
     return found
 
 
-def held(found: Booking) -> set[str]:
+def reserved(found: Booking) -> set[str]:
     return set(found.mine["wk-000001"].slots)
 
 
@@ -57,12 +57,12 @@
     clock = Clock(monkeypatch)
     found = booking(clock)
     found.round(view(m1=100.0), 0.0)
-    assert held(found) == {"m1"}
+    assert reserved(found) == {"m1"}
     clock.now += 10.0
     found.round(view(m1=100.0, m2=85.0), 10.0)
-    assert held(found) == {"m1"}
+    assert reserved(found) == {"m1"}
     found.round(view(m1=100.0, m2=60.0), 11.0)
-    assert held(found) == {"m2"}
+    assert reserved(found) == {"m2"}
 
 
 def test_held_machine_that_frees_late_loses_to_one_that_is_free(monkeypatch: Any) -> None:
@@ -71,7 +71,7 @@
     found.round(view(m1=10.0), 0.0)
     clock.now += 10.0
     found.round(view(m1=90.0, m2=20.0), 10.0)
-    assert held(found) == {"m2"}
+    assert reserved(found) == {"m2"}
 
 
 def test_lapsed_hold_is_booked_anew_only_if_it_is_still_the_best(monkeypatch: Any) -> None:
@@ -81,7 +81,7 @@
     first = found.mine["wk-000001"].serial
     clock.now += 61.0
     found.round(view(m1=50.0, m2=49.0), 61.0)
-    assert held(found) == {"m1"} and found.mine["wk-000001"].serial > first
+    assert reserved(found) == {"m1"} and found.mine["wk-000001"].serial > first
     clock.now += 61.0
     found.round(view(), 122.0)
     assert found.mine == {}, "nothing is known of it any more"
@@ -98,23 +98,23 @@
     for second in range(1, 5):
         clock.now += 1.0
         found.round(view(m1=100.0, m2=5.0), float(second))
-    assert held(found) == {"m2"}
+    assert reserved(found) == {"m2"}
 
 
 def test_conflict_costs_only_what_the_other_booking_touched(monkeypatch: Any) -> None:
     """All holds were thrown away at a conflict, those that stood before included."""
     found = booking(Clock(monkeypatch))
     found.round(view(m1=5.0, m2=50.0, m3=50.0), 0.0)
-    found.hold_table.holds["hive-0"] = dict(found.mine)
-    found.hold_table.revisions["hive-0"] = 3
+    found.reservation_table.reservations["hive-0"] = dict(found.mine)
+    found.reservation_table.revisions["hive-0"] = 3
     for number, name in ((2, "m2"), (3, "m3")):
         job = Job(make_spec(number, tasks=1, gpus=4.0), 0.0, 1e9, "hive-0")
-        found.mine[job.id] = Hold(job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, turn(job))
-    before = dict(found.hold_table.revisions)
+        found.mine[job.id] = Reservation(job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, turn(job))
+    before = dict(found.reservation_table.revisions)
     other = Job(make_spec(9, tasks=1, gpus=4.0), 0.0, 1e9, "hive-1")
-    found.hold_table.revisions["hive-1"] = 4
-    found.hold_table.holds["hive-1"] = {
-        other.id: Hold(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, turn(other))
+    found.reservation_table.revisions["hive-1"] = 4
+    found.reservation_table.reservations["hive-1"] = {
+        other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, turn(other))
     }
     found.concede(before)
     assert set(found.mine) == {"wk-000001", "wk-000003"}
@@ -160,7 +160,9 @@
 
     monkeypatch.setattr(Booking, "_search", search)
     settings = settings_for("hive-0", "a", [])
-    found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1), max_round_s=0.1)  # type: ignore[arg-type]
+    found = Booking(
+        settings, Operator(), None, ReservationTable("hive-0"), Random(1), max_round_s=0.1
+    )  # type: ignore[arg-type]
     for number in range(5):
         spec = make_spec(number)
         found.wanted[spec.id] = Wanted(spec, (0, 0, float(number)), float(number))
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -43,7 +43,7 @@
 def any_place(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(placing, "allowed", lambda *args: True)
     patch.setattr(array_placing, "allowed", lambda *args: True)
-    patch.setattr(Scheduler, "_hold_fault", lambda *args: None)
+    patch.setattr(Scheduler, "_reservation_fault", lambda *args: None)
     patch.setattr(Scheduler, "_array_zone", lambda *args: None)
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -398,9 +398,9 @@
     placements.told(3, [["host-1", "h:1", ["wk-1"]]])
     placements.seen(report(5, []))
     placements.seen(report(4, ["wk-1"]))
-    assert placements.may_hold(frozenset(["wk-1"])) == {}
+    assert placements.may_run(frozenset(["wk-1"])) == {}
     placements.told(2, [["host-1", "h:1", ["wk-1"]]])
-    assert placements.may_hold(frozenset(["wk-1"])) == {}, "an earlier leader's word"
+    assert placements.may_run(frozenset(["wk-1"])) == {}, "an earlier leader's word"
 
 
 def test_former_leader_does_not_release_what_her_successor_sees_to(
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -18,7 +18,7 @@
 from tests.versions import CURRENT, Version, member, production
 from tests.world import NAMES, World
 from topazhold.control.node import Node
-from topazhold.core import holds, leadership, records
+from topazhold.core import leadership, records, reservations
 from topazhold.core.jobs import PART, Job
 from topazhold.wire import messages as wire
 
@@ -79,8 +79,8 @@
 
 
 def holds_meaning(version: Version, data: Any) -> Any:
-    holds = version.load("core.holds", "unpack_value")(data)
-    return [member(hold, "pack")() for hold in holds]
+    reservations = version.load("core.reservations", "unpack_value")(data)
+    return [member(reservation, "pack")() for reservation in reservations]
 
 
 def summary_meaning(version: Version, key: str, data: Any) -> Any:
@@ -258,8 +258,8 @@
 
 
 def longer_hold(patch: pytest.MonkeyPatch) -> None:
-    pack = holds.Hold.pack
-    patch.setattr(holds.Hold, "pack", lambda self: [*pack(self), "more"])
+    pack = reservations.Reservation.pack
+    patch.setattr(reservations.Reservation, "pack", lambda self: [*pack(self), "more"])
 
 
 def longer_ping(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -12,9 +12,9 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
-from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import Job, Run, RunState
 from topazhold.core.renting import MAX_RELEASED_MACHINES
+from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
 from topazhold.io.http import NoAnswer
@@ -62,7 +62,7 @@
 
 def fleet(machines: int) -> tuple[TermContext, Scheduler]:
     settings = settings_for("hive-0", "a", [])
-    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(machines):
         machine = scheduler.add_machine(f"host-{number:06d}", "a", False, "b1", 0.0)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -12,8 +12,8 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
-from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import Job, Run, RunState
+from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Operator
 from topazhold.wire import messages as wire
@@ -46,7 +46,7 @@
     """A plan of so many one-task jobs over so many machines, written."""
     settings = settings_for("hive-0", "a", [])
     store = Ledger(settings.cluster.state.txn_ops)
-    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     names = [f"host-{number:06d}" for number in range(machines)]
     for name in names:
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -45,9 +45,9 @@
         )
         job = self.bench.job(spec)
         if job.gang:
-            self.hold_table(job.id)
+            self.reserve(job.id)
 
-    def hold_table(self, job_id: str) -> None:
+    def reserve(self, job_id: str) -> None:
         """A hold, as its controller would write it."""
         scheduler = self.bench.scheduler
         job = scheduler.jobs[job_id]
@@ -56,16 +56,18 @@
         for _ in range(job.spec.tasks):
             name = self.rng.choice(list(scheduler.machines))
             slots[name] = slots.get(name, 0) + 1
-        self.bench.hold(job, slots, self.serial)
+        self.bench.reservation(job, slots, self.serial)
         scheduler.changes += 1  # as the watch of the holds tells
 
     def book_again(self) -> None:
         scheduler = self.bench.scheduler
         gangs = [
-            job.id for job in scheduler.jobs.values() if job.gang and scheduler.needs_hold(job)
+            job.id
+            for job in scheduler.jobs.values()
+            if job.gang and scheduler.needs_reservation(job)
         ]
         if gangs:
-            self.hold_table(self.rng.choice(gangs))
+            self.reserve(self.rng.choice(gangs))
 
     def progress(self) -> None:
         """A worker's tasks move on, and it reports."""
@@ -199,14 +201,14 @@
         with monkeypatch.context() as patch:
             if forgets:
                 patch.setattr(Scheduler, "_check_due", lambda *args: True)
-            fault = Scheduler._hold_fault
+            fault = Scheduler._reservation_fault
 
             def counted(self: Scheduler, *args: Any) -> str | None:
                 nonlocal looks
                 looks += 1
                 return fault(self, *args)
 
-            patch.setattr(Scheduler, "_hold_fault", counted)
+            patch.setattr(Scheduler, "_reservation_fault", counted)
             survey = Scheduler._survey
 
             def forget(self: Scheduler, *args: Any) -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -20,7 +20,7 @@
 
 def running_gang(bench: Bench, number: int = 1, **changes: object) -> Job:
     job = bench.job(make_spec(number, **changes))
-    bench.hold(job, {"host-0": 1, "host-2": 1})
+    bench.reservation(job, {"host-0": 1, "host-2": 1})
     bench.plan()
     bench.all_report()
     for name in ("host-0", "host-2"):
@@ -33,7 +33,7 @@
 
 def test_launch_only_after_the_intent(bench: Bench) -> None:
     job = bench.job(make_spec())
-    bench.hold(job, {"host-0": 1, "host-2": 1})
+    bench.reservation(job, {"host-0": 1, "host-2": 1})
     runs = bench.scheduler.plan(bench.now)
     assert len(runs) == 2
     assert launched(bench.all_report()) == []
@@ -68,7 +68,7 @@
 def test_failed_intents_do_not_use_the_hold_up(bench: Bench) -> None:
     """A gang whose intents could not be written must start with the same hold."""
     job = bench.job(make_spec())
-    bench.hold(job, {"host-0": 1, "host-2": 1})
+    bench.reservation(job, {"host-0": 1, "host-2": 1})
     bench.scheduler.intents_failed(bench.scheduler.plan(bench.now), bench.now)
     assert job.gang_state is GangState.WAITING
     assert bench.scheduler.usage.used("red") == (0.0, 0.0)
@@ -146,7 +146,7 @@
 
 def test_gang_not_running_a_report_period_after_its_images_is_stopped(bench: Bench) -> None:
     job = bench.job(make_spec())
-    bench.hold(job, {"host-0": 1, "host-2": 1})
+    bench.reservation(job, {"host-0": 1, "host-2": 1})
     bench.plan()
     bench.all_report()
     for name in ("host-0", "host-2"):
@@ -220,7 +220,7 @@
         for name, machine in bench.scheduler.machines.items()
         if machine.zone == "a" and not machine.empty and machine.free()[1] >= 2
     ]
-    bench.hold(gang, dict.fromkeys(free[:2], 1))
+    bench.reservation(gang, dict.fromkeys(free[:2], 1))
     bench.plan()
     stopping = [run for run in bench.scheduler.jobs["wk-000001"].runs.values() if run.stopping]
     assert len(stopping) == 4
@@ -242,11 +242,11 @@
     assert len(bench.plan()) == 2
     bench.all_report()
     equal = bench.job(make_spec(2, tasks=1, gpus=4.0, urgency="best_effort", team="blue"))
-    bench.hold(equal, {"host-0": 1})
+    bench.reservation(equal, {"host-0": 1})
     bench.plan()
     assert not any(run.stopping for run in low.runs.values())
     urgent = bench.job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
-    bench.hold(urgent, {"host-0": 1})
+    bench.reservation(urgent, {"host-0": 1})
     bench.plan()
     assert [run.machine for run in low.runs.values() if run.stopping] == ["host-0"]
 
@@ -256,11 +256,11 @@
     bench = Bench(machines=2)
     for number in (1, 2):
         guest = bench.job(make_spec(number, tasks=1, gpus=4.0, team="blue", urgency="best_effort"))
-        bench.hold(guest, {f"host-{number - 1}": 1})
+        bench.reservation(guest, {f"host-{number - 1}": 1})
     bench.scheduler.refresh_guarantees()
     bench.scheduler.jobs["wk-000002"].within = False
     first = bench.job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
-    bench.hold(first, {"host-1": 1})
+    bench.reservation(first, {"host-1": 1})
     runs = bench.plan()
     assert ("wk-000003", "host-1") in {(run.job.id, run.machine) for run in runs}
     assert ("wk-000002", "host-1") not in {(run.job.id, run.machine) for run in runs}
@@ -425,7 +425,7 @@
 def test_machine_whose_launches_never_arrive_is_deaf(bench: Bench) -> None:
     """Its reports look well, so gangs were booked there again and again."""
     job = bench.job(make_spec())
-    bench.hold(job, {"host-0": 1, "host-2": 1})
+    bench.reservation(job, {"host-0": 1, "host-2": 1})
     bench.plan()
     for _ in range(3):
         bench.report("host-0", carry_out=False)
@@ -440,7 +440,7 @@
     bench.state("host-2", "ended", "stopped")
     bench.report("host-2")
     bench.scheduler.tick(bench.now)
-    bench.hold(job, {"host-0": 1, "host-2": 1}, serial=2)
+    bench.reservation(job, {"host-0": 1, "host-2": 1}, serial=2)
     assert bench.plan() == [] and bench.scheduler.rejected[job.id] == 2
 
 
@@ -565,7 +565,7 @@
         bench.report(f"host-{number:02d}")
     first = [offer.name for offer in bench.scheduler.offers("a", bench.now)]
     for number, name in enumerate(first):
-        bench.hold(bench.job(make_spec(number, tasks=1, gpus=4.0)), {name: 1})
+        bench.reservation(bench.job(make_spec(number, tasks=1, gpus=4.0)), {name: 1})
     names = [offer.name for offer in bench.scheduler.offers("a", bench.now)]
     assert len(set(names) - set(first)) == 20
     assert set(first) <= set(names), "work whose turn comes before may take them all the same"
@@ -633,7 +633,7 @@
     last = bench.scheduler.offers("a", bench.now)[-1].name
     others = {offer.name for offer in bench.scheduler.offers("a", bench.now)}
     hidden = next(name for name in bench.scheduler.machines if name not in others)
-    bench.hold(job, {hidden: 1})
+    bench.reservation(job, {hidden: 1})
     names = [offer.name for offer in bench.scheduler.offers("a", bench.now)]
     assert names[19] == last and names[20:] == [hidden]
 
@@ -723,7 +723,7 @@
     run.state, run.running_since = RunState.RUNNING, bench.now
     bench.scheduler._attach(run)
     gang = bench.job(make_spec(1, tasks=2, gpus=4.0))
-    bench.hold(gang, {"host-0": 1, "host-1": 1})
+    bench.reservation(gang, {"host-0": 1, "host-1": 1})
     array = bench.job(make_spec(2, shape="batch", tasks=1, gpus=1.0, urgency="best_effort"))
     assert bench.plan() == []
     other.spec.estimated_run_s = 300.0
@@ -778,7 +778,7 @@
     the other zone had more than enough."""
     bench = Bench(machines=4)
     long = bench.job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
-    bench.hold(long, {"host-1": 1, "host-3": 1})
+    bench.reservation(long, {"host-1": 1, "host-3": 1})
     bench.plan()
     bench.all_report()
     bench.job(make_spec(6, tasks=2, gpus=4.0, same_place=False, scatter=True))
@@ -793,7 +793,7 @@
 def test_service_that_must_be_in_two_zones_gets_a_machine_in_the_full_one() -> None:
     bench = Bench(machines=4)
     long = bench.job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
-    bench.hold(long, {"host-1": 1, "host-3": 1})
+    bench.reservation(long, {"host-1": 1, "host-3": 1})
     bench.plan()
     bench.all_report()
     spec = make_spec(
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -6,7 +6,13 @@
 
 from tests.conftest import make_spec
 from topazhold.core import search
-from topazhold.core.holds import Hold, HoldTable, ReservedResources, Turn, pack_value
+from topazhold.core.reservations import (
+    Reservation,
+    ReservationTable,
+    ReservedResources,
+    Turn,
+    pack_value,
+)
 from topazhold.core.search import Offer, SearchRules
 from topazhold.wire.codec import json_size
 
@@ -89,42 +95,50 @@
     assert group is not None and group.slots == {"m2": 1}
 
 
-def hold(job: str, machine: str, turn: Turn = (1, 2, 5.0)) -> Hold:
-    return Hold(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, turn)
+def reservation(job: str, machine: str, turn: Turn = (1, 2, 5.0)) -> Reservation:
+    return Reservation(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, turn)
 
 
 def test_hold_round_trip_and_unreadable_ones() -> None:
-    hold_table = HoldTable("hive-0")
-    value = pack_value([hold("wk-1", "m1")], "t")
+    reservation_table = ReservationTable("hive-0")
+    value = pack_value([reservation("wk-1", "m1")], "t")
     value["holds"].append(["nonsense"])
-    hold_table.read("hive-1", value, 7)
-    assert hold_table.of_job("wk-1") is not None
-    assert hold_table.taken("wk-2", (1, 2, 6.0), lambda hold: True)["m1"] == (4.0, 4.0, 8.0)
-    assert hold_table.taken("wk-2", (0, 2, 6.0), lambda hold: True) == {}
+    reservation_table.read("hive-1", value, 7)
+    assert reservation_table.of_job("wk-1") is not None
+    assert reservation_table.taken("wk-2", (1, 2, 6.0), lambda reservation: True)["m1"] == (
+        4.0,
+        4.0,
+        8.0,
+    )
+    assert reservation_table.taken("wk-2", (0, 2, 6.0), lambda reservation: True) == {}
 
 
 def test_holds_bind_only_those_whose_turn_comes_later() -> None:
     """Else a stream of small gangs keeps a large one, that came first, from its machines."""
-    hold_table = HoldTable("hive-0")
-    hold_table.read(
-        "hive-1", pack_value([hold("wk-1", "m1"), hold("wk-3", "m3", (0, 2, 9.0))], "t"), 7
+    reservation_table = ReservationTable("hive-0")
+    reservation_table.read(
+        "hive-1",
+        pack_value([reservation("wk-1", "m1"), reservation("wk-3", "m3", (0, 2, 9.0))], "t"),
+        7,
+    )
+    assert reservation_table.taken("wk-2", (1, 2, 4.0), lambda reservation: True).keys() == {"m3"}
+    reserved = ReservedResources(
+        reservation_table, lambda reservation: reservation.turn, lambda reservation: False
     )
-    assert hold_table.taken("wk-2", (1, 2, 4.0), lambda hold: True).keys() == {"m3"}
-    rooms = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: False)
-    assert rooms.taken("wk-2", (0, 2, 8.0)) == {}
-    assert rooms.taken("wk-2", (1, 2, 4.0)).keys() == {"m3"}
-    assert rooms.taken("wk-2", (1, 2, 6.0)).keys() == {"m1", "m3"}
-    assert rooms.taken("wk-1", (1, 2, 6.0))["m1"] == (0.0, 0.0, 0.0)
-    rooms.release("wk-3")
-    assert rooms.taken("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
+    assert reserved.taken("wk-2", (0, 2, 8.0)) == {}
+    assert reserved.taken("wk-2", (1, 2, 4.0)).keys() == {"m3"}
+    assert reserved.taken("wk-2", (1, 2, 6.0)).keys() == {"m1", "m3"}
+    assert reserved.taken("wk-1", (1, 2, 6.0))["m1"] == (0.0, 0.0, 0.0)
+    reserved.release("wk-3")
+    assert reserved.taken("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
 
 
 def test_booking_guards_all_other_holds() -> None:
-    hold_table = HoldTable("hive-0")
-    hold_table.read("hive-1", pack_value([], "t"), 7)
-    assert hold_table.conditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
-    hold_table.lapse("hive-1", 9)
-    assert hold_table.conditions() == [("hold/hive-0", 0)]
+    reservation_table = ReservationTable("hive-0")
+    reservation_table.read("hive-1", pack_value([], "t"), 7)
+    assert reservation_table.conditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
+    reservation_table.expire("hive-1", 9)
+    assert reservation_table.conditions() == [("hold/hive-0", 0)]
 
 
 def test_offer_round_trip() -> None:
@@ -147,22 +161,30 @@
     """A hold on machines that free late must lose against a better group."""
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
-    held = {"m1": 1, "m2": 1}
-    assert search.score_held(held, caches, spec, (1, 2), {}, RULES) >= 90.0
-    assert search.score_held({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
+    reserved = {"m1": 1, "m2": 1}
+    assert search.score_reserved(reserved, caches, spec, (1, 2), {}, RULES) >= 90.0
+    assert search.score_reserved({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
 
 
 def test_work_that_yields_uses_room_of_gangs_that_still_wait() -> None:
     """Gangs that waited for their last machine kept a quarter of a fleet idle."""
-    hold_table = HoldTable("hive-0")
-    hold_table.read(
-        "hive-1", pack_value([hold("wk-1", "m1"), hold("wk-3", "m3", (0, 2, 9.0))], "t"), 7
+    reservation_table = ReservationTable("hive-0")
+    reservation_table.read(
+        "hive-1",
+        pack_value([reservation("wk-1", "m1"), reservation("wk-3", "m3", (0, 2, 9.0))], "t"),
+        7,
+    )
+    reserved = ReservedResources(
+        reservation_table,
+        lambda reservation: reservation.turn,
+        lambda reservation: reservation.job == "wk-3",
+    )
+    assert reserved.taken("wk-2", (1, 3, 7.0), yields=True).keys() == {"m3"}, "wk-3 gathers"
+    assert reserved.taken("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
+    assert reserved.taken("wk-2", (1, 3, 8.0), yields=True).keys() == {"m3"}
+    equal = ReservedResources(
+        reservation_table, lambda reservation: reservation.turn, lambda reservation: False
     )
-    rooms = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: hold.job == "wk-3")
-    assert rooms.taken("wk-2", (1, 3, 7.0), yields=True).keys() == {"m3"}, "wk-3 gathers"
-    assert rooms.taken("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
-    assert rooms.taken("wk-2", (1, 3, 8.0), yields=True).keys() == {"m3"}
-    equal = ReservedResources(hold_table, lambda hold: hold.turn, lambda hold: False)
     assert equal.taken("wk-2", (1, 2, 7.0), yields=True).keys() == {"m1", "m3"}
 
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -187,7 +187,7 @@
 def test_replica_goes_beside_a_gangs_task_and_in_nobodys_way(bench: Bench) -> None:
     """A machine takes one of ten CPUs, and a replica of six beside it; not two replicas."""
     gang = bench.job(make_spec(7, tasks=1, cpus=10.0, gpus=4.0))
-    bench.hold(gang, {"host-2": 1})
+    bench.reservation(gang, {"host-2": 1})
     bench.plan()
     bench.all_report()
     job = bench.job(service_spec(tasks=1, cpus=6.0))
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -21,9 +21,9 @@
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
-from topazhold.core.holds import HoldTable
 from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, Run
+from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import LaterLimits, Operator
 from topazhold.wire import messages as wire
@@ -224,7 +224,7 @@
     settings = lowered_settings()
     settings.cluster.zones = list("abcdefgh")
     settings.cluster.teams[0].gpus_max = 1e6
-    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(5600):
         scheduler.add_machine(f"host-{number:06d}", "abcdefgh"[number % 8], False, "b1", 0.0)
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -12,8 +12,8 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
-from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import Job
+from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.links import FRAME_LIMIT, encode
 from topazhold.settings import Operator
@@ -27,7 +27,7 @@
     settings.cluster.zones = list("abcdef")
     settings.cluster.state.value_kb = 16.0
     settings.cluster.teams[0].gpus_max = 1e6
-    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(900):
         scheduler.add_machine(f"host-{number:06d}", "abcdef"[number % 6], False, "b1", 0.0)
@@ -55,7 +55,7 @@
     """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
     settings = settings_for("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
-    scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     turns: list[int] = []
     collected: list[dict[str, Any]] = []
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -32,7 +32,9 @@
 #: What production calls the modules, and the classes, functions and attributes in them, that
 #: have other names now: today's name -> production's. Whoever uses both versions names
 #: things as they are called today, and gets at them by `Version.module` and `member`.
-PRODUCTION_MODULES: dict[str, str] = {}
+PRODUCTION_MODULES: dict[str, str] = {
+    "core.reservations": "core.holds",
+}
 PRODUCTION_MEMBERS: dict[str, str] = {
     "Heartbeat": "Report",
 }
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -25,9 +25,9 @@
 from tests.standins import settings_for
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
-from topazhold.core.holds import Hold, HoldTable
 from topazhold.core.jobs import Job, Run
 from topazhold.core.preemption import rank, turn
+from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.search import SearchRules, search
 from topazhold.io.http import Answer
@@ -53,10 +53,10 @@
         self.settings = settings_for("node-0", "a", [])
         for team in self.settings.cluster.teams:
             team.gpus = team.gpus_max = 1e6
-        self.hold_table = HoldTable("node-0")
+        self.reservation_table = ReservationTable("node-0")
         self.operator = Operator()
         self.scheduler = Scheduler(
-            self.settings, self.operator, TERM, self.hold_table, self.rng, self.now
+            self.settings, self.operator, TERM, self.reservation_table, self.rng, self.now
         )
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
         self.heartbeats: list[Heartbeat] = []
@@ -67,8 +67,10 @@
         for number in range(gangs):
             job = self._job(shape="gang", tasks=GANG_SIZES[number % len(GANG_SIZES)], gpus=4.0)
             names = self.rng.sample(list(self.scheduler.machines), job.spec.tasks)
-            hold = Hold(job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, turn(job))
-            self.hold_table.holds.setdefault("node-0", {})[job.id] = hold
+            reservation = Reservation(
+                job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, turn(job)
+            )
+            self.reservation_table.reservations.setdefault("node-0", {})[job.id] = reservation
         for _ in range(arrays):
             self._job(shape="batch", tasks=ARRAY_SIZE, gpus=1.0)
         for report in self.heartbeats:
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -13,16 +13,23 @@
 
 from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
 from topazhold.core import records
-from topazhold.core.holds import HOLD_PREFIX, LATER, Hold, HoldTable, Turn, pack_value
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import turn
+from topazhold.core.reservations import (
+    LATER,
+    RESERVATION_PREFIX,
+    Reservation,
+    ReservationTable,
+    Turn,
+    pack_value,
+)
 from topazhold.core.search import (
     PRESSING,
     Group,
     Offer,
     Rank,
     SearchRules,
-    score_held,
+    score_reserved,
     search,
     unpack_names,
     unpack_offer,
@@ -42,7 +49,7 @@
 SEARCH_S = 0.003
 ROUND_S = 0.25
 #: Size of a small gang's hold; a value takes so many at the most.
-HOLD_BYTES = 96
+RESERVATION_BYTES = 96
 #: Seconds, as a share of the least time between two writes, after which a booking that
 #: another one came before is tried again.
 CONFLICT_PAUSE_S = 0.25
@@ -124,21 +131,21 @@
         settings: Settings,
         operator: Operator,
         store: Store,
-        hold_table: HoldTable,
+        reservation_table: ReservationTable,
         rng: Random,
         max_round_s: float = math.inf,
     ) -> None:
         workers = settings.cluster.workers
         self.node = settings.node_name
         self._store = store
-        self.hold_table = hold_table
+        self.reservation_table = reservation_table
         self._rng = rng
-        self._lapse_s = operator.hold_lapse_s
+        self._expiry_s = operator.reservation_expiry_s
         self._settle_s = operator.summary_s
         self._heartbeat_interval_s = workers.heartbeat_interval_s
         self._tries = 2 * len(settings.cluster.zones)
         self._limit = int(settings.cluster.state.lasting_value_bytes * records.VALUE_SHARE)
-        self._max_holds = self._limit // HOLD_BYTES
+        self._max_reservations = self._limit // RESERVATION_BYTES
         self._zones = settings.cluster.zones
         self.rules = SearchRules(
             operator.alpha,
@@ -148,7 +155,7 @@
             preference_s=1.0 * workers.heartbeat_interval_s,
         )
         self.wanted: dict[str, Wanted] = {}
-        self.mine: dict[str, Hold] = {}
+        self.mine: dict[str, Reservation] = {}
         self._written: list[Any] | None = None
         self._serial = 0
         self._sequence = 0
@@ -170,8 +177,8 @@
         self.mine.clear()
         self._written = None
 
-    def _search(self, wanted: Wanted, view: View, draft: HoldTable) -> Group | None:
-        taken = draft.taken(wanted.spec.id, wanted.turn, lambda hold: True)
+    def _search(self, wanted: Wanted, view: View, draft: ReservationTable) -> Group | None:
+        taken = draft.taken(wanted.spec.id, wanted.turn, lambda reservation: True)
         return search(
             self._rng,
             view.directory,
@@ -186,12 +193,12 @@
     def round(self, view: View, now: float, limit: int = MAX_SEARCHES) -> None:
         """One round of searches; changes `mine` where a better group turned up."""
         wall = time.time()
-        for job, hold in list(self.mine.items()):
-            if job not in self.wanted or wall - hold.made > 2 * self._lapse_s:
+        for job, reservation in list(self.mine.items()):
+            if job not in self.wanted or wall - reservation.made_at > 2 * self._expiry_s:
                 del self.mine[job]
         # Others' holds as they were read, our own as they are to be written.
-        draft = HoldTable(self.node)
-        draft.holds = {**self.hold_table.holds, self.node: self.mine}
+        draft = ReservationTable(self.node)
+        draft.reservations = {**self.reservation_table.reservations, self.node: self.mine}
         # In turns: when those without a hold always came first, holds on machines
         # that free late were kept while others came up.
         order = sorted(self.wanted.values(), key=lambda w: (w.searched, w.turn, w.since))
@@ -202,23 +209,23 @@
             wanted.searched = now
             job = wanted.spec.id
             old = self.mine.get(job)
-            if old is not None and old.free_now and wall - old.made < self._settle_s:
+            if old is not None and old.free_now and wall - old.made_at < self._settle_s:
                 continue  # about to be used
-            if old is None and len(self.mine) >= self._max_holds:
+            if old is None and len(self.mine) >= self._max_reservations:
                 continue
             group = self._search(wanted, view, draft)
             if old is not None:
                 group = self._better(wanted, old, group, view, draft, wall)
             if group is not None:
-                self._hold(wanted, group, wall)
+                self._reserve(wanted, group, wall)
 
     def _better(
         self,
         wanted: Wanted,
-        old: Hold,
+        old: Reservation,
         group: Group | None,
         view: View,
-        draft: HoldTable,
+        draft: ReservationTable,
         wall: float,
     ) -> Group | None:
         """The group to book instead of the held one, if any.
@@ -228,9 +235,11 @@
         better: a large gang that changed all its machines for a few seconds lost
         those that had come free for it, again and again.
         """
-        taken = draft.taken(old.job, wanted.turn, lambda hold: True)
-        present = score_held(old.slots, view.caches, wanted.spec, wanted.rank, taken, self.rules)
-        late = wall - old.made > self._lapse_s
+        taken = draft.taken(old.job, wanted.turn, lambda reservation: True)
+        present = score_reserved(
+            old.slots, view.caches, wanted.spec, wanted.rank, taken, self.rules
+        )
+        late = wall - old.made_at > self._expiry_s
         if math.isinf(present):
             if late:
                 del self.mine[old.job]
@@ -241,10 +250,10 @@
         # Lapsed, and found to be the best all the same: booked anew.
         return Group(present, present, present, old.slots) if late else None
 
-    def _hold(self, wanted: Wanted, group: Group, wall: float) -> None:
+    def _reserve(self, wanted: Wanted, group: Group, wall: float) -> None:
         spec = wanted.spec
         self._serial = max(self._serial + 1, int(wall * 1000))
-        self.mine[spec.id] = Hold(
+        self.mine[spec.id] = Reservation(
             spec.id,
             group.slots,
             (spec.cpus, spec.gpus, spec.memory_gb),
@@ -255,7 +264,7 @@
             wanted.turn,
         )
         log.info(
-            "hold %s on %s, wait %.1f s, score %.1f",
+            "reservation %s on %s, wait %.1f s, score %.1f",
             spec.id,
             ",".join(group.slots),
             group.wait,
@@ -265,17 +274,17 @@
     async def write(self, lease_id: int, now: float) -> bool:
         """Write the holds if they changed; False if another's booking came between."""
         self._cut_to_size()
-        packed = [hold.pack() for hold in self.mine.values()]
+        packed = [reservation.pack() for reservation in self.mine.values()]
         if packed == self._written:
             return True
         self.wrote_at = now
         self._sequence += 1
         token = f"{self.node}-{lease_id}-{self._sequence}"
         value = pack_value(self.mine.values(), token)
-        key = HOLD_PREFIX + self.node
+        key = RESERVATION_PREFIX + self.node
         try:
             revision = await self._store.commit(
-                self.hold_table.conditions(),
+                self.reservation_table.conditions(),
                 [wire.put(key, value, lease_id)],
                 DECISIONS,
                 key,
@@ -286,16 +295,16 @@
             # Two controllers booked at once, and the other one won.
             self._written = None
             self.wrote_at = now - 1.0 + CONFLICT_PAUSE_S * (1.0 + self._rng.random())
-            before = dict(self.hold_table.revisions)
-            await self.read_holds()
+            before = dict(self.reservation_table.revisions)
+            await self.read_reservations()
             self.concede(before)
             await self.wake.set()
             return False
         except TROUBLE as exc:
-            log.debug("holds not written: %s", exc)
+            log.debug("reservations not written: %s", exc)
             return False
         self._written = packed
-        self.hold_table.read(self.node, value, revision)
+        self.reservation_table.read(self.node, value, revision)
         return True
 
     def concede(self, before: Mapping[str, int]) -> None:
@@ -305,19 +314,19 @@
         with its round, a hold that a gang had waited for was lost at every conflict,
         and with five controllers there is one every other second.
         """
-        written = self.hold_table.holds.get(self.node, {})
+        written = self.reservation_table.reservations.get(self.node, {})
         touched = {
             name
-            for node, part in self.hold_table.holds.items()
-            if node != self.node and self.hold_table.revisions.get(node) != before.get(node)
-            for hold in part.values()
-            for name in hold.slots
+            for node, part in self.reservation_table.reservations.items()
+            if node != self.node and self.reservation_table.revisions.get(node) != before.get(node)
+            for reservation in part.values()
+            for name in reservation.slots
         }
-        for job, hold in list(self.mine.items()):
+        for job, reservation in list(self.mine.items()):
             known = written.get(job)
-            if known is not None and known.serial == hold.serial:
+            if known is not None and known.serial == reservation.serial:
                 continue
-            if touched & hold.slots.keys():
+            if touched & reservation.slots.keys():
                 if known is not None:
                     self.mine[job] = known
                 else:
@@ -325,16 +334,21 @@
 
     def _cut_to_size(self) -> None:
         """The value has a limit: holds whose turn comes last give way."""
-        order = sorted(self.mine.values(), key=lambda hold: (hold.turn, hold.made))
+        order = sorted(
+            self.mine.values(), key=lambda reservation: (reservation.turn, reservation.made_at)
+        )
         size = 200
-        for hold in order:
-            size += json_size(hold.pack()) + 1
+        for reservation in order:
+            size += json_size(reservation.pack()) + 1
             if size > self._limit:
-                del self.mine[hold.job]
+                del self.mine[reservation.job]
 
-    async def read_holds(self) -> None:
+    async def read_reservations(self) -> None:
         """All controllers' holds, as the state service has them."""
-        entries, _ = await self._store.entries(HOLD_PREFIX)
-        self.hold_table.replace(
-            {entry.key[len(HOLD_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
+        entries, _ = await self._store.entries(RESERVATION_PREFIX)
+        self.reservation_table.replace(
+            {
+                entry.key[len(RESERVATION_PREFIX) :]: (entry.data, entry.revision)
+                for entry in entries
+            }
         )
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -109,11 +109,11 @@
         if not ages:
             return
         await self._list(now)
-        held = self._placements.may_hold(frozenset(ages))
+        reserved = self._placements.may_run(frozenset(ages))
         await self._release(
             [
                 name
-                for name, jobs in held.items()
+                for name, jobs in reserved.items()
                 if any(self._must_go(job, ages[job], now) for job in jobs)
             ]
         )
@@ -127,7 +127,7 @@
         for name, place in self._placements.places.items():
             if place.endpoint is None or name in self._looking:
                 continue
-            if name in held:
+            if name in reserved:
                 if place.looks < newest or now - place.looks > again_s:
                     first.append(name)
             elif any(place.looks < at <= now for at in sweeps):
--- a/topazhold/control/gang_search.py
+++ b/topazhold/control/gang_search.py
@@ -109,7 +109,7 @@
                 await self._fetch_summary(now)
             await self._wanted_of_follower(now)
             if booking.wanted:
-                await booking.read_holds()
+                await booking.read_reservations()
         began = time.monotonic()
         booking.round(view, now, MAX_SEARCHES if leading is not None else self._searches)
         busy = time.monotonic() - began
@@ -125,7 +125,9 @@
             if job_id not in waiting:
                 self._booking.forget(job_id)
         for job in waiting.values():
-            others = job.node != self._node and job.node in self._booking.hold_table.revisions
+            others = (
+                job.node != self._node and job.node in self._booking.reservation_table.revisions
+            )
             # Its own controller searches; two at once would only replace each
             # other's holds. The leader steps in where nothing comes of it.
             if others and leading.scheduler.wanting_s(job, now) < 2 * self._summary_s:
@@ -137,8 +139,8 @@
                 wanted[job.id] = Wanted(job.spec, turn(job), job.arrived)
             else:
                 known.turn = turn(job)
-            hold = self._booking.mine.get(job.id)
-            if hold is not None and leading.scheduler.spent(job, hold):
+            reservation = self._booking.mine.get(job.id)
+            if reservation is not None and leading.scheduler.spent(job, reservation):
                 del self._booking.mine[job.id]
 
     async def _wanted_of_follower(self, now: float) -> None:
@@ -155,8 +157,11 @@
             else:
                 wanted.turn = told[1]
                 if told[2]:
-                    hold = booking.mine.get(job_id)
-                    if hold is not None and time.time() - hold.made > self._summary_s:
+                    reservation = booking.mine.get(job_id)
+                    if (
+                        reservation is not None
+                        and time.time() - reservation.made_at > self._summary_s
+                    ):
                         del booking.mine[job_id]  # refused, or used up
         for job_id, (node, its_turn, _) in waiting.items():
             if node == self._node and job_id not in booking.wanted:
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -21,9 +21,9 @@
 from topazhold.control.term_context import Deposed, TermContext
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
-from topazhold.core.holds import HOLD_PREFIX, HoldTable
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine
+from topazhold.core.reservations import RESERVATION_PREFIX, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.inheritance import read_entries
 from topazhold.duties.released import ReleasedMachines
@@ -57,7 +57,7 @@
         operator: Operator,
         store: Store,
         cloud: Cloud,
-        hold_table: HoldTable,
+        reservation_table: ReservationTable,
         machine_types: dict[str, MachineType],
         term: int,
         revision: int,
@@ -75,7 +75,7 @@
         self._account = account
         self.term = term
         self._machine_types = machine_types
-        self.scheduler = Scheduler(settings, operator, term, hold_table, rng, now)
+        self.scheduler = Scheduler(settings, operator, term, reservation_table, rng, now)
         self.scheduler.machine_types = machine_types
         self.loaded = False
         self.context = context = TermContext(
@@ -127,7 +127,7 @@
                 (Duty.PLANNING, self._plan_loop),
                 (Duty.PLANNING, self._tick_loop),
                 (Duty.STATE, self._watch_jobs),
-                (Duty.STATE, self._watch_holds),
+                (Duty.STATE, self._watch_reservations),
                 (Duty.STATE, self._watch_relays),
                 (Duty.STATE, self.saving.loop),
                 (Duty.SUMMARIES, self._summaries.loop),
@@ -239,14 +239,14 @@
             if page.events:
                 await self.context.request_plan()
 
-    async def _watch_holds(self) -> None:
+    async def _watch_reservations(self) -> None:
         async def apply(node: str, data: Any, revision: int) -> None:
             if data is None:
-                self.scheduler.hold_table.lapse(node, revision)
+                self.scheduler.reservation_table.expire(node, revision)
             else:
-                self.scheduler.hold_table.read(node, data, revision)
+                self.scheduler.reservation_table.read(node, data, revision)
 
-        await self._watch(HOLD_PREFIX, apply)
+        await self._watch(RESERVATION_PREFIX, apply)
 
     async def _watch_relays(self) -> None:
         async def apply(node: str, data: Any, revision: int) -> None:
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -38,10 +38,10 @@
 from topazhold.control.store import Store
 from topazhold.control.users import Users, users_request
 from topazhold.core.cancellations import Cancellations
-from topazhold.core.holds import HoldTable
 from topazhold.core.jobs import NO_AIM, Job
 from topazhold.core.leadership import Leadership
 from topazhold.core.placements import Placements
+from topazhold.core.reservations import ReservationTable
 from topazhold.core.search import pack_names, unpack_names
 from topazhold.duties.released import ReleasedMachines
 from topazhold.io.account import Account, Duty
@@ -94,14 +94,14 @@
             dial(address(settings.outside.cloud), 2), cluster.cloud.rps, timeout_s=5.0
         )
         self.leadership = Leadership(self.name)
-        self.hold_table = HoldTable(self.name)
+        self.reservation_table = ReservationTable(self.name)
         self.machine_types: dict[str, MachineType] = {}
         self.view = View()
         self.booking = Booking(
             settings,
             operator,
             self.store,
-            self.hold_table,
+            self.reservation_table,
             self.rng,
             max_round_s=ROUND_GRANTS * self.grant_s,
         )
@@ -352,7 +352,7 @@
             self.operator,
             self.store,
             self.cloud,
-            self.hold_table,
+            self.reservation_table,
             self.machine_types,
             term,
             revision,
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -121,7 +121,7 @@
         """Gangs that wait, and how many tasks run."""
         scheduler = self._context.scheduler
         waiting = [
-            [job.id, job.node, *turn(job), scheduler.needs_hold(job)]
+            [job.id, job.node, *turn(job), scheduler.needs_reservation(job)]
             for job in scheduler.waiting_gangs(now)
         ]
         running: dict[str, int] = {}
--- a/topazhold/control/takeover.py
+++ b/topazhold/control/takeover.py
@@ -10,9 +10,9 @@
 from topazhold.control.store import LEASES
 from topazhold.control.term_context import TermContext
 from topazhold.core import records, recovery
-from topazhold.core.holds import HOLD_PREFIX
 from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, JobState
+from topazhold.core.reservations import RESERVATION_PREFIX
 from topazhold.wire.codec import BadMessage
 from topazhold.wire.messages import MachineType
 
@@ -25,9 +25,11 @@
     while not machine_types:
         await curio.sleep(0.1 * context.retry_s)
     scheduler = context.scheduler
-    entries, seen_revision[HOLD_PREFIX] = await context.store.entries(HOLD_PREFIX, LEASES)
-    scheduler.hold_table.replace(
-        {entry.key[len(HOLD_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
+    entries, seen_revision[RESERVATION_PREFIX] = await context.store.entries(
+        RESERVATION_PREFIX, LEASES
+    )
+    scheduler.reservation_table.replace(
+        {entry.key[len(RESERVATION_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
     )
     live, seen_revision[records.LIVE_PREFIX] = await context.store.entries(
         records.LIVE_PREFIX, LEASES
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -25,7 +25,7 @@
         spec = job.spec
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
-        taken = self._held.taken(job.id, preemption.turn(job), spec.checkpoint_s > 0)
+        taken = self._reserved.taken(job.id, preemption.turn(job), spec.checkpoint_s > 0)
         places = self._array_places(job, taken, now)
         zones = job.zones_used(self.zone_of) if spec.same_place or spec.scatter else {}
         max_in_zone = (spec.tasks + 1) // 2
@@ -141,8 +141,8 @@
                 continue
             if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 continue
-            held = taken.get(machine.name, NO_RESOURCES)
-            found = preemption.victims(machine, job.need, job, self.usage, held, now)
+            reserved = taken.get(machine.name, NO_RESOURCES)
+            found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
             if found:
                 cost = sum(preemption.loss(run, now, job.level) for run in found)
                 choices.append((cost, machine.name))
@@ -150,9 +150,9 @@
         # of an array where other arrays' tasks could.
         for _, name in sorted(choices):
             while wanted > 0:
-                held = taken.get(name, NO_RESOURCES)
+                reserved = taken.get(name, NO_RESOURCES)
                 machine = self.machines[name]
-                found = preemption.victims(machine, job.need, job, self.usage, held, now)
+                found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
                 if not found:
                     break
                 for run in found:
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -194,8 +194,8 @@
         self.failed_on: dict[str, float] = {}
         self.not_before = 0.0
         self.cancelled_at: float | None = None
-        self.starting_hold = 0  # serial of the hold that the gang is starting with
-        self.used_hold = 0  # serial of the newest hold that is used up
+        self.starting_reservation = 0  # serial of the hold that the gang is starting with
+        self.used_reservation = 0  # serial of the newest hold that is used up
 
     # -- tasks -----------------------------------------------------------
 
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -12,9 +12,9 @@
 
 from topazhold.core import gangs, quota, records, renting
 from topazhold.core.estimates import Estimates
-from topazhold.core.holds import Hold, HoldTable, ReservedResources
 from topazhold.core.jobs import UNSENT, Job, JobState, Resources, Run, RunState
 from topazhold.core.machines import Machine, MachineState
+from topazhold.core.reservations import Reservation, ReservationTable, ReservedResources
 from topazhold.core.search import Offer
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import MachineType
@@ -50,7 +50,7 @@
         settings: Settings,
         operator: Operator,
         term: int,
-        hold_table: HoldTable,
+        reservation_table: ReservationTable,
         rng: Random,
         now: float,
     ) -> None:
@@ -63,7 +63,7 @@
         self.lease_s = workers.lease_s
         self.cancel_s = workers.cancel_s
         self.lag_s = cluster.cloud.list_lag_s
-        self.hold_lapse_s = operator.hold_lapse_s
+        self.reservation_expiry_s = operator.reservation_expiry_s
         self.summary_s = operator.summary_s
         self.clock = gangs.GangClock(workers.heartbeat_interval_s, workers.gang_wait_s)
         self.rent_rules = renting.RentRules(
@@ -72,7 +72,7 @@
         self.max_machine_runs = max(
             1, (cluster.state.lasting_value_bytes - 512) // records.RUN_BYTES
         )
-        self.hold_table = hold_table
+        self.reservation_table = reservation_table
         self.rng = rng
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
@@ -109,7 +109,9 @@
         self.reserve_share = operator.reserve_share
         self._free_plain = 0.0
         # Of the round of planning that is under way:
-        self._held = ReservedResources(hold_table, lambda hold: None, lambda hold: False)
+        self._reserved = ReservedResources(
+            reservation_table, lambda reservation: None, lambda reservation: False
+        )
         self._with_capacity: list[Machine] = []
         self._lower: dict[str, LowerWork] = {}
         self._least: Resources = NO_RESOURCES
@@ -118,7 +120,7 @@
         self._work_kinds: list[Resources] | None = None  # sizes of tasks other than services'
         self._hindrances: dict[object, float] = {}  # by what services take of a machine
         # By gang: the hold that was last checked, and the count of the fleet's changes then.
-        self._checked: dict[str, tuple[Hold, int]] = {}
+        self._checked: dict[str, tuple[Reservation, int]] = {}
         # Of the last look at all machines: zone -> up, silent, deaf.
         self._counts: dict[str, tuple[int, int, int]] = {}
         self._counted_at = -1.0
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placements.py
@@ -77,6 +77,8 @@
     def gone(self, name: str) -> None:
         self.places.pop(name, None)
 
-    def may_hold(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
+    def may_run(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
         """Machines that may hold tasks of these jobs, with which."""
-        return {name: held for name, place in self.places.items() if (held := place.jobs & jobs)}
+        return {
+            name: reserved for name, place in self.places.items() if (reserved := place.jobs & jobs)
+        }
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -7,10 +7,10 @@
 
 from topazhold.core import gangs, preemption
 from topazhold.core.array_placing import MAX_PLACED_TASKS
-from topazhold.core.holds import Hold
 from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
+from topazhold.core.reservations import Reservation
 from topazhold.core.search import allowed
 from topazhold.core.service_placing import ServicePlacing
 
@@ -54,16 +54,16 @@
         return planned
 
     def _plan_gang(self, job: Job, planned: list[Run], now: float) -> None:
-        hold = self.hold_table.of_job(job.id)
-        if hold is None or self.spent(job, hold):
+        reservation = self.reservation_table.of_job(job.id)
+        if reservation is None or self.spent(job, reservation):
             return
-        if self._check_due(job, hold) and self._refuse(job, hold):
+        if self._check_due(job, reservation) and self._refuse(job, reservation):
             return
         if not self._limit_reachable(job):
             return
-        taken = self._held.taken(job.id, preemption.turn(job))
+        taken = self._reserved.taken(job.id, preemption.turn(job))
         short: list[tuple[Machine, Resources]] = []
-        for name, count in hold.slots.items():
+        for name, count in reservation.slots.items():
             machine = self.machines[name]
             available = add_resources(machine.free(), taken.get(name, NO_RESOURCES), -1.0)
             whole = add_resources(NO_RESOURCES, job.need, float(count))
@@ -78,49 +78,49 @@
                 self._make_limit(job, now)
             self._claim(job)
             return
-        if not all(self._recordable(self.machines[n], c) for n, c in hold.slots.items()):
+        if not all(self._recordable(self.machines[n], c) for n, c in reservation.slots.items()):
             return
         attempt = self._attempt()
         runs: list[Run] = []
         tasks = iter(range(job.spec.tasks))
-        for name, count in hold.slots.items():
+        for name, count in reservation.slots.items():
             for _ in range(count):
                 runs.append(self._new_run(job, next(tasks), self.machines[name], attempt, now))
         gangs.begin(job, runs, now)
-        self._held.release(job.id)
+        self._reserved.release(job.id)
         self._full.clear()
-        job.starting_hold = hold.serial
+        job.starting_reservation = reservation.serial
         planned += runs
         log.info(
             "gang %s try %d starts on %s, waited %.1f s",
             job.id,
             attempt,
-            ",".join(hold.slots),
+            ",".join(reservation.slots),
             now - job.arrived,
         )
 
-    def _check_due(self, job: Job, hold: Hold) -> bool:
+    def _check_due(self, job: Job, reservation: Reservation) -> bool:
         """Whether a hold has to be checked: it is new, or machines have changed since."""
         checked = self._checked.get(job.id)
-        return checked is None or checked[0] is not hold or checked[1] != self.fleet_changes
+        return checked is None or checked[0] is not reservation or checked[1] != self.fleet_changes
 
-    def _refuse(self, job: Job, hold: Hold) -> bool:
+    def _refuse(self, job: Job, reservation: Reservation) -> bool:
         """Refuse a hold that can't be honoured; whether that was so."""
-        self._checked[job.id] = (hold, self.fleet_changes)
-        fault = self._hold_fault(job, hold)
+        self._checked[job.id] = (reservation, self.fleet_changes)
+        fault = self._reservation_fault(job, reservation)
         if fault is None:
             return False
-        log.info("hold of %s refused: %s", job.id, fault)
-        self.rejected[job.id] = hold.serial
+        log.info("reservation of %s refused: %s", job.id, fault)
+        self.rejected[job.id] = reservation.serial
         return True
 
-    def _hold_fault(self, job: Job, hold: Hold) -> str | None:
+    def _reservation_fault(self, job: Job, reservation: Reservation) -> str | None:
         """Why a hold can't be honoured, whatever time passes."""
         spec = job.spec
-        if sum(hold.slots.values()) != spec.tasks or min(hold.slots.values()) < 1:
+        if sum(reservation.slots.values()) != spec.tasks or min(reservation.slots.values()) < 1:
             return "wrong number of tasks"
         zones: dict[str, int] = {}
-        for name, count in hold.slots.items():
+        for name, count in reservation.slots.items():
             machine = self.machines.get(name)
             if machine is None or machine.machine_type is None:
                 return f"{name} is not known"
@@ -170,7 +170,9 @@
                 run.written(now)
                 # Only now is the hold used up. Used up by a plan whose intents
                 # then failed, it would keep its gang from ever starting.
-                run.job.used_hold = max(run.job.used_hold, run.job.starting_hold)
+                run.job.used_reservation = max(
+                    run.job.used_reservation, run.job.starting_reservation
+                )
                 if run.stopping:
                     self._drop(run, now)
                 else:
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -5,11 +5,11 @@
 import math
 
 from topazhold.core import preemption
-from topazhold.core.holds import Hold, ReservedResources, Turn
 from topazhold.core.jobs import GangState, Job, JobState, Run, RunState
 from topazhold.core.ledger import NO_RESOURCES, LowerWork
 from topazhold.core.machines import Machine, MachineState, add_resources, fits
 from topazhold.core.offering import Offering
+from topazhold.core.reservations import Reservation, ReservedResources, Turn
 
 #: A hold whose room is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
@@ -30,8 +30,10 @@
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
         self._full = set()
-        self._held = ReservedResources(
-            self.hold_table, self._turn_of, lambda hold: self._gathers(hold, now)
+        self._reserved = ReservedResources(
+            self.reservation_table,
+            self._turn_of,
+            lambda reservation: self._gathers(reservation, now),
         )
         self._needs = needs = {job.need for job in jobs}
         self._least = (
@@ -54,27 +56,27 @@
         # that can wait does not fill the last machines.
         self._free_plain = free - self.reserve_share * total
 
-    def _gathers(self, hold: Hold, now: float) -> bool:
+    def _gathers(self, reservation: Reservation, now: float) -> bool:
         """Whether not even work that yields may come in between.
 
         A task that would be stopped before its image is there does nobody any good:
         when hundreds of machines came up together, arrays took those held by gangs
         of two whose other machine was seconds behind.
         """
-        job = self.jobs[hold.job]
-        return job.gathers_until > now or self._soon(hold, job, now)
+        job = self.jobs[reservation.job]
+        return job.gathers_until > now or self._soon(reservation, job, now)
 
-    def _soon(self, hold: Hold, job: Job, now: float) -> bool:
+    def _soon(self, reservation: Reservation, job: Job, now: float) -> bool:
         """Whether all room of a hold is likely to be there within a few heartbeat intervals."""
         known = self._soon_known.get(job.id)
         if (
             known is not None
-            and known[0] == hold.serial
+            and known[0] == reservation.serial
             and now - known[1] < self.heartbeat_interval_s
         ):
             return known[2]
         soon = True
-        for name, count in hold.slots.items():
+        for name, count in reservation.slots.items():
             machine = self.machines.get(name)
             known_type = machine is not None and machine.machine_type is not None
             offer = self._present_offer(machine, now) if machine and known_type else None
@@ -93,7 +95,7 @@
             if wait >= SOON_HEARTBEATS * self.heartbeat_interval_s:
                 soon = False
                 break
-        self._soon_known[job.id] = (hold.serial, now, soon)
+        self._soon_known[job.id] = (reservation.serial, now, soon)
         return soon
 
     def _claim(self, job: Job) -> None:
@@ -172,9 +174,9 @@
         jobs.sort(key=lambda job: (preemption.turn(job), self._due(job), job.id))
         return jobs
 
-    def _turn_of(self, hold: Hold) -> Turn | None:
+    def _turn_of(self, reservation: Reservation) -> Turn | None:
         """By what is known now: the hold itself names the turn of when it was made."""
-        return preemption.turn(self.jobs[hold.job]) if self._binding(hold) else None
+        return preemption.turn(self.jobs[reservation.job]) if self._binding(reservation) else None
 
     def _due(self, job: Job) -> float:
         """When the job should have begun: deadlines by slack, others by arrival."""
@@ -202,17 +204,20 @@
         """Whether the machine's intents still fit a value with so many more tasks."""
         return len(machine.runs) + count <= self.max_machine_runs
 
-    def _binding(self, hold: Hold) -> bool:
+    def _binding(self, reservation: Reservation) -> bool:
         """Whether a hold still keeps room: its gang waits and may start."""
-        job = self.jobs.get(hold.job)
+        job = self.jobs.get(reservation.job)
         return (
             job is not None
             and job.state is JobState.LIVE
             and job.gang_state is GangState.WAITING
-            and not self.spent(job, hold)
+            and not self.spent(job, reservation)
             and self._limit_reachable(job)
         )
 
-    def spent(self, job: Job, hold: Hold) -> bool:
+    def spent(self, job: Job, reservation: Reservation) -> bool:
         """Whether a hold was used up or refused, so that another is needed."""
-        return hold.serial <= job.used_hold or self.rejected.get(job.id) == hold.serial
+        return (
+            reservation.serial <= job.used_reservation
+            or self.rejected.get(job.id) == reservation.serial
+        )
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from topazhold.core.holds import LATER, Turn
 from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
+from topazhold.core.reservations import LATER, Turn
 from topazhold.core.search import PRESSING
 
 
@@ -74,10 +74,10 @@
 
 
 def victims(
-    machine: Machine, need: Resources, job: Job, usage: Usage, held: Resources, now: float
+    machine: Machine, need: Resources, job: Job, usage: Usage, reserved: Resources, now: float
 ) -> list[Run] | None:
     """Runs to stop so that `need` fits; [] if it will fit anyhow, None if it can't."""
-    available = add_resources(machine.free(), held, -1.0)
+    available = add_resources(machine.free(), reserved, -1.0)
     candidates: list[Run] = []
     for run in machine.runs.values():
         if not run.present:
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -10,11 +10,11 @@
 import math
 
 from topazhold.core import preemption, renting
-from topazhold.core.holds import add_hold
 from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.ledger import UP
 from topazhold.core.machines import Machine, count_fitting
 from topazhold.core.placing import Placing
+from topazhold.core.reservations import add_reservation
 from topazhold.core.search import CACHE_LENGTH, Offer, allowed, sooner
 from topazhold.wire.messages import MachineType
 
@@ -37,14 +37,14 @@
 
     def wanting_s(self, job: Job, now: float) -> float:
         """How long the gang has been without a hold that is in force."""
-        if not self.needs_hold(job):
+        if not self.needs_reservation(job):
             self._wanting_since.pop(job.id, None)
             return 0.0
         return now - self._wanting_since.setdefault(job.id, now)
 
-    def needs_hold(self, job: Job) -> bool:
-        hold = self.hold_table.of_job(job.id)
-        return hold is None or self.spent(job, hold)
+    def needs_reservation(self, job: Job) -> bool:
+        reservation = self.reservation_table.of_job(job.id)
+        return reservation is None or self.spent(job, reservation)
 
     def largest_gang(self, now: float) -> Job | None:
         """The waiting gang with the most tasks that must share a zone."""
@@ -65,15 +65,15 @@
         same time the first 20 were soon held, and all other gangs found none.
         """
         found = self._all_offers(zone, now)
-        held = self._reserved_by_machine()
-        whole = {offer.name for offer in found if offer.name in held and offer.full(held)}
+        reserved = self._reserved_by_machine()
+        whole = {offer.name for offer in found if offer.name in reserved and offer.full(reserved)}
         if whole:
             found = [offer for offer in found if offer.name not in whole] + [
                 offer for offer in found if offer.name in whole
             ]
         if largest is None:
             return found[:CACHE_LENGTH] + [
-                offer for offer in found[CACHE_LENGTH:] if offer.name in held
+                offer for offer in found[CACHE_LENGTH:] if offer.name in reserved
             ]
         length = max(CACHE_LENGTH, math.ceil(self.alpha * largest.spec.tasks))
         rank = preemption.rank(largest)
@@ -87,13 +87,13 @@
         )
         both = [offer for pair in zip(fitting, found, strict=True) for offer in pair]
         order = list(dict.fromkeys(both))
-        return order[:length] + [offer for offer in order[length:] if offer.name in held]
+        return order[:length] + [offer for offer in order[length:] if offer.name in reserved]
 
     def _reserved_by_machine(self) -> dict[str, Resources]:
         """What all holds together keep, machine by machine."""
         by_machine: dict[str, Resources] = {}
-        for hold in self.hold_table.all():
-            add_hold(by_machine, hold)
+        for reservation in self.reservation_table.all():
+            add_reservation(by_machine, reservation)
         return by_machine
 
     def _all_offers(self, zone: str, now: float) -> list[Offer]:
@@ -230,8 +230,11 @@
         )
         self._wish_for_zones(found, machine_types, now)
         self._lower = {}
-        held = {
-            name for hold in self.hold_table.all() if self._binding(hold) for name in hold.slots
+        reserved = {
+            name
+            for reservation in self.reservation_table.all()
+            if self._binding(reservation)
+            for name in reservation.slots
         }
         asks: list[renting.Ask] = []
         for machine_type in machine_types:
@@ -244,6 +247,6 @@
             for machine in renting.returns(
                 found, machine_type, fleet, self.rent_rules, growing, now
             ):
-                if machine.name not in held:
+                if machine.name not in reserved:
                     self.release(machine, "idle", now)
         return asks
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -68,14 +68,16 @@
         self.evictable = evictable  # (rank, seconds, room that it may take from others)
         self.fetch_rate = fetch_rate
 
-    def ladder(self, rank: Rank, held: Resources | None) -> list[tuple[float, Resources]]:
+    def ladder(self, rank: Rank, reserved: Resources | None) -> list[tuple[float, Resources]]:
         """Room over time for work of a rank, less what others hold."""
         rungs = list(self.rungs)
         if rungs:
             for delay, available in self._evictable_for(rank):
                 rungs.append((delay, add_resources(rungs[0][1], available)))
-        if held is not None:
-            rungs = [(delay, add_resources(available, held, -1.0)) for delay, available in rungs]
+        if reserved is not None:
+            rungs = [
+                (delay, add_resources(available, reserved, -1.0)) for delay, available in rungs
+            ]
         rungs.sort(key=lambda rung: rung[0])
         return rungs
 
@@ -89,11 +91,11 @@
             return self._evictable_for((0, rank[1]))
         return found
 
-    def full(self, held: Mapping[str, Resources]) -> bool:
+    def full(self, reserved: Mapping[str, Resources]) -> bool:
         """Whether holds keep all that will ever be free here."""
         if not self.rungs:
             return True
-        available = add_resources(self.rungs[-1][1], held.get(self.name, (0.0, 0.0, 0.0)), -1.0)
+        available = add_resources(self.rungs[-1][1], reserved.get(self.name, (0.0, 0.0, 0.0)), -1.0)
         gpus = self.rungs[-1][1][1] > 0
         return (available[1] if gpus else available[0]) <= SLACK
 
@@ -195,7 +197,12 @@
 
 
 def offer_slots(
-    offer: Offer, spec: JobSpec, rank: Rank, held: Resources | None, limit: int, rules: SearchRules
+    offer: Offer,
+    spec: JobSpec,
+    rank: Rank,
+    reserved: Resources | None,
+    limit: int,
+    rules: SearchRules,
 ) -> list[Slot]:
     """Up to `limit` slots of one machine, soonest first."""
     if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
@@ -206,7 +213,7 @@
         fetch = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
     slots: list[Slot] = []
     whole = offer.rungs[-1][1] if offer.rungs else need
-    for delay, available in offer.ladder(rank, held):
+    for delay, available in offer.ladder(rank, reserved):
         count = count_fitting(need, available, limit)
         cost = 0.0
         if spec.spot and not offer.spot:
@@ -388,8 +395,8 @@
     return swapped
 
 
-def score_held(
-    held: Mapping[str, int],
+def score_reserved(
+    reserved: Mapping[str, int],
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
     rank: Rank,
@@ -400,7 +407,7 @@
     group: list[Slot] = []
     for offers in caches.values():
         for offer in offers:
-            count = held.get(offer.name, 0)
+            count = reserved.get(offer.name, 0)
             if count:
                 group += offer_slots(offer, spec, rank, taken.get(offer.name), count, rules)
     if len(group) != spec.tasks:
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -51,7 +51,7 @@
     def _plan_service(self, job: Job, planned: list[Run], now: float) -> None:
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
-        taken = self._held.taken(job.id, preemption.turn(job))
+        taken = self._reserved.taken(job.id, preemption.turn(job))
         places = self._service_places(job, taken, now)
         zones = job.zones_used(self.zone_of)
         if job.spec.same_place:
@@ -210,8 +210,8 @@
                 continue
             if self._zone_full(job, zones.get(machine.zone, 0)):
                 continue
-            held = taken.get(machine.name, NO_RESOURCES)
-            found = preemption.victims(machine, job.need, job, self.usage, held, now)
+            reserved = taken.get(machine.name, NO_RESOURCES)
+            found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
             if found is None:
                 continue
             if not found:
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -140,7 +140,7 @@
     search_groups: int = 16
     search_rounds: int = 20
     summary_s: float = 5.0
-    hold_lapse_s: float = 60.0
+    reservation_expiry_s: float = msgspec.field(name="hold_lapse_s", default=60.0)
     longest_wait_s: float = 240.0
     headroom_share: float = 0.15
     reserve_share: float = 0.35
@@ -238,6 +238,7 @@
     except (OSError, UnicodeDecodeError) as exc:
         raise SettingsError(f"{path}: {exc}") from None
     operator = _parse_operator(path, text)
+    given = msgspec.to_builtins(operator)
     for name, least, most in (
         ("alpha", 1.0, 16.0),
         ("search_groups", 1, 256),
@@ -250,7 +251,7 @@
         ("idle_boots", 0.0, 100.0),
         ("user_socket_share", 0.05, 0.75),
     ):
-        value = getattr(operator, name)
+        value = given[name]
         if not math.isfinite(value) or not least <= value <= most:
             raise SettingsError(f"{path}: {name}: must be from {least} to {most}")
     return operator
@@ -269,12 +270,12 @@
         name="topazhold/operator.proto", package="topazhold", syntax="proto2"
     )
     shape = file.message_type.add(name="Operator")
-    defaults = Operator()
-    for number, name in enumerate(Operator.__struct_fields__, start=1):
+    settings = msgspec.to_builtins(Operator())
+    for number, (name, default) in enumerate(settings.items(), start=1):
         shape.field.add(
             name=name,
             number=number,
-            type=field_types[type(getattr(defaults, name))],
+            type=field_types[type(default)],
             label=descriptor_pb2.FieldDescriptorProto.LABEL_OPTIONAL,
         )
     pool = descriptor_pool.DescriptorPool()
@@ -285,5 +286,5 @@
         text_format.Parse(text, message)
     except text_format.ParseError as exc:
         raise SettingsError(f"{path}: {exc}") from None
-    given = {field.name: value for field, value in message.ListFields()}
-    return msgspec.structs.replace(defaults, **given)
+    settings.update({field.name: value for field, value in message.ListFields()})
+    return msgspec.convert(settings, Operator)
