--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.standins import settings_for
-from topazhold.core.jobs import Job, Run
+from topazhold.core.jobs import Job, TaskAttempt
 from topazhold.core.preemption import turn
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
@@ -69,11 +69,11 @@
         self.reservation_table.reservations.setdefault("hive-0", {})[job.id] = reservation
         return reservation
 
-    def plan(self) -> list[Run]:
+    def plan(self) -> list[TaskAttempt]:
         """Plan and commit."""
-        runs = self.scheduler.plan(self.now)
-        self.scheduler.intents_written(runs, self.now)
-        return runs
+        attempts = self.scheduler.plan(self.now)
+        self.scheduler.intents_written(attempts, self.now)
+        return attempts
 
     def report(
         self,
@@ -104,9 +104,9 @@
         commands = self.scheduler.answer(heard, heartbeat, self.now) if heard is not None else []
         if carry_out:
             for command in commands:
-                key = (command.task_name, command.attempt)
+                key = (command.task_name, command.attempt_number)
                 if command.kind == "launch":
-                    tasks[key] = TaskStatus(command.task_name, command.attempt, "pulling")
+                    tasks[key] = TaskStatus(command.task_name, command.attempt_number, "pulling")
                 elif command.kind == "clear":
                     tasks.pop(key, None)
         return commands
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -450,11 +450,11 @@
 class Task:
     """A task on a worker."""
 
-    def __init__(self, task_name: str, attempt: int, spec: dict[str, Any]) -> None:
+    def __init__(self, task_name: str, attempt_number: int, spec: dict[str, Any]) -> None:
         self.task_name = task_name
         self.job, _, number = task_name.partition("/")
         self.index = int(number)
-        self.attempt = attempt
+        self.attempt_number = attempt_number
         self.spec = spec
         self.state = "pulling"
         self.cause: str | None = None
@@ -527,7 +527,7 @@
         self.sequence += 1
         tasks = []
         for task in self.tasks.values():
-            item = {"frame": task.task_name, "try": task.attempt, "stage": task.state}
+            item = {"frame": task.task_name, "try": task.attempt_number, "stage": task.state}
             if task.cause:
                 item["cause"] = task.cause
             if task.kept:
@@ -671,13 +671,13 @@
                     self._end(task, "stopped")
                 self.changed = True
 
-    def _launch(self, task_name: str, attempt: int) -> None:
+    def _launch(self, task_name: str, attempt_number: int) -> None:
         self.changed = True
         self.world.launched(self, task_name)
         spec = self.world.specs.get(task_name.partition("/")[0])
-        task = Task(task_name, attempt, spec or {"image_gb": 0})
+        task = Task(task_name, attempt_number, spec or {"image_gb": 0})
         self.hosted.add(task.job)
-        self.tasks[(task_name, attempt)] = task
+        self.tasks[(task_name, attempt_number)] = task
         if spec is None:
             self._end(task, "unknown")
             return
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -30,7 +30,7 @@
 
     def watch(self: Scheduler, machine: Any, now: float) -> None:
         if self.silent_s(machine, now) > 2 * self.heartbeat_interval_s:
-            for run in list(machine.runs.values()):
+            for run in list(machine.attempts.values()):
                 self._drop(run, now)
 
     patch.setattr(Scheduler, "_watch", watch)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -142,7 +142,7 @@
         scene.state.set_down(False)
         new = await scene.new_leader(leader)
         terms.append(scene.nodes[new].leading.term)
-        named = [m for m in scene.nodes[new].leading.scheduler.machines.values() if m.runs]
+        named = [m for m in scene.nodes[new].leading.scheduler.machines.values() if m.attempts]
         assert len(named) > 3, "as far as she knows the tasks may be there"
         await curio.sleep(4 * scene.workers.heartbeat_interval_s)
         scene.state.set_down(True)
@@ -258,7 +258,7 @@
             def reached(job: str = job, scheduler: Any = scheduler, want: str = want) -> bool:
                 known = scheduler.jobs.get(job)
                 return known is not None and any(
-                    run.state.value in (want, "pulling") for run in known.runs.values()
+                    run.state.value in (want, "pulling") for run in known.attempts.values()
                 )
 
             await scene.until(reached)
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -12,7 +12,7 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
-from topazhold.core.jobs import Job, Run, RunState
+from topazhold.core.jobs import AttemptState, Job, TaskAttempt
 from topazhold.core.renting import MAX_RELEASED_MACHINES
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
@@ -21,16 +21,16 @@
 from topazhold.settings import Operator
 
 
-def cancelled_run(scheduler: Scheduler, number: int, name: str, now: float) -> Run:
+def cancelled_run(scheduler: Scheduler, number: int, name: str, now: float) -> TaskAttempt:
     job = Job(make_spec(number, tasks=1, shape="batch"), now, 0.0, "hive-0")
     scheduler.add_job(job)
-    run = Run(job, 0, 1, name, now)
-    run.state = RunState.RUNNING
-    job.add_run(run)
-    scheduler.machines[name].attach(run)
+    attempt = TaskAttempt(job, 0, 1, name, now)
+    attempt.state = AttemptState.RUNNING
+    job.add_attempt(attempt)
+    scheduler.machines[name].attach(attempt)
     scheduler.usage.add(job)
     scheduler.job_over(job.id, False, now, now)
-    return run
+    return attempt
 
 
 def test_living_and_cancelled_are_commanded_first(bench: Bench) -> None:
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -5,7 +5,7 @@
 from tests.conftest import Bench, make_spec
 from topazhold.core import records, recovery
 from topazhold.core.intent_shards import MAX_MACHINES, IntentShards
-from topazhold.core.jobs import Job, Run
+from topazhold.core.jobs import Job, TaskAttempt
 from topazhold.wire.codec import json_size
 
 
@@ -22,7 +22,7 @@
         for number in range(tasks):
             spec = make_spec(shape="batch", tasks=1, id=f"wk-{10**17 + 100 * place + number}")
             job = bench.job(spec)
-            bench.scheduler._attach(Run(job, 0, 2**60, machine.name, bench.now))
+            bench.scheduler._attach(TaskAttempt(job, 0, 2**60, machine.name, bench.now))
 
 
 def test_machines_of_a_zone_share_shards() -> None:
@@ -47,7 +47,7 @@
     for _, value in values.values():
         assert json_size(value) <= 7000
         found, odd = records.read_on(value)
-        assert odd == [] and all(len(each.runs) == 16 for each in found)
+        assert odd == [] and all(len(each.attempts) == 16 for each in found)
         named += [each.machine for each in found]
     assert sorted(named) == sorted(machines)
 
@@ -73,7 +73,7 @@
     old, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 0, 7]]]}})
     new, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 1, 8]]]}})
     recovery.take_over(bench.scheduler, [job], new + old, bench.now)
-    assert sorted(job.runs) == [0, 1]
+    assert sorted(job.attempts) == [0, 1]
 
 
 def test_unreadable_intents_are_named() -> None:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -12,7 +12,7 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
-from topazhold.core.jobs import Job, Run, RunState
+from topazhold.core.jobs import AttemptState, Job, TaskAttempt
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Operator
@@ -51,37 +51,38 @@
     names = [f"host-{number:06d}" for number in range(machines)]
     for name in names:
         scheduler.add_machine(name, "a", False, "b1", 0.0)
-    runs = []
+    attempts = []
     for number in range(jobs):
         job = Job(make_spec(number, tasks=1, shape="batch"), 0.0, 0.0, "hive-0")
         job.revision = 1
         scheduler.add_job(job)
-        runs.append(Run(job, 0, 1, names[number % machines], 0.0))
-        job.add_run(runs[-1])
-        scheduler.machines[runs[-1].machine].attach(runs[-1])
+        attempts.append(TaskAttempt(job, 0, 1, names[number % machines], 0.0))
+        job.add_attempt(attempts[-1])
+        scheduler.machines[attempts[-1].machine].attach(attempts[-1])
 
     async def main(clock: VirtualTime) -> None:
         await curio.sleep(0)
         context = TermContext(settings, store, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
-        await Intents(context).write(runs)
+        await Intents(context).write(attempts)
 
     run_virtual(main, monkeypatch)
-    return store, runs
+    return store, attempts
 
 
 def test_every_planned_job_is_guarded(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards beyond four times `txn_ops` used to be cut: the last jobs of a plan of
     many small ones could be launched though they had been cancelled in between."""
-    store, runs = write_plan(monkeypatch, machines=8, jobs=96)
-    assert all(run.state is RunState.WRITTEN for run in runs)
-    for run in runs:
+    store, attempts = write_plan(monkeypatch, machines=8, jobs=96)
+    assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
+    for attempt in attempts:
         assert any(
-            f"live/{run.job.id}" in guarded and "queen/now" in guarded for guarded in store.guarded
-        ), run.job.id
+            f"live/{attempt.job.id}" in guarded and "queen/now" in guarded
+            for guarded in store.guarded
+        ), attempt.job.id
 
 
 def test_plan_over_many_shards_and_full_ones(monkeypatch: pytest.MonkeyPatch) -> None:
     """Shards that split while they are written must not make a transaction too large."""
-    store, runs = write_plan(monkeypatch, machines=80, jobs=6000)
-    assert all(run.state is RunState.WRITTEN for run in runs)
+    store, attempts = write_plan(monkeypatch, machines=80, jobs=6000)
+    assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
     assert len(set().union(*store.puts)) > 5
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -93,7 +93,7 @@
         await scene.request(new, "POST", "/v1/report", held)
         run = [
             run
-            for run in scene.nodes[new].leading.scheduler.jobs[job].runs.values()
+            for run in scene.nodes[new].leading.scheduler.jobs[job].attempts.values()
             if run.machine == first.name
         ]
         assert len(run) == 1 and run[0].present, "it still counts as possibly running"
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -8,16 +8,16 @@
 import pytest
 
 from tests.conftest import Bench, make_spec
-from topazhold.core.jobs import JobState, Run
+from topazhold.core.jobs import JobState, TaskAttempt
 from topazhold.core.scheduler import Scheduler
 
 
 def stops(bench: Bench) -> list[tuple[str, int, float | None]]:
     """All tasks on machines, with the grace of those that were told to stop."""
     return sorted(
-        (run.task_name, run.attempt, run.stop_grace)
+        (attempt.task_name, attempt.attempt_number, attempt.stop_grace)
         for machine in bench.scheduler.machines.values()
-        for run in machine.runs.values()
+        for attempt in machine.attempts.values()
     )
 
 
@@ -160,12 +160,12 @@
     for machines in (6, 60):
         bench = Bench(machines)
         bench.job(make_spec(1, shape="batch", tasks=2, gpus=4.0))
-        planned: list[Run] = bench.plan()
+        planned: list[TaskAttempt] = bench.plan()
         assert len(planned) == 2
         for stage in ("pulling", "running"):
             bench.all_report()
-            for run in planned:
-                bench.state(run.machine, stage)
+            for attempt in planned:
+                bench.state(attempt.machine, stage)
         bench.all_report()
         counted = bench.scheduler.changes
         for _ in range(5):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,7 +6,7 @@
 
 from tests.conftest import Bench, make_spec
 from topazhold.core import preemption, recovery
-from topazhold.core.jobs import GangState, Job, JobState, Run, RunState
+from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.renting import counted
@@ -34,35 +34,35 @@
 def test_launch_only_after_the_intent(bench: Bench) -> None:
     job = bench.job(make_spec())
     bench.reservation(job, {"host-0": 1, "host-2": 1})
-    runs = bench.scheduler.plan(bench.now)
-    assert len(runs) == 2
+    attempts = bench.scheduler.plan(bench.now)
+    assert len(attempts) == 2
     assert launched(bench.all_report()) == []
-    bench.scheduler.intents_written(runs, bench.now)
+    bench.scheduler.intents_written(attempts, bench.now)
     assert sorted(launched(bench.all_report())) == ["wk-000001/0", "wk-000001/1"]
 
 
 def test_lost_launch_is_repeated_on_the_same_machine(bench: Bench) -> None:
     """The answer with the launch was dropped: the next report lacks the task."""
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    assert launched(bench.report(run.machine, carry_out=False)) == ["wk-000001/0"]
-    assert launched(bench.report(run.machine)) == ["wk-000001/0"]
-    assert run.state is RunState.ORDERED
-    bench.report(run.machine)
-    assert run.state is RunState.PULLING
+    (attempt,) = bench.plan()
+    assert launched(bench.report(attempt.machine, carry_out=False)) == ["wk-000001/0"]
+    assert launched(bench.report(attempt.machine)) == ["wk-000001/0"]
+    assert attempt.state is AttemptState.ORDERED
+    bench.report(attempt.machine)
+    assert attempt.state is AttemptState.PULLING
 
 
 def test_direct_answer_proves_no_absence(bench: Bench) -> None:
     """A direct command's answer may overtake the launch that is under way."""
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine, carry_out=False)
-    bench.sequences[run.machine] += 1
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine, carry_out=False)
+    bench.sequences[attempt.machine] += 1
     heartbeat = Heartbeat(
-        run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, []
+        attempt.machine, "x:1", "b1", "a", False, 1, bench.sequences[attempt.machine], 5, []
     )
     bench.scheduler.on_heartbeat(heartbeat, True, bench.now)
-    assert run.state is RunState.ORDERED
+    assert attempt.state is AttemptState.ORDERED
 
 
 def test_failed_intents_do_not_use_the_hold_up(bench: Bench) -> None:
@@ -78,26 +78,26 @@
 def test_machine_gone_gives_the_limit_back(bench: Bench) -> None:
     """Runs of a gone machine must not count against their team any more."""
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
+    (attempt,) = bench.plan()
     assert bench.scheduler.usage.used("red") == (4.0, 2.0)
-    bench.scheduler.machine_gone(run.machine, bench.now)
+    bench.scheduler.machine_gone(attempt.machine, bench.now)
     assert bench.scheduler.usage.used("red") == (0.0, 0.0)
 
 
 def test_silence_places_nothing_again(bench: Bench) -> None:
     job = bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine)
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
     bench.now += 500.0
     for name in bench.scheduler.machines:
-        if name != run.machine:
+        if name != attempt.machine:
             bench.report(name)
     bench.scheduler.tick(bench.now)
     assert bench.plan() == []
-    assert run.machine in bench.scheduler.releases
-    bench.scheduler.machine_gone(run.machine, bench.now)
+    assert attempt.machine in bench.scheduler.releases
+    bench.scheduler.machine_gone(attempt.machine, bench.now)
     assert [new.index for new in bench.plan()] == [0]
-    assert job.runs[0].machine != run.machine
+    assert job.attempts[0].machine != attempt.machine
 
 
 def test_cut_zone_is_not_released(bench: Bench) -> None:
@@ -113,12 +113,12 @@
 
 def test_cancelled_task_takes_a_silent_machine_with_it(bench: Bench) -> None:
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine)
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
     bench.scheduler.job_over("wk-000001", False, bench.now, bench.now)
     bench.now += bench.scheduler.cancel_s * 0.7
     bench.scheduler.tick(bench.now)
-    assert run.machine in bench.scheduler.releases
+    assert attempt.machine in bench.scheduler.releases
 
 
 def test_lost_gang_member_stops_the_rest_and_the_gang_waits_again(bench: Bench) -> None:
@@ -133,13 +133,13 @@
     bench.report("host-2")
     bench.scheduler.tick(bench.now)
     assert job.gang_state is GangState.WAITING
-    assert job.runs == {}
+    assert job.attempts == {}
 
 
 def test_orderly_stop_tells_every_task_with_enough_grace(bench: Bench) -> None:
     job = running_gang(bench)
-    bench.scheduler.preempt(job.runs[0], "test", bench.now)
-    assert {run.stop_grace >= job.spec.save_s for run in job.runs.values()} == {True}
+    bench.scheduler.preempt(job.attempts[0], "test", bench.now)
+    assert {attempt.stop_grace >= job.spec.save_s for attempt in job.attempts.values()} == {True}
     assert bench.scheduler.to_command >= {"host-0", "host-2"}
     assert all(bench.scheduler.kills(bench.scheduler.machines[n]) for n in ("host-0", "host-2"))
 
@@ -182,18 +182,18 @@
 def test_waiting_launch_rings_the_worker(bench: Bench) -> None:
     """A direct clear changes the worker's tasks, so that it reports at once."""
     bench.job(make_spec(1, shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine)
-    bench.state(run.machine, "ended", "error")
-    bench.report(run.machine)
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
+    bench.state(attempt.machine, "ended", "error")
+    bench.report(attempt.machine)
     bench.now += 0.5
     for name in bench.scheduler.machines:
         bench.report(name)
     bench.now += 0.5
     bench.job(make_spec(2, shape="batch", tasks=40, gpus=0.0, cpus=1.0, same_place=False))
     bench.plan()
-    assert run.machine in bench.scheduler.to_command
-    commands = bench.scheduler.direct_commands(bench.scheduler.machines[run.machine])
+    assert attempt.machine in bench.scheduler.to_command
+    commands = bench.scheduler.direct_commands(bench.scheduler.machines[attempt.machine])
     assert [(command.kind, command.task_name) for command in commands] == [("clear", "wk-000001/0")]
 
 
@@ -222,7 +222,11 @@
     ]
     bench.reservation(gang, dict.fromkeys(free[:2], 1))
     bench.plan()
-    stopping = [run for run in bench.scheduler.jobs["wk-000001"].runs.values() if run.stopping]
+    stopping = [
+        attempt
+        for attempt in bench.scheduler.jobs["wk-000001"].attempts.values()
+        if attempt.stopping
+    ]
     assert len(stopping) == 4
 
 
@@ -244,11 +248,11 @@
     equal = bench.job(make_spec(2, tasks=1, gpus=4.0, urgency="best_effort", team="blue"))
     bench.reservation(equal, {"host-0": 1})
     bench.plan()
-    assert not any(run.stopping for run in low.runs.values())
+    assert not any(attempt.stopping for attempt in low.attempts.values())
     urgent = bench.job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
     bench.reservation(urgent, {"host-0": 1})
     bench.plan()
-    assert [run.machine for run in low.runs.values() if run.stopping] == ["host-0"]
+    assert [attempt.machine for attempt in low.attempts.values() if attempt.stopping] == ["host-0"]
 
 
 def test_guests_holds_do_not_bind_better_work() -> None:
@@ -261,9 +265,11 @@
     bench.scheduler.jobs["wk-000002"].within = False
     first = bench.job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
     bench.reservation(first, {"host-1": 1})
-    runs = bench.plan()
-    assert ("wk-000003", "host-1") in {(run.job.id, run.machine) for run in runs}
-    assert ("wk-000002", "host-1") not in {(run.job.id, run.machine) for run in runs}
+    attempts = bench.plan()
+    assert ("wk-000003", "host-1") in {(attempt.job.id, attempt.machine) for attempt in attempts}
+    assert ("wk-000002", "host-1") not in {
+        (attempt.job.id, attempt.machine) for attempt in attempts
+    }
 
 
 def test_wrong_estimates_are_corrected_within_bounds(bench: Bench) -> None:
@@ -291,13 +297,13 @@
 
 def test_notice_drains_and_saves(bench: Bench) -> None:
     job = bench.job(make_spec(shape="batch", tasks=1, estimated_run_s=300.0))
-    (run,) = bench.plan()
-    bench.report(run.machine)
-    bench.state(run.machine, "running")
-    bench.report(run.machine, notice_s=20.0)
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
+    bench.state(attempt.machine, "running")
+    bench.report(attempt.machine, notice_s=20.0)
     bench.scheduler.tick(bench.now)
-    assert run.stop_grace is not None and run.stop_grace >= job.spec.save_s
-    assert bench.scheduler.machines[run.machine].state is MachineState.DRAINING
+    assert attempt.stop_grace is not None and attempt.stop_grace >= job.spec.save_s
+    assert bench.scheduler.machines[attempt.machine].state is MachineState.DRAINING
 
 
 def test_takeover_waits_for_a_report_under_the_new_term() -> None:
@@ -311,7 +317,7 @@
     bench.report("host-0", term=7)  # written before the worker saw the new term
     assert bench.plan() == []
     bench.report("host-0")
-    assert [run.index for run in bench.plan()] == [0]
+    assert [attempt.index for attempt in bench.plan()] == [0]
 
 
 def test_takeover_counts_aborted_jobs_tasks() -> None:
@@ -322,23 +328,23 @@
     recovery.take_over(bench.scheduler, [job], intents, bench.now)
     assert bench.scheduler.usage.used("red") == (4.0, 2.0)
     bench.scheduler.tick(bench.now)
-    assert job.state is JobState.ABORTED and job.runs[0].stopping
+    assert job.state is JobState.ABORTED and job.attempts[0].stopping
     bench.report("host-0")
     assert bench.scheduler.usage.used("red") == (0.0, 0.0)
 
 
 def test_late_report_and_late_list_change_nothing(bench: Bench) -> None:
     job = bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine)
-    bench.report(run.machine)
-    assert run.state is RunState.PULLING
-    bench.sequences[run.machine] -= 2
-    tasks = bench.tasks[run.machine]
-    bench.tasks[run.machine] = {}
-    assert bench.report(run.machine) == []
-    assert job.runs[0] is run
-    bench.tasks[run.machine] = tasks
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
+    bench.report(attempt.machine)
+    assert attempt.state is AttemptState.PULLING
+    bench.sequences[attempt.machine] -= 2
+    tasks = bench.tasks[attempt.machine]
+    bench.tasks[attempt.machine] = {}
+    assert bench.report(attempt.machine) == []
+    assert job.attempts[0] is attempt
+    bench.tasks[attempt.machine] = tasks
     bench.scheduler.machine_gone("host-3", bench.now)
 
     bench.scheduler.listed([ListedMachine("host-3", "b1", "b", "running")], bench.now, bench.now)
@@ -375,11 +381,11 @@
 def test_unsent_launch_leaves_a_draining_machine(bench: Bench) -> None:
     """Written for a machine that then fell sick, a task once waited for ever."""
     job = bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.scheduler.machines[run.machine].drain("sick", bench.now)
+    (attempt,) = bench.plan()
+    bench.scheduler.machines[attempt.machine].drain("sick", bench.now)
     bench.scheduler.tick(bench.now)
     assert job.waiting_count == 1
-    assert [new.machine != run.machine for new in bench.plan()] == [True]
+    assert [new.machine != attempt.machine for new in bench.plan()] == [True]
 
 
 def test_new_leader_hears_the_workers_before_she_releases_for_a_cancelled_job() -> None:
@@ -432,7 +438,7 @@
         bench.report("host-2")
     machine = bench.scheduler.machines["host-0"]
     assert machine.deaf and not bench.scheduler.usable(machine, bench.now)
-    assert not machine.runs, "no limit is kept for it"
+    assert not machine.attempts, "no limit is kept for it"
     assert not counted(machine)
     bench.scheduler.tick(bench.now)
     assert job.gang_state is not GangState.STARTING
@@ -446,20 +452,20 @@
 
 def test_lease_that_ends_though_answered_shows_a_deaf_machine(bench: Bench) -> None:
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.report(run.machine)
-    bench.report(run.machine)
-    assert run.state is RunState.PULLING
-    bench.tasks[run.machine] = {}
+    (attempt,) = bench.plan()
+    bench.report(attempt.machine)
+    bench.report(attempt.machine)
+    assert attempt.state is AttemptState.PULLING
+    bench.tasks[attempt.machine] = {}
     bench.now += 0.5
-    bench.report(run.machine, incarnation=2)
-    machine = bench.scheduler.machines[run.machine]
-    assert machine.deaf and run.state is RunState.GONE
+    bench.report(attempt.machine, incarnation=2)
+    machine = bench.scheduler.machines[attempt.machine]
+    assert machine.deaf and attempt.state is AttemptState.GONE
     again = bench.plan()
-    assert again and again[0].machine != run.machine, "placed again, elsewhere"
+    assert again and again[0].machine != attempt.machine, "placed again, elsewhere"
     for _ in range(14):  # a session that outlasts its lease has heard answers
         bench.now += 1.0
-        bench.report(run.machine, incarnation=2)
+        bench.report(attempt.machine, incarnation=2)
     assert not machine.deaf
 
 
@@ -492,15 +498,15 @@
     bench.report("host-0", term=7, incarnation=3)
     assert bench.plan() == [], "the same session proves nothing"
     bench.report("host-0", term=7, incarnation=4)
-    assert [run.machine for run in bench.plan()] == ["host-1"]
+    assert [attempt.machine for attempt in bench.plan()] == ["host-1"]
 
 
 def test_launch_only_in_the_session_that_the_intent_names(bench: Bench) -> None:
     """What makes the proof above hold."""
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    run.incarnation = 9
-    assert launched(bench.report(run.machine)) == []
+    (attempt,) = bench.plan()
+    attempt.incarnation = 9
+    assert launched(bench.report(attempt.machine)) == []
 
 
 def test_late_copy_to_a_new_leader_brings_no_machine_back() -> None:
@@ -579,9 +585,9 @@
         job = bench.job(
             make_spec(100 + len(bench.scheduler.jobs), shape="batch", tasks=1, gpus=1.0)
         )
-        run = Run(job, 0, 1, machine.name, bench.now)
-        run.state = RunState.RUNNING
-        bench.scheduler._attach(run)
+        attempt = TaskAttempt(job, 0, 1, machine.name, bench.now)
+        attempt.state = AttemptState.RUNNING
+        bench.scheduler._attach(attempt)
     gang = bench.job(make_spec(tasks=5, gpus=4.0, cpus=16.0))
     whole = {f"host-{number:02d}" for number in range(45, 50)}
     assert whole <= {offer.name for offer in bench.scheduler.offers("a", bench.now, gang)}
@@ -613,10 +619,10 @@
 
 def test_no_launch_from_a_leader_whose_grant_may_have_passed_on(bench: Bench) -> None:
     bench.job(make_spec(shape="batch", tasks=1))
-    (run,) = bench.plan()
-    bench.sequences[run.machine] += 1
+    (attempt,) = bench.plan()
+    bench.sequences[attempt.machine] += 1
     heartbeat = Heartbeat(
-        run.machine, "x:1", "b1", "a", False, 1, bench.sequences[run.machine], 5, []
+        attempt.machine, "x:1", "b1", "a", False, 1, bench.sequences[attempt.machine], 5, []
     )
     machine = bench.scheduler.on_heartbeat(heartbeat, False, bench.now)
     assert machine is not None
@@ -719,16 +725,16 @@
     for name in ("host-0", "host-1"):
         bench.report(name)
     other = bench.job(make_spec(9, tasks=1, shape="batch", gpus=4.0, estimated_run_s=3.0))
-    run = Run(other, 0, 1, "host-1", bench.now)
-    run.state, run.running_since = RunState.RUNNING, bench.now
-    bench.scheduler._attach(run)
+    attempt = TaskAttempt(other, 0, 1, "host-1", bench.now)
+    attempt.state, attempt.running_since = AttemptState.RUNNING, bench.now
+    bench.scheduler._attach(attempt)
     gang = bench.job(make_spec(1, tasks=2, gpus=4.0))
     bench.reservation(gang, {"host-0": 1, "host-1": 1})
     array = bench.job(make_spec(2, shape="batch", tasks=1, gpus=1.0, urgency="best_effort"))
     assert bench.plan() == []
     other.spec.estimated_run_s = 300.0
     bench.now += bench.scheduler.heartbeat_interval_s
-    assert [run.job for run in bench.plan()] == [array]
+    assert [attempt.job for attempt in bench.plan()] == [array]
 
 
 def test_gang_of_one_zone_gets_a_machine_though_free_ones_are_elsewhere(bench: Bench) -> None:
@@ -760,16 +766,16 @@
     service = bench.job(
         make_spec(9, tasks=1, shape="daemon", gpus=4.0, estimated_run_s=0.0, checkpoint_s=0.0)
     )
-    (run,) = bench.plan()
+    (attempt,) = bench.plan()
     for state in ("pulling", "running"):
         bench.all_report()
-        bench.state(run.machine, state)
+        bench.state(attempt.machine, state)
     bench.all_report()
     offers = {offer.name: offer for offer in bench.scheduler.offers("a", bench.now)}
     gang = make_spec(1, tasks=1, gpus=4.0)
     need = (gang.cpus, gang.gpus, gang.memory_gb)
-    assert offers[run.machine].ready_for((1, service.level), need) == math.inf
-    (other,) = offers.keys() - {run.machine}
+    assert offers[attempt.machine].ready_for((1, service.level), need) == math.inf
+    (other,) = offers.keys() - {attempt.machine}
     assert offers[other].ready_for((1, service.level), need) < bench.scheduler.heartbeat_interval_s
 
 
@@ -831,7 +837,10 @@
     need = make_spec(3, tasks=1, gpus=4.0, urgency="best_effort")
     available = (need.cpus, need.gpus, need.memory_gb)
     borrowed = [
-        run for job in bench.scheduler.jobs.values() if not job.within for run in job.runs.values()
+        attempt
+        for job in bench.scheduler.jobs.values()
+        if not job.within
+        for attempt in job.attempts.values()
     ]
     assert len(borrowed) == 1, "the second job of blue is beyond its guarantee"
     (offer,) = (
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -9,7 +9,7 @@
 
 from tests.conftest import Bench, make_spec
 from tests.scenes import Scene, assert_rules, play_scene
-from topazhold.core.jobs import Job, JobState, Run, RunState
+from topazhold.core.jobs import AttemptState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.wire.messages import JobSpec
 
@@ -47,14 +47,14 @@
     return job
 
 
-def run_of(job: Job, index: int = 0) -> Run:
-    return job.runs[index]
+def run_of(job: Job, index: int = 0) -> TaskAttempt:
+    return job.attempts[index]
 
 
 def test_replicas_go_to_different_machines_and_zones(bench: Bench) -> None:
     """One loss must not take two of them."""
     job = running_service(bench, tasks=4)
-    machines = [run.machine for run in job.runs.values()]
+    machines = [attempt.machine for attempt in job.attempts.values()]
     assert len(set(machines)) == 4
     assert sorted(job.zones_used(bench.scheduler.zone_of).values()) == [2, 2]
 
@@ -71,7 +71,7 @@
     assert bench.scheduler.finished == [] and job.done_count == 0
     run_all(bench)
     again = run_of(job, first.index)
-    assert again.attempt > first.attempt and job.running_count() == 2
+    assert again.attempt_number > first.attempt_number and job.running_count() == 2
 
 
 def test_done_marks_of_a_service_are_not_believed() -> None:
@@ -97,7 +97,7 @@
         assert bench.plan() == []
     bench.tasks[lost].clear()
     bench.report(lost, incarnation=2)
-    assert [run.index for run in bench.plan()] == [0]
+    assert [attempt.index for attempt in bench.plan()] == [0]
 
 
 def test_machine_with_replicas_is_released_once_its_lease_is_over(bench: Bench) -> None:
@@ -112,7 +112,7 @@
     bench.scheduler.tick(bench.now)
     assert bench.scheduler.machines[lost].state is MachineState.RELEASING
     bench.scheduler.machine_gone(lost, bench.now)
-    assert [run.index for run in bench.plan()] == [0]
+    assert [attempt.index for attempt in bench.plan()] == [0]
 
 
 def test_machines_of_a_zone_that_is_cut_are_kept_with_their_replicas() -> None:
@@ -133,16 +133,16 @@
     """The machine fell silent before it could take its launch: nothing is there to be proven.
     The replica waited for the machine's release, well over a lease."""
     job = bench.job(service_spec(tasks=1))
-    (run,) = bench.plan()
-    assert run.state is RunState.WRITTEN
+    (attempt,) = bench.plan()
+    assert attempt.state is AttemptState.WRITTEN
     bench.now += 3.0
     for name in bench.scheduler.machines:
-        if name != run.machine:
+        if name != attempt.machine:
             bench.report(name)
     bench.scheduler.tick(bench.now)
     (again,) = bench.plan()
-    assert again.machine != run.machine and job.runs[0] is again
-    assert bench.report(run.machine) == [], "the old plan must not be carried out any more"
+    assert again.machine != attempt.machine and job.attempts[0] is again
+    assert bench.report(attempt.machine) == [], "the old plan must not be carried out any more"
 
 
 def test_scatter_counts_the_replicas_that_are_there(bench: Bench) -> None:
@@ -167,8 +167,8 @@
     assert run_of(job).stopping
     bench.state(lost, "ended", "stopped")
     bench.report(lost, notice_s=20.0)
-    (run,) = bench.plan()
-    assert run.machine != lost
+    (attempt,) = bench.plan()
+    assert attempt.machine != lost
 
 
 def test_replica_without_another_place_stays_till_the_last_moment() -> None:
@@ -191,8 +191,8 @@
     bench.plan()
     bench.all_report()
     job = bench.job(service_spec(tasks=1, cpus=6.0))
-    (run,) = bench.plan()
-    assert run.machine == "host-2", "the empty machines could be given back"
+    (attempt,) = bench.plan()
+    assert attempt.machine == "host-2", "the empty machines could be given back"
     hindrances = {
         name: bench.scheduler._hindrance(machine, job.need)
         for name, machine in bench.scheduler.machines.items()
@@ -206,7 +206,7 @@
     run_all(bench)
     job = bench.job(service_spec(tasks=1))
     assert bench.plan() == []
-    assert [run.stopping for run in filler.runs.values()].count(True) == 1
+    assert [attempt.stopping for attempt in filler.attempts.values()].count(True) == 1
     assert job.waiting_count == 1
 
 
@@ -232,12 +232,12 @@
         while not bench.plan():
             bench.now += 0.5
             bench.all_report()
-        run = run_of(job)
+        attempt = run_of(job)
         bench.all_report()
-        bench.state(run.machine, "ended", "error")
-        bench.report(run.machine)
+        bench.state(attempt.machine, "ended", "error")
+        bench.report(attempt.machine)
         pauses.append(max(0.0, job.not_before - bench.now))
-        assert run.state is RunState.GONE
+        assert attempt.state is AttemptState.GONE
     assert pauses[0] == 0.0 and max(pauses) > 0.0
     assert max(pauses) <= 2**5 * bench.scheduler.lease_s
     healthy = [m for m in bench.scheduler.machines.values() if m.state is MachineState.READY]
@@ -270,7 +270,7 @@
     bench.scheduler.job_over(job.id, False, bench.now, bench.now)
     bench.report(lost.machine)
     assert bench.plan() == [] and job.state is JobState.ABORTED
-    assert all(run.stopping for run in job.runs.values())
+    assert all(attempt.stopping for attempt in job.attempts.values())
 
 
 # -- with the controllers around it ------------------------------------------------
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -22,7 +22,7 @@
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShards
-from topazhold.core.jobs import Job, Run
+from topazhold.core.jobs import Job, TaskAttempt
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import LaterLimits, Operator
@@ -107,7 +107,7 @@
     spec = make_spec(700, shape="batch", tasks=60)
     job = bench.job(spec)
     for index in range(60):
-        bench.scheduler._attach(Run(job, index, 2**40, "host-002", bench.now))
+        bench.scheduler._attach(TaskAttempt(job, index, 2**40, "host-002", bench.now))
     shards = shards_of_larger_limits(bench, list(machines))
     values = shards.values({shards.of(machines["host-000"], machines)}, machines, "t")
     assert all(json_size(value) <= SMALL for _, value in values.values())
@@ -192,18 +192,18 @@
     store = StrictStore(5, 2048)
     store.stored["on/0001"] = records.on_value(machines.values(), "old")
     job = bench.job(make_spec(900, shape="batch", tasks=1))
-    run = Run(job, 0, 3, "host-000", bench.now)
-    bench.scheduler._attach(run)
+    attempt = TaskAttempt(job, 0, 3, "host-000", bench.now)
+    bench.scheduler._attach(attempt)
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
         context = TermContext(settings, store, bench.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
         context.shards.found("0001", 7, list(machines))
-        await Intents(context).write([run])
+        await Intents(context).write([attempt])
 
     run_virtual(act, monkeypatch)
-    assert run.state.value == "written"
+    assert attempt.state.value == "written"
     for step in store.steps:
         assert step >= set(machines)
     stored = [
--- a/tests/world.py
+++ b/tests/world.py
@@ -164,7 +164,7 @@
             (worker, there)
             for worker in self.cloud.workers.values()
             for there in worker.tasks.values()
-            if there.job == task.job and there.attempt == task.attempt
+            if there.job == task.job and there.attempt_number == task.attempt_number
         ]
 
     def gather(self, worker: Worker, task: Task) -> None:
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -25,7 +25,7 @@
 from tests.standins import settings_for
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
-from topazhold.core.jobs import Job, Run
+from topazhold.core.jobs import Job, TaskAttempt
 from topazhold.core.preemption import rank, turn
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
@@ -92,11 +92,13 @@
         for report in self.heartbeats:
             job = self._job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
             for index in range(tasks):
-                run = Run(job, index, self.number, report.machine, self.now)
-                run.written(self.now)
-                run.order(1, self.now)
-                self.scheduler._attach(run)
-                report.tasks.append(TaskStatus(run.task_name, run.attempt, "running"))
+                attempt = TaskAttempt(job, index, self.number, report.machine, self.now)
+                attempt.written(self.now)
+                attempt.order(1, self.now)
+                self.scheduler._attach(attempt)
+                report.tasks.append(
+                    TaskStatus(attempt.task_name, attempt.attempt_number, "running")
+                )
 
     def hear(self, report: Heartbeat) -> list[Any]:
         """A report of the same tasks, with the next number."""
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -11,7 +11,7 @@
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShard
-from topazhold.core.jobs import Run
+from topazhold.core.jobs import TaskAttempt
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import BadMessage
 
@@ -30,12 +30,12 @@
         self._max_values = max(1, min(context.txn_ops, TXN_BYTES // context.value_limit))
         self._planned_values = max(1, min(context.txn_ops - 1, self._max_values))
 
-    async def write(self, runs: list[Run]) -> None:
+    async def write(self, attempts: list[TaskAttempt]) -> None:
         """Commit the intents of a plan, a few machines at a time, before any launch."""
-        for batch in self._batches(runs):
+        for batch in self._batches(attempts):
             await self._write_batch(batch)
 
-    def _batches(self, runs: list[Run]) -> Iterator[list[Run]]:
+    def _batches(self, attempts: list[TaskAttempt]) -> Iterator[list[TaskAttempt]]:
         """The plan in parts, each with no more puts and guards than a transaction takes.
 
         A guard is never left out: without its `live/` mark a job that was cancelled
@@ -43,38 +43,38 @@
         """
         context = self._context
         machines = context.scheduler.machines
-        by_shard: dict[str, list[Run]] = {}
-        for run in runs:
-            machine = machines.get(run.machine)
+        by_shard: dict[str, list[TaskAttempt]] = {}
+        for attempt in attempts:
+            machine = machines.get(attempt.machine)
             if machine is not None:
-                by_shard.setdefault(context.shards.of(machine, machines).name, []).append(run)
+                by_shard.setdefault(context.shards.of(machine, machines).name, []).append(attempt)
         # The leader's own mark, and one for every value that may be put.
         max_jobs = (
             CONDITIONS_PER_OPERATION * context.txn_ops - len(context.conditions()) - context.txn_ops
         )
-        batch: list[Run] = []
+        batch: list[TaskAttempt] = []
         shards: set[str] = set()
         jobs: set[str] = set()
         for shard, of_shard in by_shard.items():
-            for run in of_shard:
-                full = run.job.id not in jobs and len(jobs) >= max_jobs
+            for attempt in of_shard:
+                full = attempt.job.id not in jobs and len(jobs) >= max_jobs
                 if full or (shard not in shards and len(shards) >= self._planned_values):
                     yield batch
                     batch, shards, jobs = [], set(), set()
-                batch.append(run)
+                batch.append(attempt)
                 shards.add(shard)
-                jobs.add(run.job.id)
+                jobs.add(attempt.job.id)
         if batch:
             yield batch
 
-    async def _write_batch(self, batch: list[Run], retried: bool = False) -> None:
+    async def _write_batch(self, batch: list[TaskAttempt], retried: bool = False) -> None:
         """Commit the intents of some runs; `retried`: all that was too much is written apart."""
         scheduler = self._context.scheduler
         token = self._context.token()
         shards = {
-            self._context.shards.of(scheduler.machines[run.machine], scheduler.machines)
-            for run in batch
-            if run.machine in scheduler.machines
+            self._context.shards.of(scheduler.machines[attempt.machine], scheduler.machines)
+            for attempt in batch
+            if attempt.machine in scheduler.machines
         }
         values = self._context.shards.values(shards, scheduler.machines, token)
         if not values or any(shard.name not in values for shard in shards):
@@ -96,7 +96,7 @@
         for name, (revision, value) in values.items():
             conditions.append((records.on_key(name), revision))
             operations.append(wire.put(records.on_key(name), value))
-        for job in {run.job.id: run.job for run in batch}.values():
+        for job in {attempt.job.id: attempt.job for attempt in batch}.values():
             # A job that was cancelled or finished in between launches nothing.
             conditions.append((records.live_key(job.id), job.revision))
         while True:
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -322,11 +322,11 @@
                 if now - self._ticked_at > TICK_HEARTBEATS * self.context.heartbeat_interval_s:
                     self._tick(now)
                 self._planned_at = now
-                runs = self.scheduler.plan(now)
+                attempts = self.scheduler.plan(now)
                 busy += time.monotonic() - now
-                if not runs:
+                if not attempts:
                     break
-                await self._intents.write(runs)
+                await self._intents.write(attempts)
             passed, self._round = self._round, curio.Event()
             await passed.set()
             # Something changes all the time. Without a pause that grows with the cost
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -14,7 +14,7 @@
 from topazhold.control.store import DECISIONS, TROUBLE, Conflict
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
-from topazhold.core.jobs import JobState, RunState
+from topazhold.core.jobs import AttemptState, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.preemption import turn
 from topazhold.core.search import cut_names, cut_summary, pack_names
@@ -37,7 +37,7 @@
 
 
 def _place(machine: Machine) -> list[Any]:
-    jobs = sorted({job for job, _ in machine.runs})
+    jobs = sorted({job for job, _ in machine.attempts})
     return [machine.name, machine.endpoint, jobs]
 
 
@@ -127,7 +127,9 @@
         running: dict[str, int] = {}
         for job in scheduler.jobs.values():
             if job.state is JobState.LIVE and len(running) < MAX_SENT:
-                count = sum(run.state is RunState.RUNNING for run in job.runs.values())
+                count = sum(
+                    attempt.state is AttemptState.RUNNING for attempt in job.attempts.values()
+                )
                 if count:
                     running[job.id] = count
         return {
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from topazhold.core import preemption
-from topazhold.core.jobs import Job, Resources, Run
+from topazhold.core.jobs import Job, Resources, TaskAttempt
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.observing import BAD_JOB_MACHINES
@@ -21,7 +21,7 @@
 class ArrayPlacing(PlanRound):
     """Plans of arrays' tasks."""
 
-    def _plan_array(self, job: Job, planned: list[Run], now: float) -> None:
+    def _plan_array(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
         spec = job.spec
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
@@ -51,9 +51,9 @@
                 if index is None:
                     placed_all = True
                     break
-                run = self._new_run(job, index, machine, self._attempt(), now)
-                job.add_run(run)
-                planned.append(run)
+                attempt = self._new_attempt(job, index, machine, self._next_attempt_number(), now)
+                job.add_attempt(attempt)
+                planned.append(attempt)
                 if not machine.spot:
                     self._free_plain -= job.need[1]
                 zones[machine.zone] = zones.get(machine.zone, 0) + 1
@@ -144,7 +144,7 @@
             reserved = taken.get(machine.name, NO_RESOURCES)
             found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
             if found:
-                cost = sum(preemption.loss(run, now, job.level) for run in found)
+                cost = sum(preemption.loss(attempt, now, job.level) for attempt in found)
                 choices.append((cost, machine.name))
         # The cheapest first: a lone task of an urgent gang must not leave for one
         # of an array where other arrays' tasks could.
@@ -155,6 +155,6 @@
                 found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
                 if not found:
                     break
-                for run in found:
-                    self.preempt(run, f"guarantee of {job.spec.team}", now)
+                for attempt in found:
+                    self.preempt(attempt, f"guarantee of {job.spec.team}", now)
                 wanted -= 1
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -85,7 +85,8 @@
     def kills(self, heartbeat: Heartbeat) -> list[Command]:
         """Kills, with the attempts that the report names; they need no knowledge of the jobs."""
         return [
-            wire.kill(task.task_name, task.attempt, 0.0) for task in self.shown(heartbeat.tasks)
+            wire.kill(task.task_name, task.attempt_number, 0.0)
+            for task in self.shown(heartbeat.tasks)
         ]
 
     # -- peers ---------------------------------------------------------------
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -19,7 +19,7 @@
 Resources = tuple[float, float, float]
 
 
-class RunState(Enum):
+class AttemptState(Enum):
     """Where one attempt of one task stands."""
 
     INTENDED = "intended"  # planned; the intent may not be written yet
@@ -49,28 +49,28 @@
 
 
 _OBSERVED = {
-    wire.PULLING: RunState.PULLING,
-    wire.GATHERING: RunState.GATHERING,
-    wire.RUNNING: RunState.RUNNING,
-    wire.FLUSHING: RunState.FLUSHING,
+    wire.PULLING: AttemptState.PULLING,
+    wire.GATHERING: AttemptState.GATHERING,
+    wire.RUNNING: AttemptState.RUNNING,
+    wire.FLUSHING: AttemptState.FLUSHING,
 }
 
 # Tuples: looking an enum's member up in a set calls its hash function, in Python.
 #: States in which the worker is known to have the task.
 ON_MACHINE = tuple(_OBSERVED.values())
 #: Those of them in which the task has its image.
-WITH_IMAGE = (RunState.GATHERING, RunState.RUNNING, RunState.FLUSHING)
+WITH_IMAGE = (AttemptState.GATHERING, AttemptState.RUNNING, AttemptState.FLUSHING)
 #: States in which no launch has left this node, so dropping the run is safe.
-UNSENT = (RunState.INTENDED, RunState.WRITTEN)
+UNSENT = (AttemptState.INTENDED, AttemptState.WRITTEN)
 
 
-class Run:
+class TaskAttempt:
     """One attempt of one task on one machine."""
 
     __slots__ = (
         "job",
         "index",
-        "attempt",
+        "attempt_number",
         "machine",
         "incarnation",
         "state",
@@ -79,70 +79,70 @@
         "running_since",
         "stop_grace",
         "stop_at",
-        "unsure",
+        "possibly_running",
         "cause",
         "kept",
         "task_name",
     )
 
-    def __init__(self, job: Job, index: int, attempt: int, machine: str, now: float) -> None:
+    def __init__(self, job: Job, index: int, attempt_number: int, machine: str, now: float) -> None:
         self.job = job
         self.index = index
-        self.attempt = attempt
+        self.attempt_number = attempt_number
         self.machine = machine
         self.task_name = wire.task_name_of(job.id, index)
         self.incarnation = 0
-        self.state = RunState.INTENDED
+        self.state = AttemptState.INTENDED
         self.since = now
         self.launch_sequence = -1
         self.running_since: float | None = None
         self.stop_grace: float | None = None
         self.stop_at = 0.0
-        self.unsure = False
+        self.possibly_running = False
         self.cause: str | None = None
         self.kept = False
 
-    def _enter(self, state: RunState, now: float) -> None:
+    def _enter(self, state: AttemptState, now: float) -> None:
         if state is not self.state:
             self.state = state
             self.since = now
 
     def written(self, now: float) -> None:
         """The intent is committed."""
-        assert self.state is RunState.INTENDED
-        self._enter(RunState.WRITTEN, now)
+        assert self.state is AttemptState.INTENDED
+        self._enter(AttemptState.WRITTEN, now)
 
     def order(self, sequence: int, now: float) -> None:
         """The launch goes out in the answer to report `sequence`."""
-        assert self.state is RunState.WRITTEN
+        assert self.state is AttemptState.WRITTEN
         self.launch_sequence = sequence
-        self._enter(RunState.ORDERED, now)
+        self._enter(AttemptState.ORDERED, now)
 
     def launch_lost(self, now: float) -> None:
         """A newer heartbeat lacks the task: that answer was dropped for good."""
-        assert self.state is RunState.ORDERED
-        self._enter(RunState.WRITTEN, now)
+        assert self.state is AttemptState.ORDERED
+        self._enter(AttemptState.WRITTEN, now)
 
     def observe(self, stage: str, now: float) -> None:
         """The worker reports the task in `stage`."""
         state = _OBSERVED.get(stage)
-        if state is None or self.state in (RunState.ENDED, RunState.GONE):
+        if state is None or self.state in (AttemptState.ENDED, AttemptState.GONE):
             return
-        self.unsure = False
-        if state is RunState.RUNNING and self.running_since is None:
+        self.possibly_running = False
+        if state is AttemptState.RUNNING and self.running_since is None:
             self.running_since = now
         self._enter(state, now)
 
     def end(self, cause: str, kept: bool, now: float) -> None:
         """The worker reports that the task has ended."""
-        self.unsure = False
+        self.possibly_running = False
         self.cause = cause
         self.kept = kept
-        self._enter(RunState.ENDED, now)
+        self._enter(AttemptState.ENDED, now)
 
     def vanish(self, now: float) -> None:
         """It is proven that the task is not on its machine and won't be."""
-        self._enter(RunState.GONE, now)
+        self._enter(AttemptState.GONE, now)
 
     def stop(self, grace_s: float, now: float) -> None:
         """Ask for a stop; a later call can only shorten the grace."""
@@ -159,7 +159,7 @@
     @property
     def present(self) -> bool:
         """Whether it counts against room, quota and place."""
-        return self.state not in (RunState.ENDED, RunState.GONE)
+        return self.state not in (AttemptState.ENDED, AttemptState.GONE)
 
 
 class Job:
@@ -181,7 +181,7 @@
         self.aimed_wait_s = NO_AIM
         self.pressing = False  # a gang that has waited long
         self.gathers_until = -1e9  # work gives way to it, on all its machines
-        self.runs: dict[int, Run] = {}
+        self.attempts: dict[int, TaskAttempt] = {}
         self.done = bytearray(spec.tasks)
         self.done_count = 0
         self.unsaved: set[int] = set()  # parts with marks not yet saved
@@ -202,21 +202,21 @@
     @property
     def waiting_count(self) -> int:
         """Tasks that are neither done nor on a machine."""
-        return self.spec.tasks - self.done_count - len(self.runs)
+        return self.spec.tasks - self.done_count - len(self.attempts)
 
     def running_count(self) -> int:
-        return sum(1 for run in self.runs.values() if run.state is RunState.RUNNING)
+        return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def waiting_tasks(self) -> Iterator[int]:
         """Tasks to place, lowest first; each is taken off as it is yielded."""
         while self.again:
             index = heapq.heappop(self.again)
-            if not self.done[index] and index not in self.runs:
+            if not self.done[index] and index not in self.attempts:
                 yield index
         while self.fresh < self.spec.tasks:
             index = self.fresh
             self.fresh += 1
-            if not self.done[index] and index not in self.runs:
+            if not self.done[index] and index not in self.attempts:
                 yield index
 
     def place_again(self, index: int) -> None:
@@ -224,15 +224,15 @@
         if index < self.fresh and not self.done[index]:
             heapq.heappush(self.again, index)
 
-    def add_run(self, run: Run) -> None:
-        self.runs[run.index] = run
+    def add_attempt(self, attempt: TaskAttempt) -> None:
+        self.attempts[attempt.index] = attempt
 
-    def remove_run(self, run: Run) -> None:
+    def remove_attempt(self, attempt: TaskAttempt) -> None:
         """Forget a run that has ended or is proven gone."""
-        if self.runs.get(run.index) is run:
-            del self.runs[run.index]
+        if self.attempts.get(attempt.index) is attempt:
+            del self.attempts[attempt.index]
             if self.state is JobState.LIVE:
-                self.place_again(run.index)
+                self.place_again(attempt.index)
 
     def mark_done(self, index: int) -> None:
         """A task has completed; a service's replica never does, whatever its worker says."""
@@ -248,9 +248,9 @@
     def zones_used(self, zone_of: dict[str, str]) -> dict[str, int]:
         """Present tasks per zone; machines unknown by now count under ''."""
         zones: dict[str, int] = {}
-        for run in self.runs.values():
-            if run.present:
-                zone = zone_of.get(run.machine, "")
+        for attempt in self.attempts.values():
+            if attempt.present:
+                zone = zone_of.get(attempt.machine, "")
                 zones[zone] = zones.get(zone, 0) + 1
         return zones
 
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -12,7 +12,7 @@
 
 from topazhold.core import gangs, quota, records, renting
 from topazhold.core.estimates import Estimates
-from topazhold.core.jobs import UNSENT, Job, JobState, Resources, Run, RunState
+from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import Reservation, ReservationTable, ReservedResources
 from topazhold.core.search import Offer
@@ -69,8 +69,8 @@
         self.rent_rules = renting.RentRules(
             operator.headroom_share, operator.idle_boots, operator.use_spot
         )
-        self.max_machine_runs = max(
-            1, (cluster.state.lasting_value_bytes - 512) // records.RUN_BYTES
+        self.max_machine_attempts = max(
+            1, (cluster.state.lasting_value_bytes - 512) // records.ATTEMPT_BYTES
         )
         self.reservation_table = reservation_table
         self.rng = rng
@@ -82,7 +82,7 @@
         self.estimates = Estimates()
         self.refusals = renting.Refusals()
         self.last_arrival = now
-        self.next_attempt = term * ATTEMPTS_PER_TERM
+        self.last_attempt_number = term * ATTEMPTS_PER_TERM
         # What is to be done by the outside:
         self.to_command: set[str] = set()  # machines to send kills to directly
         self.to_wake: set[str] = set()  # machines to be made to report at once
@@ -149,7 +149,7 @@
         return PATIENCE[job.level] * longest / math.sqrt(job.spec.tasks)
 
     def forget_if_over(self, job: Job) -> None:
-        if job.state is not JobState.LIVE and not job.runs:
+        if job.state is not JobState.LIVE and not job.attempts:
             self.jobs.pop(job.id, None)
             self.rejected.pop(job.id, None)
             self._starved_since.pop(job.id, None)
@@ -191,8 +191,8 @@
             return
         # While the machine is still known: a run dropped after that would
         # count against its team's limit for the rest of the term.
-        for run in list(machine.runs.values()):
-            self._drop(run, now)
+        for attempt in list(machine.attempts.values()):
+            self._drop(attempt, now)
         del self.machines[name]
         self._fleet_changed()
         self._known_offers.pop(name, None)
@@ -212,45 +212,45 @@
             machine.release(why, now)
             self._fleet_changed()
             self.releases[machine.name] = why
-            for run in list(machine.runs.values()):
-                if run.state in UNSENT and not run.unsure:
-                    self._drop(run, now)
+            for attempt in list(machine.attempts.values()):
+                if attempt.state in UNSENT and not attempt.possibly_running:
+                    self._drop(attempt, now)
 
     def must_go(self, name: str) -> bool:
         """Whether a machine is released for a cancelled job's task."""
         machine = self.machines.get(name)
         return machine is not None and any(
-            run.job.state is JobState.ABORTED for run in machine.runs.values()
+            attempt.job.state is JobState.ABORTED for attempt in machine.attempts.values()
         )
 
-    def _attach(self, run: Run) -> None:
+    def _attach(self, attempt: TaskAttempt) -> None:
         self.changes += 1
-        run.job.add_run(run)
-        self.machines[run.machine].attach(run)
-        self.usage.add(run.job)
+        attempt.job.add_attempt(attempt)
+        self.machines[attempt.machine].attach(attempt)
+        self.usage.add(attempt.job)
 
-    def adopt(self, run: Run) -> None:
+    def adopt(self, attempt: TaskAttempt) -> None:
         """An intent of an earlier term: possibly running."""
-        run.unsure = True
-        run.state = RunState.ORDERED
-        self._attach(run)
+        attempt.possibly_running = True
+        attempt.state = AttemptState.ORDERED
+        self._attach(attempt)
 
-    def supersede(self, run: Run, now: float) -> None:
+    def supersede(self, attempt: TaskAttempt, now: float) -> None:
         """A newer try of the task was planned, so this one had been proven gone."""
-        self._drop(run, now)
+        self._drop(attempt, now)
 
-    def _drop(self, run: Run, now: float) -> None:
+    def _drop(self, attempt: TaskAttempt, now: float) -> None:
         """A run is over: it ended, or is proven gone, or was never sent."""
         self.changes += 1
-        machine = self.machines.get(run.machine)
+        machine = self.machines.get(attempt.machine)
         if machine is not None:
-            if machine.detach(run):
-                self.usage.remove(run.job)
+            if machine.detach(attempt):
+                self.usage.remove(attempt.job)
                 if machine.empty:
                     machine.idle_since = now
-        run.vanish(now)
-        run.job.remove_run(run)
-        self.forget_if_over(run.job)
+        attempt.vanish(now)
+        attempt.job.remove_attempt(attempt)
+        self.forget_if_over(attempt.job)
 
     def silent_s(self, machine: Machine, now: float) -> float:
         heard = machine.heard_at if machine.heard_at is not None else machine.since
@@ -266,11 +266,11 @@
             and now - machine.reached_at < 2.5 * self.heartbeat_interval_s
         )
 
-    def remaining_s(self, run: Run, now: float) -> float:
-        spec = run.job.spec
-        elapsed = run.job.progress_s
-        if run.running_since is not None:
-            elapsed += now - run.running_since
+    def remaining_s(self, attempt: TaskAttempt, now: float) -> float:
+        spec = attempt.job.spec
+        elapsed = attempt.job.progress_s
+        if attempt.running_since is not None:
+            elapsed += now - attempt.running_since
         return self.estimates.remaining_s(spec.job_class, spec.estimated_run_s, elapsed)
 
     def refresh_guarantees(self) -> None:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from enum import Enum
 
-from topazhold.core.jobs import WITH_IMAGE, Resources, Run
+from topazhold.core.jobs import WITH_IMAGE, Resources, TaskAttempt
 from topazhold.wire.messages import MachineType
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
@@ -45,7 +45,7 @@
         self.deaf_since: float | None = None
         self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
         self.gone_at: float | None = None  # end announced by a notice
-        self.runs: dict[tuple[str, int], Run] = {}
+        self.attempts: dict[tuple[str, int], TaskAttempt] = {}
         self.used: Resources = (0.0, 0.0, 0.0)
         self.strays: dict[tuple[str, int], str] = {}  # (frame, try) -> stage; of no job known here
         self.images: OrderedDict[str, float] = OrderedDict()
@@ -122,21 +122,23 @@
             return (0.0, 0.0, 0.0)
         return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
 
-    def attach(self, run: Run) -> None:
+    def attach(self, attempt: TaskAttempt) -> None:
         """A run is, or may come to be, on the machine."""
         self.changes += 1
-        self.runs[(run.job.id, run.index)] = run
-        self.used = add_resources(self.used, run.job.need)
+        self.attempts[(attempt.job.id, attempt.index)] = attempt
+        self.used = add_resources(self.used, attempt.job.need)
 
-    def detach(self, run: Run) -> bool:
+    def detach(self, attempt: TaskAttempt) -> bool:
         """A run is not here any more; whether it was."""
-        key = (run.job.id, run.index)
-        if self.runs.get(key) is not run:
+        key = (attempt.job.id, attempt.index)
+        if self.attempts.get(key) is not attempt:
             return False
-        del self.runs[key]
+        del self.attempts[key]
         self.changes += 1
         # Sums drift; an empty machine is exactly empty again.
-        self.used = add_resources(self.used, run.job.need, -1.0) if self.runs else (0.0, 0.0, 0.0)
+        self.used = (
+            add_resources(self.used, attempt.job.need, -1.0) if self.attempts else (0.0, 0.0, 0.0)
+        )
         return True
 
     def free(self) -> Resources:
@@ -153,7 +155,7 @@
 
     @property
     def empty(self) -> bool:
-        return not self.strays and not self.runs
+        return not self.strays and not self.attempts
 
     # -- images ----------------------------------------------------------
 
@@ -174,9 +176,9 @@
         if image in self.images or self.machine_type is None:
             return 0.0
         queue = {image: size_gb}
-        for run in self.runs.values():
-            if run.present and run.state not in WITH_IMAGE:
-                spec = run.job.spec
+        for attempt in self.attempts.values():
+            if attempt.present and attempt.state not in WITH_IMAGE:
+                spec = attempt.job.spec
                 if spec.image not in self.images:
                     queue.setdefault(spec.image, spec.image_gb)
         return sum(queue.values()) / self.machine_type.fetch_gb_per_s
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Iterable
 
-from topazhold.core.jobs import ON_MACHINE, UNSENT, Job, JobState, Run, RunState
+from topazhold.core.jobs import ON_MACHINE, UNSENT, AttemptState, Job, JobState, TaskAttempt
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.stopping import Stopping
 from topazhold.wire import messages as wire
@@ -115,13 +115,13 @@
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
         """The worker's lease ended: all tasks of the earlier incarnation are gone."""
-        for run in list(machine.runs.values()):
+        for attempt in list(machine.attempts.values()):
             # A launch is ordered only in the session that its intent names, and
             # the worker drops answers to reports of an earlier one. So a newer
             # session settles an earlier term's intents too, also those of a
             # deaf machine, which never reports under the new term.
-            if not run.unsure or run.incarnation < incarnation:
-                self._drop(run, now)
+            if not attempt.possibly_running or attempt.incarnation < incarnation:
+                self._drop(attempt, now)
         machine.strays.clear()
         if machine.incarnation:
             log.info("machine %s began incarnation %d", machine.name, incarnation)
@@ -144,9 +144,9 @@
         """Answers don't reach the worker: no new work, no hold, no limit for it."""
         if machine.turn_deaf(now):
             log.info("machine %s is deaf: %s", machine.name, why)
-        for run in list(machine.runs.values()):
-            if run.state in UNSENT and not run.unsure:
-                self._drop(run, now)
+        for attempt in list(machine.attempts.values()):
+            if attempt.state in UNSENT and not attempt.possibly_running:
+                self._drop(attempt, now)
 
     def _notice(self, machine: Machine, notice_s: float | None, now: float) -> None:
         if notice_s is None:
@@ -165,10 +165,10 @@
             key = wire.split_task_name(task.task_name)
             if key is None:
                 continue
-            run = machine.runs.get(key)
-            if run is not None and run.attempt == task.attempt:
+            attempt = machine.attempts.get(key)
+            if attempt is not None and attempt.attempt_number == task.attempt_number:
                 seen.add(key)
-                self._observe(machine, run, task, now)
+                self._observe(machine, attempt, task, now)
             elif task.state == wire.ENDED:
                 if task.cause == wire.CAUSE_DONE:
                     self._credit(key, now)
@@ -176,47 +176,49 @@
                 self._stray(machine, key, task, strays, now)
         machine.strays = strays
         lost = False
-        for key, run in list(machine.runs.items()):
+        for key, attempt in list(machine.attempts.items()):
             if key not in seen:
-                lost |= self._absent(run, heartbeat, synced, direct, now)
+                lost |= self._absent(attempt, heartbeat, synced, direct, now)
         if lost:
             machine.lost_commands += 1
             if machine.lost_commands >= LOST_COMMANDS:
                 self._deafen(machine, "launches don't arrive", now)
 
-    def _observe(self, machine: Machine, run: Run, task: TaskStatus, now: float) -> None:
+    def _observe(
+        self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
+    ) -> None:
         if task.state == wire.ENDED:
-            self._ended(machine, run, task, now)
+            self._ended(machine, attempt, task, now)
             return
-        if run.state is RunState.INTENDED:
+        if attempt.state is AttemptState.INTENDED:
             return
-        if run.state is RunState.ORDERED and not run.unsure:
+        if attempt.state is AttemptState.ORDERED and not attempt.possibly_running:
             machine.hears_again()
-        before = run.state
-        run.observe(task.state, now)
-        machine.changes += run.state is not before
-        if run.state in (RunState.GATHERING, RunState.RUNNING):
-            spec = run.job.spec
+        before = attempt.state
+        attempt.observe(task.state, now)
+        machine.changes += attempt.state is not before
+        if attempt.state in (AttemptState.GATHERING, AttemptState.RUNNING):
+            spec = attempt.job.spec
             machine.fetched(spec.image, spec.image_gb)
 
     def _absent(
-        self, run: Run, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
+        self, attempt: TaskAttempt, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> bool:
         """A run that the report lacks; whether its launch can be seen to be lost."""
-        if run.unsure:
+        if attempt.possibly_running:
             if synced:
-                self._drop(run, now)
-        elif run.state is RunState.ORDERED:
+                self._drop(attempt, now)
+        elif attempt.state is AttemptState.ORDERED:
             # Reports go out one at a time, so this one was sent after the
             # answer with the launch was carried out or dropped for good.
-            if not direct and heartbeat.sequence > run.launch_sequence:
-                if run.stopping:
-                    self._drop(run, now)
+            if not direct and heartbeat.sequence > attempt.launch_sequence:
+                if attempt.stopping:
+                    self._drop(attempt, now)
                 else:
-                    run.launch_lost(now)
+                    attempt.launch_lost(now)
                 return True
-        elif run.state in ON_MACHINE:
-            self._drop(run, now)
+        elif attempt.state in ON_MACHINE:
+            self._drop(attempt, now)
         return False
 
     def _stray(
@@ -229,26 +231,26 @@
     ) -> None:
         """A task that no intent of ours explains: it must go, and counts till then."""
         job = self.jobs.get(key[0])
-        if job is not None and key[1] < job.spec.tasks and key[1] not in job.runs:
-            run = Run(job, key[1], task.attempt, machine.name, now)
-            run.state = RunState.ORDERED
-            run.observe(task.state, now)
-            self._attach(run)
-            self._stop_run(run, 0.0, "unexpected", now)
+        if job is not None and key[1] < job.spec.tasks and key[1] not in job.attempts:
+            attempt = TaskAttempt(job, key[1], task.attempt_number, machine.name, now)
+            attempt.state = AttemptState.ORDERED
+            attempt.observe(task.state, now)
+            self._attach(attempt)
+            self._stop_attempt(attempt, 0.0, "unexpected", now)
             if job.gang and job.state is JobState.LIVE:
                 self._stop_gang(job, 0.0, "unexpected task", now)
             return
-        strays[(task.task_name, task.attempt)] = task.state
+        strays[(task.task_name, task.attempt_number)] = task.state
         self.to_command.add(machine.name)
 
-    def _ended(self, machine: Machine, run: Run, task: TaskStatus, now: float) -> None:
-        job = run.job
+    def _ended(self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float) -> None:
+        job = attempt.job
         cause = task.cause or ""
-        run.end(cause, bool(task.kept), now)
+        attempt.end(cause, bool(task.kept), now)
         log.info(
             "task %s try %d on %s ended: %s%s",
-            run.task_name,
-            run.attempt,
+            attempt.task_name,
+            attempt.attempt_number,
             machine.name,
             cause,
             " (saved)" if task.kept else "",
@@ -257,30 +259,32 @@
         if cause == wire.CAUSE_DONE:
             machine.error_jobs.clear()
             machine.fetched(spec.image, spec.image_gb)
-            counts = job.progress_s == 0.0 and not run.stopping and not job.service
-            if run.running_since is not None and counts:
-                self.estimates.learn(spec.job_class, spec.estimated_run_s, now - run.running_since)
-            self._credit((job.id, run.index), now)
+            counts = job.progress_s == 0.0 and not attempt.stopping and not job.service
+            if attempt.running_since is not None and counts:
+                self.estimates.learn(
+                    spec.job_class, spec.estimated_run_s, now - attempt.running_since
+                )
+            self._credit((job.id, attempt.index), now)
         elif cause == wire.CAUSE_ERROR and not job.service:
             self._failed(machine, job, now)
         elif cause == wire.CAUSE_NO_CAPACITY:
             machine.sick_until = now + 2 * self.heartbeat_interval_s
         elif cause == wire.CAUSE_UNKNOWN:
             job.not_before = now + 2 * self.heartbeat_interval_s
-        if job.gang and run.running_since is not None and cause != wire.CAUSE_DONE:
-            self._gang_progress(run, cause, now)
-        if job.service and not run.stopping and cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
-            self._replica_ended(machine, run, now)
-        self._drop(run, now)
+        if job.gang and attempt.running_since is not None and cause != wire.CAUSE_DONE:
+            self._gang_progress(attempt, cause, now)
+        if job.service and not attempt.stopping and cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
+            self._replica_ended(machine, attempt, now)
+        self._drop(attempt, now)
 
-    def _gang_progress(self, run: Run, cause: str, now: float) -> None:
+    def _gang_progress(self, attempt: TaskAttempt, cause: str, now: float) -> None:
         """What the gang has saved, as far as it can be told from outside."""
-        job = run.job
-        if run.index != min(job.runs, default=run.index):
+        job = attempt.job
+        if attempt.index != min(job.attempts, default=attempt.index):
             return
-        ran = (run.stop_at if run.stopping else now) - (run.running_since or now)
+        ran = (attempt.stop_at if attempt.stopping else now) - (attempt.running_since or now)
         total = job.progress_s + max(0.0, ran)
-        if run.kept:
+        if attempt.kept:
             job.progress_s = total
         elif job.spec.checkpoint_s > 0:
             job.progress_s = max(job.progress_s, total - total % job.spec.checkpoint_s)
@@ -297,24 +301,24 @@
         else:
             self._blame(machine, job, now)
 
-    def _replica_ended(self, machine: Machine, run: Run, now: float) -> None:
+    def _replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         """A replica ended by itself: it is placed again, later each time if it keeps ending.
 
         A job that has replicas running is not at fault itself, so its errors count against
         the machine, and it never waits for long.
         """
-        job = run.job
-        started_at = run.running_since
-        if run.cause == wire.CAUSE_DONE and started_at is not None:
+        job = attempt.job
+        started_at = attempt.running_since
+        if attempt.cause == wire.CAUSE_DONE and started_at is not None:
             if now - started_at > self.lease_s:
                 return
         job.failed_on[machine.name] = now
         for name, at in list(job.failed_on.items()):
             if now - at > FAILURES_LEASES * self.lease_s:
                 del job.failed_on[name]
-        others_run = any(other.state is RunState.RUNNING for other in job.runs.values())
+        others_run = any(other.state is AttemptState.RUNNING for other in job.attempts.values())
         failures = len(job.failed_on)
-        if run.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
+        if attempt.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
             self._blame(machine, job, now)
         if failures >= BAD_JOB_MACHINES:
             base_s = self.heartbeat_interval_s if others_run else self.lease_s
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from topazhold.core import preemption
-from topazhold.core.jobs import GangState, Job, Resources, RunState
+from topazhold.core.jobs import AttemptState, GangState, Job, Resources
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources
 from topazhold.core.observing import Observing
@@ -56,20 +56,22 @@
                 (0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, available)
             )
             ends = []
-            for run in machine.runs.values():
+            for attempt in machine.attempts.values():
                 # A service's replica does not end by itself. Its estimate of 0 s made it seem
                 # about to: a gang held the machine for good while another stood empty.
-                if run.present and (run.stopping or not run.job.service):
-                    if run.stopping:
+                if attempt.present and (attempt.stopping or not attempt.job.service):
+                    if attempt.stopping:
                         left = (
-                            max(0.0, run.job.spec.save_s - (now - run.stop_at))
+                            max(0.0, attempt.job.spec.save_s - (now - attempt.stop_at))
                             + self.heartbeat_interval_s
                         )
                     else:
-                        left = self.remaining_s(run, now)
-                        if run.state is not RunState.RUNNING:
-                            left += machine.fetch_s(run.job.spec.image, run.job.spec.image_gb)
-                    ends.append((left, run.job.need))
+                        left = self.remaining_s(attempt, now)
+                        if attempt.state is not AttemptState.RUNNING:
+                            left += machine.fetch_s(
+                                attempt.job.spec.image, attempt.job.spec.image_gb
+                            )
+                    ends.append((left, attempt.job.need))
             ends.sort(key=lambda end: end[0])
             step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
             for number, (left, need) in enumerate(ends, start=1):
@@ -93,8 +95,8 @@
         # Runs of one kind of job are added up first: this is asked of every
         # machine for every summary.
         kinds: dict[tuple[bool, int], tuple[Job, Resources, float]] = {}
-        for run in machine.runs.values():
-            job = run.job
+        for attempt in machine.attempts.values():
+            job = attempt.job
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
             seal = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Iterable
 
-from topazhold.core.jobs import PART, UNSENT, JobState, RunState
+from topazhold.core.jobs import PART, UNSENT, AttemptState, JobState
 from topazhold.core.ledger import Ledger
 from topazhold.core.machines import Machine, MachineState
 from topazhold.wire import messages as wire
@@ -28,17 +28,22 @@
         """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
         commands = self._clears(machine, heartbeat) + self.kills(machine)
         if launches and machine.state is MachineState.READY and heartbeat.term == self.term:
-            for run in machine.runs.values():
+            for attempt in machine.attempts.values():
                 # Only in the session that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
                 if (
-                    run.state is RunState.WRITTEN
-                    and not run.stopping
-                    and run.incarnation == heartbeat.incarnation
+                    attempt.state is AttemptState.WRITTEN
+                    and not attempt.stopping
+                    and attempt.incarnation == heartbeat.incarnation
                 ):
-                    run.order(heartbeat.sequence, now)
-                    log.info("launch %s try %d on %s", run.task_name, run.attempt, machine.name)
-                    commands.append(wire.launch(run.task_name, run.attempt))
+                    attempt.order(heartbeat.sequence, now)
+                    log.info(
+                        "launch %s try %d on %s",
+                        attempt.task_name,
+                        attempt.attempt_number,
+                        machine.name,
+                    )
+                    commands.append(wire.launch(attempt.task_name, attempt.attempt_number))
         return commands
 
     def _clears(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
@@ -62,10 +67,10 @@
                     and key[1] // PART in job.unsaved
                 ):
                     continue  # the worker's word is the only record until it is saved
-            commands.append(wire.clear(task.task_name, task.attempt))
+            commands.append(wire.clear(task.task_name, task.attempt_number))
         machine.changes += bool(machine.wake_tasks) is not bool(commands)
         machine.wake_tasks = [
-            (command.task_name, command.attempt) for command in commands[:MAX_WAKE_TASKS]
+            (command.task_name, command.attempt_number) for command in commands[:MAX_WAKE_TASKS]
         ]
         return commands[MAX_WAKE_TASKS:]
 
@@ -105,7 +110,9 @@
                 continue
             self.to_wake_later.discard(name)
             if machine is not None and machine.wake_tasks:
-                if any(run.state is RunState.WRITTEN for run in machine.runs.values()):
+                if any(
+                    attempt.state is AttemptState.WRITTEN for attempt in machine.attempts.values()
+                ):
                     self.to_wake.add(name)
                     self.to_command.add(name)
 
@@ -130,12 +137,14 @@
     def kills(self, machine: Machine) -> list[Command]:
         """Kills for all that must leave the machine; every one can be repeated."""
         commands = []
-        for run in machine.runs.values():
-            if run.stop_grace is None or run.state in UNSENT:
+        for attempt in machine.attempts.values():
+            if attempt.stop_grace is None or attempt.state in UNSENT:
                 continue
-            if run.state is RunState.FLUSHING and run.stop_grace > 0:
+            if attempt.state is AttemptState.FLUSHING and attempt.stop_grace > 0:
                 continue
-            commands.append(wire.kill(run.task_name, run.attempt, run.stop_grace))
-        for task_name, attempt in machine.strays:
-            commands.append(wire.kill(task_name, attempt, 0.0))
+            commands.append(
+                wire.kill(attempt.task_name, attempt.attempt_number, attempt.stop_grace)
+            )
+        for task_name, attempt_number in machine.strays:
+            commands.append(wire.kill(task_name, attempt_number, 0.0))
         return commands
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -7,7 +7,7 @@
 
 from topazhold.core import gangs, preemption
 from topazhold.core.array_placing import MAX_PLACED_TASKS
-from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
+from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
 from topazhold.core.reservations import Reservation
@@ -29,7 +29,7 @@
         # all jobs.
         return any(fits(need, available) for need in self._needs)
 
-    def plan(self, now: float) -> list[Run]:
+    def plan(self, now: float) -> list[TaskAttempt]:
         """New runs; their intents are to be written before anything else."""
         self.refresh_guarantees()
         jobs = self._waiting_jobs(now)
@@ -37,7 +37,7 @@
             self._needs = set()
             return []
         self._survey(jobs, now)
-        planned: list[Run] = []
+        planned: list[TaskAttempt] = []
         # What gangs whose machines are free are to have of their teams' limits.
         # Without it a team's arrays take up its limit task by task, and a gang
         # that needs more at once waits until they are all done.
@@ -53,7 +53,7 @@
                 self._plan_array(job, planned, now)
         return planned
 
-    def _plan_gang(self, job: Job, planned: list[Run], now: float) -> None:
+    def _plan_gang(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
         reservation = self.reservation_table.of_job(job.id)
         if reservation is None or self.spent(job, reservation):
             return
@@ -80,21 +80,23 @@
             return
         if not all(self._recordable(self.machines[n], c) for n, c in reservation.slots.items()):
             return
-        attempt = self._attempt()
-        runs: list[Run] = []
+        attempt_number = self._next_attempt_number()
+        attempts: list[TaskAttempt] = []
         tasks = iter(range(job.spec.tasks))
         for name, count in reservation.slots.items():
             for _ in range(count):
-                runs.append(self._new_run(job, next(tasks), self.machines[name], attempt, now))
-        gangs.begin(job, runs, now)
+                attempts.append(
+                    self._new_attempt(job, next(tasks), self.machines[name], attempt_number, now)
+                )
+        gangs.begin(job, attempts, now)
         self._reserved.release(job.id)
         self._full.clear()
         job.starting_reservation = reservation.serial
-        planned += runs
+        planned += attempts
         log.info(
             "gang %s try %d starts on %s, waited %.1f s",
             job.id,
-            attempt,
+            attempt_number,
             ",".join(reservation.slots),
             now - job.arrived,
         )
@@ -147,7 +149,7 @@
         now: float,
     ) -> None:
         """Stop others for a held group, all of it or nothing."""
-        chosen: list[Run] = []
+        chosen: list[TaskAttempt] = []
         for machine, whole in short:
             if not self.usable(machine, now):
                 return
@@ -159,31 +161,31 @@
             chosen += found
         # From now on not even work that yields may come in between.
         job.gathers_until = now + 2 * self.heartbeat_interval_s
-        for run in chosen:
-            if not run.stopping:
-                self.preempt(run, f"room for {job.id}", now)
+        for attempt in chosen:
+            if not attempt.stopping:
+                self.preempt(attempt, f"room for {job.id}", now)
 
-    def intents_written(self, runs: Iterable[Run], now: float) -> None:
+    def intents_written(self, attempts: Iterable[TaskAttempt], now: float) -> None:
         self.changes += 1
-        for run in runs:
-            if run.state is RunState.INTENDED:
-                run.written(now)
+        for attempt in attempts:
+            if attempt.state is AttemptState.INTENDED:
+                attempt.written(now)
                 # Only now is the hold used up. Used up by a plan whose intents
                 # then failed, it would keep its gang from ever starting.
-                run.job.used_reservation = max(
-                    run.job.used_reservation, run.job.starting_reservation
+                attempt.job.used_reservation = max(
+                    attempt.job.used_reservation, attempt.job.starting_reservation
                 )
-                if run.stopping:
-                    self._drop(run, now)
+                if attempt.stopping:
+                    self._drop(attempt, now)
                 else:
-                    self._wake(self.machines[run.machine], now)
+                    self._wake(self.machines[attempt.machine], now)
 
-    def intents_failed(self, runs: Iterable[Run], now: float) -> None:
+    def intents_failed(self, attempts: Iterable[TaskAttempt], now: float) -> None:
         """The transaction failed for good: none of it was or will be written."""
-        for run in runs:
-            if run.state is RunState.INTENDED:
-                self._drop(run, now)
+        for attempt in attempts:
+            if attempt.state is AttemptState.INTENDED:
+                self._drop(attempt, now)
         self.changes += 1
-        for job in {run.job for run in runs if run.job.gang}:
-            if not job.runs:
+        for job in {attempt.job for attempt in attempts if attempt.job.gang}:
+            if not job.attempts:
                 job.enter_gang_state(GangState.WAITING, now)
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -5,7 +5,7 @@
 import math
 
 from topazhold.core import preemption
-from topazhold.core.jobs import GangState, Job, JobState, Run, RunState
+from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.ledger import NO_RESOURCES, LowerWork
 from topazhold.core.machines import Machine, MachineState, add_resources, fits
 from topazhold.core.offering import Offering
@@ -106,17 +106,17 @@
     def _claimed(self, job: Job) -> tuple[float, float]:
         return self._claims.get(job.spec.team, (0.0, 0.0))
 
-    def _lower_runs(self, job: Job) -> list[Run]:
+    def _lower_attempts(self, job: Job) -> list[TaskAttempt]:
         """Runs of the same team that a gang may stop to get at its limit."""
         return [
-            run
+            attempt
             for other in self.jobs.values()
             if other.spec.team == job.spec.team
             and other.level > job.level
             # Work that ranks before the gang would be placed again at once.
             and preemption.rank(other) > preemption.rank(job)
-            for run in other.runs.values()
-            if run.present and not (other.gang and other.gang_state is GangState.STARTING)
+            for attempt in other.attempts.values()
+            if attempt.present and not (other.gang and other.gang_state is GangState.STARTING)
         ]
 
     def _lower_work(self, team_name: str) -> LowerWork:
@@ -126,11 +126,11 @@
             return found
         found = self._lower[team_name] = []
         for job in self.jobs.values():
-            if job.spec.team != team_name or not job.runs:
+            if job.spec.team != team_name or not job.attempts:
                 continue
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
-            count = sum(run.present for run in job.runs.values())
+            count = sum(attempt.present for attempt in job.attempts.values())
             if count:
                 found.append(
                     (job.level, preemption.rank(job), job.need[0] * count, job.need[1] * count)
@@ -152,15 +152,15 @@
     def _make_limit(self, job: Job, now: float) -> None:
         """Stop the team's own lower work until the gang fits the limit."""
         cpus = gpus = 0.0
-        runs = self._lower_runs(job)
-        runs.sort(key=lambda run: (not run.stopping, preemption.loss(run, now)))
-        for run in runs:
+        attempts = self._lower_attempts(job)
+        attempts.sort(key=lambda attempt: (not attempt.stopping, preemption.loss(attempt, now)))
+        for attempt in attempts:
             if self.usage.allows(job, job.spec.tasks, (-cpus, -gpus)):
                 return
-            cpus += run.job.need[0]
-            gpus += run.job.need[1]
-            if not run.stopping and run.state is not RunState.INTENDED:
-                self.preempt(run, f"limit of {job.spec.team} for {job.id}", now)
+            cpus += attempt.job.need[0]
+            gpus += attempt.job.need[1]
+            if not attempt.stopping and attempt.state is not AttemptState.INTENDED:
+                self.preempt(attempt, f"limit of {job.spec.team} for {job.id}", now)
 
     def _waiting_jobs(self, now: float) -> list[Job]:
         jobs = [
@@ -189,20 +189,22 @@
             - self.estimates.run_s(spec.job_class, spec.estimated_run_s)
         )
 
-    def _new_run(self, job: Job, index: int, machine: Machine, attempt: int, now: float) -> Run:
-        run = Run(job, index, attempt, machine.name, now)
-        run.incarnation = machine.incarnation
-        machine.attach(run)
+    def _new_attempt(
+        self, job: Job, index: int, machine: Machine, attempt_number: int, now: float
+    ) -> TaskAttempt:
+        attempt = TaskAttempt(job, index, attempt_number, machine.name, now)
+        attempt.incarnation = machine.incarnation
+        machine.attach(attempt)
         self.usage.add(job)
-        return run
+        return attempt
 
-    def _attempt(self) -> int:
-        self.next_attempt += 1
-        return self.next_attempt
+    def _next_attempt_number(self) -> int:
+        self.last_attempt_number += 1
+        return self.last_attempt_number
 
     def _recordable(self, machine: Machine, count: int) -> bool:
         """Whether the machine's intents still fit a value with so many more tasks."""
-        return len(machine.runs) + count <= self.max_machine_runs
+        return len(machine.attempts) + count <= self.max_machine_attempts
 
     def _binding(self, reservation: Reservation) -> bool:
         """Whether a hold still keeps room: its gang waits and may start."""
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazhold.core.jobs import GangState, Job, Resources, Run, RunState
+from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
 from topazhold.core.reservations import LATER, Turn
@@ -58,14 +58,14 @@
 SERVICE_LOSS_S = 1e5
 
 
-def loss(run: Run, now: float, level: int = 0) -> float:
+def loss(attempt: TaskAttempt, now: float, level: int = 0) -> float:
     """Seconds of work, over all tasks told to stop with it, that a stop costs.
 
     `level` is the urgency of the work that it would be stopped for.
     """
-    job = run.job
-    tasks = len(job.runs) if job.gang else 1
-    elapsed = now - run.running_since if run.running_since is not None else 0.0
+    job = attempt.job
+    tasks = len(job.attempts) if job.gang else 1
+    elapsed = now - attempt.running_since if attempt.running_since is not None else 0.0
     lost = job.spec.save_s if job.spec.checkpoint_s > 0 else elapsed
     more_urgent = max(0, level - job.level)
     if job.service:
@@ -75,26 +75,26 @@
 
 def victims(
     machine: Machine, need: Resources, job: Job, usage: Usage, reserved: Resources, now: float
-) -> list[Run] | None:
+) -> list[TaskAttempt] | None:
     """Runs to stop so that `need` fits; [] if it will fit anyhow, None if it can't."""
     available = add_resources(machine.free(), reserved, -1.0)
-    candidates: list[Run] = []
-    for run in machine.runs.values():
-        if not run.present:
+    candidates: list[TaskAttempt] = []
+    for attempt in machine.attempts.values():
+        if not attempt.present:
             continue
-        if run.stopping:
-            available = add_resources(available, run.job.need)
-        elif may_stop(job, run.job, usage) and run.job is not job:
-            if run.job.gang and run.job.gang_state is GangState.STARTING:
+        if attempt.stopping:
+            available = add_resources(available, attempt.job.need)
+        elif may_stop(job, attempt.job, usage) and attempt.job is not job:
+            if attempt.job.gang and attempt.job.gang_state is GangState.STARTING:
                 continue  # it has not begun to run; its own clock decides first
-            if run.state is not RunState.INTENDED:
-                candidates.append(run)
+            if attempt.state is not AttemptState.INTENDED:
+                candidates.append(attempt)
     if fits(need, available):
         return []
-    chosen: list[Run] = []
-    for run in sorted(candidates, key=lambda run: loss(run, now, job.level)):
-        chosen.append(run)
-        available = add_resources(available, run.job.need)
+    chosen: list[TaskAttempt] = []
+    for attempt in sorted(candidates, key=lambda attempt: loss(attempt, now, job.level)):
+        chosen.append(attempt)
+        available = add_resources(available, attempt.job.need)
         if fits(need, available):
             return chosen
     return None
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -26,7 +26,7 @@
 OVER_NAME_LENGTH = 40
 
 #: Intents of one machine that fit a value, by the size of one packed run.
-RUN_BYTES = 64
+ATTEMPT_BYTES = 64
 
 
 def live_key(job: str) -> str:
@@ -135,14 +135,17 @@
     """A shard's intents: everything that may be, or may come to be, on its machines."""
     intents = {}
     for machine in machines:
-        if machine.runs:
+        if machine.attempts:
             machine_type = machine.machine_type.name if machine.machine_type is not None else ""
             intents[machine.name] = [
                 machine.incarnation,
                 machine.zone,
                 machine.spot,
                 machine_type,
-                [[run.job.id, run.index, run.attempt] for run in machine.runs.values()],
+                [
+                    [attempt.job.id, attempt.index, attempt.attempt_number]
+                    for attempt in machine.attempts.values()
+                ],
             ]
     return {"by": token, "boxes": intents}
 
@@ -155,7 +158,7 @@
     zone: str
     spot: bool
     machine_type: str
-    runs: list[tuple[str, int, int]]
+    attempts: list[tuple[str, int, int]]
 
 
 def read_on(data: Any) -> tuple[list[Intents], list[str]]:
@@ -165,8 +168,11 @@
     boxes = data.get("boxes") if isinstance(data, dict) else None
     for name, item in boxes.items() if isinstance(boxes, dict) else ():
         try:
-            incarnation, zone, spot, machine_type, runs = item
-            packed = [(str(job), int(index), int(attempt)) for job, index, attempt in runs]
+            incarnation, zone, spot, machine_type, attempts = item
+            packed = [
+                (str(job), int(index), int(attempt_number))
+                for job, index, attempt_number in attempts
+            ]
             found.append(
                 Intents(
                     str(name), int(incarnation), str(zone), bool(spot), str(machine_type), packed
--- a/topazhold/core/recovery.py
+++ b/topazhold/core/recovery.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from topazhold.core import gangs
-from topazhold.core.jobs import Job, JobState, Run
+from topazhold.core.jobs import Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.scheduler import Scheduler
@@ -18,7 +18,7 @@
 def missing_jobs(jobs: Iterable[str], intents: Iterable[Intents]) -> list[str]:
     """Jobs named by intents that are not live: they are over, and must be read."""
     known = set(jobs)
-    return sorted({job for each in intents for job, _, _ in each.runs} - known)
+    return sorted({job for each in intents for job, _, _ in each.attempts} - known)
 
 
 def take_over(
@@ -35,8 +35,8 @@
         if machine.state is MachineState.STARTING and each.incarnation:
             machine.hear(False, now)
             machine.heard_at = None
-        for job_id, index, attempt in each.runs:
-            _adopt(scheduler, job_id, index, attempt, machine.name, each.incarnation, now)
+        for job_id, index, attempt_number in each.attempts:
+            _adopt(scheduler, job_id, index, attempt_number, machine.name, each.incarnation, now)
     for job in list(scheduler.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.resume(job, now)
@@ -47,7 +47,7 @@
     scheduler: Scheduler,
     job_id: str,
     index: int,
-    attempt: int,
+    attempt_number: int,
     machine: str,
     incarnation: int,
     now: float,
@@ -55,14 +55,14 @@
     job = scheduler.jobs.get(job_id)
     if job is None or index >= job.spec.tasks or job.done[index]:
         return
-    old = job.runs.get(index)
+    old = job.attempts.get(index)
     if old is not None:
         # An ended run's intent stays until its machine's next one, so a task
         # may stand at two machines. Only the newer try can still be there:
         # it was planned after the older one was proven gone.
-        if old.attempt >= attempt:
+        if old.attempt_number >= attempt_number:
             return
         scheduler.supersede(old, now)
-    run = Run(job, index, attempt, machine, now)
-    run.incarnation = incarnation
-    scheduler.adopt(run)
+    attempt = TaskAttempt(job, index, attempt_number, machine, now)
+    attempt.incarnation = incarnation
+    scheduler.adopt(attempt)
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -150,7 +150,7 @@
         wish = found.setdefault((machine_type.name, spot), Wish())
         bound = _bound_zone(job, zone_of)
         wish.add(machines, bound)
-        if bound is None and (job.service or (job.gang and not job.runs)):
+        if bound is None and (job.service or (job.gang and not job.attempts)):
             gangs.append((wish, job, machines, machine_type))
     for wish, job, machines, machine_type in gangs:
         # Room that is there, but in the wrong zones, lets no gang start.
@@ -170,9 +170,9 @@
     if job.spec.zone is not None:
         return job.spec.zone
     if job.spec.same_place:
-        for run in job.runs.values():
-            if run.present and run.machine in zone_of:
-                return zone_of[run.machine]
+        for attempt in job.attempts.values():
+            if attempt.present and attempt.machine in zone_of:
+                return zone_of[attempt.machine]
     return None
 
 
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -177,7 +177,7 @@
     def _waits_long(self, job: Job, now: float) -> bool:
         """Whether a gang presses, or a service has lacked replicas for longer than others."""
         if job.gang:
-            return job.pressing and not job.runs
+            return job.pressing and not job.attempts
         return job.service and job.waiting_count > 0 and now - job.arrived > self.lease_s
 
     def _short_zone(
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -7,7 +7,7 @@
 
 from topazhold.core import preemption
 from topazhold.core.array_placing import MAX_PLACED_TASKS, ArrayPlacing
-from topazhold.core.jobs import Job, JobState, Resources, Run
+from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.search import allowed
@@ -48,7 +48,7 @@
         self._work_kinds = None
         self._hindrances = {}
 
-    def _plan_service(self, job: Job, planned: list[Run], now: float) -> None:
+    def _plan_service(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
         taken = self._reserved.taken(job.id, preemption.turn(job))
@@ -67,13 +67,13 @@
         job: Job,
         places: list[ServicePlace],
         zones: dict[str, int],
-        planned: list[Run],
+        planned: list[TaskAttempt],
         now: float,
     ) -> None:
         """The cheapest places first; each replica makes its machine and zone dearer."""
         on_machine: dict[str, int] = {}
-        for run in job.runs.values():
-            on_machine[run.machine] = on_machine.get(run.machine, 0) + 1
+        for attempt in job.attempts.values():
+            on_machine[attempt.machine] = on_machine.get(attempt.machine, 0) + 1
         tasks = job.waiting_tasks()
         heap = [(place.cost_s, place.machine.name, place) for place in places]
         heapq.heapify(heap)
@@ -97,9 +97,9 @@
             index = next(tasks, None)
             if index is None:
                 return
-            run = self._new_run(job, index, machine, self._attempt(), now)
-            job.add_run(run)
-            planned.append(run)
+            attempt = self._new_attempt(job, index, machine, self._next_attempt_number(), now)
+            job.add_attempt(attempt)
+            planned.append(attempt)
             zones[machine.zone] = in_zone + 1
             on_machine[name] = on_machine.get(name, 0) + 1
             place.count -= 1
@@ -157,9 +157,9 @@
         """Of the kinds of other work, the share of which the machine would take fewer tasks."""
         assert machine.machine_type is not None
         services = NO_RESOURCES
-        for run in machine.runs.values():
-            if run.job.service:
-                services = add_resources(services, run.job.need)
+        for attempt in machine.attempts.values():
+            if attempt.job.service:
+                services = add_resources(services, attempt.job.need)
         key = (machine.machine_type.name, round(services[0], 3), round(services[2], 3), need)
         found = self._hindrances.get(key)
         if found is None:
@@ -202,7 +202,7 @@
             return
         self._starved_since[job.id] = now
         coming = 0
-        choices: list[tuple[float, str, list[Run]]] = []
+        choices: list[tuple[float, str, list[TaskAttempt]]] = []
         for machine in self.machines.values():
             if not self.usable(machine, now) or machine.machine_type is None:
                 continue
@@ -217,10 +217,10 @@
             if not found:
                 coming += 1  # something is leaving already
                 continue
-            cost = sum(preemption.loss(run, now, job.level) for run in found)
+            cost = sum(preemption.loss(attempt, now, job.level) for attempt in found)
             choices.append((cost, machine.name, found))
         choices.sort(key=lambda choice: choice[:2])
-        for _, _, runs in choices[: max(0, job.waiting_count - coming)]:
-            for run in runs:
-                if not run.stopping:
-                    self.preempt(run, f"room for {job.id}", now)
+        for _, _, attempts in choices[: max(0, job.waiting_count - coming)]:
+            for attempt in attempts:
+                if not attempt.stopping:
+                    self.preempt(attempt, f"room for {job.id}", now)
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -6,7 +6,7 @@
 import math
 
 from topazhold.core import gangs
-from topazhold.core.jobs import UNSENT, GangState, Job, JobState, Run, RunState
+from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.ledger import UP
 from topazhold.core.machines import Machine, MachineState, fits
 from topazhold.core.ordering import Ordering
@@ -50,51 +50,55 @@
             log.info("job %s done", job_id)
         else:
             job.abort(over_at)
-            log.info("job %s aborted, tasks on machines: %d", job_id, len(job.runs))
-        for run in list(job.runs.values()):
-            if run.state in UNSENT and not run.unsure:
-                self._drop(run, now)
+            log.info("job %s aborted, tasks on machines: %d", job_id, len(job.attempts))
+        for attempt in list(job.attempts.values()):
+            if attempt.state in UNSENT and not attempt.possibly_running:
+                self._drop(attempt, now)
             elif not done:
-                self._stop_run(run, 0.0, "job aborted", now)
+                self._stop_attempt(attempt, 0.0, "job aborted", now)
         self.forget_if_over(job)
 
-    def _stop_run(self, run: Run, grace_s: float, why: str, now: float) -> None:
-        if run.state is RunState.WRITTEN:
-            self._drop(run, now)  # no launch has left
+    def _stop_attempt(self, attempt: TaskAttempt, grace_s: float, why: str, now: float) -> None:
+        if attempt.state is AttemptState.WRITTEN:
+            self._drop(attempt, now)  # no launch has left
             return
-        if not run.stopping or (run.stop_grace or 0.0) > grace_s:
+        if not attempt.stopping or (attempt.stop_grace or 0.0) > grace_s:
             log.info(
-                "task %s try %d on %s stopped: %s", run.task_name, run.attempt, run.machine, why
+                "task %s try %d on %s stopped: %s",
+                attempt.task_name,
+                attempt.attempt_number,
+                attempt.machine,
+                why,
             )
-            self._leaves(run)
-        run.stop(grace_s, now)
+            self._leaves(attempt)
+        attempt.stop(grace_s, now)
 
     def _stop_gang(self, job: Job, grace_s: float, why: str, now: float) -> None:
         """Stop a whole gang in order; unsent tasks simply leave."""
         told = gangs.stop(job, grace_s, now)
         if told:
             log.info("gang %s stopped: %s", job.id, why)
-        for run in told:
-            if run.state is RunState.WRITTEN:
-                self._drop(run, now)
-            elif run.state is not RunState.INTENDED:
-                self._leaves(run)
+        for attempt in told:
+            if attempt.state is AttemptState.WRITTEN:
+                self._drop(attempt, now)
+            elif attempt.state is not AttemptState.INTENDED:
+                self._leaves(attempt)
 
-    def _leaves(self, run: Run) -> None:
+    def _leaves(self, attempt: TaskAttempt) -> None:
         """A kill is to be sent."""
         self.changes += 1
-        self.to_command.add(run.machine)
-        machine = self.machines.get(run.machine)
+        self.to_command.add(attempt.machine)
+        machine = self.machines.get(attempt.machine)
         if machine is not None:
             machine.changes += 1
 
-    def preempt(self, run: Run, why: str, now: float) -> None:
-        job = run.job
+    def preempt(self, attempt: TaskAttempt, why: str, now: float) -> None:
+        job = attempt.job
         settle = job.spec.save_s + self.heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
         if job.gang:
             self._stop_gang(job, settle, why, now)
         else:
-            self._stop_run(run, settle, why, now)
+            self._stop_attempt(attempt, settle, why, now)
 
     def tick(self, now: float) -> None:
         """Everything that happens because time passes."""
@@ -121,7 +125,7 @@
             # A gang found saving at a take-over must be let finish that: a second
             # kill without grace would cost what it is about to have saved.
             running = before is GangState.RUNNING or any(
-                run.state is RunState.FLUSHING for run in job.runs.values()
+                attempt.state is AttemptState.FLUSHING for attempt in job.attempts.values()
             )
             settle = (
                 job.spec.save_s + self.heartbeat_interval_s
@@ -134,12 +138,12 @@
 
     def _finish_off(self, job: Job, now: float) -> None:
         """Tasks of a job that is over must leave their machines."""
-        for run in list(job.runs.values()):
+        for attempt in list(job.attempts.values()):
             if job.state is JobState.DONE:
-                if now - run.since > self.lease_s and not run.stopping:
-                    self._stop_run(run, 0.0, "job done", now)
+                if now - attempt.since > self.lease_s and not attempt.stopping:
+                    self._stop_attempt(attempt, 0.0, "job done", now)
             elif job.cancelled_at is not None:
-                self._stop_run(run, 0.0, "job aborted", now)
+                self._stop_attempt(attempt, 0.0, "job aborted", now)
                 age = now - job.cancelled_at
                 # A new leader first hears the workers, unless there is no time; past
                 # `cancel_s` nothing is gained by haste. After an outage of that length
@@ -148,13 +152,13 @@
                 hearing_s = self.lease_s if past else 2.5 * self.heartbeat_interval_s
                 no_time = not past and age > 0.8 * self.cancel_s
                 heard_out = now - self.since > hearing_s or no_time
-                machine = self.machines.get(run.machine)
+                machine = self.machines.get(attempt.machine)
                 if age > 0.6 * self.cancel_s and heard_out and machine is not None:
                     # A task that nobody can be shown to have stopped takes its
                     # machine with it: after cancel_s it must not be anywhere.
-                    self.release(machine, f"can't stop {run.task_name}", now)
-                elif now - run.stop_at > self.heartbeat_interval_s:
-                    self.to_command.add(run.machine)
+                    self.release(machine, f"can't stop {attempt.task_name}", now)
+                elif now - attempt.stop_at > self.heartbeat_interval_s:
+                    self.to_command.add(attempt.machine)
 
     def unreached(self, now: float) -> list[str]:
         """Machines whose reports have not come here for a while."""
@@ -201,7 +205,7 @@
             return
         if state is MachineState.DRAINING:
             self._drain(machine, now)
-        elif machine.runs and not self.usable(machine, now):
+        elif machine.attempts and not self.usable(machine, now):
             self._drop_unsent(machine, now)
         if (
             self.needs_announcing(machine, now)
@@ -221,7 +225,7 @@
             self.release(machine, "silent and not listed", now)
         elif silent > SERVICE_LEASES * self.lease_s:
             patience = self._patience_leases(machine, now)
-            if any(run.job.service for run in machine.runs.values()):
+            if any(attempt.job.service for attempt in machine.attempts.values()):
                 # Its tasks ended with the worker's lease. Other work waits for the machine
                 # to come back; a service is down until its replicas are proven gone.
                 patience = patience if math.isinf(patience) else SERVICE_LEASES
@@ -234,10 +238,14 @@
         No launch has left, so nothing has to be proven. They waited for the machine's
         release before. Gangs have their own time limit.
         """
-        for run in list(machine.runs.values()):
-            if run.state is RunState.WRITTEN and not run.unsure and not run.job.gang:
-                log.info("task %s has no launch on silent %s", run.task_name, machine.name)
-                self._drop(run, now)
+        for attempt in list(machine.attempts.values()):
+            if (
+                attempt.state is AttemptState.WRITTEN
+                and not attempt.possibly_running
+                and not attempt.job.gang
+            ):
+                log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
+                self._drop(attempt, now)
 
     def _patience_leases(self, machine: Machine, now: float) -> float:
         """After how many leases of silence a machine is released; infinite in a cut."""
@@ -265,16 +273,16 @@
     def _drain(self, machine: Machine, now: float) -> None:
         # A launch that has not left won't leave any more: a task left waiting
         # here would wait for ever.
-        for run in list(machine.runs.values()):
-            if run.state is RunState.WRITTEN and not run.unsure:
-                if run.job.gang:
-                    self._stop_gang(run.job, 0.0, "machine is leaving", now)
+        for attempt in list(machine.attempts.values()):
+            if attempt.state is AttemptState.WRITTEN and not attempt.possibly_running:
+                if attempt.job.gang:
+                    self._stop_gang(attempt.job, 0.0, "machine is leaving", now)
                 else:
-                    self._drop(run, now)
+                    self._drop(attempt, now)
         if machine.why == "sick":
             if machine.empty:
                 self.release(machine, "sick", now)
-            elif all(run.job.service for run in machine.runs.values()):
+            elif all(attempt.job.service for attempt in machine.attempts.values()):
                 # Replicas never end: without a move it would be kept, and paid, for good.
                 self._move_replicas(machine, "machine is sick", now)
             return
@@ -283,11 +291,11 @@
         left = machine.gone_at - now
         must = left < LAST_MOVE_HEARTBEATS * self.heartbeat_interval_s
         self._move_replicas(machine, "machine will be taken", now, must)
-        for run in list(machine.runs.values()):
-            if run.stopping or run.job.service or run.state is RunState.INTENDED:
+        for attempt in list(machine.attempts.values()):
+            if attempt.stopping or attempt.job.service or attempt.state is AttemptState.INTENDED:
                 continue
-            if run.state is not RunState.RUNNING or self._would_lose(run, left, now):
-                self.preempt(run, "machine will be taken", now)
+            if attempt.state is not AttemptState.RUNNING or self._would_lose(attempt, left, now):
+                self.preempt(attempt, "machine will be taken", now)
         if machine.empty and left < 0:
             self.release(machine, "taken", now)
 
@@ -297,19 +305,23 @@
         `must`: also without one. That they are gone is known by then; of a machine that was
         taken with them it would be known only after a lease.
         """
-        for run in list(machine.runs.values()):
-            if not run.job.service or run.stopping or run.state is RunState.INTENDED:
+        for attempt in list(machine.attempts.values()):
+            if (
+                not attempt.job.service
+                or attempt.stopping
+                or attempt.state is AttemptState.INTENDED
+            ):
                 continue
-            if must or self._has_other_place(run, now):
-                self.preempt(run, why, now)
+            if must or self._has_other_place(attempt, now):
+                self.preempt(attempt, why, now)
 
-    def _has_other_place(self, run: Run, now: float) -> bool:
+    def _has_other_place(self, attempt: TaskAttempt, now: float) -> bool:
         """Whether some other machine has room for a replica."""
-        job = run.job
+        job = attempt.job
         zones = job.zones_used(self.zone_of)
-        here = self.zone_of.get(run.machine)
+        here = self.zone_of.get(attempt.machine)
         for machine in self.machines.values():
-            if machine.name == run.machine or machine.machine_type is None:
+            if machine.name == attempt.machine or machine.machine_type is None:
                 continue
             if not self.usable(machine, now) or not fits(job.need, machine.free()):
                 continue
@@ -322,9 +334,9 @@
                 return True
         return False
 
-    def _would_lose(self, run: Run, left: float, now: float) -> bool:
+    def _would_lose(self, attempt: TaskAttempt, left: float, now: float) -> bool:
         """Whether a task on a machine with so much time left had better save now."""
         return (
-            run.job.spec.checkpoint_s > 0
-            and self.remaining_s(run, now) > left - self.heartbeat_interval_s
+            attempt.job.spec.checkpoint_s > 0
+            and self.remaining_s(attempt, now) > left - self.heartbeat_interval_s
         )
--- a/topazhold/duties/inheritance.py
+++ b/topazhold/duties/inheritance.py
@@ -74,5 +74,5 @@
     """Whether a term later than `term` has placed tasks on the machine."""
     machine = scheduler.machines.get(name)
     return machine is not None and any(
-        run.attempt // ATTEMPTS_PER_TERM > term for run in machine.runs.values()
+        run.attempt_number // ATTEMPTS_PER_TERM > term for run in machine.attempts.values()
     )
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -141,7 +141,7 @@
     """One task as its worker sees it."""
 
     task_name: str = field(name="frame")
-    attempt: int = field(name="try")
+    attempt_number: int = field(name="try")
     state: str = field(name="stage")
     cause: str | None = None
     kept: bool | None = None  # whether its progress was saved
@@ -167,23 +167,23 @@
 
     kind: str = field(name="call")
     task_name: str = field(name="frame")
-    attempt: int = field(name="try")
+    attempt_number: int = field(name="try")
     grace_s: float | None = field(name="settle_s", default=None)
 
 
-def launch(task_name: str, attempt: int) -> Command:
+def launch(task_name: str, attempt_number: int) -> Command:
     """Start a task."""
-    return Command(LAUNCH, task_name, attempt)
+    return Command(LAUNCH, task_name, attempt_number)
 
 
-def kill(task_name: str, attempt: int, grace_s: float) -> Command:
+def kill(task_name: str, attempt_number: int, grace_s: float) -> Command:
     """Stop a task; it saves if there is time for it."""
-    return Command(KILL, task_name, attempt, grace_s)
+    return Command(KILL, task_name, attempt_number, grace_s)
 
 
-def clear(task_name: str, attempt: int) -> Command:
+def clear(task_name: str, attempt_number: int) -> Command:
     """Remove an ended task from the worker's reports."""
-    return Command(CLEAR, task_name, attempt)
+    return Command(CLEAR, task_name, attempt_number)
 
 
 class Commands(msgspec.Struct, omit_defaults=True):
