--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,7 +9,7 @@
 
 from tests.standins import settings_for
 from topazhold.core.jobs import Job, TaskAttempt
-from topazhold.core.preemption import turn
+from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.settings import Operator
@@ -65,7 +65,7 @@
         return job
 
     def reservation(self, job: Job, slots: dict[str, int], serial: int = 1) -> Reservation:
-        reservation = Reservation(job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job))
+        reservation = Reservation(job.id, slots, job.need, 0.0, serial, 1e9, True, queue_key(job))
         self.reservation_table.reservations.setdefault("hive-0", {})[job.id] = reservation
         return reservation
 
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -13,7 +13,7 @@
 from topazhold.control.booking import Booking, View, Wanted, max_follower_searches
 from topazhold.control.election import GRANT_BOUNDS, lease_time_s
 from topazhold.core.jobs import Job
-from topazhold.core.preemption import turn
+from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.search import Offer
 from topazhold.settings import Operator
@@ -44,7 +44,7 @@
     settings = settings_for("hive-0", "a", [])
     found = Booking(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
-    found.wanted[job.id] = Wanted(job.spec, turn(job), 0.0)
+    found.wanted[job.id] = Wanted(job.spec, queue_key(job), 0.0)
     return found
 
 
@@ -94,7 +94,7 @@
     found.round(view(m1=100.0), 0.0)
     for number in range(100, 140):
         job = Job(make_spec(number, tasks=4, gpus=4.0), 0.0, clock.now, "hive-0")
-        found.wanted[job.id] = Wanted(job.spec, turn(job), 1.0)
+        found.wanted[job.id] = Wanted(job.spec, queue_key(job), 1.0)
     for second in range(1, 5):
         clock.now += 1.0
         found.round(view(m1=100.0, m2=5.0), float(second))
@@ -109,12 +109,14 @@
     found.reservation_table.revisions["hive-0"] = 3
     for number, name in ((2, "m2"), (3, "m3")):
         job = Job(make_spec(number, tasks=1, gpus=4.0), 0.0, 1e9, "hive-0")
-        found.mine[job.id] = Reservation(job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, turn(job))
+        found.mine[job.id] = Reservation(
+            job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, queue_key(job)
+        )
     before = dict(found.reservation_table.revisions)
     other = Job(make_spec(9, tasks=1, gpus=4.0), 0.0, 1e9, "hive-1")
     found.reservation_table.revisions["hive-1"] = 4
     found.reservation_table.reservations["hive-1"] = {
-        other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, turn(other))
+        other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, queue_key(other))
     }
     found.concede(before)
     assert set(found.mine) == {"wk-000001", "wk-000003"}
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -67,7 +67,7 @@
         bench = Bench(machines=4)
         for number in range(gangs):
             gang = bench.job(make_spec(number, tasks=2, gpus=1.0))
-            gang.pressing = True
+            gang.is_aged = True
         counted = Calls(monkeypatch, "_free_slots")
         bench.scheduler._wish_for_zones({}, [MACHINE_TYPE], bench.now)
         looks.append(counted.taken())
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -10,7 +10,7 @@
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.renting import counted
-from topazhold.core.search import PRESSING
+from topazhold.core.search import AGED
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
 
@@ -262,7 +262,7 @@
         guest = bench.job(make_spec(number, tasks=1, gpus=4.0, team="blue", urgency="best_effort"))
         bench.reservation(guest, {f"host-{number - 1}": 1})
     bench.scheduler.refresh_guarantees()
-    bench.scheduler.jobs["wk-000002"].within = False
+    bench.scheduler.jobs["wk-000002"].within_guarantee = False
     first = bench.job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
     bench.reservation(first, {"host-1": 1})
     attempts = bench.plan()
@@ -370,7 +370,7 @@
     bench = Bench(machines=2)
     urgent = bench.job(make_spec(1, urgency="urgent", team="blue"))
     low = bench.job(make_spec(2, urgency="best_effort", team="red"))
-    urgent.within, low.within = False, True
+    urgent.within_guarantee, low.within_guarantee = False, True
     for job in (urgent, low):
         bench.scheduler.usage.add(job, 20)
     may = preemption.may_stop
@@ -544,12 +544,12 @@
     gang = bench.job(make_spec(2, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
     other = bench.job(make_spec(3, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
     bench.scheduler.refresh_guarantees()
-    assert filler.within and gang.within and not other.within
-    assert preemption.rank(other) > preemption.rank(filler)
+    assert filler.within_guarantee and gang.within_guarantee and not other.within_guarantee
+    assert preemption.priority(other) > preemption.priority(filler)
     assert not preemption.may_stop(other, filler, bench.scheduler.usage)
-    bench.now += bench.scheduler.patience_s(other) + 1.0
+    bench.now += bench.scheduler.ageing_threshold_s(other) + 1.0
     bench.scheduler.tick(bench.now)
-    assert other.pressing and preemption.may_stop(other, filler, bench.scheduler.usage)
+    assert other.is_aged and preemption.may_stop(other, filler, bench.scheduler.usage)
     assert not preemption.may_stop(filler, other, bench.scheduler.usage), "never both ways"
 
 
@@ -601,20 +601,20 @@
             [(16, "urgent"), (1, "urgent"), (8, "normal"), (1, "normal")], start=1
         )
     ]
-    patience = [bench.scheduler.patience_s(job) for job in jobs]
+    patience = [bench.scheduler.ageing_threshold_s(job) for job in jobs]
     assert patience == sorted(patience) and patience[-1] < 240.0
     assert patience[0] < 0.1 * 240.0 and patience[2] < 0.3 * 240.0
 
 
 def test_class_that_is_to_start_sooner_goes_first(bench: Bench) -> None:
-    bench.scheduler.aimed_waits = {"quick": (10.0, 50.0), "train": (60.0, 180.0)}
+    bench.scheduler.wait_objectives = {"quick": (10.0, 50.0), "train": (60.0, 180.0)}
     slow = bench.job(make_spec(1, tasks=1))
     bench.now += 5.0
     quick = bench.job(make_spec(2, tasks=1, job_class="quick"))
-    assert preemption.turn(quick) < preemption.turn(slow)
-    bench.now += bench.scheduler.patience_s(slow)
+    assert preemption.queue_key(quick) < preemption.queue_key(slow)
+    bench.now += bench.scheduler.ageing_threshold_s(slow)
     bench.scheduler.tick(bench.now)
-    assert preemption.turn(slow) < preemption.turn(quick), "until it presses"
+    assert preemption.queue_key(slow) < preemption.queue_key(quick), "until it presses"
 
 
 def test_no_launch_from_a_leader_whose_grant_may_have_passed_on(bench: Bench) -> None:
@@ -749,7 +749,7 @@
     assert bench.plan() == []
     bench.scheduler.last_arrival = -1e9  # no headroom while nothing comes
     assert bench.scheduler.rent(bench.now) == [], "not at once: others may be done soon"
-    bench.now += bench.scheduler.patience_s(gang) + 1.0
+    bench.now += bench.scheduler.ageing_threshold_s(gang) + 1.0
     bench.all_report()
     bench.scheduler.tick(bench.now)
     bench.scheduler.last_arrival = -1e9
@@ -774,9 +774,12 @@
     offers = {offer.name: offer for offer in bench.scheduler.offers("a", bench.now)}
     gang = make_spec(1, tasks=1, gpus=4.0)
     need = (gang.cpus, gang.gpus, gang.memory_gb)
-    assert offers[attempt.machine].ready_for((1, service.level), need) == math.inf
+    assert offers[attempt.machine].ready_for((1, service.urgency_level), need) == math.inf
     (other,) = offers.keys() - {attempt.machine}
-    assert offers[other].ready_for((1, service.level), need) < bench.scheduler.heartbeat_interval_s
+    assert (
+        offers[other].ready_for((1, service.urgency_level), need)
+        < bench.scheduler.heartbeat_interval_s
+    )
 
 
 def test_gang_that_must_be_in_two_zones_gets_a_machine_in_the_full_one() -> None:
@@ -839,7 +842,7 @@
     borrowed = [
         attempt
         for job in bench.scheduler.jobs.values()
-        if not job.within
+        if not job.within_guarantee
         for attempt in job.attempts.values()
     ]
     assert len(borrowed) == 1, "the second job of blue is beyond its guarantee"
@@ -849,9 +852,9 @@
         for offer in bench.scheduler.offers(zone, bench.now)
         if offer.name == borrowed[0].machine
     )
-    by_guarantee, pressing = (0, 3), (PRESSING, 3)
+    by_guarantee, is_aged = (0, 3), (AGED, 3)
     soon_s = 3 * bench.scheduler.heartbeat_interval_s
     assert offer.ready_for(by_guarantee, available) < soon_s
-    assert offer.ready_for(pressing, available) > soon_s
-    more_urgent = (PRESSING, 1)
+    assert offer.ready_for(is_aged, available) > soon_s
+    more_urgent = (AGED, 1)
     assert offer.ready_for(more_urgent, available) < soon_s, "by its urgency it may stop that work"
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -7,10 +7,10 @@
 from tests.conftest import make_spec
 from topazhold.core import search
 from topazhold.core.reservations import (
+    QueueKey,
     Reservation,
     ReservationTable,
     ReservedResources,
-    Turn,
     pack_value,
 )
 from topazhold.core.search import Offer, SearchRules
@@ -95,8 +95,8 @@
     assert group is not None and group.slots == {"m2": 1}
 
 
-def reservation(job: str, machine: str, turn: Turn = (1, 2, 5.0)) -> Reservation:
-    return Reservation(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, turn)
+def reservation(job: str, machine: str, queue_key: QueueKey = (1, 2, 5.0)) -> Reservation:
+    return Reservation(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, queue_key)
 
 
 def test_hold_round_trip_and_unreadable_ones() -> None:
@@ -123,7 +123,7 @@
     )
     assert reservation_table.taken("wk-2", (1, 2, 4.0), lambda reservation: True).keys() == {"m3"}
     reserved = ReservedResources(
-        reservation_table, lambda reservation: reservation.turn, lambda reservation: False
+        reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
     assert reserved.taken("wk-2", (0, 2, 8.0)) == {}
     assert reserved.taken("wk-2", (1, 2, 4.0)).keys() == {"m3"}
@@ -176,14 +176,14 @@
     )
     reserved = ReservedResources(
         reservation_table,
-        lambda reservation: reservation.turn,
+        lambda reservation: reservation.queue_key,
         lambda reservation: reservation.job == "wk-3",
     )
     assert reserved.taken("wk-2", (1, 3, 7.0), yields=True).keys() == {"m3"}, "wk-3 gathers"
     assert reserved.taken("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
     assert reserved.taken("wk-2", (1, 3, 8.0), yields=True).keys() == {"m3"}
     equal = ReservedResources(
-        reservation_table, lambda reservation: reservation.turn, lambda reservation: False
+        reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
     assert equal.taken("wk-2", (1, 2, 7.0), yields=True).keys() == {"m1", "m3"}
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -221,7 +221,7 @@
         bench.all_report()
         bench.plan()
         bench.scheduler.tick(bench.now)
-    assert job.within and not run_of(job).stopping
+    assert job.within_guarantee and not run_of(job).stopping
 
 
 def test_replica_that_fails_everywhere_waits_longer_each_time_but_not_for_ever() -> None:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -235,7 +235,7 @@
     transactions: list[int] = []
 
     class Taking:
-        async def multi(self, conditions: Any, operations: Any, rank: float) -> int:
+        async def multi(self, conditions: Any, operations: Any, priority: float) -> int:
             transactions.append(len(operations))
             return 1
 
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -26,7 +26,7 @@
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import Job, TaskAttempt
-from topazhold.core.preemption import rank, turn
+from topazhold.core.preemption import priority, queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.search import SearchRules, search
@@ -68,7 +68,7 @@
             job = self._job(shape="gang", tasks=GANG_SIZES[number % len(GANG_SIZES)], gpus=4.0)
             names = self.rng.sample(list(self.scheduler.machines), job.spec.tasks)
             reservation = Reservation(
-                job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, turn(job)
+                job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, queue_key(job)
             )
             self.reservation_table.reservations.setdefault("node-0", {})[job.id] = reservation
         for _ in range(arrays):
@@ -168,7 +168,7 @@
     directory = scheduler.directory()
 
     def one() -> None:
-        search(fleet.rng, directory, caches, job.spec, rank(job), {}, rules, SEARCH_TRIES)
+        search(fleet.rng, directory, caches, job.spec, priority(job), {}, rules, SEARCH_TRIES)
 
     return one
 
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -14,20 +14,20 @@
 from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
 from topazhold.core import records
 from topazhold.core.jobs import Job
-from topazhold.core.preemption import turn
+from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import (
-    LATER,
+    NOT_AGED,
     RESERVATION_PREFIX,
+    QueueKey,
     Reservation,
     ReservationTable,
-    Turn,
     pack_value,
 )
 from topazhold.core.search import (
-    PRESSING,
+    AGED,
     Group,
     Offer,
-    Rank,
+    Priority,
     SearchRules,
     score_reserved,
     search,
@@ -67,20 +67,20 @@
 class Wanted:
     """A gang that this controller searches for."""
 
-    __slots__ = ("spec", "turn", "since", "searched")
+    __slots__ = ("spec", "queue_key", "since", "searched")
 
-    def __init__(self, spec: JobSpec, turn: Turn, since: float) -> None:
+    def __init__(self, spec: JobSpec, queue_key: QueueKey, since: float) -> None:
         self.spec = spec
-        self.turn = turn
+        self.queue_key = queue_key
         self.since = since
         self.searched = -1e9
 
     @property
-    def rank(self) -> Rank:
+    def priority(self) -> Priority:
         """By which others' work may be counted on to give way."""
-        if self.turn[2] < LATER:
-            return (PRESSING, self.turn[1])
-        return self.turn[:2]
+        if self.queue_key[2] < NOT_AGED:
+            return (AGED, self.queue_key[1])
+        return self.queue_key[:2]
 
 
 class View:
@@ -92,7 +92,7 @@
         self.written = 0.0  # time of day at which the leader made it
         self.directory: list[tuple[str, str]] = []
         self.caches: dict[str, Sequence[Offer]] = {}
-        self.waiting: dict[str, tuple[str, Turn, bool]] = {}
+        self.waiting: dict[str, tuple[str, QueueKey, bool]] = {}
         self.all_waiting = True  # whether `waiting` names every gang that waits
         self.running: dict[str, int] = {}
 
@@ -116,8 +116,8 @@
         self.term = int(data.get("crown", 0))
         self.written = float(data.get("at", 0.0))
         self.waiting = {
-            str(job): (str(node), (int(outside), int(level), float(submitted)), bool(wants))
-            for job, node, outside, level, submitted, wants in data.get("waiting", ())
+            str(job): (str(node), (int(outside), int(urgency_level), float(submitted)), bool(wants))
+            for job, node, outside, urgency_level, submitted, wants in data.get("waiting", ())
         }
         self.all_waiting = not data.get("cut", False)
         self.running = {str(job): int(count) for job, count in data.get("running", {}).items()}
@@ -165,7 +165,7 @@
 
     async def accepted(self, job: Job, now: float) -> None:
         """This node has accepted a gang: search for it now."""
-        self.wanted[job.id] = Wanted(job.spec, turn(job), now)
+        self.wanted[job.id] = Wanted(job.spec, queue_key(job), now)
         await self.wake.set()
 
     def forget(self, job: str) -> None:
@@ -178,13 +178,13 @@
         self._written = None
 
     def _search(self, wanted: Wanted, view: View, draft: ReservationTable) -> Group | None:
-        taken = draft.taken(wanted.spec.id, wanted.turn, lambda reservation: True)
+        taken = draft.taken(wanted.spec.id, wanted.queue_key, lambda reservation: True)
         return search(
             self._rng,
             view.directory,
             view.caches,
             wanted.spec,
-            wanted.rank,
+            wanted.priority,
             taken,
             self.rules,
             self._tries,
@@ -201,7 +201,7 @@
         draft.reservations = {**self.reservation_table.reservations, self.node: self.mine}
         # In turns: when those without a hold always came first, holds on machines
         # that free late were kept while others came up.
-        order = sorted(self.wanted.values(), key=lambda w: (w.searched, w.turn, w.since))
+        order = sorted(self.wanted.values(), key=lambda w: (w.searched, w.queue_key, w.since))
         began = time.monotonic()
         for number, wanted in enumerate(order[:limit]):
             if number and time.monotonic() - began > self._max_round_s:
@@ -235,9 +235,9 @@
         better: a large gang that changed all its machines for a few seconds lost
         those that had come free for it, again and again.
         """
-        taken = draft.taken(old.job, wanted.turn, lambda reservation: True)
+        taken = draft.taken(old.job, wanted.queue_key, lambda reservation: True)
         present = score_reserved(
-            old.slots, view.caches, wanted.spec, wanted.rank, taken, self.rules
+            old.slots, view.caches, wanted.spec, wanted.priority, taken, self.rules
         )
         late = wall - old.made_at > self._expiry_s
         if math.isinf(present):
@@ -261,7 +261,7 @@
             self._serial,
             wall,
             group.capacity_wait <= self._heartbeat_interval_s,
-            wanted.turn,
+            wanted.queue_key,
         )
         log.info(
             "reservation %s on %s, wait %.1f s, score %.1f",
@@ -335,7 +335,7 @@
     def _cut_to_size(self) -> None:
         """The value has a limit: holds whose turn comes last give way."""
         order = sorted(
-            self.mine.values(), key=lambda reservation: (reservation.turn, reservation.made_at)
+            self.mine.values(), key=lambda reservation: (reservation.queue_key, reservation.made_at)
         )
         size = 200
         for reservation in order:
--- a/topazhold/control/gang_search.py
+++ b/topazhold/control/gang_search.py
@@ -13,7 +13,7 @@
 from topazhold.control.leading import Leading
 from topazhold.control.store import DECISIONS, TROUBLE, Store
 from topazhold.core import records
-from topazhold.core.preemption import turn
+from topazhold.core.preemption import queue_key
 from topazhold.settings import Operator, Settings
 from topazhold.wire.codec import BadMessage
 from topazhold.wire.messages import JobSpec
@@ -136,9 +136,9 @@
                     continue
             known = wanted.get(job.id)
             if known is None:
-                wanted[job.id] = Wanted(job.spec, turn(job), job.arrived)
+                wanted[job.id] = Wanted(job.spec, queue_key(job), job.arrived)
             else:
-                known.turn = turn(job)
+                known.queue_key = queue_key(job)
             reservation = self._booking.mine.get(job.id)
             if reservation is not None and leading.scheduler.spent(job, reservation):
                 del self._booking.mine[job.id]
@@ -155,7 +155,7 @@
                 if self._view.at - wanted.since > 2 * PEER_SUMMARY_S and self._view.all_waiting:
                     booking.forget(job_id)
             else:
-                wanted.turn = told[1]
+                wanted.queue_key = told[1]
                 if told[2]:
                     reservation = booking.mine.get(job_id)
                     if (
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -317,7 +317,7 @@
             for _ in range(4):
                 # A plan that can't be written now is made anew later, with more
                 # of it in one transaction.
-                await self.context.store.turn(DECISIONS, PLAN_WRITES)
+                await self.context.store.wait_for_limits(DECISIONS, PLAN_WRITES)
                 now = await curio.clock()
                 if now - self._ticked_at > TICK_HEARTBEATS * self.context.heartbeat_interval_s:
                     self._tick(now)
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -38,7 +38,7 @@
 from topazhold.control.store import Store
 from topazhold.control.users import Users, users_request
 from topazhold.core.cancellations import Cancellations
-from topazhold.core.jobs import NO_AIM, Job
+from topazhold.core.jobs import NO_OBJECTIVE, Job
 from topazhold.core.leadership import Leadership
 from topazhold.core.placements import Placements
 from topazhold.core.reservations import ReservationTable
@@ -332,8 +332,8 @@
         if self.leading is not None:
             await self.leading.accepted(job)
         if job.gang:
-            waits = self.settings.cluster.aimed_waits()
-            job.aimed_wait_s = waits.get(job.spec.job_class, (NO_AIM, NO_AIM))[0]
+            waits = self.settings.cluster.wait_objectives()
+            job.wait_objective_s = waits.get(job.spec.job_class, (NO_OBJECTIVE, NO_OBJECTIVE))[0]
             await self.booking.accepted(job, await curio.clock())
 
     def _running_count(self, job_id: str) -> int:
--- a/topazhold/control/store.py
+++ b/topazhold/control/store.py
@@ -92,35 +92,35 @@
             self.set_share(self._share)
             log.info("state service refuses for its rate: keeping to the lower limits")
 
-    async def turn(self, rank: float, writes: int) -> None:
+    async def wait_for_limits(self, priority: float, writes: int) -> None:
         """Let time pass until the limits allow a request, within bounds."""
-        await curio.sleep(min(PATIENCE_S, await self.wait_s(rank, writes)))
+        await curio.sleep(min(PATIENCE_S, await self.wait_s(priority, writes)))
 
-    async def wait_s(self, rank: float, writes: int) -> float:
+    async def wait_s(self, priority: float, writes: int) -> float:
         """How long until the limits allow a request."""
         now = await curio.clock()
-        return max(self._reads.wait_s(now, 1, rank), self._writes.wait_s(now, writes, rank))
+        return max(self._reads.wait_s(now, 1, priority), self._writes.wait_s(now, writes, priority))
 
     async def _ask(
         self,
         method: str,
         target: str,
         message: Any,
-        rank: float,
+        priority: float,
         writes: int = 0,
         timeout_s: float | None = None,
         client: Client | None = None,
     ) -> tuple[int, bytes]:
         now = await curio.clock()
-        if rank < USERS:
+        if priority < USERS:
             # Decisions wait for their turn; users are told at once to come again.
-            wait = min(PATIENCE_S, await self.wait_s(rank, writes))
+            wait = min(PATIENCE_S, await self.wait_s(priority, writes))
             if wait > 0:
                 await curio.sleep(wait)
                 now = await curio.clock()
-        if not self._reads.take(now, 1, rank):
+        if not self._reads.take(now, 1, priority):
             raise StoreDown("request limit")
-        if writes and not self._writes.take(now, writes, rank):
+        if writes and not self._writes.take(now, writes, priority):
             raise StoreDown("write limit")
         try:
             status, body = await (client or self._client).ask(
@@ -148,22 +148,22 @@
         if self.failing_since is None:
             self.failing_since = now
 
-    async def get(self, key: str, rank: float = USERS) -> Entry | None:
-        status, body = await self._ask("GET", f"{wire.STORE_PATH}/{key}", None, rank)
+    async def get(self, key: str, priority: float = USERS) -> Entry | None:
+        status, body = await self._ask("GET", f"{wire.STORE_PATH}/{key}", None, priority)
         if status == 404:
             return None
         if status != 200:
             raise StoreDown(f"status {status}")
         return read(body, Entry)
 
-    async def entries(self, prefix: str, rank: float = DECISIONS) -> tuple[list[Entry], int]:
+    async def entries(self, prefix: str, priority: float = DECISIONS) -> tuple[list[Entry], int]:
         """All entries under a prefix, and the revision of the first page."""
         entries: list[Entry] = []
         after: str | None = None
         seen_revision: int | None = None
         while True:
             target = wire.store_query(prefix, after, PAGE)
-            status, body = await self._ask("GET", target, None, rank)
+            status, body = await self._ask("GET", target, None, priority)
             if status != 200:
                 raise StoreDown(f"status {status}")
             page = read(body, wire.EntryPage)
@@ -174,14 +174,14 @@
             after = page.entries[-1].key
 
     async def multi(
-        self, conditions: list[tuple[str, int]], operations: list[dict[str, Any]], rank: float
+        self, conditions: list[tuple[str, int]], operations: list[dict[str, Any]], priority: float
     ) -> int:
         """One transaction; the new revision. Raises Conflict."""
         body = wire.multi_body(
             [wire.condition(key, revision) for key, revision in conditions], operations
         )
         status, answer = await self._ask(
-            "POST", wire.MULTI_PATH, body, rank, writes=len(operations)
+            "POST", wire.MULTI_PATH, body, priority, writes=len(operations)
         )
         if status == 200:
             log.debug(
@@ -204,7 +204,7 @@
         self,
         conditions: list[tuple[str, int]],
         operations: list[dict[str, Any]],
-        rank: float,
+        priority: float,
         probe: str,
         token: str,
         give_up_s: float,
@@ -220,7 +220,7 @@
         start = await curio.clock()
         while True:
             try:
-                return await self.multi(conditions, operations, rank)
+                return await self.multi(conditions, operations, priority)
             except Conflict:
                 if not unknown:
                     raise
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -16,7 +16,7 @@
 from topazhold.core import records
 from topazhold.core.jobs import AttemptState, JobState
 from topazhold.core.machines import Machine
-from topazhold.core.preemption import turn
+from topazhold.core.preemption import queue_key
 from topazhold.core.search import cut_names, cut_summary, pack_names
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
@@ -121,7 +121,7 @@
         """Gangs that wait, and how many tasks run."""
         scheduler = self._context.scheduler
         waiting = [
-            [job.id, job.node, *turn(job), scheduler.needs_reservation(job)]
+            [job.id, job.node, *queue_key(job), scheduler.needs_reservation(job)]
             for job in scheduler.waiting_gangs(now)
         ]
         running: dict[str, int] = {}
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placing.py
@@ -25,7 +25,7 @@
         spec = job.spec
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
-        taken = self._reserved.taken(job.id, preemption.turn(job), spec.checkpoint_s > 0)
+        taken = self._reserved.taken(job.id, preemption.queue_key(job), spec.checkpoint_s > 0)
         places = self._array_places(job, taken, now)
         zones = job.zones_used(self.zone_of) if spec.same_place or spec.scatter else {}
         max_in_zone = (spec.tasks + 1) // 2
@@ -61,7 +61,7 @@
             if placed_all:
                 break
         if not placed_all and job.waiting_count > 0:
-            self._array_starves(job, taken, now)
+            self._array_is_starving(job, taken, now)
         else:
             self._starved_since.pop(job.id, None)
 
@@ -71,9 +71,9 @@
         Also within its guarantee, if it may use spot machines: ordinary ones are all
         that those have who may not.
         """
-        if not self.keeps_reserve or job.spec.job_class in self.aimed_waits:
+        if not self.keeps_reserve or job.spec.job_class in self.wait_objectives:
             return False
-        if job.within and not job.spec.spot:
+        if job.within_guarantee and not job.spec.spot:
             return False
         # Its tasks seldom start all at once: half a run's time is left for that.
         run_s = self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
@@ -97,9 +97,9 @@
         in this round: holds keep the more from it, and room only gets less.
         """
         spec = job.spec
-        level = job.level if spec.checkpoint_s > 0 else None
+        urgency_level = job.urgency_level if spec.checkpoint_s > 0 else None
         types = tuple(spec.machine_types) if spec.machine_types is not None else None
-        kind = (job.need, level, types, spec.zone, spec.spot)
+        kind = (job.need, urgency_level, types, spec.zone, spec.spot)
         if kind in self._full:
             return []
         found = []
@@ -126,9 +126,9 @@
         found.sort(key=lambda place: place[:3])
         return [(place[3], place[4]) for place in found]
 
-    def _array_starves(self, job: Job, taken: Mapping[str, Resources], now: float) -> None:
+    def _array_is_starving(self, job: Job, taken: Mapping[str, Resources], now: float) -> None:
         """Within its guarantee a job gets back what other teams have borrowed."""
-        if not job.within or not self.usage.allows(job, 1, self._claimed(job)):
+        if not job.within_guarantee or not self.usage.allows(job, 1, self._claimed(job)):
             return
         since = self._starved_since.setdefault(job.id, now)
         if now - since < 2 * self.heartbeat_interval_s:
@@ -144,7 +144,7 @@
             reserved = taken.get(machine.name, NO_RESOURCES)
             found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
             if found:
-                cost = sum(preemption.loss(attempt, now, job.level) for attempt in found)
+                cost = sum(preemption.loss(attempt, now, job.urgency_level) for attempt in found)
                 choices.append((cost, machine.name))
         # The cheapest first: a lone task of an urgent gang must not leave for one
         # of an array where other arrays' tasks could.
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -14,7 +14,7 @@
 PART = 4096
 
 #: The wait aimed at for a class that has no aim for its start.
-NO_AIM = 1e9
+NO_OBJECTIVE = 1e9
 
 Resources = tuple[float, float, float]
 
@@ -176,10 +176,10 @@
         self.gang = spec.gang
         self.service = spec.service
         self.need: Resources = (spec.cpus, spec.gpus, spec.memory_gb)
-        self.level = wire.URGENCIES.index(spec.urgency)
-        self.within = False
-        self.aimed_wait_s = NO_AIM
-        self.pressing = False  # a gang that has waited long
+        self.urgency_level = wire.URGENCIES.index(spec.urgency)
+        self.within_guarantee = False
+        self.wait_objective_s = NO_OBJECTIVE
+        self.is_aged = False  # a gang that has waited long
         self.gathers_until = -1e9  # work gives way to it, on all its machines
         self.attempts: dict[int, TaskAttempt] = {}
         self.done = bytearray(spec.tasks)
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -25,7 +25,7 @@
 ATTEMPTS_PER_TERM = 1 << 24
 #: A gang of one presses once it has waited for this share of its class's longest aim
 #: for a start, or of the longest wait that the operators allow; by urgency.
-PATIENCE = (0.1, 0.2, 0.8, 1.0)
+AGEING_SHARES = (0.1, 0.2, 0.8, 1.0)
 #: Gone machines, and jobs that are over, kept against late news of them: more than a
 #: large fleet loses, and more jobs than end, while a message may be under way.
 MAX_REMEMBERED = 20_000
@@ -102,8 +102,8 @@
         self._wanting_since: dict[str, float] = {}
         self._claims: dict[str, tuple[float, float]] = {}
         self.longest_wait_s = operator.longest_wait_s
-        self.aimed_waits = cluster.aimed_waits()
-        shortest = min((short for short, _ in self.aimed_waits.values()), default=math.inf)
+        self.wait_objectives = cluster.wait_objectives()
+        shortest = min((short for short, _ in self.wait_objectives.values()), default=math.inf)
         # Where work that is stopped has left well before, nothing need be kept free.
         self.keeps_reserve = shortest < RESERVE_HEARTBEATS * self.heartbeat_interval_s
         self.reserve_share = operator.reserve_share
@@ -136,17 +136,17 @@
         if job.id not in self.jobs and job.id not in self._over:
             self.jobs[job.id] = job
             self.changes += 1
-            if job.spec.job_class in self.aimed_waits:
-                job.aimed_wait_s = self.aimed_waits[job.spec.job_class][0]
+            if job.spec.job_class in self.wait_objectives:
+                job.wait_objective_s = self.wait_objectives[job.spec.job_class][0]
             self._guaranteed_stale = True
             self.last_arrival = max(self.last_arrival, job.arrived)
 
-    def patience_s(self, job: Job) -> float:
+    def ageing_threshold_s(self, job: Job) -> float:
         """How long a gang waits like any other. The larger it is, the more seldom its
         room comes free by chance, and the sooner it has to press."""
-        _, longest = self.aimed_waits.get(job.spec.job_class, (0.0, self.longest_wait_s))
+        _, longest = self.wait_objectives.get(job.spec.job_class, (0.0, self.longest_wait_s))
         longest = min(longest, self.longest_wait_s)
-        return PATIENCE[job.level] * longest / math.sqrt(job.spec.tasks)
+        return AGEING_SHARES[job.urgency_level] * longest / math.sqrt(job.spec.tasks)
 
     def forget_if_over(self, job: Job) -> None:
         if job.state is not JobState.LIVE and not job.attempts:
--- a/topazhold/core/offering.py
+++ b/topazhold/core/offering.py
@@ -7,7 +7,7 @@
 from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources
 from topazhold.core.observing import Observing
-from topazhold.core.search import PRESSING, Offer, Rank
+from topazhold.core.search import AGED, Offer, Priority
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
@@ -44,7 +44,7 @@
     def _offer(self, machine: Machine, now: float) -> Offer:
         assert machine.machine_type is not None
         rungs: list[tuple[float, Resources]] = []
-        evictable: list[tuple[Rank, float, Resources]] = []
+        evictable: list[tuple[Priority, float, Resources]] = []
         if machine.state is MachineState.STARTING:
             wait = machine.machine_type.boot_s - (now - machine.rented_at)
             rungs.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
@@ -90,7 +90,7 @@
             machine.machine_type.fetch_gb_per_s,
         )
 
-    def _evictable(self, machine: Machine) -> list[tuple[Rank, float, Resources]]:
+    def _evictable(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
         """Room that work of each rank could take from work behind it."""
         # Runs of one kind of job are added up first: this is asked of every
         # machine for every summary.
@@ -100,32 +100,32 @@
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
             seal = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
-            kind = (job.within, job.level)
+            kind = (job.within_guarantee, job.urgency_level)
             _, available, longest = kinds.get(kind, (job, NO_RESOURCES, 0.0))
             kinds[kind] = (job, add_resources(available, job.need), max(longest, seal))
         found = []
-        for level in range(len(wire.URGENCIES)) if kinds else ():
-            within, outside, pressing = (
-                self._behind((first, level), list(kinds.values())) for first in (0, 1, PRESSING)
+        for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
+            within_guarantee, outside, is_aged = (
+                self._behind((first, urgency_level), list(kinds.values())) for first in (0, 1, AGED)
             )
-            if within[1] != NO_RESOURCES:
-                found.append(((0, level), *within))
+            if within_guarantee[1] != NO_RESOURCES:
+                found.append(((0, urgency_level), *within_guarantee))
             if outside[1] != NO_RESOURCES:
-                found.append(((1, level), *outside))
-            if pressing[1] != within[1]:
+                found.append(((1, urgency_level), *outside))
+            if is_aged[1] != within_guarantee[1]:
                 # Work that only a guarantee might stop: a pressing gang that counted on it
                 # waited for it for good, beside an empty machine.
-                found.append(((PRESSING, level), *pressing))
+                found.append(((AGED, urgency_level), *is_aged))
         return found
 
     def _behind(
-        self, rank: Rank, kinds: list[tuple[Job, Resources, float]]
+        self, priority: Priority, kinds: list[tuple[Job, Resources, float]]
     ) -> tuple[float, Resources]:
         """When, and how much, work of a rank could take from work behind it."""
         available = NO_RESOURCES
         delay = 0.0
         for job, of_kind, seal in kinds:
-            if preemption.behind(rank, job):
+            if preemption.behind(priority, job):
                 available = add_resources(available, of_kind)
                 delay = max(delay, seal)
         return self.heartbeat_interval_s + delay, available
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -61,7 +61,7 @@
             return
         if not self._limit_reachable(job):
             return
-        taken = self._reserved.taken(job.id, preemption.turn(job))
+        taken = self._reserved.taken(job.id, preemption.queue_key(job))
         short: list[tuple[Machine, Resources]] = []
         for name, count in reservation.slots.items():
             machine = self.machines[name]
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/plan_round.py
@@ -9,7 +9,7 @@
 from topazhold.core.ledger import NO_RESOURCES, LowerWork
 from topazhold.core.machines import Machine, MachineState, add_resources, fits
 from topazhold.core.offering import Offering
-from topazhold.core.reservations import Reservation, ReservedResources, Turn
+from topazhold.core.reservations import QueueKey, Reservation, ReservedResources
 
 #: A hold whose room is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
@@ -32,7 +32,7 @@
         self._full = set()
         self._reserved = ReservedResources(
             self.reservation_table,
-            self._turn_of,
+            self._queue_key_of,
             lambda reservation: self._gathers(reservation, now),
         )
         self._needs = needs = {job.need for job in jobs}
@@ -112,9 +112,9 @@
             attempt
             for other in self.jobs.values()
             if other.spec.team == job.spec.team
-            and other.level > job.level
+            and other.urgency_level > job.urgency_level
             # Work that ranks before the gang would be placed again at once.
-            and preemption.rank(other) > preemption.rank(job)
+            and preemption.priority(other) > preemption.priority(job)
             for attempt in other.attempts.values()
             if attempt.present and not (other.gang and other.gang_state is GangState.STARTING)
         ]
@@ -133,7 +133,12 @@
             count = sum(attempt.present for attempt in job.attempts.values())
             if count:
                 found.append(
-                    (job.level, preemption.rank(job), job.need[0] * count, job.need[1] * count)
+                    (
+                        job.urgency_level,
+                        preemption.priority(job),
+                        job.need[0] * count,
+                        job.need[1] * count,
+                    )
                 )
         return found
 
@@ -142,9 +147,9 @@
         if self.usage.allows(job, job.spec.tasks):
             return True
         cpus = gpus = 0.0
-        rank = preemption.rank(job)
-        for level, of_rank, of_vcpus, of_cards in self._lower_work(job.spec.team):
-            if level > job.level and of_rank > rank:
+        priority = preemption.priority(job)
+        for urgency_level, of_priority, of_vcpus, of_cards in self._lower_work(job.spec.team):
+            if urgency_level > job.urgency_level and of_priority > priority:
                 cpus += of_vcpus
                 gpus += of_cards
         return self.usage.allows(job, job.spec.tasks, (-cpus, -gpus))
@@ -171,12 +176,14 @@
             and job.not_before <= now
             and not (job.gang and job.gang_state is not GangState.WAITING)
         ]
-        jobs.sort(key=lambda job: (preemption.turn(job), self._due(job), job.id))
+        jobs.sort(key=lambda job: (preemption.queue_key(job), self._due(job), job.id))
         return jobs
 
-    def _turn_of(self, reservation: Reservation) -> Turn | None:
+    def _queue_key_of(self, reservation: Reservation) -> QueueKey | None:
         """By what is known now: the hold itself names the turn of when it was made."""
-        return preemption.turn(self.jobs[reservation.job]) if self._binding(reservation) else None
+        return (
+            preemption.queue_key(self.jobs[reservation.job]) if self._binding(reservation) else None
+        )
 
     def _due(self, job: Job) -> float:
         """When the job should have begun: deadlines by slack, others by arrival."""
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -5,36 +5,36 @@
 from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
-from topazhold.core.reservations import LATER, Turn
-from topazhold.core.search import PRESSING
+from topazhold.core.reservations import NOT_AGED, QueueKey
+from topazhold.core.search import AGED
 
 
-def rank(job: Job) -> tuple[int, int]:
+def priority(job: Job) -> tuple[int, int]:
     """The order in which work goes: within a guarantee first, then by urgency.
 
     A gang that has waited long is as good as within a guarantee. Without that,
     work within guarantees fills every machine that a large gang needs, task by
     task, and the gang never begins.
     """
-    return (0 if job.within or job.pressing else 1, job.level)
+    return (0 if job.within_guarantee or job.is_aged else 1, job.urgency_level)
 
 
-def turn(job: Job) -> Turn:
+def queue_key(job: Job) -> QueueKey:
     """Whose holds bind whom: those of one class bind each other, first come first served.
 
     A class that is to start within ten seconds goes before one that has a minute.
     A gang that has waited long goes before them all, by its submission.
     """
-    return (*rank(job), job.submitted if job.pressing else LATER + job.aimed_wait_s)
+    return (*priority(job), job.submitted if job.is_aged else NOT_AGED + job.wait_objective_s)
 
 
 def behind(first: tuple[int, int], victim: Job) -> bool:
     """Whether work of rank `first` might stop the victim, teams left aside."""
-    if first[0] == PRESSING:
-        return victim.level > first[1]
-    if first >= rank(victim):
+    if first[0] == AGED:
+        return victim.urgency_level > first[1]
+    if first >= priority(victim):
         return False
-    return victim.level > first[1] or (first[0] == 0 and not victim.within)
+    return victim.urgency_level > first[1] or (first[0] == 0 and not victim.within_guarantee)
 
 
 def may_stop(job: Job, victim: Job, usage: Usage) -> bool:
@@ -43,12 +43,12 @@
     Both only against work that ranks behind: else urgent work beyond a
     guarantee and low work within one stop each other in turn for ever.
     """
-    if rank(job) >= rank(victim):
+    if priority(job) >= priority(victim):
         return False
-    if victim.level > job.level:
+    if victim.urgency_level > job.urgency_level:
         return True
     return (
-        job.within
+        job.within_guarantee
         and victim.spec.team != job.spec.team
         and usage.beyond_guarantee(victim.spec.team)
     )
@@ -58,7 +58,7 @@
 SERVICE_LOSS_S = 1e5
 
 
-def loss(attempt: TaskAttempt, now: float, level: int = 0) -> float:
+def loss(attempt: TaskAttempt, now: float, urgency_level: int = 0) -> float:
     """Seconds of work, over all tasks told to stop with it, that a stop costs.
 
     `level` is the urgency of the work that it would be stopped for.
@@ -67,10 +67,10 @@
     tasks = len(job.attempts) if job.gang else 1
     elapsed = now - attempt.running_since if attempt.running_since is not None else 0.0
     lost = job.spec.save_s if job.spec.checkpoint_s > 0 else elapsed
-    more_urgent = max(0, level - job.level)
+    more_urgent = max(0, urgency_level - job.urgency_level)
     if job.service:
         return SERVICE_LOSS_S + elapsed
-    return (lost + 1.0) * tasks + 10.0 * (3 - job.level) + 60.0 * more_urgent
+    return (lost + 1.0) * tasks + 10.0 * (3 - job.urgency_level) + 60.0 * more_urgent
 
 
 def victims(
@@ -92,7 +92,7 @@
     if fits(need, available):
         return []
     chosen: list[TaskAttempt] = []
-    for attempt in sorted(candidates, key=lambda attempt: loss(attempt, now, job.level)):
+    for attempt in sorted(candidates, key=lambda attempt: loss(attempt, now, job.urgency_level)):
         chosen.append(attempt)
         available = add_resources(available, attempt.job.need)
         if fits(need, available):
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -71,7 +71,9 @@
         total = sums.setdefault(job.spec.team, [0.0, 0.0])
         total[0] += job.need[0] * job.spec.tasks
         total[1] += job.need[1] * job.spec.tasks
-        job.within = team is not None and (_takes_nothing(team, job) or _within(team, total))
+        job.within_guarantee = team is not None and (
+            _takes_nothing(team, job) or _fits_guarantee(team, total)
+        )
 
 
 def _takes_nothing(team: Team, job: Job) -> bool:
@@ -86,7 +88,7 @@
     return bool(guaranteed) and not any(guaranteed)
 
 
-def _within(team: Team, total: list[float]) -> bool:
+def _fits_guarantee(team: Team, total: list[float]) -> bool:
     """A guarantee of 0 cards means none, so work on cards is never within it."""
     if not team.gpus and not team.cpus:
         return False
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -132,7 +132,9 @@
     for zone in zone_of.values():
         counts[zone] = counts.get(zone, 0) + 1
     available = {name: team.gpus_max or math.inf for name, team in teams.items()}
-    for job in sorted(jobs, key=lambda job: (not job.within, job.level, job.arrived)):
+    for job in sorted(
+        jobs, key=lambda job: (not job.within_guarantee, job.urgency_level, job.arrived)
+    ):
         if job.state is not JobState.LIVE:
             continue
         machine_type = best_type(job.spec, machine_types)
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -18,14 +18,14 @@
 
 #: Whose turn it is: outside its guarantee, urgency, then time of submission of those
 #: that press, or LATER and the wait that its class aims at; smaller goes first.
-Turn = tuple[int, int, float]
-LATER = 1e12
+QueueKey = tuple[int, int, float]
+NOT_AGED = 1e12
 
 
 class Reservation:
     """Room for all tasks of one gang: machines with a number of tasks each."""
 
-    __slots__ = ("job", "slots", "need", "score", "serial", "made_at", "free_now", "turn")
+    __slots__ = ("job", "slots", "need", "score", "serial", "made_at", "free_now", "queue_key")
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         serial: int,
         made_at: float,
         free_now: bool,
-        turn: Turn,
+        queue_key: QueueKey,
     ) -> None:
         self.job = job
         self.slots = slots
@@ -45,7 +45,7 @@
         self.serial = serial  # told apart from an earlier, used hold of the job
         self.made_at = made_at  # time of day
         self.free_now = free_now
-        self.turn = turn
+        self.queue_key = queue_key
 
     def pack(self) -> list[Any]:
         slots = [[machine, count] for machine, count in sorted(self.slots.items())]
@@ -57,14 +57,14 @@
             self.serial,
             round(self.made_at, 1),
             self.free_now,
-            list(self.turn),
+            list(self.queue_key),
         ]
 
 
 def unpack(data: Any) -> Reservation:
     """Read a hold; ValueError if it is none."""
     try:
-        job, slots, need, score, serial, made_at, free_now, turn = data
+        job, slots, need, score, serial, made_at, free_now, queue_key = data
         return Reservation(
             str(job),
             {str(name): int(count) for name, count in slots},
@@ -73,7 +73,7 @@
             int(serial),
             float(made_at),
             bool(free_now),
-            (int(turn[0]), int(turn[1]), float(turn[2])),
+            (int(queue_key[0]), int(queue_key[1]), float(queue_key[2])),
         )
     except (TypeError, IndexError) as exc:
         raise ValueError(f"not a hold: {exc}") from None
@@ -138,7 +138,7 @@
             yield from part.values()
 
     def taken(
-        self, skip_job: str, turn: Turn, binding: Callable[[Reservation], bool]
+        self, skip_job: str, queue_key: QueueKey, binding: Callable[[Reservation], bool]
     ) -> dict[str, Resources]:
         """Held room per machine that a job must leave alone when its turn has come.
 
@@ -148,7 +148,11 @@
         """
         by_machine: dict[str, Resources] = {}
         for reservation in self.all():
-            if reservation.job == skip_job or reservation.turn > turn or not binding(reservation):
+            if (
+                reservation.job == skip_job
+                or reservation.queue_key > queue_key
+                or not binding(reservation)
+            ):
                 continue
             add_reservation(by_machine, reservation)
         return by_machine
@@ -168,53 +172,59 @@
     def __init__(
         self,
         reservation_table: ReservationTable,
-        turn_of: Callable[[Reservation], Turn | None],
+        queue_key_of: Callable[[Reservation], QueueKey | None],
         gathers: Callable[[Reservation], bool],
     ) -> None:
-        """`turn_of` gives the present turn of a hold's job; None if it binds nobody.
+        """`queue_key_of` gives the present turn of a hold's job; None if it binds nobody.
 
         `gathers` tells whether the job is getting its room just now.
         """
         self._gathers = gathers
-        turns = [(turn_of(reservation), reservation) for reservation in reservation_table.all()]
+        turns = [
+            (queue_key_of(reservation), reservation) for reservation in reservation_table.all()
+        ]
         self._waiting = sorted(
             (
-                (turn, reservation.serial, reservation)
-                for turn, reservation in turns
-                if turn is not None
+                (queue_key, reservation.serial, reservation)
+                for queue_key, reservation in turns
+                if queue_key is not None
             ),
             key=lambda item: item[:2],
             reverse=True,
         )
-        self._own: dict[str, list[tuple[Turn, Reservation]]] = {}
+        self._own: dict[str, list[tuple[QueueKey, Reservation]]] = {}
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
-    def _add(self, turn: Turn, reservation: Reservation, sign: int = 1) -> None:
+    def _add(self, queue_key: QueueKey, reservation: Reservation, sign: int = 1) -> None:
         gathers = self._gathers(reservation)
-        for level in range(-1, LEVELS):
-            if level <= turn[1] or gathers:
-                add_reservation(self._by_machine.setdefault(level, {}), reservation, sign)
+        for urgency_level in range(-1, LEVELS):
+            if urgency_level <= queue_key[1] or gathers:
+                add_reservation(self._by_machine.setdefault(urgency_level, {}), reservation, sign)
 
     def release(self, job: str) -> None:
         """The job begins: its holds keep nothing any more."""
-        for turn, reservation in self._own.pop(job, ()):
-            self._add(turn, reservation, -1)
+        for queue_key, reservation in self._own.pop(job, ()):
+            self._add(queue_key, reservation, -1)
         self._waiting = [item for item in self._waiting if item[2].job != job]
 
-    def taken(self, skip_job: str, turn: Turn, yields: bool = False) -> Mapping[str, Resources]:
+    def taken(
+        self, skip_job: str, queue_key: QueueKey, yields: bool = False
+    ) -> Mapping[str, Resources]:
         """As `ReservationTable.taken`; turns must come in order.
 
         Work that `yields` may use the room of more urgent gangs that still wait
         for other machines: it can be stopped once they have them. Else a gang
         that waits for its last machine keeps all its others idle.
         """
-        while self._waiting and self._waiting[-1][0] <= turn:
-            of_turn, _, reservation = self._waiting.pop()
-            self._own.setdefault(reservation.job, []).append((of_turn, reservation))
-            self._add(of_turn, reservation)
-        level = turn[1] if yields else -1
-        by_machine = self._by_machine.setdefault(level, {})
-        own = [reservation for of, reservation in self._own.get(skip_job, ()) if level <= of[1]]
+        while self._waiting and self._waiting[-1][0] <= queue_key:
+            of_queue_key, _, reservation = self._waiting.pop()
+            self._own.setdefault(reservation.job, []).append((of_queue_key, reservation))
+            self._add(of_queue_key, reservation)
+        urgency_level = queue_key[1] if yields else -1
+        by_machine = self._by_machine.setdefault(urgency_level, {})
+        own = [
+            reservation for of, reservation in self._own.get(skip_job, ()) if urgency_level <= of[1]
+        ]
         if not own:
             return by_machine
         by_machine = dict(by_machine)
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -76,12 +76,12 @@
                 offer for offer in found[CACHE_LENGTH:] if offer.name in reserved
             ]
         length = max(CACHE_LENGTH, math.ceil(self.alpha * largest.spec.tasks))
-        rank = preemption.rank(largest)
+        priority = preemption.priority(largest)
         fitting = sorted(
             found,
             key=lambda offer: (
                 offer.name in whole,
-                offer.ready_for(rank, largest.need),
+                offer.ready_for(priority, largest.need),
                 sooner(offer),
             ),
         )
@@ -123,7 +123,7 @@
         return (
             machine.state in UP
             and self.silent_s(machine, now) > self.lease_s
-            and not math.isinf(self._patience_leases(machine, now))
+            and not math.isinf(self._silence_limit_leases(machine, now))
         )
 
     def _wish_for_zones(
@@ -142,7 +142,7 @@
             if job.state is JobState.LIVE
             and (job.spec.same_place or job.spec.scatter)
             and job.spec.zone is None
-            and self._waits_long(job, now)
+            and self._is_starving(job, now)
         ]
         # Gangs of one shape find the same room: counted once for all of them.
         counted: dict[object, dict[str, int]] = {}
@@ -174,10 +174,10 @@
             wish.at_least(there + more, zone)
             return  # one at a time
 
-    def _waits_long(self, job: Job, now: float) -> bool:
+    def _is_starving(self, job: Job, now: float) -> bool:
         """Whether a gang presses, or a service has lacked replicas for longer than others."""
         if job.gang:
-            return job.pressing and not job.attempts
+            return job.is_aged and not job.attempts
         return job.service and job.waiting_count > 0 and now - job.arrived > self.lease_s
 
     def _short_zone(
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -21,10 +21,10 @@
 from topazhold.wire.messages import JobSpec
 
 #: (outside its guarantee, urgency): smaller goes first.
-Rank = tuple[int, int]
+Priority = tuple[int, int]
 #: In place of the first: a gang that presses. It goes first like work within its guarantee,
 #: but others are stopped for it by their urgency alone.
-PRESSING = 2
+AGED = 2
 
 #: What breaking into an empty machine costs, in full preferences.
 BREAK_PREFERENCE = 1.5
@@ -56,7 +56,7 @@
         spot: bool,
         images: frozenset[str],
         rungs: list[tuple[float, Resources]],
-        evictable: list[tuple[Rank, float, Resources]],
+        evictable: list[tuple[Priority, float, Resources]],
         fetch_rate: float,
     ) -> None:
         self.name = name
@@ -68,11 +68,13 @@
         self.evictable = evictable  # (rank, seconds, room that it may take from others)
         self.fetch_rate = fetch_rate
 
-    def ladder(self, rank: Rank, reserved: Resources | None) -> list[tuple[float, Resources]]:
+    def ladder(
+        self, priority: Priority, reserved: Resources | None
+    ) -> list[tuple[float, Resources]]:
         """Room over time for work of a rank, less what others hold."""
         rungs = list(self.rungs)
         if rungs:
-            for delay, available in self._evictable_for(rank):
+            for delay, available in self._evictable_for(priority):
                 rungs.append((delay, add_resources(rungs[0][1], available)))
         if reserved is not None:
             rungs = [
@@ -81,14 +83,16 @@
         rungs.sort(key=lambda rung: rung[0])
         return rungs
 
-    def _evictable_for(self, rank: Rank) -> list[tuple[float, Resources]]:
+    def _evictable_for(self, priority: Priority) -> list[tuple[float, Resources]]:
         """What work of a rank may take from others; a pressing gang has its own entry only
         where it may take less than work within its guarantee."""
         found = [
-            (delay, available) for of_rank, delay, available in self.evictable if of_rank == rank
+            (delay, available)
+            for of_priority, delay, available in self.evictable
+            if of_priority == priority
         ]
-        if not found and rank[0] == PRESSING:
-            return self._evictable_for((0, rank[1]))
+        if not found and priority[0] == AGED:
+            return self._evictable_for((0, priority[1]))
         return found
 
     def full(self, reserved: Mapping[str, Resources]) -> bool:
@@ -99,9 +103,9 @@
         gpus = self.rungs[-1][1][1] > 0
         return (available[1] if gpus else available[0]) <= SLACK
 
-    def ready_for(self, rank: Rank, need: Resources) -> float:
+    def ready_for(self, priority: Priority, need: Resources) -> float:
         """How soon there is room for one task of this size."""
-        for delay, available in self.ladder(rank, None):
+        for delay, available in self.ladder(priority, None):
             if fits(need, available):
                 return delay
         return math.inf
@@ -117,8 +121,8 @@
                 for delay, available in self.rungs
             ],
             [
-                [*rank, round(delay, 1), *(round(part, 3) for part in available)]
-                for rank, delay, available in self.evictable
+                [*priority, round(delay, 1), *(round(part, 3) for part in available)]
+                for priority, delay, available in self.evictable
             ],
             round(self.fetch_rate, 3),
         ]
@@ -199,7 +203,7 @@
 def offer_slots(
     offer: Offer,
     spec: JobSpec,
-    rank: Rank,
+    priority: Priority,
     reserved: Resources | None,
     limit: int,
     rules: SearchRules,
@@ -213,7 +217,7 @@
         fetch = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
     slots: list[Slot] = []
     whole = offer.rungs[-1][1] if offer.rungs else need
-    for delay, available in offer.ladder(rank, reserved):
+    for delay, available in offer.ladder(priority, reserved):
         count = count_fitting(need, available, limit)
         cost = 0.0
         if spec.spot and not offer.spot:
@@ -235,7 +239,7 @@
     directory: Sequence[tuple[str, str]],
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
-    rank: Rank,
+    priority: Priority,
     taken: Mapping[str, Resources],
     rules: SearchRules,
     seen: dict[str, list[Slot]] | None = None,
@@ -256,7 +260,7 @@
             continue
         visited.add(zone)
         if zone not in seen:
-            seen[zone] = _cache_slots(caches.get(zone, ()), spec, rank, taken, rules)
+            seen[zone] = _cache_slots(caches.get(zone, ()), spec, priority, taken, rules)
         near = seen[zone]
         if spec.same_place:
             if len(near) >= spec.tasks:
@@ -271,14 +275,14 @@
 def _cache_slots(
     offers: Sequence[Offer],
     spec: JobSpec,
-    rank: Rank,
+    priority: Priority,
     taken: Mapping[str, Resources],
     rules: SearchRules,
 ) -> list[Slot]:
     """All slots of a zone's cache, the soonest ready first."""
     slots: list[Slot] = []
     for offer in offers:
-        slots += offer_slots(offer, spec, rank, taken.get(offer.name), spec.tasks, rules)
+        slots += offer_slots(offer, spec, priority, taken.get(offer.name), spec.tasks, rules)
     slots.sort(key=lambda slot: (slot.ready + slot.cost, slot.nth))
     return slots
 
@@ -399,7 +403,7 @@
     reserved: Mapping[str, int],
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
-    rank: Rank,
+    priority: Priority,
     taken: Mapping[str, Resources],
     rules: SearchRules,
 ) -> float:
@@ -409,7 +413,7 @@
         for offer in offers:
             count = reserved.get(offer.name, 0)
             if count:
-                group += offer_slots(offer, spec, rank, taken.get(offer.name), count, rules)
+                group += offer_slots(offer, spec, priority, taken.get(offer.name), count, rules)
     if len(group) != spec.tasks:
         return math.inf
     return score_group(group, spec, rules)
@@ -420,7 +424,7 @@
     directory: Sequence[tuple[str, str]],
     caches: Mapping[str, Sequence[Offer]],
     spec: JobSpec,
-    rank: Rank,
+    priority: Priority,
     taken: Mapping[str, Resources],
     rules: SearchRules,
     tries: int,
@@ -430,7 +434,7 @@
     seen: dict[str, list[Slot]] = {}
     settled: set[str] = set()
     for _ in range(tries):
-        slots = gather(rng, directory, caches, spec, rank, taken, rules, seen)
+        slots = gather(rng, directory, caches, spec, priority, taken, rules, seen)
         if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
             # All groups of this zone are looked at the first time.
             zone = slots[0].zone
@@ -454,14 +458,14 @@
     return [f"{common}{end}" for end in str(ends).split(",")] if common or ends else []
 
 
-def cut_names(packed: list[str], limit: int, turn: int) -> list[str]:
+def cut_names(packed: list[str], limit: int, queue_key: int) -> list[str]:
     """Packed names within a size: all, or every second, third, and so on, others each turn."""
     common, ends = packed
     step = len(common) + len(ends) + len('["",""]')
     step = -(-step // max(1, limit))
     if step <= 1:
         return packed
-    return [common, ",".join(ends.split(",")[turn % step :: step])]
+    return [common, ",".join(ends.split(",")[queue_key % step :: step])]
 
 
 def cut_summary(packed: Iterable[Any], limit: int, size_of: Callable[[Any], int]) -> list[Any]:
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -51,7 +51,7 @@
     def _plan_service(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
         if not self.usage.allows(job, 1, self._claimed(job)):
             return  # its team's limit, whatever room there is
-        taken = self._reserved.taken(job.id, preemption.turn(job))
+        taken = self._reserved.taken(job.id, preemption.queue_key(job))
         places = self._service_places(job, taken, now)
         zones = job.zones_used(self.zone_of)
         if job.spec.same_place:
@@ -217,7 +217,7 @@
             if not found:
                 coming += 1  # something is leaving already
                 continue
-            cost = sum(preemption.loss(attempt, now, job.level) for attempt in found)
+            cost = sum(preemption.loss(attempt, now, job.urgency_level) for attempt in found)
             choices.append((cost, machine.name, found))
         choices.sort(key=lambda choice: choice[:2])
         for _, _, attempts in choices[: max(0, job.waiting_count - coming)]:
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -114,10 +114,10 @@
 
     def _step_gang(self, job: Job, now: float) -> None:
         before = job.gang_state
-        if before is GangState.WAITING and not job.pressing:
+        if before is GangState.WAITING and not job.is_aged:
             # For good: else the work that gave way to it would stop it in turn.
-            job.pressing = now - job.arrived > self.patience_s(job)
-            self.changes += job.pressing
+            job.is_aged = now - job.arrived > self.ageing_threshold_s(job)
+            self.changes += job.is_aged
         why = gangs.step(job, self.clock, now)
         if job.gang_state is GangState.RUNNING and before is GangState.STARTING:
             log.info("gang %s runs, %.1f s after it came", job.id, now - job.arrived)
@@ -224,7 +224,7 @@
         if silent > self.lease_s and machine.unlisted >= 2:
             self.release(machine, "silent and not listed", now)
         elif silent > SERVICE_LEASES * self.lease_s:
-            patience = self._patience_leases(machine, now)
+            patience = self._silence_limit_leases(machine, now)
             if any(attempt.job.service for attempt in machine.attempts.values()):
                 # Its tasks ended with the worker's lease. Other work waits for the machine
                 # to come back; a service is down until its replicas are proven gone.
@@ -247,7 +247,7 @@
                 log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
                 self._drop(attempt, now)
 
-    def _patience_leases(self, machine: Machine, now: float) -> float:
+    def _silence_limit_leases(self, machine: Machine, now: float) -> float:
         """After how many leases of silence a machine is released; infinite in a cut."""
         up, silent, _ = self._zone_counts(machine.zone, now)
         if silent > MAX_SINGLE_FAILURES and silent > MASS_SHARE * up:
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -111,13 +111,22 @@
     limits: Limits
     objectives: list[Objective] = []
 
-    def aimed_waits(self) -> dict[str, tuple[float, float]]:
+    def wait_objectives(self) -> dict[str, tuple[float, float]]:
         """Shortest and longest aim for a start, of each class that has any."""
         found: dict[str, tuple[float, float]] = {}
-        for aim in self.objectives:
-            if aim.kind == "wait" and aim.job_class is not None and aim.within_s is not None:
-                short, long = found.get(aim.job_class, (aim.within_s, aim.within_s))
-                found[aim.job_class] = (min(short, aim.within_s), max(long, aim.within_s))
+        for objective in self.objectives:
+            if (
+                objective.kind == "wait"
+                and objective.job_class is not None
+                and objective.within_s is not None
+            ):
+                short, long = found.get(
+                    objective.job_class, (objective.within_s, objective.within_s)
+                )
+                found[objective.job_class] = (
+                    min(short, objective.within_s),
+                    max(long, objective.within_s),
+                )
         return found
 
 
