--- a/tests/standins.py
+++ b/tests/standins.py
@@ -481,7 +481,7 @@
         self.up = False
         self.gone = False
         self.hanging_until = 0.0
-        self.deaf_until = 0.0  # its reports arrive, answers and commands don't
+        self.command_unreachable_until = 0.0  # its reports arrive, answers and commands don't
         self.mute_until = 0.0  # it reaches no controller, direct commands reach it
         self.gone_at: float | None = None
         self.sick = False
@@ -506,7 +506,7 @@
         well = self.up and not self.gone and not self.sick and self.gone_at is None
         return (
             well
-            and self.world.clock.now > max(self.hanging_until, self.deaf_until)
+            and self.world.clock.now > max(self.hanging_until, self.command_unreachable_until)
             and spec["apiary"] in (None, self.zone)
             and (spec["drones"] or not self.spot)
         )
@@ -608,7 +608,7 @@
             status, body = await world.net.ask(
                 self.host, target, "POST", "/v1/report", heartbeat, 4.0
             )
-            if sent < self.deaf_until:
+            if sent < self.command_unreachable_until:
                 await curio.sleep(max(0.0, sent + 4.0 - world.clock.now))
                 raise NoAnswer(target)
         except (NotSent, NoAnswer):
@@ -636,7 +636,7 @@
         return float(world.settings.cluster.workers.heartbeat_interval_s)
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        if self.gone or self.world.clock.now < self.deaf_until:
+        if self.gone or self.world.clock.now < self.command_unreachable_until:
             await curio.sleep(1e9)
         late = self.world.clock.now < self.hanging_until
         while self.world.clock.now < self.hanging_until:
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -22,16 +22,16 @@
 def forget_intents(patch: pytest.MonkeyPatch) -> None:
     """A new leader that does not believe in its predecessor's intents."""
     patch.setattr(recovery, "_adopt", lambda *args: None)
-    patch.setattr(Scheduler, "_stray", lambda *args: None)
+    patch.setattr(Scheduler, "_on_orphan", lambda *args: None)
 
 
 def trust_silence(patch: pytest.MonkeyPatch) -> None:
     """Tasks of a silent machine are placed again without proof."""
 
     def watch(self: Scheduler, machine: Any, now: float) -> None:
-        if self.silent_s(machine, now) > 2 * self.heartbeat_interval_s:
+        if self.silence_s(machine, now) > 2 * self.heartbeat_interval_s:
             for run in list(machine.attempts.values()):
-                self._drop(run, now)
+                self._remove_attempt(run, now)
 
     patch.setattr(Scheduler, "_watch", watch)
 
@@ -50,7 +50,7 @@
 def no_kills(patch: pytest.MonkeyPatch) -> None:
     """Cancelled jobs run on."""
     patch.setattr(Scheduler, "kills", lambda self, machine: [])
-    patch.setattr(Scheduler, "_finish_off", lambda self, job, now: None)
+    patch.setattr(Scheduler, "_stop_ended_job", lambda self, job, now: None)
 
 
 def forget_over(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -129,10 +129,10 @@
     scenes: list[Scene] = []
     release = Scheduler.release
 
-    def noted(self: Scheduler, machine: Any, why: str, now: float) -> None:
+    def noted(self: Scheduler, machine: Any, reason: str, now: float) -> None:
         if scenes and machine.name in scenes[0].cloud.workers:  # others are gone in fact
-            reasons.append((self.term, why))
-        release(self, machine, why, now)
+            reasons.append((self.term, reason))
+        release(self, machine, reason, now)
 
     async def over(scene: Scene, leader: str, confirmer: str) -> None:
         scenes.append(scene)
@@ -160,8 +160,8 @@
     assert scene.took_s() < 0.7 * scene.workers.cancel_s
 
 
-def deaf(worker: Worker, until: float) -> None:
-    worker.deaf_until = until
+def command_unreachable(worker: Worker, until: float) -> None:
+    worker.command_unreachable_until = until
 
 
 def mute(worker: Worker, until: float) -> None:
@@ -174,7 +174,7 @@
 
 @pytest.mark.parametrize("links", [True, False])
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("trouble", [deaf, mute, hang])
+@pytest.mark.parametrize("trouble", [command_unreachable, mute, hang])
 def test_gap_with_machines_out_of_reach(
     trouble: Callable[[Worker, float], None],
     site: str,
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -29,7 +29,7 @@
     job.add_attempt(attempt)
     scheduler.machines[name].attach(attempt)
     scheduler.usage.add(job)
-    scheduler.job_over(job.id, False, now, now)
+    scheduler.on_job_ended(job.id, False, now, now)
     return attempt
 
 
@@ -80,7 +80,7 @@
         DeadClient.asked.clear()
         context, scheduler = fleet(300)
         living = scheduler.machines["host-000299"]
-        living.heard_at = await curio.clock()
+        living.last_heartbeat_at = await curio.clock()
         for number, name in enumerate(scheduler.machines):
             cancelled_run(scheduler, number, name, clock.now)
         to_command = DirectCommands(context, 640, DeadClient, lambda heartbeat: None)  # type: ignore[arg-type]
@@ -104,7 +104,7 @@
         cancelled_run(scheduler, 1, "host-000249", clock.now)
         book = OrderBook(context.node, context.term, context.value_limit, keep_s=1.0)
         book.recorded(book.decide_returns(scheduler.releases, clock.now), clock.now)
-        request = book.release_request(scheduler.must_go, only_must_go=False)
+        request = book.release_request(scheduler.must_be_released, only_forced=False)
         assert request is not None
         assert len(request.names) == MAX_RELEASED_MACHINES and request.names[0] == "host-000249"
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -86,7 +86,9 @@
         first = scene.busy_workers()[0]
         held = first.past_reports[0]
         assert held["frames"] == [], "it shows the machine empty"
-        first.mute_until = first.deaf_until = scene.clock.now + 0.6 * scene.workers.lease_s
+        first.mute_until = first.command_unreachable_until = (
+            scene.clock.now + 0.6 * scene.workers.lease_s
+        )
         await scene.end(old)
         new = await scene.new_leader(old)
         held = {**held, "tally": 10_000}  # the newest that it hears, and yet from before it
@@ -307,7 +309,7 @@
         cut, unhearing = scene.busy_workers()[:2]
         scene.net.holding = True
         scene.cut_off(cut.host, scene.names)
-        unhearing.deaf_until = scene.clock.now + 2.5 * scene.workers.lease_s
+        unhearing.command_unreachable_until = scene.clock.now + 2.5 * scene.workers.lease_s
         await scene.end(old)
         new = await scene.new_leader(old)
         await curio.sleep(1.0)
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -106,7 +106,7 @@
         live = [j.id for j in self.bench.scheduler.jobs.values() if j.state is JobState.LIVE]
         if live:
             now = self.bench.now
-            self.bench.scheduler.job_over(self.rng.choice(live), False, now, now)
+            self.bench.scheduler.on_job_ended(self.rng.choice(live), False, now, now)
 
     def tick(self) -> None:
         self.bench.scheduler.tick(self.bench.now)
--- a/tests/test_rental_limits.py
+++ b/tests/test_rental_limits.py
@@ -15,8 +15,8 @@
 #: not taken from the product, which is to be held to it.
 PROTOCOL_MACHINES = 50
 #: One demand may be for so many machines, and so many of a kind may be there.
-MOST_DEMANDED = 130
-MOST_THERE = 40
+MAX_DEMANDED = 130
+MAX_THERE = 40
 NOW = 100.0
 #: The same examples in every run; none are kept.
 SAME_EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True, database=None)
@@ -25,7 +25,7 @@
 ANYWHERE_OR_ZONE = st.none() | ZONES
 #: Zone and kind (True: spot).
 KINDS = st.tuples(ZONES, st.booleans())
-FLEETS = st.dictionaries(KINDS, st.integers(0, MOST_THERE))
+FLEETS = st.dictionaries(KINDS, st.integers(0, MAX_THERE))
 REFUSED = st.sets(KINDS)
 
 
@@ -48,7 +48,7 @@
         return wish
 
 
-SIZES = st.integers(0, MOST_DEMANDED)
+SIZES = st.integers(0, MAX_DEMANDED)
 DEMANDS = st.builds(
     Demand,
     st.lists(st.tuples(SIZES, ANYWHERE_OR_ZONE), max_size=4),
@@ -119,7 +119,7 @@
     jobs=st.lists(
         st.fixed_dictionaries(
             {
-                "tasks": st.integers(1, MOST_DEMANDED),
+                "tasks": st.integers(1, MAX_DEMANDED),
                 "zone": ANYWHERE_OR_ZONE,
                 "spot": st.booleans(),
                 "same_place": st.booleans(),
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -80,7 +80,7 @@
     bench.job(make_spec(shape="batch", tasks=1))
     (attempt,) = bench.plan()
     assert bench.scheduler.usage.used("red") == (4.0, 2.0)
-    bench.scheduler.machine_gone(attempt.machine, bench.now)
+    bench.scheduler.remove_machine(attempt.machine, bench.now)
     assert bench.scheduler.usage.used("red") == (0.0, 0.0)
 
 
@@ -95,7 +95,7 @@
     bench.scheduler.tick(bench.now)
     assert bench.plan() == []
     assert attempt.machine in bench.scheduler.releases
-    bench.scheduler.machine_gone(attempt.machine, bench.now)
+    bench.scheduler.remove_machine(attempt.machine, bench.now)
     assert [new.index for new in bench.plan()] == [0]
     assert job.attempts[0].machine != attempt.machine
 
@@ -115,7 +115,7 @@
     bench.job(make_spec(shape="batch", tasks=1))
     (attempt,) = bench.plan()
     bench.report(attempt.machine)
-    bench.scheduler.job_over("wk-000001", False, bench.now, bench.now)
+    bench.scheduler.on_job_ended("wk-000001", False, bench.now, bench.now)
     bench.now += bench.scheduler.cancel_s * 0.7
     bench.scheduler.tick(bench.now)
     assert attempt.machine in bench.scheduler.releases
@@ -284,11 +284,11 @@
     scheduler = bench.scheduler
     machine = scheduler.machines["host-0"]
     for number in (1, 2):
-        scheduler._failed(machine, bench.job(make_spec(number)), bench.now)
+        scheduler._on_attempt_failed(machine, bench.job(make_spec(number)), bench.now)
     assert machine.state is MachineState.DRAINING
     bad = bench.job(make_spec(7))
     for name in ("host-1", "host-2", "host-3"):
-        scheduler._failed(scheduler.machines[name], bad, bench.now)
+        scheduler._on_attempt_failed(scheduler.machines[name], bad, bench.now)
     assert bad.not_before > bench.now
     for name in ("host-1", "host-2", "host-3"):
         assert scheduler.machines[name].state is MachineState.READY
@@ -345,9 +345,11 @@
     assert bench.report(attempt.machine) == []
     assert job.attempts[0] is attempt
     bench.tasks[attempt.machine] = tasks
-    bench.scheduler.machine_gone("host-3", bench.now)
+    bench.scheduler.remove_machine("host-3", bench.now)
 
-    bench.scheduler.listed([ListedMachine("host-3", "b1", "b", "running")], bench.now, bench.now)
+    bench.scheduler.on_machine_list(
+        [ListedMachine("host-3", "b1", "b", "running")], bench.now, bench.now
+    )
     assert "host-3" not in bench.scheduler.machines
 
 
@@ -399,7 +401,7 @@
     assert bench.scheduler.releases == {}
     bench.now += 0.11 * bench.scheduler.cancel_s
     bench.scheduler.tick(bench.now)
-    assert "host-0" in bench.scheduler.releases and bench.scheduler.must_go("host-0")
+    assert "host-0" in bench.scheduler.releases and bench.scheduler.must_be_released("host-0")
 
 
 def test_takeover_while_a_gang_is_stopped_lets_it_save() -> None:
@@ -437,7 +439,7 @@
         bench.report("host-0", carry_out=False)
         bench.report("host-2")
     machine = bench.scheduler.machines["host-0"]
-    assert machine.deaf and not bench.scheduler.usable(machine, bench.now)
+    assert machine.command_unreachable and not bench.scheduler.usable(machine, bench.now)
     assert not machine.attempts, "no limit is kept for it"
     assert not counted(machine)
     bench.scheduler.tick(bench.now)
@@ -460,24 +462,24 @@
     bench.now += 0.5
     bench.report(attempt.machine, incarnation=2)
     machine = bench.scheduler.machines[attempt.machine]
-    assert machine.deaf and attempt.state is AttemptState.GONE
+    assert machine.command_unreachable and attempt.state is AttemptState.GONE
     again = bench.plan()
     assert again and again[0].machine != attempt.machine, "placed again, elsewhere"
     for _ in range(14):  # a session that outlasts its lease has heard answers
         bench.now += 1.0
         bench.report(attempt.machine, incarnation=2)
-    assert not machine.deaf
+    assert not machine.command_unreachable
 
 
 def test_lone_deaf_machine_is_released_and_a_deaf_zone_is_not() -> None:
     bench = Bench(machines=8)
     for name in ("host-0", "host-1", "host-3", "host-5", "host-7"):
-        bench.scheduler.machines[name].turn_deaf(bench.now)
+        bench.scheduler.machines[name].mark_command_unreachable(bench.now)
     for _ in range(25):
         bench.now += 1.0
         for name in bench.scheduler.machines:
             bench.sequences[name] += 1
-            bench.scheduler.machines[name].heard_at = bench.now
+            bench.scheduler.machines[name].last_heartbeat_at = bench.now
         bench.scheduler.tick(bench.now)
     assert set(bench.scheduler.releases) == {"host-0"}
 
@@ -485,7 +487,7 @@
 def test_hang_longer_than_a_lease_is_not_deafness(bench: Bench) -> None:
     bench.now += 30.0
     bench.report("host-0", incarnation=2)
-    assert not bench.scheduler.machines["host-0"].deaf
+    assert not bench.scheduler.machines["host-0"].command_unreachable
 
 
 def test_newer_session_settles_an_earlier_terms_intents() -> None:
@@ -516,7 +518,9 @@
     machine = bench.scheduler.machines["host-9"]
     assert not counted(machine) and counted(bench.scheduler.machines["host-0"])
     assert bench.scheduler.directory() == [("host-0", "a")]
-    bench.scheduler.listed([ListedMachine("host-9", "b1", "a", "running")], bench.now, bench.now)
+    bench.scheduler.on_machine_list(
+        [ListedMachine("host-9", "b1", "a", "running")], bench.now, bench.now
+    )
     assert counted(machine)
 
 
@@ -660,7 +664,7 @@
         bench.scheduler.tick(bench.now)
     for name in names[:6]:
         bench.report(name, term=7)
-        assert not bench.scheduler.machines[name].deaf
+        assert not bench.scheduler.machines[name].command_unreachable
     for _ in range(8):
         bench.now += 1.0
         for name in names[:6]:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -111,7 +111,7 @@
             bench.report(name)
     bench.scheduler.tick(bench.now)
     assert bench.scheduler.machines[lost].state is MachineState.RELEASING
-    bench.scheduler.machine_gone(lost, bench.now)
+    bench.scheduler.remove_machine(lost, bench.now)
     assert [attempt.index for attempt in bench.plan()] == [0]
 
 
@@ -267,7 +267,7 @@
     job = running_service(bench)
     lost = run_of(job)
     bench.state(lost.machine, "ended", "error")
-    bench.scheduler.job_over(job.id, False, bench.now, bench.now)
+    bench.scheduler.on_job_ended(job.id, False, bench.now, bench.now)
     bench.report(lost.machine)
     assert bench.plan() == [] and job.state is JobState.ABORTED
     assert all(attempt.stopping for attempt in job.attempts.values())
--- a/tests/test_unrecordable_order.py
+++ b/tests/test_unrecordable_order.py
@@ -20,7 +20,7 @@
 PROTOCOL_MACHINES = 50
 #: Within so many report periods an operation is recorded and sent. The scale-out loop goes round
 #: once a period: one until the operation is decided, one for a try that failed, one to spare.
-RECORDED_REPORTS = 3.0
+RECORDED_HEARTBEATS = 3.0
 
 
 class Shown(NamedTuple):
@@ -80,7 +80,7 @@
 
 async def wait_for(scene: Scene, true: Callable[[], bool]) -> bool:
     """Whether something is so within the time that an operation may take."""
-    end = scene.clock.now + RECORDED_REPORTS * scene.workers.report_s
+    end = scene.clock.now + RECORDED_HEARTBEATS * scene.workers.heartbeat_interval_s
     while not true() and scene.clock.now < end:
         await curio.sleep(0.01)
     return true()
@@ -90,8 +90,8 @@
     """Both in time, and in this term."""
     shown = await decide(scene, leader)
     await wait_for(scene, lambda: shown.recorded() and shown.sent())
-    assert shown.recorded(), f"not recorded within {RECORDED_REPORTS} report periods"
-    assert shown.sent(), f"not sent within {RECORDED_REPORTS} report periods"
+    assert shown.recorded(), f"not recorded within {RECORDED_HEARTBEATS} report periods"
+    assert shown.sent(), f"not sent within {RECORDED_HEARTBEATS} report periods"
     assert scene.leader() == leader
 
 
@@ -154,7 +154,7 @@
         decide_unrecordable(scene, leader)
         shown = await decide(scene, leader)
         assert await wait_for(scene, shown.sent), "held up"
-        await curio.sleep(RECORDED_REPORTS * scene.workers.report_s)
+        await curio.sleep(RECORDED_HEARTBEATS * scene.workers.heartbeat_interval_s)
         assert refused == [PROTOCOL_MACHINES + 1], "asked for once, and lost"
         assert not shown.recorded()
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -207,6 +207,8 @@
             answer = await ask(node, "GET", f"/api/jobs/{odd}")
             assert answer.status == 200 and answer.body["stage"] == "pending"
         assert sorted(node.leading.scheduler.jobs) == ["wk-000001"]
-        assert "host-000099" in node.leading.scheduler._gone, "only a release proves what is on it"
+        assert "host-000099" in node.leading.scheduler._removed_machines, (
+            "only a release proves what is on it"
+        )
 
     run_virtual(main, monkeypatch)
--- a/tests/world.py
+++ b/tests/world.py
@@ -608,7 +608,7 @@
             zone = rng.choice("ab")
             for worker in self.cloud.workers.values():
                 if worker.zone == zone:
-                    worker.deaf_until = self.clock.now + for_s
+                    worker.command_unreachable_until = self.clock.now + for_s
         elif kind == "loss":
             self.net.loss = 0.1
             await curio.sleep(for_s)
@@ -665,7 +665,7 @@
             if kind == "hang":
                 worker.hanging_until = self.clock.now + for_s
             elif kind == "deaf":
-                worker.deaf_until = self.clock.now + 2 * for_s
+                worker.command_unreachable_until = self.clock.now + 2 * for_s
             elif kind == "mute":
                 worker.mute_until = self.clock.now + for_s
             elif kind == "blink":
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -73,12 +73,12 @@
         for machine in scheduler.command_order(due, now):
             if len(self._striking) >= self._max:
                 return
-            is_silent = not scheduler.fresh(machine, now)
+            is_silent = not scheduler.heard_recently(machine, now)
             if is_silent and silent >= self._max_silent:
                 return  # the living come first in this order
             scheduler.to_command.discard(machine.name)
             commands = scheduler.direct_commands(machine)
-            if commands or scheduler.needs_announcing(machine, now):
+            if commands or scheduler.needs_term_announcement(machine, now):
                 silent += is_silent
                 machine.commanded_at = now
                 self._striking[machine.name] = is_silent
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -277,7 +277,7 @@
         if data is None:
             # Of one that it has seen complete, `Saving.finish` finds out.
             if job is not None and job.state is JobState.LIVE and not job.complete:
-                await self.context.job_over(job_id)
+                await self.context.on_job_ended(job_id)
         elif job is None:
             try:
                 new = records.read_live(data, revision, time.time(), await curio.clock())
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -33,6 +33,6 @@
             except CloudDown as exc:
                 log.debug("machine list: %s", exc)
             else:
-                scheduler.listed(listed, asked, await curio.clock())
+                scheduler.on_machine_list(listed, asked, await curio.clock())
                 await self.listed.set()
             await curio.sleep(max(self._context.heartbeat_interval_s, LIST_LAGS * scheduler.lag_s))
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -370,11 +370,11 @@
         await self._changed.set()
         await self._ping()
 
-    async def _depose(self, why: str) -> None:
+    async def _depose(self, reason: str) -> None:
         """End this node's term, if there is one."""
         if self.leading is None:
             return
-        log.info("node %s is leader no more: %s", self.name, why)
+        log.info("node %s is leader no more: %s", self.name, reason)
         self.leadership.step_down()
         if self.leading.loaded:
             self.placements.told(self.leading.term, self.leading.placed())
@@ -410,7 +410,9 @@
         lead = self.leadership
         silent: list[str] | None = None
         if self.leading is not None and self.leading.loaded:
-            silent = pack_names(self.leading.scheduler.unreached(await curio.clock()))
+            silent = pack_names(
+                self.leading.scheduler.machines_without_heartbeat(await curio.clock())
+            )
         served = self.store.failing_since is None
         cancellations = self.cancellations
         enforces = silent is not None or bool(self.placements.places)
@@ -512,7 +514,11 @@
             await curio.sleep(0.5 * self.grant_s)
             leading = self.leading
             now = await curio.clock()
-            if leading is None or not leading.loaded or not leading.scheduler.cut_from_workers(now):
+            if (
+                leading is None
+                or not leading.loaded
+                or not leading.scheduler.is_partitioned_from_workers(now)
+            ):
                 continue
             log.info("node %s hears too few of the workers that others hear", self.name)
             self.election.bar(now + 2 * lease_s)
--- a/topazhold/control/saving.py
+++ b/topazhold/control/saving.py
@@ -65,7 +65,7 @@
             except Conflict as exc:
                 await self._context.repair(exc.keys)
                 if over in exc.keys:
-                    await self._context.job_over(job.id)
+                    await self._context.on_job_ended(job.id)
                 if job.state is JobState.LIVE:
                     await curio.sleep(self._context.retry_s)  # how it ended can't be read yet
                 continue
@@ -74,7 +74,7 @@
                 await curio.sleep(self._context.retry_s)
                 continue
             now = await curio.clock()
-            self._context.scheduler.job_over(job.id, True, now, now)
+            self._context.scheduler.on_job_ended(job.id, True, now, now)
             self._context.clean_up(job)
 
     async def save(self, job: Job, now: float) -> None:
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -102,7 +102,7 @@
     async def _reread_job(self, job_id: str) -> None:
         entry = await self.store.get(records.live_key(job_id), DECISIONS)
         if entry is None:
-            await self.job_over(job_id)
+            await self.on_job_ended(job_id)
         else:
             job = self.scheduler.jobs.get(job_id)
             if job is not None:
@@ -116,7 +116,7 @@
         """
         wall, now = time.time(), await curio.clock()
         self.cancellations.add(job_id, at, wall)
-        self.scheduler.job_over(job_id, False, now - max(0.0, wall - at), now)
+        self.scheduler.on_job_ended(job_id, False, now - max(0.0, wall - at), now)
         await self.request_plan()
 
     async def learn_cancelled(self) -> None:
@@ -124,7 +124,7 @@
         for job_id, at in self.cancellations.since(0.0):
             await self.cancelled(job_id, at)
 
-    async def job_over(self, job_id: str) -> None:
+    async def on_job_ended(self, job_id: str) -> None:
         """A live job's key is gone: find out how it ended.
 
         A job that it has not seen complete can only have been cancelled: nobody but
@@ -147,6 +147,6 @@
         at = now
         if entry is not None:
             at = now - max(0.0, time.time() - float(entry.data.get("at", time.time())))
-        self.scheduler.job_over(job_id, done, at, now)
+        self.scheduler.on_job_ended(job_id, done, at, now)
         if job is not None:
             self.clean_up(job)
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -118,13 +118,13 @@
         job_id = raw.get("id") if isinstance(raw, dict) else None
         if not isinstance(job_id, str) or not wire.valid_job_id(job_id):
             return Answer(400)
-        status, spec, why = self._judge(raw)
+        status, spec, reason = self._judge(raw)
         if status != 201 or spec is None:
             # A repeat of an accepted job is answered with its state, whatever
             # its body would get now.
             known = await self._state(job_id)
             if known is None:
-                log.info("job %s refused: %d, %s", job_id, status, why)
+                log.info("job %s refused: %d, %s", job_id, status, reason)
             return known or Answer(status, retry_after=1.0 if status == 503 else None)
         job = Job(spec, await curio.clock(), time.time(), self._node)
         token = self._token()
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -96,8 +96,8 @@
         # Of these, machines that come, go, or can be used or not as they could before.
         self.fleet_changes = 0
         self._guaranteed_stale = True
-        self._gone: dict[str, None] = {}
-        self._over: dict[str, None] = {}
+        self._removed_machines: dict[str, None] = {}
+        self._ended_jobs: dict[str, None] = {}
         self._starved_since: dict[str, float] = {}
         self._wanting_since: dict[str, float] = {}
         self._claims: dict[str, tuple[float, float]] = {}
@@ -124,7 +124,9 @@
         # Of the last look at all machines: zone -> up, silent, deaf.
         self._counts: dict[str, tuple[int, int, int]] = {}
         self._counted_at = -1.0
-        self._cut_seen: dict[str, float] = {}  # zones, by when many were last silent at once
+        self._partition_seen_at: dict[
+            str, float
+        ] = {}  # zones, by when many were last silent at once
         self._offers: dict[str, tuple[float, list[Offer]]] = {}
         # By gang: its hold's serial, when it was judged, whether all room is there soon.
         self._soon_known: dict[str, tuple[int, float, bool]] = {}
@@ -133,7 +135,7 @@
 
     def add_job(self, job: Job) -> None:
         """A job is live: accepted just now, or found by a new leader."""
-        if job.id not in self.jobs and job.id not in self._over:
+        if job.id not in self.jobs and job.id not in self._ended_jobs:
             self.jobs[job.id] = job
             self.changes += 1
             if job.spec.job_class in self.wait_objectives:
@@ -148,7 +150,7 @@
         longest = min(longest, self.longest_wait_s)
         return AGEING_SHARES[job.urgency_level] * longest / math.sqrt(job.spec.tasks)
 
-    def forget_if_over(self, job: Job) -> None:
+    def forget_if_ended(self, job: Job) -> None:
         if job.state is not JobState.LIVE and not job.attempts:
             self.jobs.pop(job.id, None)
             self.rejected.pop(job.id, None)
@@ -178,13 +180,13 @@
 
         The rental may have been asked for again, and the machine may be gone by now.
         """
-        if name not in self._gone:
+        if name not in self._removed_machines:
             self.add_machine(name, zone, spot, machine_type, now)
 
-    def machine_gone(self, name: str, now: float) -> None:
+    def remove_machine(self, name: str, now: float) -> None:
         """A release was answered 200: the machine and all on it are gone."""
         machine = self.machines.get(name)
-        self._remember(self._gone, name)
+        self._remember(self._removed_machines, name)
         self.releases.pop(name, None)
         self.to_command.discard(name)
         if machine is None:
@@ -192,13 +194,13 @@
         # While the machine is still known: a run dropped after that would
         # count against its team's limit for the rest of the term.
         for attempt in list(machine.attempts.values()):
-            self._drop(attempt, now)
+            self._remove_attempt(attempt, now)
         del self.machines[name]
         self._fleet_changed()
         self._known_offers.pop(name, None)
         self.zone_of.pop(name, None)
-        machine.leave(now)
-        log.info("machine %s gone: %s", name, machine.why)
+        machine.mark_gone(now)
+        log.info("machine %s gone: %s", name, machine.reason)
 
     @staticmethod
     def _remember(names: dict[str, None], name: str) -> None:
@@ -206,17 +208,17 @@
         if len(names) > MAX_REMEMBERED:
             del names[next(iter(names))]
 
-    def release(self, machine: Machine, why: str, now: float) -> None:
+    def release(self, machine: Machine, reason: str, now: float) -> None:
         if machine.state is not MachineState.RELEASING:
-            log.info("machine %s released: %s", machine.name, why)
-            machine.release(why, now)
+            log.info("machine %s released: %s", machine.name, reason)
+            machine.release(reason, now)
             self._fleet_changed()
-            self.releases[machine.name] = why
+            self.releases[machine.name] = reason
             for attempt in list(machine.attempts.values()):
                 if attempt.state in UNSENT and not attempt.possibly_running:
-                    self._drop(attempt, now)
+                    self._remove_attempt(attempt, now)
 
-    def must_go(self, name: str) -> bool:
+    def must_be_released(self, name: str) -> bool:
         """Whether a machine is released for a cancelled job's task."""
         machine = self.machines.get(name)
         return machine is not None and any(
@@ -237,9 +239,9 @@
 
     def supersede(self, attempt: TaskAttempt, now: float) -> None:
         """A newer try of the task was planned, so this one had been proven gone."""
-        self._drop(attempt, now)
+        self._remove_attempt(attempt, now)
 
-    def _drop(self, attempt: TaskAttempt, now: float) -> None:
+    def _remove_attempt(self, attempt: TaskAttempt, now: float) -> None:
         """A run is over: it ended, or is proven gone, or was never sent."""
         self.changes += 1
         machine = self.machines.get(attempt.machine)
@@ -250,20 +252,22 @@
                     machine.idle_since = now
         attempt.vanish(now)
         attempt.job.remove_attempt(attempt)
-        self.forget_if_over(attempt.job)
+        self.forget_if_ended(attempt.job)
 
-    def silent_s(self, machine: Machine, now: float) -> float:
-        heard = machine.heard_at if machine.heard_at is not None else machine.since
+    def silence_s(self, machine: Machine, now: float) -> float:
+        heard = (
+            machine.last_heartbeat_at if machine.last_heartbeat_at is not None else machine.since
+        )
         return now - max(heard, self.since)
 
     def usable(self, machine: Machine, now: float) -> bool:
         """Whether new work may be planned there."""
         return (
             machine.state is MachineState.READY
-            and machine.deaf_since is None
-            and machine.sick_until <= now
+            and machine.command_unreachable_since is None
+            and machine.quarantined_until <= now
             # Relayed reports don't count: a launch needs an answer of our own.
-            and now - machine.reached_at < 2.5 * self.heartbeat_interval_s
+            and now - machine.last_own_heartbeat_at < 2.5 * self.heartbeat_interval_s
         )
 
     def remaining_s(self, attempt: TaskAttempt, now: float) -> float:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -12,6 +12,10 @@
 SLACK = 1e-6
 
 
+#: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
+QUARANTINED = "sick"
+
+
 class MachineState(Enum):
     STARTING = "starting"  # rented, its worker has not reported
     UNSYNCED = "unsynced"  # heard of, but not yet under this term
@@ -38,24 +42,24 @@
         self.incarnation = 0
         self.sequence = -1
         self.term = 0
-        self.heard_at: float | None = None
-        self.answered_at = -1e9  # last report that was answered, here or by a follower
+        self.last_heartbeat_at: float | None = None
+        self.last_answered_at = -1e9  # last report that was answered, here or by a follower
         self.incarnation_since = now  # when the present incarnation was first heard of
         self.lost_commands = 0  # answers with launches that can be seen not to have arrived
-        self.deaf_since: float | None = None
+        self.command_unreachable_since: float | None = None
         self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
         self.gone_at: float | None = None  # end announced by a notice
         self.attempts: dict[tuple[str, int], TaskAttempt] = {}
         self.used: Resources = (0.0, 0.0, 0.0)
-        self.strays: dict[tuple[str, int], str] = {}  # (frame, try) -> stage; of no job known here
+        self.orphans: dict[tuple[str, int], str] = {}  # (frame, try) -> stage; of no job known here
         self.images: OrderedDict[str, float] = OrderedDict()
         self.error_jobs: set[str] = set()
-        self.sick_until = 0.0
+        self.quarantined_until = 0.0
         self.idle_since = now
-        self.unlisted = 0  # lists in a row, asked for after it fell silent, without it
-        self.why = ""
-        self.reached_at = -1e9  # last report that came to this node itself
-        self.announced_at = -1e9
+        self.missed_lists = 0  # lists in a row, asked for after it fell silent, without it
+        self.reason = ""
+        self.last_own_heartbeat_at = -1e9  # last report that came to this node itself
+        self.term_announced_at = -1e9
         self.commanded_at = -1e9  # last commanded directly
         self.changes = 0  # of what an offer of its room says
         self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept uncleared, to ring with
@@ -70,8 +74,8 @@
 
     def hear(self, synced: bool, now: float) -> None:
         """A report arrived; `synced`: it was written under this term."""
-        self.heard_at = now
-        self.unlisted = 0
+        self.last_heartbeat_at = now
+        self.missed_lists = 0
         if self.state is MachineState.STARTING:
             self._enter(MachineState.UNSYNCED, now)
             self.idle_since = now
@@ -80,37 +84,37 @@
             if self.state is MachineState.UNSYNCED:
                 self._enter(MachineState.READY, now)
 
-    def turn_deaf(self, now: float) -> bool:
+    def mark_command_unreachable(self, now: float) -> bool:
         """Reports arrive, but answers don't reach the worker; whether that is news."""
-        if self.deaf_since is not None:
+        if self.command_unreachable_since is not None:
             return False
-        self.deaf_since = now
+        self.command_unreachable_since = now
         return True
 
-    def hears_again(self) -> bool:
+    def mark_command_reachable(self) -> bool:
         """The worker has acted on an answer; whether that is news."""
         self.lost_commands = 0
-        was = self.deaf_since is not None
-        self.deaf_since = None
+        was = self.command_unreachable_since is not None
+        self.command_unreachable_since = None
         return was
 
     @property
-    def deaf(self) -> bool:
-        return self.deaf_since is not None
+    def command_unreachable(self) -> bool:
+        return self.command_unreachable_since is not None
 
-    def drain(self, why: str, now: float) -> None:
+    def drain(self, reason: str, now: float) -> None:
         """Take no new work."""
         if self.state in (MachineState.UNSYNCED, MachineState.READY):
-            self.why = why
+            self.reason = reason
             self._enter(MachineState.DRAINING, now)
 
-    def release(self, why: str, now: float) -> None:
+    def release(self, reason: str, now: float) -> None:
         """The release is about to be asked for; no way back."""
         if self.state is not MachineState.GONE:
-            self.why = why
+            self.reason = reason
             self._enter(MachineState.RELEASING, now)
 
-    def leave(self, now: float) -> None:
+    def mark_gone(self, now: float) -> None:
         """It is proven that the machine and everything on it are gone."""
         self._enter(MachineState.GONE, now)
 
@@ -155,7 +159,7 @@
 
     @property
     def empty(self) -> bool:
-        return not self.strays and not self.attempts
+        return not self.orphans and not self.attempts
 
     # -- images ----------------------------------------------------------
 
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from topazhold.core.jobs import ON_MACHINE, UNSENT, AttemptState, Job, JobState, TaskAttempt
-from topazhold.core.machines import Machine, MachineState
+from topazhold.core.machines import QUARANTINED, Machine, MachineState
 from topazhold.core.stopping import Stopping
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
@@ -23,20 +23,22 @@
 LOST_COMMANDS = 2
 #: A session that ends so soon (in leases) after an answer has not heard the answer,
 #: and one that lasts so long has heard some.
-UNHEARD_LEASES = 0.7
-HEARD_LEASES = 1.3
+UNREACHED_LEASES = 0.7
+REACHED_LEASES = 1.3
 #: Errors of so many jobs that are not at fault make a machine sick.
-SICK_JOBS = 2
+QUARANTINE_JOBS = 2
 
 
 class Observing(Stopping):
     """What reports and lists say, and what they prove."""
 
-    def listed(self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float) -> None:
+    def on_machine_list(
+        self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float
+    ) -> None:
         """A whole machine list, asked for at `asked_at`."""
         names = set()
         for item in listed_machines:
-            if item.id in self._gone:
+            if item.id in self._removed_machines:
                 continue
             names.add(item.id)
             machine = self.machines.get(item.id)
@@ -52,17 +54,21 @@
             machine.unconfirmed = False
             if machine.endpoint is None:
                 machine.endpoint = item.endpoint
-            machine.unlisted = 0
+            machine.missed_lists = 0
             if item.state == wire.LISTED_FAILED:
                 self.release(machine, "failed", now)
         for machine in list(self.machines.values()):
             if machine.name in names or now - machine.rented_at < 4 * self.lag_s:
                 continue
-            heard = machine.heard_at if machine.heard_at is not None else machine.since
+            heard = (
+                machine.last_heartbeat_at
+                if machine.last_heartbeat_at is not None
+                else machine.since
+            )
             # A list may be two lags old: only one asked for well after the
             # machine was last heard says anything about it.
             if asked_at - heard > 2 * self.lag_s:
-                machine.unlisted += 1
+                machine.missed_lists += 1
 
     def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool, now: float, relayed: bool = False
@@ -75,7 +81,7 @@
         """
         machine = self.machines.get(heartbeat.machine)
         if machine is None:
-            if direct or heartbeat.machine in self._gone:
+            if direct or heartbeat.machine in self._removed_machines:
                 return None
             machine = self.add_machine(
                 heartbeat.machine, heartbeat.zone, heartbeat.spot, heartbeat.machine_type, now
@@ -96,13 +102,13 @@
         machine.endpoint = heartbeat.endpoint
         synced = heartbeat.term == self.term
         machine.hear(synced, now)
-        self._judge_hearing(machine, heartbeat, now)
+        self._check_command_reachability(machine, heartbeat, now)
         if not direct:
-            machine.answered_at = now
+            machine.last_answered_at = now
             if not relayed:
-                machine.reached_at = now
-        self._notice(machine, heartbeat.notice_s, now)
-        self._observe_tasks(machine, heartbeat, synced, direct, now)
+                machine.last_own_heartbeat_at = now
+        self._on_preemption_notice(machine, heartbeat.notice_s, now)
+        self._reconcile_tasks(machine, heartbeat, synced, direct, now)
         if not machine.empty:
             machine.idle_since = now
         if self._availability(machine, now) != before:
@@ -111,7 +117,7 @@
 
     def _availability(self, machine: Machine, now: float) -> tuple[MachineState, bool, bool]:
         """Whether new work may go to a machine, as far as its reports decide that."""
-        return machine.state, machine.deaf, self.usable(machine, now)
+        return machine.state, machine.command_unreachable, self.usable(machine, now)
 
     def _begin_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
         """The worker's lease ended: all tasks of the earlier incarnation are gone."""
@@ -121,34 +127,36 @@
             # session settles an earlier term's intents too, also those of a
             # deaf machine, which never reports under the new term.
             if not attempt.possibly_running or attempt.incarnation < incarnation:
-                self._drop(attempt, now)
-        machine.strays.clear()
+                self._remove_attempt(attempt, now)
+        machine.orphans.clear()
         if machine.incarnation:
             log.info("machine %s began incarnation %d", machine.name, incarnation)
-            if now - machine.answered_at < UNHEARD_LEASES * self.lease_s:
-                self._deafen(machine, "its lease ended though it was answered", now)
+            if now - machine.last_answered_at < UNREACHED_LEASES * self.lease_s:
+                self._on_command_unreachable(machine, "its lease ended though it was answered", now)
         machine.incarnation = incarnation
         machine.incarnation_since = now
 
-    def _judge_hearing(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
+    def _check_command_reachability(
+        self, machine: Machine, heartbeat: Heartbeat, now: float
+    ) -> None:
         """Whether answers reach the worker, as far as its reports show it."""
         term_before, machine.term = machine.term, heartbeat.term
         heard = (
             heartbeat.term == self.term != term_before
-            or now - machine.incarnation_since > HEARD_LEASES * self.lease_s
+            or now - machine.incarnation_since > REACHED_LEASES * self.lease_s
         )
-        if heard and machine.hears_again():
-            log.info("machine %s hears again", machine.name)
+        if heard and machine.mark_command_reachable():
+            log.info("machine %s gets commands again", machine.name)
 
-    def _deafen(self, machine: Machine, why: str, now: float) -> None:
+    def _on_command_unreachable(self, machine: Machine, reason: str, now: float) -> None:
         """Answers don't reach the worker: no new work, no hold, no limit for it."""
-        if machine.turn_deaf(now):
-            log.info("machine %s is deaf: %s", machine.name, why)
+        if machine.mark_command_unreachable(now):
+            log.info("machine %s does not get commands: %s", machine.name, reason)
         for attempt in list(machine.attempts.values()):
             if attempt.state in UNSENT and not attempt.possibly_running:
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
 
-    def _notice(self, machine: Machine, notice_s: float | None, now: float) -> None:
+    def _on_preemption_notice(self, machine: Machine, notice_s: float | None, now: float) -> None:
         if notice_s is None:
             return
         if machine.gone_at is None:
@@ -156,11 +164,11 @@
         machine.gone_at = now + notice_s
         machine.drain("notice", now)
 
-    def _observe_tasks(
+    def _reconcile_tasks(
         self, machine: Machine, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> None:
         seen: set[tuple[str, int]] = set()
-        strays: dict[tuple[str, int], str] = {}
+        orphans: dict[tuple[str, int], str] = {}
         for task in heartbeat.tasks:
             key = wire.split_task_name(task.task_name)
             if key is None:
@@ -168,32 +176,32 @@
             attempt = machine.attempts.get(key)
             if attempt is not None and attempt.attempt_number == task.attempt_number:
                 seen.add(key)
-                self._observe(machine, attempt, task, now)
+                self._reconcile_attempt(machine, attempt, task, now)
             elif task.state == wire.ENDED:
                 if task.cause == wire.CAUSE_DONE:
-                    self._credit(key, now)
+                    self._record_success(key, now)
             else:
-                self._stray(machine, key, task, strays, now)
-        machine.strays = strays
+                self._on_orphan(machine, key, task, orphans, now)
+        machine.orphans = orphans
         lost = False
         for key, attempt in list(machine.attempts.items()):
             if key not in seen:
-                lost |= self._absent(attempt, heartbeat, synced, direct, now)
+                lost |= self._reconcile_missing(attempt, heartbeat, synced, direct, now)
         if lost:
             machine.lost_commands += 1
             if machine.lost_commands >= LOST_COMMANDS:
-                self._deafen(machine, "launches don't arrive", now)
+                self._on_command_unreachable(machine, "launches don't arrive", now)
 
-    def _observe(
+    def _reconcile_attempt(
         self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
     ) -> None:
         if task.state == wire.ENDED:
-            self._ended(machine, attempt, task, now)
+            self._on_attempt_ended(machine, attempt, task, now)
             return
         if attempt.state is AttemptState.INTENDED:
             return
         if attempt.state is AttemptState.ORDERED and not attempt.possibly_running:
-            machine.hears_again()
+            machine.mark_command_reachable()
         before = attempt.state
         attempt.observe(task.state, now)
         machine.changes += attempt.state is not before
@@ -201,32 +209,32 @@
             spec = attempt.job.spec
             machine.fetched(spec.image, spec.image_gb)
 
-    def _absent(
+    def _reconcile_missing(
         self, attempt: TaskAttempt, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> bool:
         """A run that the report lacks; whether its launch can be seen to be lost."""
         if attempt.possibly_running:
             if synced:
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
         elif attempt.state is AttemptState.ORDERED:
             # Reports go out one at a time, so this one was sent after the
             # answer with the launch was carried out or dropped for good.
             if not direct and heartbeat.sequence > attempt.launch_sequence:
                 if attempt.stopping:
-                    self._drop(attempt, now)
+                    self._remove_attempt(attempt, now)
                 else:
                     attempt.launch_lost(now)
                 return True
         elif attempt.state in ON_MACHINE:
-            self._drop(attempt, now)
+            self._remove_attempt(attempt, now)
         return False
 
-    def _stray(
+    def _on_orphan(
         self,
         machine: Machine,
         key: tuple[str, int],
         task: TaskStatus,
-        strays: dict[tuple[str, int], str],
+        orphans: dict[tuple[str, int], str],
         now: float,
     ) -> None:
         """A task that no intent of ours explains: it must go, and counts till then."""
@@ -240,10 +248,12 @@
             if job.gang and job.state is JobState.LIVE:
                 self._stop_gang(job, 0.0, "unexpected task", now)
             return
-        strays[(task.task_name, task.attempt_number)] = task.state
+        orphans[(task.task_name, task.attempt_number)] = task.state
         self.to_command.add(machine.name)
 
-    def _ended(self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float) -> None:
+    def _on_attempt_ended(
+        self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
+    ) -> None:
         job = attempt.job
         cause = task.cause or ""
         attempt.end(cause, bool(task.kept), now)
@@ -264,20 +274,20 @@
                 self.estimates.learn(
                     spec.job_class, spec.estimated_run_s, now - attempt.running_since
                 )
-            self._credit((job.id, attempt.index), now)
+            self._record_success((job.id, attempt.index), now)
         elif cause == wire.CAUSE_ERROR and not job.service:
-            self._failed(machine, job, now)
+            self._on_attempt_failed(machine, job, now)
         elif cause == wire.CAUSE_NO_CAPACITY:
-            machine.sick_until = now + 2 * self.heartbeat_interval_s
+            machine.quarantined_until = now + 2 * self.heartbeat_interval_s
         elif cause == wire.CAUSE_UNKNOWN:
             job.not_before = now + 2 * self.heartbeat_interval_s
         if job.gang and attempt.running_since is not None and cause != wire.CAUSE_DONE:
-            self._gang_progress(attempt, cause, now)
+            self._record_gang_progress(attempt, cause, now)
         if job.service and not attempt.stopping and cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
-            self._replica_ended(machine, attempt, now)
-        self._drop(attempt, now)
+            self._on_replica_ended(machine, attempt, now)
+        self._remove_attempt(attempt, now)
 
-    def _gang_progress(self, attempt: TaskAttempt, cause: str, now: float) -> None:
+    def _record_gang_progress(self, attempt: TaskAttempt, cause: str, now: float) -> None:
         """What the gang has saved, as far as it can be told from outside."""
         job = attempt.job
         if attempt.index != min(job.attempts, default=attempt.index):
@@ -289,7 +299,7 @@
         elif job.spec.checkpoint_s > 0:
             job.progress_s = max(job.progress_s, total - total % job.spec.checkpoint_s)
 
-    def _failed(self, machine: Machine, job: Job, now: float) -> None:
+    def _on_attempt_failed(self, machine: Machine, job: Job, now: float) -> None:
         """A task ended with `error`: is it the machine or the job?"""
         job.failed_on[machine.name] = now
         if len(job.failed_on) >= BAD_JOB_MACHINES:
@@ -299,9 +309,9 @@
             doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_DOUBLINGS)
             job.not_before = now + self.lease_s * 2**doublings
         else:
-            self._blame(machine, job, now)
+            self._record_failure(machine, job, now)
 
-    def _replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+    def _on_replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         """A replica ended by itself: it is placed again, later each time if it keeps ending.
 
         A job that has replicas running is not at fault itself, so its errors count against
@@ -319,19 +329,19 @@
         others_run = any(other.state is AttemptState.RUNNING for other in job.attempts.values())
         failures = len(job.failed_on)
         if attempt.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
-            self._blame(machine, job, now)
+            self._record_failure(machine, job, now)
         if failures >= BAD_JOB_MACHINES:
             base_s = self.heartbeat_interval_s if others_run else self.lease_s
             job.not_before = now + base_s * 2 ** min(failures - BAD_JOB_MACHINES, MAX_DOUBLINGS)
 
-    def _blame(self, machine: Machine, job: Job, now: float) -> None:
+    def _record_failure(self, machine: Machine, job: Job, now: float) -> None:
         """A job that is not at fault itself failed on a machine."""
         machine.error_jobs.add(job.id)
-        if len(machine.error_jobs) >= SICK_JOBS:
-            machine.drain("sick", now)
-            log.info("machine %s is sick: errors of %d jobs", machine.name, SICK_JOBS)
+        if len(machine.error_jobs) >= QUARANTINE_JOBS:
+            machine.drain(QUARANTINED, now)
+            log.info("machine %s quarantined: errors of %d jobs", machine.name, QUARANTINE_JOBS)
 
-    def _credit(self, key: tuple[str, int], now: float) -> None:
+    def _record_success(self, key: tuple[str, int], now: float) -> None:
         """A task has completed."""
         job = self.jobs.get(key[0])
         if job is None or job.state is not JobState.LIVE or key[1] >= job.spec.tasks:
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/ordering.py
@@ -92,21 +92,24 @@
         """
         if not machine.wake_tasks:
             return
-        if self.just_heard(machine, now):
+        if self.heartbeat_is_recent(machine, now):
             self.to_wake_later.add(machine.name)
         else:
             self.to_wake.add(machine.name)
             self.to_command.add(machine.name)
 
-    def just_heard(self, machine: Machine, now: float) -> bool:
+    def heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
         """Whether the answer to the machine's last heartbeat may not be made yet."""
-        return now - (machine.heard_at or 0.0) <= ANSWER_HEARTBEATS * self.heartbeat_interval_s
+        return (
+            now - (machine.last_heartbeat_at or 0.0)
+            <= ANSWER_HEARTBEATS * self.heartbeat_interval_s
+        )
 
-    def wake_those_left(self, now: float) -> None:
+    def wake_remaining(self, now: float) -> None:
         """Wake the workers whose launches came too late for the answer that was due."""
         for name in list(self.to_wake_later):
             machine = self.machines.get(name)
-            if machine is not None and self.just_heard(machine, now):
+            if machine is not None and self.heartbeat_is_recent(machine, now):
                 continue
             self.to_wake_later.discard(name)
             if machine is not None and machine.wake_tasks:
@@ -116,11 +119,11 @@
                     self.to_wake.add(name)
                     self.to_command.add(name)
 
-    def fresh(self, machine: Machine, now: float) -> bool:
+    def heard_recently(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
         return (
-            machine.heard_at is not None
-            and now - machine.heard_at < 2.5 * self.heartbeat_interval_s
+            machine.last_heartbeat_at is not None
+            and now - machine.last_heartbeat_at < 2.5 * self.heartbeat_interval_s
         )
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
@@ -129,7 +132,11 @@
         for name in names:
             machine = self.machines.get(name)
             if machine is not None and machine.endpoint is not None:
-                key = (not self.fresh(machine, now), not self.must_go(name), machine.commanded_at)
+                key = (
+                    not self.heard_recently(machine, now),
+                    not self.must_be_released(name),
+                    machine.commanded_at,
+                )
                 found.append((key, machine))
         found.sort(key=lambda item: (item[0], item[1].name))
         return [machine for _, machine in found]
@@ -145,6 +152,6 @@
             commands.append(
                 wire.kill(attempt.task_name, attempt.attempt_number, attempt.stop_grace)
             )
-        for task_name, attempt_number in machine.strays:
+        for task_name, attempt_number in machine.orphans:
             commands.append(wire.kill(task_name, attempt_number, 0.0))
         return commands
--- a/topazhold/core/placing.py
+++ b/topazhold/core/placing.py
@@ -128,7 +128,7 @@
                 return f"{name} is not known"
             if machine.state in (MachineState.DRAINING, MachineState.RELEASING):
                 return f"{name} is leaving"
-            if machine.deaf:
+            if machine.command_unreachable:
                 return f"{name} is deaf"
             if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
                 return f"{name} is not allowed"
@@ -176,7 +176,7 @@
                     attempt.job.used_reservation, attempt.job.starting_reservation
                 )
                 if attempt.stopping:
-                    self._drop(attempt, now)
+                    self._remove_attempt(attempt, now)
                 else:
                     self._wake(self.machines[attempt.machine], now)
 
@@ -184,7 +184,7 @@
         """The transaction failed for good: none of it was or will be written."""
         for attempt in attempts:
             if attempt.state is AttemptState.INTENDED:
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
         self.changes += 1
         for job in {attempt.job for attempt in attempts if attempt.job.gang}:
             if not job.attempts:
--- a/topazhold/core/recovery.py
+++ b/topazhold/core/recovery.py
@@ -34,13 +34,13 @@
         machine.incarnation = each.incarnation
         if machine.state is MachineState.STARTING and each.incarnation:
             machine.hear(False, now)
-            machine.heard_at = None
+            machine.last_heartbeat_at = None
         for job_id, index, attempt_number in each.attempts:
             _adopt(scheduler, job_id, index, attempt_number, machine.name, each.incarnation, now)
     for job in list(scheduler.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.resume(job, now)
-        scheduler.forget_if_over(job)
+        scheduler.forget_if_ended(job)
 
 
 def _adopt(
--- a/topazhold/core/renting.py
+++ b/topazhold/core/renting.py
@@ -180,7 +180,7 @@
 
 def counted(machine: Machine) -> bool:
     """Whether a machine counts as capacity, now or soon."""
-    if machine.deaf or machine.unconfirmed:
+    if machine.command_unreachable or machine.unconfirmed:
         return False
     return machine.state in (MachineState.STARTING, MachineState.UNSYNCED, MachineState.READY)
 
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -122,7 +122,7 @@
     def _missed(self, machine: Machine, now: float) -> bool:
         return (
             machine.state in UP
-            and self.silent_s(machine, now) > self.lease_s
+            and self.silence_s(machine, now) > self.lease_s
             and not math.isinf(self._silence_limit_leases(machine, now))
         )
 
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/service_placing.py
@@ -148,9 +148,11 @@
         Whether it can be woken is left aside: of 141 workers that were, none reported any
         sooner (simulated machines).
         """
-        heard_at = machine.heard_at if machine.heard_at is not None else now
-        earliest = heard_at + (1.0 - HEARTBEAT_SPREAD) * self.heartbeat_interval_s
-        latest = heard_at + (1.0 + HEARTBEAT_SPREAD) * self.heartbeat_interval_s
+        last_heartbeat_at = (
+            machine.last_heartbeat_at if machine.last_heartbeat_at is not None else now
+        )
+        earliest = last_heartbeat_at + (1.0 - HEARTBEAT_SPREAD) * self.heartbeat_interval_s
+        latest = last_heartbeat_at + (1.0 + HEARTBEAT_SPREAD) * self.heartbeat_interval_s
         return max(0.0, 0.5 * (max(now, earliest) + latest) - now)
 
     def _hindrance(self, machine: Machine, need: Resources) -> float:
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/stopping.py
@@ -8,14 +8,14 @@
 from topazhold.core import gangs
 from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.ledger import UP
-from topazhold.core.machines import Machine, MachineState, fits
+from topazhold.core.machines import QUARANTINED, Machine, MachineState, fits
 from topazhold.core.ordering import Ordering
 from topazhold.core.search import allowed
 
 log = logging.getLogger(__name__)
 
 #: A lone deaf machine is released after so many leases.
-DEAF_LEASES = 2.0
+COMMAND_UNREACHABLE_LEASES = 2.0
 #: So many machines of a zone with one trouble are taken one by one; more than this
 #: share of the zone, and it is the way to them.
 MAX_SINGLE_FAILURES = 2
@@ -36,10 +36,10 @@
 class Stopping(Ordering):
     """Who has to leave, and when a machine has to go."""
 
-    def job_over(self, job_id: str, done: bool, over_at: float, now: float) -> None:
+    def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
         """The job was moved to `over`, by this node or another."""
         # Also one that is not known here yet: news of its submission may come later.
-        self._remember(self._over, job_id)
+        self._remember(self._ended_jobs, job_id)
         job = self.jobs.get(job_id)
         if job is None or job.state is not JobState.LIVE:
             return
@@ -53,14 +53,14 @@
             log.info("job %s aborted, tasks on machines: %d", job_id, len(job.attempts))
         for attempt in list(job.attempts.values()):
             if attempt.state in UNSENT and not attempt.possibly_running:
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
             elif not done:
                 self._stop_attempt(attempt, 0.0, "job aborted", now)
-        self.forget_if_over(job)
+        self.forget_if_ended(job)
 
-    def _stop_attempt(self, attempt: TaskAttempt, grace_s: float, why: str, now: float) -> None:
+    def _stop_attempt(self, attempt: TaskAttempt, grace_s: float, reason: str, now: float) -> None:
         if attempt.state is AttemptState.WRITTEN:
-            self._drop(attempt, now)  # no launch has left
+            self._remove_attempt(attempt, now)  # no launch has left
             return
         if not attempt.stopping or (attempt.stop_grace or 0.0) > grace_s:
             log.info(
@@ -68,23 +68,23 @@
                 attempt.task_name,
                 attempt.attempt_number,
                 attempt.machine,
-                why,
+                reason,
             )
-            self._leaves(attempt)
+            self._request_kill(attempt)
         attempt.stop(grace_s, now)
 
-    def _stop_gang(self, job: Job, grace_s: float, why: str, now: float) -> None:
+    def _stop_gang(self, job: Job, grace_s: float, reason: str, now: float) -> None:
         """Stop a whole gang in order; unsent tasks simply leave."""
         told = gangs.stop(job, grace_s, now)
         if told:
-            log.info("gang %s stopped: %s", job.id, why)
+            log.info("gang %s stopped: %s", job.id, reason)
         for attempt in told:
             if attempt.state is AttemptState.WRITTEN:
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
             elif attempt.state is not AttemptState.INTENDED:
-                self._leaves(attempt)
+                self._request_kill(attempt)
 
-    def _leaves(self, attempt: TaskAttempt) -> None:
+    def _request_kill(self, attempt: TaskAttempt) -> None:
         """A kill is to be sent."""
         self.changes += 1
         self.to_command.add(attempt.machine)
@@ -92,13 +92,13 @@
         if machine is not None:
             machine.changes += 1
 
-    def preempt(self, attempt: TaskAttempt, why: str, now: float) -> None:
+    def preempt(self, attempt: TaskAttempt, reason: str, now: float) -> None:
         job = attempt.job
         settle = job.spec.save_s + self.heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
         if job.gang:
-            self._stop_gang(job, settle, why, now)
+            self._stop_gang(job, settle, reason, now)
         else:
-            self._stop_attempt(attempt, settle, why, now)
+            self._stop_attempt(attempt, settle, reason, now)
 
     def tick(self, now: float) -> None:
         """Everything that happens because time passes."""
@@ -107,10 +107,10 @@
                 if job.gang:
                     self._step_gang(job, now)
             else:
-                self._finish_off(job, now)
+                self._stop_ended_job(job, now)
         for machine in list(self.machines.values()):
             self._watch(machine, now)
-        self.wake_those_left(now)
+        self.wake_remaining(now)
 
     def _step_gang(self, job: Job, now: float) -> None:
         before = job.gang_state
@@ -118,10 +118,10 @@
             # For good: else the work that gave way to it would stop it in turn.
             job.is_aged = now - job.arrived > self.ageing_threshold_s(job)
             self.changes += job.is_aged
-        why = gangs.step(job, self.clock, now)
+        reason = gangs.step(job, self.clock, now)
         if job.gang_state is GangState.RUNNING and before is GangState.STARTING:
             log.info("gang %s runs, %.1f s after it came", job.id, now - job.arrived)
-        if why is not None and not job.complete:
+        if reason is not None and not job.complete:
             # A gang found saving at a take-over must be let finish that: a second
             # kill without grace would cost what it is about to have saved.
             running = before is GangState.RUNNING or any(
@@ -132,11 +132,11 @@
                 if running and job.spec.checkpoint_s > 0
                 else 0.0
             )
-            self._stop_gang(job, settle, why, now)
+            self._stop_gang(job, settle, reason, now)
             gangs.step(job, self.clock, now)
         self.changes += job.gang_state is not before
 
-    def _finish_off(self, job: Job, now: float) -> None:
+    def _stop_ended_job(self, job: Job, now: float) -> None:
         """Tasks of a job that is over must leave their machines."""
         for attempt in list(job.attempts.values()):
             if job.state is JobState.DONE:
@@ -160,27 +160,27 @@
                 elif now - attempt.stop_at > self.heartbeat_interval_s:
                     self.to_command.add(attempt.machine)
 
-    def unreached(self, now: float) -> list[str]:
+    def machines_without_heartbeat(self, now: float) -> list[str]:
         """Machines whose reports have not come here for a while."""
         limit = 2.2 * self.heartbeat_interval_s
         return [
             machine.name
             for machine in self.machines.values()
-            if machine.state in UP and now - max(machine.reached_at, self.since) > limit
+            if machine.state in UP and now - max(machine.last_own_heartbeat_at, self.since) > limit
         ]
 
-    def cut_from_workers(self, now: float) -> bool:
+    def is_partitioned_from_workers(self, now: float) -> bool:
         """Whether others hear most of the workers, and this node hardly any."""
         if now - self.since < self.lease_s:
             return False
         heard = reached = 0
         for machine in self.machines.values():
-            if machine.state in UP and self.silent_s(machine, now) < 0.5 * self.lease_s:
+            if machine.state in UP and self.silence_s(machine, now) < 0.5 * self.lease_s:
                 heard += 1
-                reached += now - machine.reached_at < 0.5 * self.lease_s
+                reached += now - machine.last_own_heartbeat_at < 0.5 * self.lease_s
         return heard >= 2 and reached < 0.3 * heard
 
-    def needs_announcing(self, machine: Machine, now: float) -> bool:
+    def needs_term_announcement(self, machine: Machine, now: float) -> bool:
         """Whether a worker has to be told of this term directly.
 
         It may be with a former leader who knows of no other; once it has seen
@@ -188,40 +188,46 @@
         """
         return (
             machine.state is MachineState.UNSYNCED
-            and now - max(machine.reached_at, self.since) > 0.4 * self.heartbeat_interval_s
+            and now - max(machine.last_own_heartbeat_at, self.since)
+            > 0.4 * self.heartbeat_interval_s
         )
 
     def _watch(self, machine: Machine, now: float) -> None:
         state = machine.state
         if state is MachineState.RELEASING:
-            self.releases.setdefault(machine.name, machine.why)
+            self.releases.setdefault(machine.name, machine.reason)
             return
         if state is MachineState.STARTING:
             ready = machine.machine_type.boot_s if machine.machine_type else 60.0
             if now - machine.rented_at > 4.0 * ready and now - self.since > self.lease_s:
                 self.release(machine, "never came up", now)
-            elif machine.unlisted >= 3:
+            elif machine.missed_lists >= 3:
                 self.release(machine, "not listed", now)
             return
         if state is MachineState.DRAINING:
             self._drain(machine, now)
         elif machine.attempts and not self.usable(machine, now):
-            self._drop_unsent(machine, now)
+            self._remove_unsent(machine, now)
         if (
-            self.needs_announcing(machine, now)
-            and now - machine.announced_at > self.heartbeat_interval_s
+            self.needs_term_announcement(machine, now)
+            and now - machine.term_announced_at > self.heartbeat_interval_s
         ):
-            machine.announced_at = now
+            machine.term_announced_at = now
             self.to_command.add(machine.name)
-        deaf_since = machine.deaf_since
-        if deaf_since is not None and now - deaf_since > DEAF_LEASES * self.lease_s:
-            up, _, deaf = self._zone_counts(machine.zone, now)
+        command_unreachable_since = machine.command_unreachable_since
+        if (
+            command_unreachable_since is not None
+            and now - command_unreachable_since > COMMAND_UNREACHABLE_LEASES * self.lease_s
+        ):
+            up, _, command_unreachable = self._zone_counts(machine.zone, now)
             # Many deaf machines of a zone: then it is the way to them.
-            if not (deaf > MAX_SINGLE_FAILURES and deaf > MASS_SHARE * up):
+            if not (
+                command_unreachable > MAX_SINGLE_FAILURES and command_unreachable > MASS_SHARE * up
+            ):
                 self.release(machine, "deaf", now)
                 return
-        silent = self.silent_s(machine, now)
-        if silent > self.lease_s and machine.unlisted >= 2:
+        silent = self.silence_s(machine, now)
+        if silent > self.lease_s and machine.missed_lists >= 2:
             self.release(machine, "silent and not listed", now)
         elif silent > SERVICE_LEASES * self.lease_s:
             patience = self._silence_limit_leases(machine, now)
@@ -232,7 +238,7 @@
             if silent > patience * self.lease_s:
                 self.release(machine, "silent", now)
 
-    def _drop_unsent(self, machine: Machine, now: float) -> None:
+    def _remove_unsent(self, machine: Machine, now: float) -> None:
         """Place tasks elsewhere whose launches can't leave, since the worker does not report.
 
         No launch has left, so nothing has to be proven. They waited for the machine's
@@ -245,16 +251,16 @@
                 and not attempt.job.gang
             ):
                 log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
-                self._drop(attempt, now)
+                self._remove_attempt(attempt, now)
 
     def _silence_limit_leases(self, machine: Machine, now: float) -> float:
         """After how many leases of silence a machine is released; infinite in a cut."""
         up, silent, _ = self._zone_counts(machine.zone, now)
         if silent > MAX_SINGLE_FAILURES and silent > MASS_SHARE * up:
-            self._cut_seen[machine.zone] = now
+            self._partition_seen_at[machine.zone] = now
         # When the cut ends they come back one by one. The last ones were released
         # as lone silent machines, with all their tasks, once most were back.
-        if now - self._cut_seen.get(machine.zone, -1e9) < SILENT_LEASES * self.lease_s:
+        if now - self._partition_seen_at.get(machine.zone, -1e9) < SILENT_LEASES * self.lease_s:
             return math.inf
         return GROUP_LEASES if silent > MAX_SINGLE_FAILURES else SILENT_LEASES
 
@@ -265,9 +271,13 @@
             self._counts = {}
             for machine in self.machines.values():
                 if machine.state in UP:
-                    up, silent, deaf = self._counts.get(machine.zone, (0, 0, 0))
-                    quiet = self.silent_s(machine, now) > QUIET_LEASES * self.lease_s
-                    self._counts[machine.zone] = (up + 1, silent + quiet, deaf + machine.deaf)
+                    up, silent, command_unreachable = self._counts.get(machine.zone, (0, 0, 0))
+                    quiet = self.silence_s(machine, now) > QUIET_LEASES * self.lease_s
+                    self._counts[machine.zone] = (
+                        up + 1,
+                        silent + quiet,
+                        command_unreachable + machine.command_unreachable,
+                    )
         return self._counts.get(zone, (0, 0, 0))
 
     def _drain(self, machine: Machine, now: float) -> None:
@@ -278,10 +288,10 @@
                 if attempt.job.gang:
                     self._stop_gang(attempt.job, 0.0, "machine is leaving", now)
                 else:
-                    self._drop(attempt, now)
-        if machine.why == "sick":
+                    self._remove_attempt(attempt, now)
+        if machine.reason == QUARANTINED:
             if machine.empty:
-                self.release(machine, "sick", now)
+                self.release(machine, QUARANTINED, now)
             elif all(attempt.job.service for attempt in machine.attempts.values()):
                 # Replicas never end: without a move it would be kept, and paid, for good.
                 self._move_replicas(machine, "machine is sick", now)
@@ -299,7 +309,7 @@
         if machine.empty and left < 0:
             self.release(machine, "taken", now)
 
-    def _move_replicas(self, machine: Machine, why: str, now: float, must: bool = False) -> None:
+    def _move_replicas(self, machine: Machine, reason: str, now: float, must: bool = False) -> None:
         """Stop replicas on a machine that is leaving, where they have another place.
 
         `must`: also without one. That they are gone is known by then; of a machine that was
@@ -313,7 +323,7 @@
             ):
                 continue
             if must or self._has_other_place(attempt, now):
-                self.preempt(attempt, why, now)
+                self.preempt(attempt, reason, now)
 
     def _has_other_place(self, attempt: TaskAttempt, now: float) -> bool:
         """Whether some other machine has room for a replica."""
--- a/topazhold/duties/book.py
+++ b/topazhold/duties/book.py
@@ -224,7 +224,7 @@
 
     def force_returns(self, reasons: Mapping[str, str], wall: float) -> None:
         """Machines that have to go at any price, recorded or not."""
-        missing = {name: why for name, why in reasons.items() if name not in self._return_of}
+        missing = {name: reason for name, reason in reasons.items() if name not in self._return_of}
         for portion in split_machines(missing, self._value_limit):
             order = self._add(ReturnOrder(ReturnRecord(**self._header(wall), machines=portion)))
             self._return_of.update(dict.fromkeys(portion, order))
@@ -235,18 +235,18 @@
                 self.counters.forced += 1
 
     def release_request(
-        self, must_go: Callable[[str], bool], only_must_go: bool
+        self, must_be_released: Callable[[str], bool], only_forced: bool
     ) -> ReleaseRequest | None:
         """Machines to ask the cloud to take back now, those that must go first.
 
-        `only_must_go`: whoever is not sure to be the holder asks for these alone.
+        `only_forced`: whoever is not sure to be the holder asks for these alone.
         """
         due = [
-            (not must_go(name), name, order)
+            (not must_be_released(name), name, order)
             for order in self.of_kind(ReturnOrder, OrderState.RECORDED, OrderState.SENT)
             for name in order.left
         ]
-        if only_must_go:
+        if only_forced:
             due = [item for item in due if not item[0]]
         due.sort(key=lambda item: item[:2])
         due = due[:MAX_RELEASED_MACHINES]
--- a/topazhold/duties/cleaning.py
+++ b/topazhold/duties/cleaning.py
@@ -37,7 +37,7 @@
         self._holder = holder
         self._swept = False
 
-    def job_over(self, job: Job) -> None:
+    def on_job_ended(self, job: Job) -> None:
         """A job is over; its parts, if it has any, are of no use any more."""
         self._decide(job.id, range(1, records.parts_of(job)))
 
--- a/topazhold/duties/returning.py
+++ b/topazhold/duties/returning.py
@@ -68,14 +68,14 @@
             self._force_returns()
         elif not may_act:
             return None
-        return book.release_request(scheduler.must_go, only_must_go=not may_act)
+        return book.release_request(scheduler.must_be_released, only_forced=not may_act)
 
     def _force_returns(self) -> None:
         """Machines with cancelled tasks go also while nothing can be recorded."""
         scheduler, book = self._context.scheduler, self._holder.book
         forced = {}
         for name, reason in scheduler.releases.items():
-            if scheduler.must_go(name):
+            if scheduler.must_be_released(name):
                 order = book.return_of(name)
                 if order is None or order.state is OrderState.DECIDED:
                     forced[name] = reason
@@ -108,7 +108,7 @@
         self._holder.book.machines_gone(names, now)
         known = [name for name in names if name in self._context.scheduler.machines]
         for name in names:
-            self._context.scheduler.machine_gone(name, now)
+            self._context.scheduler.remove_machine(name, now)
         if known:
             log.info("%d machines were released by another controller", len(known))
             await self._context.request_plan()
@@ -117,7 +117,7 @@
         """The machines and all on them are gone."""
         stale: set[IntentShard] = set()
         for name in names:
-            self._context.scheduler.machine_gone(name, now)
+            self._context.scheduler.remove_machine(name, now)
             shard = self._context.shards.gone(name)
             if shard is not None and shard.revision:
                 stale.add(shard)
--- a/topazhold/duties/term_duties.py
+++ b/topazhold/duties/term_duties.py
@@ -54,7 +54,7 @@
         self.returning = ReturnDuty(context, self.holder, cloud, intents, tell_released)
         self._renting = RentDuty(context, self.holder, cloud, self._machine_list.listed)
         self._cleaning = CleanupDuty(context, self.holder)
-        context.clean_up = self._cleaning.job_over
+        context.clean_up = self._cleaning.on_job_ended
 
     async def take_over(self, entries: list[Entry], released: list[str]) -> None:
         """Complete what earlier terms left open; `released` machines are known to be gone."""
