--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -69,7 +69,7 @@
             gang = bench.job(make_spec(number, tasks=2, gpus=1.0))
             gang.is_aged = True
         counted = Calls(monkeypatch, "_free_slots")
-        bench.scheduler._wish_for_zones({}, [MACHINE_TYPE], bench.now)
+        bench.scheduler._demand_for_zones({}, [MACHINE_TYPE], bench.now)
         looks.append(counted.taken())
         monkeypatch.undo()
     assert looks == [1, 1]
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -12,8 +12,8 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
+from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.jobs import AttemptState, Job, TaskAttempt
-from topazhold.core.renting import MAX_RELEASED_MACHINES
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -12,7 +12,7 @@
 from tests.standins import CloudService, start_node
 from tests.traps import POINTS, Trap
 from tests.versions import production
-from topazhold.core.renting import Ask
+from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.duties.book import MAX_ENTRIES, OrderBook
 from topazhold.duties.orders import OrderError, OrderState, ReturnOrder
 from topazhold.duties.records import (
@@ -392,7 +392,7 @@
         book.closed(book.to_close(2.0, 16))
     assert len(book.open_orders()) <= MAX_ENTRIES + 1
     while book.may_rent():
-        rental = book.decide_rental(Ask("b1", "a", False, 1), 1.0)
+        rental = book.decide_rental(ScaleOutRequest("b1", "a", False, 1), 1.0)
         book.recorded([rental], 1.0)
         for _ in range(10):
             book.sending(rental)
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
-from topazhold.core.renting import Ask
+from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.duties.book import OrderBook, ReleaseRequest
 from topazhold.duties.orders import OrderState, RentalOrder, ReturnOrder
 from topazhold.duties.records import (
@@ -170,7 +170,7 @@
     def rent_some(self, index: int, count: int, fate: str) -> None:
         holder = self._running(index)
         if holder is not None and self._may_act(holder) and holder.book.may_rent():
-            holder.book.decide_rental(Ask("b1", "a", False, count), self.now)
+            holder.book.decide_rental(ScaleOutRequest("b1", "a", False, count), self.now)
             self._record(holder, fate)
 
     @rule(index=HOLDER, rentals=st.booleans(), fate=FATES)
@@ -330,7 +330,7 @@
     """Names of requests do not carry the term."""
     decide = OrderBook.decide_rental
 
-    def reused(self: OrderBook, ask: Ask, wall: float) -> RentalOrder:
+    def reused(self: OrderBook, ask: ScaleOutRequest, wall: float) -> RentalOrder:
         order = decide(self, ask, wall)
         number = order.record.number
         order.record = type(order.record)(
--- a/tests/test_rental_limits.py
+++ b/tests/test_rental_limits.py
@@ -8,8 +8,14 @@
 from hypothesis import strategies as st
 
 from tests.conftest import MACHINE_TYPE, Bench, make_spec
+from topazhold.core.autoscaling import (
+    CapacityBackoff,
+    CapacityDemand,
+    Fleet,
+    ScaleOutRequest,
+    scale_out,
+)
 from topazhold.core.machines import Machine, MachineState
-from topazhold.core.renting import Ask, Fleet, Refusals, Wish, rent
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured, and
 #: not taken from the product, which is to be held to it.
@@ -39,13 +45,13 @@
     def total(self) -> int:
         return sum(machines for machines, _ in self.machines)
 
-    def wish(self) -> Wish:
-        wish = Wish()
+    def demand(self) -> CapacityDemand:
+        demand = CapacityDemand()
         for machines, zone in self.machines:
-            wish.add(float(machines), zone)
+            demand.add(float(machines), zone)
         for zone, machines in self.at_once.items():
-            wish.at_least(float(machines), zone)
-        return wish
+            demand.at_least(float(machines), zone)
+        return demand
 
 
 SIZES = st.integers(0, MAX_DEMANDED)
@@ -76,10 +82,10 @@
     return Fleet(MACHINE_TYPE, machines)
 
 
-def refuse(refusals: Refusals, kinds: set[tuple[str, bool]], now: float) -> None:
+def refuse(capacity_backoff: CapacityBackoff, kinds: set[tuple[str, bool]], now: float) -> None:
     """The cloud had none of these just now."""
     for zone, spot in kinds:
-        refusals.refused(MACHINE_TYPE.name, zone, spot, 10.0, now)
+        capacity_backoff.on_refused(MACHINE_TYPE.name, zone, spot, 10.0, now)
 
 
 def requests_for(
@@ -87,15 +93,15 @@
     ordinary: Demand,
     there: dict[tuple[str, bool], int],
     refused: set[tuple[str, bool]],
-) -> list[Ask]:
-    refusals = Refusals()
-    refuse(refusals, refused, NOW)
+) -> list[ScaleOutRequest]:
+    capacity_backoff = CapacityBackoff()
+    refuse(capacity_backoff, refused, NOW)
     name = MACHINE_TYPE.name
-    found = {(name, True): spot.wish(), (name, False): ordinary.wish()}
-    return rent(found, MACHINE_TYPE, fleet_of(there), refusals, NOW)
+    found = {(name, True): spot.demand(), (name, False): ordinary.demand()}
+    return scale_out(found, MACHINE_TYPE, fleet_of(there), capacity_backoff, NOW)
 
 
-def assert_within_protocol(requests: list[Ask]) -> None:
+def assert_within_protocol(requests: list[ScaleOutRequest]) -> None:
     for request in requests:
         assert 1 <= request.count <= PROTOCOL_MACHINES, (
             f"a request names {request.count} machines of zone {request.zone}, "
@@ -137,8 +143,8 @@
     bench = Bench(machines=there)
     for number, job in enumerate(jobs):
         bench.job(make_spec(number, cpus=MACHINE_TYPE.cpus, gpus=0.0, shape="batch", **job))
-    refuse(bench.scheduler.refusals, refused, bench.now)
-    assert_within_protocol(bench.scheduler.rent(bench.now))
+    refuse(bench.scheduler.capacity_backoff, refused, bench.now)
+    assert_within_protocol(bench.scheduler.scale_out(bench.now))
 
 
 @SAME_EXAMPLES
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -3,8 +3,14 @@
 from __future__ import annotations
 
 from tests.conftest import MACHINE_TYPE
+from topazhold.core.autoscaling import (
+    CapacityBackoff,
+    CapacityDemand,
+    Fleet,
+    ScaleOutRequest,
+    scale_out,
+)
 from topazhold.core.machines import Machine, MachineState
-from topazhold.core.renting import Ask, Fleet, Refusals, Wish, rent
 
 NOW = 100.0
 
@@ -20,15 +26,19 @@
     return Fleet(MACHINE_TYPE, machines)
 
 
-def asks_for(wish: Wish, fleet: Fleet, refusals: Refusals, spot: bool) -> list[Ask]:
-    return rent({(MACHINE_TYPE.name, spot): wish}, MACHINE_TYPE, fleet, refusals, NOW)
+def asks_for(
+    demand: CapacityDemand, fleet: Fleet, capacity_backoff: CapacityBackoff, spot: bool
+) -> list[ScaleOutRequest]:
+    return scale_out(
+        {(MACHINE_TYPE.name, spot): demand}, MACHINE_TYPE, fleet, capacity_backoff, NOW
+    )
 
 
-def refused(*kinds: tuple[str, bool]) -> Refusals:
-    refusals = Refusals()
+def refused(*kinds: tuple[str, bool]) -> CapacityBackoff:
+    capacity_backoff = CapacityBackoff()
     for zone, spot in kinds:
-        refusals.refused(MACHINE_TYPE.name, zone, spot, 10.0, NOW)
-    return refusals
+        capacity_backoff.on_refused(MACHINE_TYPE.name, zone, spot, 10.0, NOW)
+    return capacity_backoff
 
 
 def test_what_is_bound_to_a_full_zone_is_not_rented_in_another() -> None:
@@ -38,23 +48,23 @@
     zone a was asked again.
     """
     for spot in (False, True):
-        wish = Wish()
-        wish.add(5.0, "a")
-        wish.add(1.0, None)
-        refusals = refused(("a", False), ("a", True), ("b", True))
-        assert asks_for(wish, fleet_of(a=1, b=3), refusals, spot) == []
+        demand = CapacityDemand()
+        demand.add(5.0, "a")
+        demand.add(1.0, None)
+        capacity_backoff = refused(("a", False), ("a", True), ("b", True))
+        assert asks_for(demand, fleet_of(a=1, b=3), capacity_backoff, spot) == []
 
 
 def test_what_may_run_anywhere_is_rented_where_there_is_room() -> None:
-    wish = Wish()
-    wish.add(5.0, None)
-    wish.at_least(4.0, "a")
-    asks = asks_for(wish, fleet_of(a=1), refused(("a", False)), False)
-    assert [(ask.zone, ask.count) for ask in asks] == [("b", 4)]
+    demand = CapacityDemand()
+    demand.add(5.0, None)
+    demand.at_least(4.0, "a")
+    requests = asks_for(demand, fleet_of(a=1), refused(("a", False)), False)
+    assert [(ask.zone, ask.count) for ask in requests] == [("b", 4)]
 
 
 def test_bound_work_is_asked_for_as_soon_as_its_zone_may_be_asked() -> None:
-    wish = Wish()
-    wish.add(5.0, "a")
-    asks = asks_for(wish, fleet_of(a=1, b=3), Refusals(), False)
-    assert [(ask.zone, ask.count) for ask in asks] == [("a", 4)]
+    demand = CapacityDemand()
+    demand.add(5.0, "a")
+    requests = asks_for(demand, fleet_of(a=1, b=3), CapacityBackoff(), False)
+    assert [(ask.zone, ask.count) for ask in requests] == [("a", 4)]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -6,10 +6,10 @@
 
 from tests.conftest import Bench, make_spec
 from topazhold.core import preemption, recovery
+from topazhold.core.autoscaling import counts_as_capacity
 from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
-from topazhold.core.renting import counted
 from topazhold.core.search import AGED
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
@@ -441,7 +441,7 @@
     machine = bench.scheduler.machines["host-0"]
     assert machine.command_unreachable and not bench.scheduler.usable(machine, bench.now)
     assert not machine.attempts, "no limit is kept for it"
-    assert not counted(machine)
+    assert not counts_as_capacity(machine)
     bench.scheduler.tick(bench.now)
     assert job.gang_state is not GangState.STARTING
     bench.all_report()
@@ -516,12 +516,14 @@
     bench = Bench(machines=1, term=8)
     bench.report("host-9", term=7)
     machine = bench.scheduler.machines["host-9"]
-    assert not counted(machine) and counted(bench.scheduler.machines["host-0"])
+    assert not counts_as_capacity(machine) and counts_as_capacity(
+        bench.scheduler.machines["host-0"]
+    )
     assert bench.scheduler.directory() == [("host-0", "a")]
     bench.scheduler.on_machine_list(
         [ListedMachine("host-9", "b1", "a", "running")], bench.now, bench.now
     )
-    assert counted(machine)
+    assert counts_as_capacity(machine)
 
 
 # -- turns ------------------------------------------------------------------------
@@ -697,7 +699,9 @@
     """A third of a zone that hung for 1.6 leases was released just before it came back."""
     bench, silent = silent_group(0.3)
     assert not bench.scheduler.releases
-    missed = [m for m in bench.scheduler.machines.values() if bench.scheduler._missed(m, bench.now)]
+    missed = [
+        m for m in bench.scheduler.machines.values() if bench.scheduler._is_missing(m, bench.now)
+    ]
     assert len(missed) == silent, "made up for, in case they are dead"
     for number in range(silent - 1):
         bench.report(f"host-{number:02d}", incarnation=2)
@@ -719,7 +723,9 @@
 def test_cut_zone_is_neither_released_nor_made_up_for() -> None:
     bench, _ = silent_group(0.6)
     assert not bench.scheduler.releases
-    assert not any(bench.scheduler._missed(m, bench.now) for m in bench.scheduler.machines.values())
+    assert not any(
+        bench.scheduler._is_missing(m, bench.now) for m in bench.scheduler.machines.values()
+    )
 
 
 def test_work_that_yields_keeps_off_room_that_is_whole_within_seconds() -> None:
@@ -752,13 +758,13 @@
     gang = bench.job(make_spec(7, tasks=2, gpus=4.0, spot=False))
     assert bench.plan() == []
     bench.scheduler.last_arrival = -1e9  # no headroom while nothing comes
-    assert bench.scheduler.rent(bench.now) == [], "not at once: others may be done soon"
+    assert bench.scheduler.scale_out(bench.now) == [], "not at once: others may be done soon"
     bench.now += bench.scheduler.ageing_threshold_s(gang) + 1.0
     bench.all_report()
     bench.scheduler.tick(bench.now)
     bench.scheduler.last_arrival = -1e9
-    asks = bench.scheduler.rent(bench.now)
-    assert [ask.count for ask in asks] == [1]
+    requests = bench.scheduler.scale_out(bench.now)
+    assert [ask.count for ask in requests] == [1]
 
 
 def test_gang_is_not_promised_the_room_of_a_service() -> None:
@@ -799,8 +805,8 @@
     bench.all_report()
     bench.scheduler.tick(bench.now)
     bench.scheduler.last_arrival = -1e9
-    asks = bench.scheduler.rent(bench.now)
-    assert [(ask.zone, ask.count) for ask in asks] == [("b", 1)]
+    requests = bench.scheduler.scale_out(bench.now)
+    assert [(ask.zone, ask.count) for ask in requests] == [("b", 1)]
 
 
 def test_service_that_must_be_in_two_zones_gets_a_machine_in_the_full_one() -> None:
@@ -826,8 +832,8 @@
     bench.all_report()
     bench.scheduler.tick(bench.now)
     bench.scheduler.last_arrival = -1e9
-    asks = bench.scheduler.rent(bench.now)
-    assert [(ask.zone, ask.count) for ask in asks] == [("b", 1)]
+    requests = bench.scheduler.scale_out(bench.now)
+    assert [(ask.zone, ask.count) for ask in requests] == [("b", 1)]
 
 
 def test_pressing_gang_does_not_count_on_a_guarantee_that_it_lacks() -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -258,8 +258,8 @@
 def test_machines_are_rented_for_a_service() -> None:
     bench = Bench(machines=0)
     bench.job(service_spec(tasks=2, scatter=True))
-    asks = bench.scheduler.rent(bench.now)
-    assert {ask.zone for ask in asks} == {"a", "b"}
+    requests = bench.scheduler.scale_out(bench.now)
+    assert {ask.zone for ask in requests} == {"a", "b"}
 
 
 def test_no_replacement_after_a_cancellation(bench: Bench) -> None:
--- a/tests/test_unrecordable_order.py
+++ b/tests/test_unrecordable_order.py
@@ -13,7 +13,7 @@
 import topazhold.settings
 from tests.scenes import Scene, assert_rules, play_scene
 from tests.standins import CloudService
-from topazhold.core.renting import Ask
+from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.duties.records import RecordError, write_record
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
@@ -63,16 +63,16 @@
 
 async def scale_out(scene: Scene, leader: str) -> Shown:
     """A job comes that needs more machines than there are."""
-    history, asks = scene.cloud.orders, scene.cloud.asks
-    recorded, sent = set(history.rentals), set(asks)
+    history, requests = scene.cloud.orders, scene.cloud.asks
+    recorded, sent = set(history.rentals), set(requests)
     await scene.submit(scene.others(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
-    return Shown(lambda: history.rentals > recorded, lambda: asks.keys() > sent)
+    return Shown(lambda: history.rentals > recorded, lambda: requests.keys() > sent)
 
 
 def decide_unrecordable(scene: Scene, leader: str) -> None:
     """An operation whose record is refused, however its count came to be."""
     book = scene.nodes[leader].leading.duties.book
-    order = book.decide_rental(Ask("b1", "a", False, 1), scene.clock.now)
+    order = book.decide_rental(ScaleOutRequest("b1", "a", False, 1), scene.clock.now)
     order.record = msgspec.structs.replace(order.record, count=PROTOCOL_MACHINES + 1)
     with pytest.raises(RecordError):
         write_record(order.record)
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -4,7 +4,7 @@
 
 import curio
 
-from topazhold.core.renting import Ask
+from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.io.client import Client
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.io.rate import Bucket
@@ -54,7 +54,7 @@
         except BadMessage as exc:
             raise CloudDown(f"catalog: {exc}") from None
 
-    async def rent(self, name: str, ask: Ask) -> list[str]:
+    async def rent(self, name: str, ask: ScaleOutRequest) -> list[str]:
         """Rent machines; repeating the name gives the same ones."""
         body = wire.rent_body(name, ask.machine_type, ask.zone, ask.spot, ask.count)
         status, answer = await self._ask("POST", wire.MACHINES_PATH, body)
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -16,9 +16,9 @@
 import curio
 
 from topazhold.control.cloud import Cloud, CloudDown
+from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.placements import Place, Placements
-from topazhold.core.renting import MAX_RELEASED_MACHINES
 from topazhold.io.client import Client, Clients
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import Settings, address
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from topazhold.control.store import TROUBLE, USERS, Conflict, Store, StoreUnknown
-from topazhold.core import records, renting
+from topazhold.core import autoscaling, records
 from topazhold.core.jobs import Job
 from topazhold.core.quota import team_limit_allows
 from topazhold.io.http import Answer, Request
@@ -170,7 +170,7 @@
         team = self._teams.get(spec.team)
         if team is None or not self._team_takes(team, spec):
             return 422, None, "unknown team, or more than its limit"
-        if not renting.fits_some_type(spec, self._machine_types.values()):
+        if not autoscaling.fits_some_type(spec, self._machine_types.values()):
             return 422, None, "fits no allowed machine type"
         return 201, spec, ""
 
--- a/topazhold/core/renting.py
+++ b/topazhold/core/autoscaling.py
@@ -19,7 +19,7 @@
 IDLE_WHEN_QUIET = 0.2
 
 
-class Ask:
+class ScaleOutRequest:
     """A rental request, still to be named."""
 
     __slots__ = ("machine_type", "zone", "spot", "count")
@@ -31,7 +31,7 @@
         self.count = count
 
 
-class RentRules:
+class ScalingPolicy:
     """Ratios of the renting policy."""
 
     def __init__(self, headroom_share: float, idle_boots: float, use_spot: bool) -> None:
@@ -40,22 +40,24 @@
         self.use_spot = use_spot
 
 
-class Refusals:
+class CapacityBackoff:
     """Where the cloud had nothing to give, and until when not to ask again."""
 
     def __init__(self) -> None:
         self._until: dict[tuple[str, str, bool], tuple[float, float]] = {}
 
-    def refused(self, machine_type: str, zone: str, spot: bool, base_s: float, now: float) -> None:
+    def on_refused(
+        self, machine_type: str, zone: str, spot: bool, base_s: float, now: float
+    ) -> None:
         key = (machine_type, zone, spot)
         _, pause = self._until.get(key, (0.0, 0.0))
         pause = min(max(base_s, pause * 2), base_s * 4)
         self._until[key] = (now + pause, pause)
 
-    def granted(self, machine_type: str, zone: str, spot: bool) -> None:
+    def on_granted(self, machine_type: str, zone: str, spot: bool) -> None:
         self._until.pop((machine_type, zone, spot), None)
 
-    def open(self, machine_type: str, zone: str, spot: bool, now: float) -> bool:
+    def may_request(self, machine_type: str, zone: str, spot: bool, now: float) -> bool:
         return self._until.get((machine_type, zone, spot), (0.0, 0.0))[0] <= now
 
 
@@ -79,7 +81,7 @@
     return chosen
 
 
-class Wish:
+class CapacityDemand:
     """Machines wanted of one type and kind: anywhere, and in given zones at least.
 
     What is `bound` to a zone is of no use in any other.
@@ -111,23 +113,23 @@
 
 
 #: Wishes by type and kind (True: spot).
-Wishes = dict[tuple[str, bool], Wish]
+CapacityDemands = dict[tuple[str, bool], CapacityDemand]
 
 
-def wishes(
+def capacity_demands(
     jobs: Iterable[Job],
     machine_types: list[MachineType],
     teams: dict[str, Team],
     zone_of: dict[str, str],
-    rules: RentRules,
+    rules: ScalingPolicy,
     growing: bool,
-) -> Wishes:
+) -> CapacityDemands:
     """Machines' worth of unfinished work per type and kind, within the teams' limits.
 
     Headroom is kept only while jobs keep coming.
     """
-    found: Wishes = {}
-    gangs: list[tuple[Wish, Job, float, MachineType]] = []
+    found: CapacityDemands = {}
+    gangs: list[tuple[CapacityDemand, Job, float, MachineType]] = []
     counts: dict[str, int] = {}
     for zone in zone_of.values():
         counts[zone] = counts.get(zone, 0) + 1
@@ -149,21 +151,21 @@
         whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
         machines = tasks / count_fitting(job.need, whole, 1 << 20)
         spot = job.spec.spot and rules.use_spot and machine_type.spot_price is not None
-        wish = found.setdefault((machine_type.name, spot), Wish())
+        demand = found.setdefault((machine_type.name, spot), CapacityDemand())
         bound = _bound_zone(job, zone_of)
-        wish.add(machines, bound)
+        demand.add(machines, bound)
         if bound is None and (job.service or (job.gang and not job.attempts)):
-            gangs.append((wish, job, machines, machine_type))
-    for wish, job, machines, machine_type in gangs:
+            gangs.append((demand, job, machines, machine_type))
+    for demand, job, machines, machine_type in gangs:
         # Room that is there, but in the wrong zones, lets no gang start.
         by_size = sorted(machine_type.zones, key=lambda zone: -counts.get(zone, 0))
         if job.spec.same_place:
-            wish.at_least(machines, by_size[0])
+            demand.at_least(machines, by_size[0])
         elif job.spec.scatter and len(by_size) > 1:
             for zone in by_size[:2]:
-                wish.at_least(machines / 2, zone)
-    for wish in found.values():
-        wish.scale(1.0 + (rules.headroom_share if growing else 0.0))
+                demand.at_least(machines / 2, zone)
+    for demand in found.values():
+        demand.scale(1.0 + (rules.headroom_share if growing else 0.0))
     return found
 
 
@@ -178,7 +180,7 @@
     return None
 
 
-def counted(machine: Machine) -> bool:
+def counts_as_capacity(machine: Machine) -> bool:
     """Whether a machine counts as capacity, now or soon."""
     if machine.command_unreachable or machine.unconfirmed:
         return False
@@ -192,7 +194,7 @@
         self.machines = [
             machine
             for machine in machines
-            if counted(machine)
+            if counts_as_capacity(machine)
             and machine.machine_type is not None
             and machine.machine_type.name == machine_type.name
         ]
@@ -207,53 +209,59 @@
         return sum(number for (_, kind), number in self.zones.items() if kind is spot)
 
 
-def rent(
-    found: Wishes, machine_type: MachineType, fleet: Fleet, refusals: Refusals, now: float
-) -> list[Ask]:
+def scale_out(
+    found: CapacityDemands,
+    machine_type: MachineType,
+    fleet: Fleet,
+    capacity_backoff: CapacityBackoff,
+    now: float,
+) -> list[ScaleOutRequest]:
     """Requests that bring a type's capacity up to what is wished.
 
     Spot machines are asked for first; what the cloud won't give of them is
     made up by ordinary ones.
     """
-    cheap = found.get((machine_type.name, True), Wish())
-    plain = found.get((machine_type.name, False), Wish())
+    cheap = found.get((machine_type.name, True), CapacityDemand())
+    plain = found.get((machine_type.name, False), CapacityDemand())
     # Ordinary machines beyond their own wish serve spot work too.
     spare = max(0, fleet.count(False) - math.ceil(plain.total))
-    asks, missing, missing_zones = _ask(
-        machine_type, True, math.ceil(cheap.total) - spare, cheap, fleet, refusals, now
+    requests, missing, missing_zones = _scale_out_requests(
+        machine_type, True, math.ceil(cheap.total) - spare, cheap, fleet, capacity_backoff, now
     )
-    both = Wish()
+    both = CapacityDemand()
     both.zones, both.bound = dict(plain.zones), dict(plain.bound)
     for zone, number in missing_zones.items():
         both.zones[zone] = both.zones.get(zone, 0.0) + number
         short = math.ceil(cheap.bound.get(zone, 0.0)) - fleet.zones.get((zone, True), 0)
         both.bound[zone] = both.bound.get(zone, 0.0) + max(0, min(number, short))
-    more, _, _ = _ask(
-        machine_type, False, math.ceil(plain.total) + missing, both, fleet, refusals, now
+    more, _, _ = _scale_out_requests(
+        machine_type, False, math.ceil(plain.total) + missing, both, fleet, capacity_backoff, now
     )
-    return asks + more
+    return requests + more
 
 
-def _ask(
+def _scale_out_requests(
     machine_type: MachineType,
     spot: bool,
     total: int,
-    wish: Wish,
+    demand: CapacityDemand,
     fleet: Fleet,
-    refusals: Refusals,
+    capacity_backoff: CapacityBackoff,
     now: float,
-) -> tuple[list[Ask], int, dict[str, int]]:
+) -> tuple[list[ScaleOutRequest], int, dict[str, int]]:
     """Requests of one kind, and what can't be asked for: in all, and by zone.
 
     What is bound to a zone that has none now is not asked for elsewhere: a machine there
     was given back idle, and its room in the cloud taken again before the zone's turn came.
     """
     usable = [
-        zone for zone in machine_type.zones if refusals.open(machine_type.name, zone, spot, now)
+        zone
+        for zone in machine_type.zones
+        if capacity_backoff.may_request(machine_type.name, zone, spot, now)
     ]
     counts = dict.fromkeys(usable, 0)
     missing_zones: dict[str, int] = {}
-    for zone, number in wish.zones.items():
+    for zone, number in demand.zones.items():
         short = math.ceil(number) - fleet.zones.get((zone, spot), 0)
         if short > 0 and zone in counts:
             counts[zone] = min(short, MAX_SCALE_OUT_MACHINES)
@@ -263,7 +271,7 @@
     if usable:
         short -= sum(
             max(0, math.ceil(number) - fleet.zones.get((zone, spot), 0))
-            for zone, number in wish.bound.items()
+            for zone, number in demand.bound.items()
             if zone not in counts
         )
         for _ in range(min(short, MAX_SCALE_OUT_MACHINES)):
@@ -274,15 +282,19 @@
         missing = sum(missing_zones.values())
     else:
         missing = max(short, sum(missing_zones.values()), 0)
-    asks = [Ask(machine_type.name, zone, spot, number) for zone, number in counts.items() if number]
-    return asks, missing, missing_zones
+    requests = [
+        ScaleOutRequest(machine_type.name, zone, spot, number)
+        for zone, number in counts.items()
+        if number
+    ]
+    return requests, missing, missing_zones
 
 
-def returns(
-    found: Wishes,
+def scale_in(
+    found: CapacityDemands,
     machine_type: MachineType,
     fleet: Fleet,
-    rules: RentRules,
+    rules: ScalingPolicy,
     growing: bool,
     now: float,
 ) -> list[Machine]:
@@ -292,8 +304,8 @@
     what it costs till then is what renting it anew would cost. When no jobs
     come any more there is less to wait for.
     """
-    cheap = found.get((machine_type.name, True), Wish())
-    plain = found.get((machine_type.name, False), Wish())
+    cheap = found.get((machine_type.name, True), CapacityDemand())
+    plain = found.get((machine_type.name, False), CapacityDemand())
     short_spot = max(0.0, cheap.total - fleet.count(True))
     extra = {
         False: fleet.count(False) - math.ceil(plain.total + short_spot),
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/ledger.py
@@ -10,7 +10,7 @@
 import math
 from random import Random
 
-from topazhold.core import gangs, quota, records, renting
+from topazhold.core import autoscaling, gangs, quota, records
 from topazhold.core.estimates import Estimates
 from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
 from topazhold.core.machines import Machine, MachineState
@@ -66,7 +66,7 @@
         self.reservation_expiry_s = operator.reservation_expiry_s
         self.summary_s = operator.summary_s
         self.clock = gangs.GangClock(workers.heartbeat_interval_s, workers.gang_wait_s)
-        self.rent_rules = renting.RentRules(
+        self.scaling_policy = autoscaling.ScalingPolicy(
             operator.headroom_share, operator.idle_boots, operator.use_spot
         )
         self.max_machine_attempts = max(
@@ -80,7 +80,7 @@
         self.machine_types: dict[str, MachineType] = {}
         self.usage = quota.Usage(cluster.teams)
         self.estimates = Estimates()
-        self.refusals = renting.Refusals()
+        self.capacity_backoff = autoscaling.CapacityBackoff()
         self.last_arrival = now
         self.last_attempt_number = term * ATTEMPTS_PER_TERM
         # What is to be done by the outside:
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -9,7 +9,7 @@
 
 import math
 
-from topazhold.core import preemption, renting
+from topazhold.core import autoscaling, preemption
 from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.ledger import UP
 from topazhold.core.machines import Machine, count_fitting
@@ -116,18 +116,18 @@
         return [
             (machine.name, machine.zone)
             for machine in self.machines.values()
-            if renting.counted(machine)
+            if autoscaling.counts_as_capacity(machine)
         ]
 
-    def _missed(self, machine: Machine, now: float) -> bool:
+    def _is_missing(self, machine: Machine, now: float) -> bool:
         return (
             machine.state in UP
             and self.silence_s(machine, now) > self.lease_s
             and not math.isinf(self._silence_limit_leases(machine, now))
         )
 
-    def _wish_for_zones(
-        self, found: renting.Wishes, machine_types: list[MachineType], now: float
+    def _demand_for_zones(
+        self, found: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
     ) -> None:
         """Machines for a job that has waited while its room is there, but in the wrong zones.
 
@@ -145,16 +145,16 @@
             and self._is_starving(job, now)
         ]
         # Gangs of one shape find the same room: counted once for all of them.
-        counted: dict[object, dict[str, int]] = {}
+        counts_as_capacity: dict[object, dict[str, int]] = {}
         for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
-            machine_type = renting.best_type(job.spec, machine_types)
+            machine_type = autoscaling.best_type(job.spec, machine_types)
             if machine_type is None or not self._limit_reachable(job):
                 continue
             types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
             shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
-            free = counted.get(shape)
+            free = counts_as_capacity.get(shape)
             if free is None:
-                free = counted[shape] = self._free_slots(job, machine_type)
+                free = counts_as_capacity[shape] = self._free_slots(job, machine_type)
             short = self._short_zone(job, machine_type.zones, free)
             if short is None:
                 continue
@@ -163,15 +163,19 @@
             each = count_fitting(job.need, whole, job.spec.tasks)
             more = math.ceil(tasks / each)
             spot = (
-                job.spec.spot and self.rent_rules.use_spot and machine_type.spot_price is not None
+                job.spec.spot
+                and self.scaling_policy.use_spot
+                and machine_type.spot_price is not None
             )
             there = sum(
-                machine.zone == zone and machine.spot is spot and renting.counted(machine)
+                machine.zone == zone
+                and machine.spot is spot
+                and autoscaling.counts_as_capacity(machine)
                 for machine in self.machines.values()
                 if machine.machine_type is not None
             )
-            wish = found.setdefault((machine_type.name, spot), renting.Wish())
-            wish.at_least(there + more, zone)
+            demand = found.setdefault((machine_type.name, spot), autoscaling.CapacityDemand())
+            demand.at_least(there + more, zone)
             return  # one at a time
 
     def _is_starving(self, job: Job, now: float) -> bool:
@@ -207,28 +211,28 @@
         """Zone by zone, how many tasks of a job the machines have room for now or soon."""
         free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
         for machine in self.machines.values():
-            if not renting.counted(machine) or machine.machine_type is None:
+            if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
                 continue
             if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 slots = count_fitting(job.need, machine.free(), job.spec.tasks)
                 free[machine.zone] = free.get(machine.zone, 0) + slots
         return free
 
-    def rent(self, now: float) -> list[renting.Ask]:
+    def scale_out(self, now: float) -> list[autoscaling.ScaleOutRequest]:
         """Rental requests; idle machines that are not wanted go to `releases`."""
         machine_types = list(self.machine_types.values())
         self.refresh_guarantees()
         slowest = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
         growing = now - self.last_arrival < max(slowest, self.lease_s)
-        found = renting.wishes(
+        found = autoscaling.capacity_demands(
             self.jobs.values(),
             machine_types,
             self.usage.teams,
             self.zone_of,
-            self.rent_rules,
+            self.scaling_policy,
             growing,
         )
-        self._wish_for_zones(found, machine_types, now)
+        self._demand_for_zones(found, machine_types, now)
         self._lower = {}
         reserved = {
             name
@@ -236,17 +240,19 @@
             if self._binding(reservation)
             for name in reservation.slots
         }
-        asks: list[renting.Ask] = []
+        requests: list[autoscaling.ScaleOutRequest] = []
         for machine_type in machine_types:
             # What has been silent for a lease is made up for, whether it comes back
             # or not; in a cut nothing is.
-            fleet = renting.Fleet(
-                machine_type, [m for m in self.machines.values() if not self._missed(m, now)]
+            fleet = autoscaling.Fleet(
+                machine_type, [m for m in self.machines.values() if not self._is_missing(m, now)]
             )
-            asks += renting.rent(found, machine_type, fleet, self.refusals, now)
-            for machine in renting.returns(
-                found, machine_type, fleet, self.rent_rules, growing, now
+            requests += autoscaling.scale_out(
+                found, machine_type, fleet, self.capacity_backoff, now
+            )
+            for machine in autoscaling.scale_in(
+                found, machine_type, fleet, self.scaling_policy, growing, now
             ):
                 if machine.name not in reserved:
                     self.release(machine, "idle", now)
-        return asks
+        return requests
--- a/topazhold/duties/book.py
+++ b/topazhold/duties/book.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any, TypeVar
 
-from topazhold.core.renting import MAX_RELEASED_MACHINES, Ask
+from topazhold.core.autoscaling import MAX_RELEASED_MACHINES, ScaleOutRequest
 from topazhold.duties.orders import (
     CleanupOrder,
     Order,
@@ -111,7 +111,7 @@
             orders.append(order)
         return orders
 
-    def decide_rental(self, ask: Ask, wall: float) -> RentalOrder:
+    def decide_rental(self, ask: ScaleOutRequest, wall: float) -> RentalOrder:
         """Rent machines, under a request name that is this order's own."""
         header = self._header(wall)
         record = RentalRecord(
--- a/topazhold/duties/records.py
+++ b/topazhold/duties/records.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from topazhold.core.renting import MAX_RELEASED_MACHINES, MAX_SCALE_OUT_MACHINES
+from topazhold.core.autoscaling import MAX_RELEASED_MACHINES, MAX_SCALE_OUT_MACHINES
 from topazhold.wire.codec import BadMessage, convert, json_size
 
 DUTY_PREFIX = "duty/"
--- a/topazhold/duties/renting.py
+++ b/topazhold/duties/renting.py
@@ -9,7 +9,7 @@
 
 from topazhold.control.cloud import Cloud, CloudDown, NoCapacity, RequestRefused
 from topazhold.control.term_context import TermContext
-from topazhold.core.renting import MAX_SCALE_OUT_MACHINES, Ask
+from topazhold.core.autoscaling import MAX_SCALE_OUT_MACHINES, ScaleOutRequest
 from topazhold.duties.holder import DutyHolder
 from topazhold.duties.orders import RentalOrder
 
@@ -58,13 +58,13 @@
 
     async def _rent(self) -> bool:
         """Decide, record and ask; whether so much was wished that more is likely to be."""
-        asks = self._context.scheduler.rent(await curio.clock())
-        for ask in asks:
+        requests = self._context.scheduler.scale_out(await curio.clock())
+        for ask in requests:
             self._holder.book.decide_rental(ask, time.time())
-        if asks:
+        if requests:
             await self._holder.record()
             await self._complete()
-        return sum(ask.count for ask in asks) >= MAX_SCALE_OUT_MACHINES
+        return sum(ask.count for ask in requests) >= MAX_SCALE_OUT_MACHINES
 
     async def _complete(self) -> None:
         """Ask for what is recorded and not answered yet."""
@@ -76,19 +76,19 @@
 
     async def _ask(self, order: RentalOrder) -> None:
         record, book = order.record, self._holder.book
-        refusals = self._context.scheduler.refusals
+        capacity_backoff = self._context.scheduler.capacity_backoff
         kind = (record.machine_type, record.zone, record.spot)
         pause_s = REFUSED_HEARTBEATS * self._context.heartbeat_interval_s
         if book.sending(order):
             log.info("rental %s asked for again", record.request)
-        ask = Ask(record.machine_type, record.zone, record.spot, record.count)
+        ask = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
         try:
             names = await self._cloud.rent(record.request, ask)
         except (NoCapacity, RequestRefused) as exc:
             if isinstance(exc, RequestRefused):
                 log.error("rental %s refused for good: %s", record.request, exc)
             now = await curio.clock()
-            refusals.refused(*kind, pause_s, now)
+            capacity_backoff.on_refused(*kind, pause_s, now)
             book.rented(order, [], now)
             return
         except CloudDown as exc:
@@ -103,6 +103,6 @@
         price = "spot" if record.spot else "ordinary"
         log.info("rented %d of %d %s in %s", len(names), record.count, price, record.zone)
         if len(names) < record.count:
-            refusals.refused(*kind, pause_s, now)
+            capacity_backoff.on_refused(*kind, pause_s, now)
         else:
-            refusals.granted(*kind)
+            capacity_backoff.on_granted(*kind)
