--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -22,7 +22,7 @@
 from tests.world import NAMES, ZONES, World
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.io.client import Client
-from topazhold.io.http import Answer, NoAnswer, NotSent, Request
+from topazhold.io.http import NoResponseError, Request, RequestNotSentError, Response
 from topazhold.io.server import Server
 from topazhold.settings import Settings
 from topazhold.wire.codec import unpack
@@ -108,15 +108,15 @@
 async def serve(port: int, handler: Callable[[], Any], source: str) -> None:
     """Put a socket in front of a stand-in."""
 
-    async def handle(request: Request) -> Answer:
+    async def handle(request: Request) -> Response:
         path = request.path + (f"?{request.query}" if request.query else "")
         body = unpack(request.body) if request.body else None
         try:
             status, answer = await handler()(source, request.method, path, body)
-        except (NoAnswer, NotSent):
+        except (NoResponseError, RequestNotSentError):
             await curio.sleep(PATIENCE_S)  # whoever asked gives up before
-            return Answer(503)
-        return Answer(status, answer)
+            return Response(503)
+        return Response(status, answer)
 
     await Server(handle, 500, idle_s=60.0).run((LOOPBACK, port))
 
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -19,7 +19,7 @@
     stop_node,
 )
 from tests.world import STEP_S, World
-from topazhold.io.http import NoAnswer, NotSent
+from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.wire.codec import unpack
 
 #: Report period, lease and time for a cancellation of the two sites.
@@ -157,7 +157,7 @@
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         try:
             status, data = await self.net.ask("user", via, method, path, body, 5.0)
-        except (NotSent, NoAnswer):
+        except (RequestNotSentError, NoResponseError):
             return 0, None
         return status, unpack(data) if data else None
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -21,7 +21,7 @@
 
 from tests.cloud_history import CloudHistory
 from tests.versions import CURRENT, Version, member
-from topazhold.io.http import NoAnswer, NotSent
+from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import LaterLimits, Settings
 from topazhold.wire.codec import json_size, pack, unpack
 from topazhold.wire.messages import JobSpec
@@ -141,49 +141,49 @@
         await curio.sleep(self.rng.uniform(0.001, 0.01 + self.delay_s))
         handler = self.hosts.get(target)
         if handler is None:
-            raise NotSent(target)
+            raise RequestNotSentError(target)
         if self.cut(source, target):
             if self.holding and self.rng.random() < 0.5:
                 await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
                 await curio.sleep(timeout_s)
-                raise NoAnswer(target)
+                raise NoResponseError(target)
             if not self.holding:
-                raise NotSent(target)
+                raise RequestNotSentError(target)
             await curio.sleep(timeout_s)
-            raise NotSent(target)
+            raise RequestNotSentError(target)
         if self.loses(source, target):
             await curio.sleep(timeout_s)
-            raise NoAnswer(target)
+            raise NoResponseError(target)
         if path == "/multi":
             if self.rng.random() < self.late_writes:
                 await curio.spawn(self._late_write, handler, source, path, body, daemon=True)
                 await curio.sleep(timeout_s)
-                raise NoAnswer(target)
+                raise NoResponseError(target)
             self._written[source] = self._written.get(source, 0) + 1
         if method == "POST" and path.startswith("/machines"):
             if self.rng.random() < self.held_orders:
                 await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
                 await curio.sleep(timeout_s)
-                raise NoAnswer(target)
+                raise NoResponseError(target)
         lost = self.rng.random()
         if lost < self.loss:
             if self.rng.random() < 0.5:
                 await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
             await curio.sleep(timeout_s)
-            raise NoAnswer(target)
+            raise NoResponseError(target)
         try:
             status, answer = await curio.timeout_after(
                 timeout_s, handler, source, method, path, _read(body)
             )
         except curio.TaskTimeout:
-            raise NoAnswer(target) from None
+            raise NoResponseError(target) from None
         await curio.sleep(self.rng.uniform(0.001, 0.01))
         if self.loses(target, source):
             await curio.sleep(timeout_s)
-            raise NoAnswer(target)
+            raise NoResponseError(target)
         if lost < 2 * self.loss or self.hosts.get(target) is not handler:
             await curio.sleep(timeout_s * 0.5)
-            raise NoAnswer(target)
+            raise NoResponseError(target)
         return status, pack(answer) if answer is not None else b""
 
     async def copy(
@@ -213,7 +213,7 @@
         await curio.sleep(self.rng.uniform(1.0, 40.0))
         try:
             await handler(source, method, path, _read(body))
-        except NotSent:
+        except RequestNotSentError:
             pass
 
 
@@ -233,8 +233,8 @@
         thawed: Callable[[str], Awaitable[None]],
         version: Version,
     ) -> None:
-        self._not_sent = version.load("io.http", "NotSent")
-        self._no_answer = version.load("io.http", "NoAnswer")
+        self._not_sent = version.load("io.http", "RequestNotSentError")
+        self._no_answer = version.load("io.http", "NoResponseError")
         self._thawed = thawed
         self._net = net
         self._source = source
@@ -253,9 +253,9 @@
             return await self._net.ask(
                 self._source, self._target, method, target, message, timeout_s
             )
-        except NotSent as exc:
+        except RequestNotSentError as exc:
             raise self._not_sent(str(exc)) from None
-        except NoAnswer as exc:
+        except NoResponseError as exc:
             raise self._no_answer(str(exc)) from None
         finally:
             await self._thawed(self._source)
@@ -604,14 +604,14 @@
         try:
             if sent < self.mute_until:
                 await curio.sleep(0.5)
-                raise NotSent(target)
+                raise RequestNotSentError(target)
             status, body = await world.net.ask(
                 self.host, target, "POST", "/v1/report", heartbeat, 4.0
             )
             if sent < self.command_unreachable_until:
                 await curio.sleep(max(0.0, sent + 4.0 - world.clock.now))
-                raise NoAnswer(target)
-        except (NotSent, NoAnswer):
+                raise NoResponseError(target)
+        except (RequestNotSentError, NoResponseError):
             self.node += 1
             return 1.0
         if self.gone or incarnation != self.incarnation:
@@ -907,7 +907,7 @@
     operator = version.load("settings", "Operator")()
     node = version.load("control.node", "Node")(settings, operator, dial)
     member(node, "rng").seed(world.rng.random())
-    member(node, "links").update(
+    member(node, "peer_connections").update(
         {other: PeerLink(world, name, other) for other in world.names if other != name}
     )
     return node
--- a/tests/test_account.py
+++ b/tests/test_account.py
@@ -8,7 +8,7 @@
 import curio
 import pytest
 
-from topazhold.io.account import Account, Duty
+from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
 
 
 class Clock:
@@ -26,26 +26,28 @@
     return clock
 
 
-def taken(account: Account) -> dict[Duty, tuple[float, int]]:
+def taken(cpu_accounting: CpuAccounting) -> dict[WorkCategory, tuple[float, int]]:
     """Seconds and pieces of all duties that had any."""
     return {
-        duty: (entry.seconds, entry.pieces)
-        for duty, entry in account.entries.items()
+        category: (entry.seconds, entry.pieces)
+        for category, entry in cpu_accounting.entries.items()
         if entry.pieces
     }
 
 
-def run(account: Account, *loops: tuple[Duty, Callable[[], Awaitable[None]]]) -> None:
+def run(
+    cpu_accounting: CpuAccounting, *loops: tuple[WorkCategory, Callable[[], Awaitable[None]]]
+) -> None:
     async def main() -> None:
         async with curio.TaskGroup() as group:
-            for duty, loop in loops:
-                await group.spawn(account.on_duty, duty, loop)
+            for category, loop in loops:
+                await group.spawn(cpu_accounting.run_in_category, category, loop)
 
-    curio.run(main, activations=[account])
+    curio.run(main, activations=[cpu_accounting])
 
 
 def test_a_task_that_waits_for_another_does_not_count_its_work(clock: Clock) -> None:
-    account = Account()
+    cpu_accounting = CpuAccounting()
     ready = curio.Event()
 
     async def plan() -> None:
@@ -57,23 +59,23 @@
         await ready.wait()
         clock.work(0.5)
 
-    run(account, (Duty.HEARTBEATS, report), (Duty.PLANNING, plan))
-    found = taken(account)
-    assert found[Duty.PLANNING] == (3.0, 1)
-    assert found[Duty.HEARTBEATS] == (0.5, 2)
-    assert account.statement().startswith(
+    run(cpu_accounting, (WorkCategory.HEARTBEATS, report), (WorkCategory.PLANNING, plan))
+    found = taken(cpu_accounting)
+    assert found[WorkCategory.PLANNING] == (3.0, 1)
+    assert found[WorkCategory.HEARTBEATS] == (0.5, 2)
+    assert cpu_accounting.statement().startswith(
         "busy 100.0% of 4 s: planning 85.71% (1, 3000.00 ms, at most 3000)"
     )
 
 
 def test_a_piece_of_work_counts_for_the_duty_that_it_turns_out_to_be_of(clock: Clock) -> None:
     """A connection does not know what it serves before it has read the request."""
-    account = Account()
+    cpu_accounting = CpuAccounting()
 
     async def connection() -> None:
-        for duty in (Duty.HEARTBEATS, Duty.USERS):
+        for category in (WorkCategory.HEARTBEATS, WorkCategory.USERS):
             clock.work(1.0)
-            account.enter(duty)
+            cpu_accounting.enter(category)
             clock.work(1.0)
             await curio.sleep(0)
 
@@ -85,21 +87,21 @@
         await curio.sleep(0)
         await (await curio.spawn(untold)).join()
 
-    curio.run(main, activations=[account])
-    found = taken(account)
-    assert found[Duty.HEARTBEATS] == (2.0, 1)
-    assert found[Duty.USERS] == (2.0, 2)  # and its end
-    assert found[Duty.OTHER][0] == 1.0
+    curio.run(main, activations=[cpu_accounting])
+    found = taken(cpu_accounting)
+    assert found[WorkCategory.HEARTBEATS] == (2.0, 1)
+    assert found[WorkCategory.USERS] == (2.0, 2)  # and its end
+    assert found[WorkCategory.OTHER][0] == 1.0
 
 
 def test_a_statement_begins_the_next_one(clock: Clock) -> None:
-    account = Account()
+    cpu_accounting = CpuAccounting()
 
     async def work() -> None:
         clock.work(3.0)
 
-    run(account, (Duty.CLOUD, work))
-    assert "cloud" in account.statement()
+    run(cpu_accounting, (WorkCategory.CLOUD, work))
+    assert "cloud" in cpu_accounting.statement()
     clock.work(4.0)
-    assert account.statement().startswith("busy 0.0% of 4 s: ;")
-    assert account._duties == {}, "tasks that have ended are forgotten"
+    assert cpu_accounting.statement().startswith("busy 0.0% of 4 s: ;")
+    assert cpu_accounting._categories == {}, "tasks that have ended are forgotten"
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -11,7 +11,7 @@
 from tests.conftest import make_spec
 from tests.standins import settings_for
 from topazhold.control.booking import Booking, View, Wanted, max_follower_searches
-from topazhold.control.election import GRANT_BOUNDS, lease_time_s
+from topazhold.control.election import CONTROLLER_LEASE_BOUNDS, lease_time_s
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
@@ -184,7 +184,7 @@
     for share in (2.0, 0.43, 0.065, 0.0):
         settings.cluster.limits.cpu_share = share
         lasts.append(lease_time_s(settings))
-    low, high = GRANT_BOUNDS
+    low, high = CONTROLLER_LEASE_BOUNDS
     assert lasts[0] == lasts[1] == low
     assert low * 2 < lasts[2] < high
     assert lasts[3] == high
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -13,7 +13,7 @@
 from topazhold.core import array_placing, placing, quota, records, recovery
 from topazhold.core.jobs import Job
 from topazhold.core.scheduler import Scheduler
-from topazhold.io.http import Answer
+from topazhold.io.http import Response
 from topazhold.wire import messages as wire
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -64,8 +64,8 @@
 
 
 def invent(patch: pytest.MonkeyPatch) -> None:
-    async def poll(self: Any, job_id: str) -> Answer:
-        return Answer(200, wire.job_answer(job_id, wire.PENDING))
+    async def poll(self: Any, job_id: str) -> Response:
+        return Response(200, wire.job_answer(job_id, wire.PENDING))
 
     patch.setattr(users_module.Users, "_poll", poll)
 
@@ -78,8 +78,8 @@
     """The questions about a few jobs are never answered, all others are."""
     state = users_module.Users._state
 
-    async def hidden(self: Any, job_id: str) -> Answer | None:
-        return Answer(503) if job_id.endswith("7") else await state(self, job_id)
+    async def hidden(self: Any, job_id: str) -> Response | None:
+        return Response(503) if job_id.endswith("7") else await state(self, job_id)
 
     patch.setattr(users_module.Users, "_state", hidden)
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -22,7 +22,7 @@
 from topazhold.core.cancellations import MAX_SENT, Cancellations
 from topazhold.core.placements import Placements
 from topazhold.core.scheduler import Scheduler
-from topazhold.io.http import Answer
+from topazhold.io.http import Response
 from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
 
 Twist = Callable[[Scene, str, str], Awaitable[None]]
@@ -297,7 +297,7 @@
         pass
 
     monkeypatch.setattr(Leading, "cancelled", deaf_ear)
-    monkeypatch.setattr(Leading, "_may_launch", lambda self, now: self.context.assured(now))
+    monkeypatch.setattr(Leading, "_may_launch", lambda self, now: self.context.lease_is_valid(now))
     late = [launch_in_flight(monkeypatch, seed, ["written"]).launched_late for seed in range(6)]
     assert any(late)
 
@@ -336,7 +336,7 @@
     no_enforcer(monkeypatch)
     assert gap(leader_ends, monkeypatch, "hive").broken == []
     monkeypatch.setattr(
-        Node, "_answer_kept", lambda self, heartbeat, term: Answer(200, Commands(term, []))
+        Node, "_answer_locally", lambda self, heartbeat, term: Response(200, Commands(term, []))
     )
     assert breaks_on_some_seed(leader_ends, monkeypatch)
 
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -17,7 +17,7 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
-from topazhold.io.http import NoAnswer
+from topazhold.io.http import NoResponseError
 from topazhold.settings import Operator
 
 
@@ -54,7 +54,7 @@
     async def ask(self, *args: Any) -> Any:
         DeadClient.asked.append(self._name)
         await curio.sleep(args[-1])
-        raise NoAnswer("dead")
+        raise NoResponseError("dead")
 
     async def close(self) -> None:
         pass
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,7 +19,7 @@
     DUTY_PREFIX,
     RENTAL_PREFIX,
     RETURN_PREFIX,
-    RecordError,
+    InvalidRecordError,
     ReturnRecord,
     read_record,
     write_record,
@@ -361,9 +361,9 @@
     assert [name for order in orders for name in order.record.machines] == list(reasons)
     for each in orders:
         assert read_record(each.key, write_record(each.record)) == each.record
-    with pytest.raises(RecordError):
+    with pytest.raises(InvalidRecordError):
         write_record(record_of([]))
-    with pytest.raises(RecordError):
+    with pytest.raises(InvalidRecordError):
         read_record(orders[0].key, write_record(record_of(["host-1"])))
 
 
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -133,8 +133,8 @@
         return self._look(holder)
 
     def _look(self, holder: Holder) -> bool:
-        assured = self.now < holder.valid_until
-        return holder.standing.look(self.now, self.now, assured) is Standing.CONFIRMED
+        lease_is_valid = self.now < holder.valid_until
+        return holder.standing.look(self.now, self.now, lease_is_valid) is Standing.CONFIRMED
 
     def _record(self, holder: Holder, fate: str) -> None:
         orders = holder.book.to_record(4)
--- a/tests/test_duties_records.py
+++ b/tests/test_duties_records.py
@@ -24,7 +24,7 @@
     RECORD_TYPES,
     RENTAL_PREFIX,
     RETURN_PREFIX,
-    RecordError,
+    InvalidRecordError,
     read_record,
 )
 from topazhold.duties.schemas import page, schema_of
@@ -72,7 +72,7 @@
         for odd in (without, {**good, field: []}, {**good, field: -1}, {**good, field: ""}):
             with pytest.raises(jsonschema.ValidationError):
                 jsonschema.validate(odd, schema_of(prefix))
-            with pytest.raises(RecordError):
+            with pytest.raises(InvalidRecordError):
                 read_record(key, odd)
 
 
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -9,8 +9,8 @@
 import h11
 
 from tests.standins import finish
-from topazhold.io.heads import MAX_HEADS, parse_request_head, render_answer_head
-from topazhold.io.http import Answer, Request
+from topazhold.io.http import Request, Response
+from topazhold.io.http_heads import MAX_HEADS, parse_request_head, render_answer_head
 from topazhold.io.server import Connection
 
 
@@ -46,7 +46,7 @@
             break
         if isinstance(request, Request):
             seen.append((request.method, request.path, request.query, request.body))
-            answer = Answer(answers.choice((200, 421, 503)), {"n": answers.random()})
+            answer = Response(answers.choice((200, 421, 503)), {"n": answers.random()})
         else:
             seen.append(request.status)
             answer = request
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,32 +10,32 @@
 import pytest
 from curio import socket
 
-from topazhold.io import links
+from topazhold.io import peer_transport
 from topazhold.io.client import Client
-from topazhold.io.http import Answer, NoAnswer, NotSent, Request
-from topazhold.io.rate import Bucket
+from topazhold.io.http import NoResponseError, Request, RequestNotSentError, Response
+from topazhold.io.rate_limit import TokenBucket
 from topazhold.io.server import Server
 
 
-def is_guest(request: Request) -> bool:
+def is_limited(request: Request) -> bool:
     return request.path.startswith("/guest")
 
 
-async def echo(request: Request) -> Answer:
+async def echo(request: Request) -> Response:
     if request.path == "/fail":
         raise RuntimeError("on purpose")
     if request.path == "/busy":
-        return Answer(503, retry_after=2.4)
+        return Response(503, retry_after=2.4)
     if request.path == "/slow":
         await curio.sleep(30)
     body = cbor2.loads(request.body) if request.body else None
-    return Answer(200, {"path": request.path, "query": request.query, "body": body})
+    return Response(200, {"path": request.path, "query": request.query, "body": body})
 
 
 def serve(
     main: Callable[[tuple[str, int]], Awaitable[Any]],
     limit: int = 8,
-    max_guests: int = 8,
+    max_limited: int = 8,
     idle_s: float = 5.0,
 ) -> Any:
     async def run() -> Any:
@@ -43,7 +43,7 @@
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
         await probe.close()
-        serving = Server(echo, limit, idle_s, is_guest, max_guests)
+        serving = Server(echo, limit, idle_s, is_limited, max_limited)
         server = await curio.spawn(serving.run, address, daemon=True)
         await curio.sleep(0.05)
         try:
@@ -101,9 +101,9 @@
 
 def test_no_answer_and_not_sent_are_told_apart() -> None:
     async def main(address: tuple[str, int]) -> None:
-        with pytest.raises(NoAnswer):
+        with pytest.raises(NoResponseError):
             await Client(address).ask("GET", "/slow", None, 0.2)
-        with pytest.raises(NotSent):
+        with pytest.raises(RequestNotSentError):
             await Client(("127.0.0.1", 1)).ask("GET", "/", None, 0.5)
 
     serve(main)
@@ -175,7 +175,7 @@
         await curio.sleep(0.1)
         assert (await clients[2].ask("GET", "/guest", None, 2.0))[0] == 200
 
-    serve(main, max_guests=2)
+    serve(main, max_limited=2)
 
 
 def test_links_carry_tagged_tuples_and_drop_anything_else() -> None:
@@ -191,17 +191,21 @@
                 raise ValueError("on purpose")
             heard.append(message)
 
-        listener = await curio.spawn(links.Listener(receive, 5.0).run, address, daemon=True)
-        link = links.Link(address, 0.2)
+        listener = await curio.spawn(
+            peer_transport.PeerListener(receive, 5.0).run, address, daemon=True
+        )
+        link = peer_transport.PeerConnection(address, 0.2)
         runner = await curio.spawn(link.run, daemon=True)
         await curio.sleep(0.1)
-        await link.send(links.encode(("bad",)))
-        await link.send(links.encode(("ping", "hive-0", 7)))
+        await link.send(peer_transport.encode(("bad",)))
+        await link.send(peer_transport.encode(("ping", "hive-0", 7)))
         await raw(address, b"\x00\x00\x00\x01\xff")
         await raw(address, b"\xff\xff\xff\xff")
-        await link.send(links.encode(("ping", "hive-0", 8)))
+        await link.send(peer_transport.encode(("ping", "hive-0", 8)))
         await curio.sleep(0.2)
-        assert links.encode(("big", "x" * links.FRAME_LIMIT)) == b"", "would end the link"
+        assert peer_transport.encode(("big", "x" * peer_transport.FRAME_LIMIT)) == b"", (
+            "would end the link"
+        )
         assert heard == [("ping", "hive-0", 7), ("ping", "hive-0", 8)]
         await runner.cancel()
         await listener.cancel()
@@ -211,7 +215,7 @@
 
 def test_bucket_keeps_the_reserve_for_higher_ranks() -> None:
     """Under overload reports and decisions go first, submissions last."""
-    bucket = Bucket(10.0)
+    bucket = TokenBucket(10.0)
     users = sum(bucket.take(0.0, 1, reserve=0.3) for _ in range(20))
     decisions = sum(bucket.take(0.0, 1, reserve=0.1) for _ in range(20))
     leases = sum(bucket.take(0.0, 1) for _ in range(20))
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -28,12 +28,12 @@
         self.puts: list[set[str]] = []
 
     async def commit(self, conditions: list[Any], operations: list[Any], *_: Any, **__: Any) -> int:
-        return await self.multi(conditions, operations)
+        return await self.compare_and_swap(conditions, operations)
 
-    async def multi(self, conditions: list[Any], operations: list[Any], *_: Any) -> int:
+    async def compare_and_swap(self, conditions: list[Any], operations: list[Any], *_: Any) -> int:
         assert len(operations) <= self.txn_ops
         assert len(conditions) <= 4 * self.txn_ops
-        body = wire.multi_body(
+        body = wire.transaction_body(
             [wire.condition(key, revision) for key, revision in conditions], operations
         )
         assert len(str(body)) < 64 * 1024
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -17,7 +17,7 @@
 def follower(leader: str | None = "hive-1", term: int = 7) -> tuple[WorkerFallback, Leadership]:
     lead = Leadership("hive-0")
     lead.term, lead.leader = term, leader
-    return WorkerFallback(lead, "a", 2, grant_s=2.0, lease_s=10.0, now=0.0), lead
+    return WorkerFallback(lead, "a", 2, controller_lease_s=2.0, lease_s=10.0, now=0.0), lead
 
 
 def test_sends_workers_to_a_leader_that_lives() -> None:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -17,7 +17,12 @@
 from topazhold import settings as conf
 from topazhold.cli import main
 from topazhold.control.intents import Intents
-from topazhold.control.store import DECISIONS, Conflict, Store, StoreDown
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    KeyValueStore,
+    PreconditionFailedError,
+    StoreUnavailableError,
+)
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
@@ -128,12 +133,12 @@
         self.steps: list[set[str]] = []  # machines that stand in any value, after each step
 
     async def commit(self, conditions: Any, operations: Any, *_: Any, **__: Any) -> int:
-        return await self.multi(conditions, operations)
+        return await self.compare_and_swap(conditions, operations)
 
-    async def multi(self, conditions: Any, operations: Any, *_: Any) -> int:
+    async def compare_and_swap(self, conditions: Any, operations: Any, *_: Any) -> int:
         if self.refuse:
             self.refuse -= 1
-            raise StoreDown("refused")
+            raise StoreUnavailableError("refused")
         assert len(operations) <= self.txn_ops
         for change in operations:
             if "put" in change:
@@ -235,7 +240,7 @@
     transactions: list[int] = []
 
     class Taking:
-        async def multi(self, conditions: Any, operations: Any, priority: float) -> int:
+        async def compare_and_swap(self, conditions: Any, operations: Any, priority: float) -> int:
             transactions.append(len(operations))
             return 1
 
@@ -299,12 +304,14 @@
     outcomes: list[Any] = []
 
     async def act(clock: VirtualTime) -> None:
-        store = Store(client, client, settings.cluster.state, 1.0)  # type: ignore[arg-type]
+        store = KeyValueStore(client, client, settings.cluster.state, 1.0)  # type: ignore[arg-type]
         store.set_share(0.5)
         while client.answers:
             try:
-                outcomes.append(await store.multi([], [wire.drop("a/b")], DECISIONS))
-            except (StoreDown, Conflict) as exc:
+                outcomes.append(
+                    await store.compare_and_swap([], [wire.drop("a/b")], DECISION_PRIORITY)
+                )
+            except (StoreUnavailableError, PreconditionFailedError) as exc:
                 outcomes.append(type(exc))
         outcomes.append(store._writes._rate)
 
@@ -318,7 +325,7 @@
     """The limits fall without notice: a refusal is all that shows it. Nothing is repeated."""
     client = Answering([(200, {"harvest": 3}), (429, {}), (200, {"harvest": 4})])
     outcomes = write_some(client, LaterLimits(write_rps=10.0), monkeypatch)
-    assert outcomes == [3, StoreDown, 4, 5.0] and client.asked == 3
+    assert outcomes == [3, StoreUnavailableError, 4, 5.0] and client.asked == 3
 
 
 def test_share_of_the_rate_without_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -331,5 +338,5 @@
 ) -> None:
     caplog.set_level("INFO")
     client = Answering([(400, {"error": "too large"})])
-    assert write_some(client, None, monkeypatch) == [StoreDown, 10.0]
+    assert write_some(client, None, monkeypatch) == [StoreUnavailableError, 10.0]
     assert client.asked == 1 and "a/b" in caplog.text
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -15,7 +15,7 @@
 from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
-from topazhold.io.links import FRAME_LIMIT, encode
+from topazhold.io.peer_transport import FRAME_LIMIT, encode
 from topazhold.settings import Operator
 from topazhold.wire.codec import json_size
 
--- a/tests/test_unrecordable_order.py
+++ b/tests/test_unrecordable_order.py
@@ -14,7 +14,7 @@
 from tests.scenes import Scene, assert_rules, play_scene
 from tests.standins import CloudService
 from topazhold.core.autoscaling import ScaleOutRequest
-from topazhold.duties.records import RecordError, write_record
+from topazhold.duties.records import InvalidRecordError, write_record
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
 PROTOCOL_MACHINES = 50
@@ -74,7 +74,7 @@
     book = scene.nodes[leader].leading.duties.book
     order = book.decide_rental(ScaleOutRequest("b1", "a", False, 1), scene.clock.now)
     order.record = msgspec.structs.replace(order.record, count=PROTOCOL_MACHINES + 1)
-    with pytest.raises(RecordError):
+    with pytest.raises(InvalidRecordError):
         write_record(order.record)
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, pack, read, unpack
+from topazhold.wire.codec import InvalidMessageError, pack, read, unpack
 from topazhold.wire.messages import Heartbeat, JobSpec
 
 
@@ -63,7 +63,7 @@
 def test_bad_fields_are_refused(change: dict[str, Any]) -> None:
     try:
         spec = read(cbor2.dumps(fields(**change)), JobSpec)
-    except BadMessage:
+    except InvalidMessageError:
         return
     assert spec.fault() is not None
 
@@ -72,7 +72,7 @@
 def test_missing_fields_are_refused(name: str) -> None:
     body = fields()
     del body[name]
-    with pytest.raises(BadMessage):
+    with pytest.raises(InvalidMessageError):
         read(cbor2.dumps(body), JobSpec)
 
 
@@ -81,7 +81,7 @@
 def test_any_bytes_are_refused_or_read(body: bytes) -> None:
     try:
         read(body, Heartbeat)
-    except BadMessage:
+    except InvalidMessageError:
         pass
 
 
@@ -94,7 +94,7 @@
 )
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_any_value_is_refused_or_a_job(value: Any) -> None:
-    with pytest.raises(BadMessage):
+    with pytest.raises(InvalidMessageError):
         read(cbor2.dumps(value), JobSpec)
 
 
--- a/tests/traps.py
+++ b/tests/traps.py
@@ -9,7 +9,7 @@
 
 from tests.standins import CloudService, StateService
 from topazhold.duties.records import RENTAL_PREFIX, RETURN_PREFIX
-from topazhold.io.http import NoAnswer
+from topazhold.io.http import NoResponseError
 
 #: What happened last before the trap is sprung: the record arrives (and is refused), the
 #: record is written, the order arrives (and is held by the network), the order is carried out.
@@ -61,7 +61,7 @@
         ours = method == "POST" and path == self._path
         if ours and self._spring(source, "before_answer"):
             await curio.spawn(self._carry_out_late, source, method, path, body, daemon=True)
-            raise NoAnswer("held by the network")
+            raise NoResponseError("held by the network")
         answer: tuple[int, Any] = await self._cloud(source, method, path, body)
         if ours:
             self._spring(source, "after_answer")
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -37,6 +37,9 @@
 }
 PRODUCTION_MEMBERS: dict[str, str] = {
     "Heartbeat": "Report",
+    "NoResponseError": "NoAnswer",
+    "RequestNotSentError": "NotSent",
+    "peer_connections": "links",
 }
 
 _IMPORT = re.compile(rf"^(\s*(?:from|import)\s+){PACKAGE}\b", re.MULTILINE)
--- a/tests/world.py
+++ b/tests/world.py
@@ -21,7 +21,7 @@
     stop_node,
 )
 from tests.versions import Version, production
-from topazhold.io.http import NoAnswer, NotSent
+from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import LaterLimits
 from topazhold.wire.codec import unpack
 
@@ -406,7 +406,7 @@
         name = self.rng.choice(up)
         try:
             status, data = await self.net.ask("user", name, method, path, body, timeout_s)
-        except (NotSent, NoAnswer):
+        except (RequestNotSentError, NoResponseError):
             return 0, None
         if method == "POST":
             # A repeat of a request that was carried out, up to a lease and more later.
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -30,8 +30,8 @@
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.search import SearchRules, search
-from topazhold.io.http import Answer
-from topazhold.io.links import encode
+from topazhold.io.http import Response
+from topazhold.io.peer_transport import encode
 from topazhold.io.server import Connection
 from topazhold.settings import Operator
 from topazhold.wire.codec import read
@@ -135,7 +135,7 @@
     """Receive a report and send an answer without commands."""
     head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
     connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)  # type: ignore[arg-type]
-    answer = Answer(200, Commands(TERM, []))
+    answer = Response(200, Commands(TERM, []))
 
     def exchange() -> None:
         finish(connection.receive())
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -67,15 +67,15 @@
     import curio
 
     from topazhold.control.node import Node
-    from topazhold.io.account import Account
+    from topazhold.io.cpu_accounting import CpuAccounting
 
-    account = Account()
+    cpu_accounting = CpuAccounting()
 
     async def serve() -> None:
-        await Node(settings, own, account=account).run()
+        await Node(settings, own, cpu_accounting=cpu_accounting).run()
 
     try:
-        curio.run(serve, activations=[account])
+        curio.run(serve, activations=[cpu_accounting])
     except KeyboardInterrupt:
         pass
 
@@ -98,11 +98,11 @@
     settings, _ = read_settings(config, operator)
     import msgspec
 
-    from topazhold.duties.inspection import Unreachable, as_text, read_report
+    from topazhold.duties.inspection import ControllersUnreachableError, as_text, read_report
 
     try:
         report = read_report(settings)
-    except Unreachable as exc:
+    except ControllersUnreachableError as exc:
         click.echo(f"topazhold: state service at {settings.outside.state}: {exc}", err=True)
         sys.exit(UNREACHABLE_STATUS)
     click.echo(msgspec.json.encode(report).decode() if as_json else as_text(report))
--- a/topazhold/control/booking.py
+++ b/topazhold/control/booking.py
@@ -11,7 +11,12 @@
 
 import curio
 
-from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    STORE_ERRORS,
+    KeyValueStore,
+    PreconditionFailedError,
+)
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
@@ -130,7 +135,7 @@
         self,
         settings: Settings,
         operator: Operator,
-        store: Store,
+        store: KeyValueStore,
         reservation_table: ReservationTable,
         rng: Random,
         max_round_s: float = math.inf,
@@ -286,12 +291,12 @@
             revision = await self._store.commit(
                 self.reservation_table.conditions(),
                 [wire.put(key, value, lease_id)],
-                DECISIONS,
+                DECISION_PRIORITY,
                 key,
                 token,
                 give_up_s=2.0,
             )
-        except Conflict:
+        except PreconditionFailedError:
             # Two controllers booked at once, and the other one won.
             self._written = None
             self.wrote_at = now - 1.0 + CONFLICT_PAUSE_S * (1.0 + self._rng.random())
@@ -300,7 +305,7 @@
             self.concede(before)
             await self.wake.set()
             return False
-        except TROUBLE as exc:
+        except STORE_ERRORS as exc:
             log.debug("reservations not written: %s", exc)
             return False
         self._written = packed
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -9,7 +9,7 @@
 
 from topazhold.control.peer_messages import CANCELLED, RECEIPT, Cancelled, Receipt
 from topazhold.core.cancellations import Cancellations
-from topazhold.io.links import Link, encode
+from topazhold.io.peer_transport import PeerConnection, encode
 
 #: How long a cancellation's answer waits for the first peer to have it.
 RECEIPT_HEARTBEATS = 0.1
@@ -30,14 +30,14 @@
         node: str,
         heartbeat_interval_s: float,
         cancellations: Cancellations,
-        links: Mapping[str, Link],
+        peer_connections: Mapping[str, PeerConnection],
         hears_peers: Callable[[float], bool],
         cancelled: TellCancelled,
     ) -> None:
         self._node = node
         self._heartbeat_interval_s = heartbeat_interval_s
         self._cancellations = cancellations
-        self._links = links
+        self._peer_connections = peer_connections
         self._hears_peers = hears_peers
         self._cancelled = cancelled
         self._receipt = curio.Event()  # set, and replaced, when a peer acknowledges
@@ -51,12 +51,12 @@
         if not self._cancellations.add(job, at, time.time()):
             return
         await self._cancelled(job, at)
-        for peer in self._links:
+        for peer in self._peer_connections:
             await self._tell(peer)
         now = await curio.clock()
         end = now + RECEIPT_HEARTBEATS * self._heartbeat_interval_s
         while now < end and self._hears_peers(now):
-            if any(self._cancellations.peer_has(peer, job) for peer in self._links):
+            if any(self._cancellations.peer_has(peer, job) for peer in self._peer_connections):
                 return
             await curio.ignore_after(end - now, self._receipt.wait)
             now = await curio.clock()
@@ -64,10 +64,10 @@
     async def _tell(self, peer: str) -> None:
         """Send a peer what it lacks; it acknowledges, or is told again by the next ping."""
         news = self._cancellations.news(peer)
-        link = self._links.get(peer)
-        if news is not None and link is not None:
+        connection = self._peer_connections.get(peer)
+        if news is not None and connection is not None:
             message = Cancelled(CANCELLED, self._node, self._cancellations.boot, *news)
-            await link.send(encode(message))
+            await connection.send(encode(message))
 
     async def hear_news(self, news: Cancelled) -> None:
         """A peer's message with cancellations; it is acknowledged."""
@@ -77,10 +77,10 @@
         )
         for job, at in fresh:
             await self._cancelled(job, at)
-        link = self._links.get(peer)
-        if link is not None:
+        connection = self._peer_connections.get(peer)
+        if connection is not None:
             boot, upto = self._cancellations.receipts()[peer]
-            await link.send(encode(Receipt(RECEIPT, self._node, boot, upto)))
+            await connection.send(encode(Receipt(RECEIPT, self._node, boot, upto)))
 
     async def hear_receipt(self, peer: str, boot: str, upto: int) -> None:
         """A peer acknowledges all up to a number; what it still lacks is sent."""
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -6,25 +6,25 @@
 
 from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.io.client import Client
-from topazhold.io.http import NoAnswer, NotSent
-from topazhold.io.rate import Bucket
+from topazhold.io.http import NoResponseError, RequestNotSentError
+from topazhold.io.rate_limit import TokenBucket
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, read
+from topazhold.wire.codec import InvalidMessageError, read
 from topazhold.wire.messages import ListedMachine, MachineType
 
 #: Most machines in a page of the list.
 PAGE = 500
 
 
-class CloudDown(Exception):
+class CloudUnavailableError(Exception):
     """No use could be made of the cloud just now."""
 
 
-class RequestRefused(CloudDown):
+class CloudRequestRejectedError(CloudUnavailableError):
     """The cloud calls the request malformed; it need not be repeated."""
 
 
-class NoCapacity(Exception):
+class CloudCapacityError(Exception):
     """Nothing to rent of that type, zone and kind."""
 
 
@@ -33,47 +33,47 @@
 
     def __init__(self, client: Client, rps: float, timeout_s: float) -> None:
         self._client = client
-        self._bucket = Bucket(rps)
+        self._bucket = TokenBucket(rps)
         self._timeout_s = timeout_s
 
     async def _ask(self, method: str, target: str, message: object) -> tuple[int, bytes]:
         now = await curio.clock()
         if not self._bucket.take(now):
-            raise CloudDown("request limit")
+            raise CloudUnavailableError("request limit")
         try:
             return await self._client.ask(method, target, message, self._timeout_s)
-        except (NotSent, NoAnswer) as exc:
-            raise CloudDown(str(exc)) from None
+        except (RequestNotSentError, NoResponseError) as exc:
+            raise CloudUnavailableError(str(exc)) from None
 
     async def catalog(self) -> list[MachineType]:
         status, body = await self._ask("GET", wire.CATALOG_PATH, None)
         if status != 200:
-            raise CloudDown(f"status {status}")
+            raise CloudUnavailableError(f"status {status}")
         try:
             return read(body, wire.Catalog).machine_types
-        except BadMessage as exc:
-            raise CloudDown(f"catalog: {exc}") from None
+        except InvalidMessageError as exc:
+            raise CloudUnavailableError(f"catalog: {exc}") from None
 
     async def rent(self, name: str, ask: ScaleOutRequest) -> list[str]:
         """Rent machines; repeating the name gives the same ones."""
         body = wire.rent_body(name, ask.machine_type, ask.zone, ask.spot, ask.count)
         status, answer = await self._ask("POST", wire.MACHINES_PATH, body)
         if status == 503 and b"no capacity" in answer:
-            raise NoCapacity
+            raise CloudCapacityError
         if status == 400:
-            raise RequestRefused(f"status {status}")
+            raise CloudRequestRejectedError(f"status {status}")
         if status != 200:
-            raise CloudDown(f"status {status}")
+            raise CloudUnavailableError(f"status {status}")
         try:
             return read(answer, wire.Rented).machines
-        except BadMessage as exc:
-            raise CloudDown(f"rental: {exc}") from None
+        except InvalidMessageError as exc:
+            raise CloudUnavailableError(f"rental: {exc}") from None
 
     async def release(self, names: list[str]) -> None:
         """Returns only once the machines are gone."""
         status, _ = await self._ask("POST", wire.RELEASE_PATH, wire.release_body(names))
         if status != 200:
-            raise CloudDown(f"status {status}")
+            raise CloudUnavailableError(f"status {status}")
 
     async def machines(self) -> list[ListedMachine]:
         """The whole list, as late as it is."""
@@ -82,11 +82,11 @@
         while True:
             status, body = await self._ask("GET", wire.list_query(after, PAGE), None)
             if status != 200:
-                raise CloudDown(f"status {status}")
+                raise CloudUnavailableError(f"status {status}")
             try:
                 page = read(body, wire.MachinePage)
-            except BadMessage as exc:
-                raise CloudDown(f"list: {exc}") from None
+            except InvalidMessageError as exc:
+                raise CloudUnavailableError(f"list: {exc}") from None
             listed += page.machines
             if not page.truncated or not page.machines:
                 return listed
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -8,13 +8,13 @@
 
 import curio
 
-from topazhold.control.term_context import Deposed, TermContext
+from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core.machines import Machine
 from topazhold.io.client import Client, Clients
-from topazhold.io.http import NoAnswer, NotSent
+from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import address
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, read
+from topazhold.wire.codec import InvalidMessageError, read
 from topazhold.wire.messages import Command, Commands, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -87,7 +87,7 @@
     async def _command(self, machine: Machine, commands: list[Command]) -> None:
         try:
             await self.direct(machine, commands)
-        except Deposed as exc:
+        except LeadershipLostError as exc:
             log.info("term %d ends: %s", self._context.term, exc)
             await self.deposed.set()
         finally:
@@ -105,7 +105,7 @@
             if status in (200, 409):
                 heartbeat = read(body, Heartbeat)
                 if heartbeat.term > self._context.term:
-                    raise Deposed("a worker knows a higher term")
+                    raise LeadershipLostError("a worker knows a higher term")
                 await self._hear(heartbeat)
-        except (NotSent, NoAnswer, BadMessage, ValueError) as exc:
+        except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("direct to %s: %s", machine.name, exc)
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -8,7 +8,13 @@
 
 import curio
 
-from topazhold.control.store import LEASES, TROUBLE, Conflict, Store, WatchLost
+from topazhold.control.key_value_store import (
+    LEASE_PRIORITY,
+    STORE_ERRORS,
+    KeyValueStore,
+    PreconditionFailedError,
+    WatchCompactedError,
+)
 from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
@@ -17,31 +23,33 @@
 log = logging.getLogger(__name__)
 
 #: A lease's time, as a share of the workers' lease, and its bounds in seconds.
-GRANT_LEASES = 0.15
-GRANT_BOUNDS = (1.5, 3.5)
+CONTROLLER_LEASE_SHARE = 0.15
+CONTROLLER_LEASE_BOUNDS = (1.5, 3.5)
 #: Seconds of a whole core that a lease outlasts at the least. A few pieces of work may come
 #: before its renewal; on half the processor that it has there, a leader of 168 machines lost
 #: its lease every few seconds, and each successor soon lost its own.
-GRANT_CORE_S = 0.2
+CONTROLLER_LEASE_CORE_S = 0.2
 #: Steady clocks drift; a lease is taken to end this much earlier.
 DRIFT = 0.002
 #: Shares of a lease's time: between renewals, between tries of what failed, and between
 #: looks at a leadership that is vacant while this controller may not stand.
-RENEW_GRANTS = 0.25
-RETRY_GRANTS = 0.1
-VACANT_GRANTS = 0.05
+RENEW_CONTROLLER_LEASES = 0.25
+RETRY_CONTROLLER_LEASES = 0.1
+VACANT_CONTROLLER_LEASES = 0.05
 #: So many requests in a row without any answer are silence.
 UNANSWERED = 2
 #: Lease times that a watch of the leadership key waits.
-WATCH_GRANTS = 4
+WATCH_CONTROLLER_LEASES = 4
 
 
 def lease_time_s(settings: Settings) -> float:
     """How long a controller's lease lasts; the leadership and the holds hang on it."""
-    low, high = GRANT_BOUNDS
+    low, high = CONTROLLER_LEASE_BOUNDS
     cluster = settings.cluster
-    by_workers = GRANT_LEASES * cluster.workers.lease_s
-    by_processor = GRANT_CORE_S / max(cluster.limits.cpu_share, GRANT_CORE_S / high)
+    by_workers = CONTROLLER_LEASE_SHARE * cluster.workers.lease_s
+    by_processor = CONTROLLER_LEASE_CORE_S / max(
+        cluster.limits.cpu_share, CONTROLLER_LEASE_CORE_S / high
+    )
     return min(high, max(low, by_workers, by_processor))
 
 
@@ -54,21 +62,21 @@
 
     def __init__(
         self,
-        store: Store,
-        grant_s: float,
+        store: KeyValueStore,
+        controller_lease_s: float,
         granted: Callable[[], None],
         ended: Callable[[str], Awaitable[None]],
         renewed: Callable[[], Awaitable[None]],
     ) -> None:
         self._store = store
-        self._grant_s = grant_s
+        self._controller_lease_s = controller_lease_s
         self._granted = granted
         self._ended = ended
         self._renewed = renewed
         self.id: int | None = None
         self.valid_until = 0.0  # it can't have ended before
 
-    def assured(self, now: float) -> bool:
+    def lease_is_valid(self, now: float) -> bool:
         """Whether the lease can't have passed on."""
         return now < self.valid_until
 
@@ -80,40 +88,40 @@
                 if self._unconfirmed(sent):
                     # Our requests may arrive though no answer does. Renewed blindly, the
                     # lease would keep the leadership from everybody for good.
-                    await self._store.get(LEADER_KEY, LEASES)
+                    await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if self.id is None:
-                    self.id = await self._store.grant(self._grant_s)
+                    self.id = await self._store.grant_lease(self._controller_lease_s)
                     self._granted()
                     log.info("lease %d granted", self.id)
-                elif not await self._store.touch(self.id):
+                elif not await self._store.renew_lease(self.id):
                     log.info("lease %d ended", self.id)
                     self.id = None
                     await self._ended("the lease ended")
                     continue
-                self.valid_until = sent + self._grant_s * (1 - DRIFT)
-            except TROUBLE as exc:
+                self.valid_until = sent + self._controller_lease_s * (1 - DRIFT)
+            except STORE_ERRORS as exc:
                 log.debug("lease: %s", exc)
-                await curio.sleep(RETRY_GRANTS * self._grant_s)
+                await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
                 continue
             await self._renewed()
-            await curio.sleep(RENEW_GRANTS * self._grant_s)
+            await curio.sleep(RENEW_CONTROLLER_LEASES * self._controller_lease_s)
 
     def _unconfirmed(self, now: float) -> bool:
         """Whether the lease may have ended, and nothing but silence has come since.
 
         In an outage refusals come, and the lease keeps its time.
         """
-        if self.id is None or self.assured(now):
+        if self.id is None or self.lease_is_valid(now):
             return False
-        return self._store.unanswered >= UNANSWERED
+        return self._store.unanswered_requests >= UNANSWERED
 
     async def drop(self) -> None:
         """End the lease, so that others need not wait for it to lapse."""
         lease_id, self.id = self.id, None
         if lease_id is not None:
             try:
-                await self._store.end_grant(lease_id)
-            except TROUBLE as exc:
+                await self._store.revoke_lease(lease_id)
+            except STORE_ERRORS as exc:
                 log.debug("lease not dropped: %s", exc)
 
 
@@ -126,17 +134,17 @@
 
     def __init__(
         self,
-        store: Store,
+        store: KeyValueStore,
         leadership: Leadership,
         lease: ControllerLease,
-        grant_s: float,
+        controller_lease_s: float,
         elected: Callable[[int, int], Awaitable[None]],
         deposed: Callable[[str], Awaitable[None]],
     ) -> None:
         self._store = store
         self._leadership = leadership
         self._lease = lease
-        self._grant_s = grant_s
+        self._controller_lease_s = controller_lease_s
         self._elected = elected
         self._deposed = deposed
         self._barred_until = 0.0
@@ -149,17 +157,17 @@
         """Follow the leadership key; stand when it is free."""
         while True:
             try:
-                entry = await self._store.get(LEADER_KEY, LEASES)
+                entry = await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if entry is None:
                     await self._meet_vacancy()
                 elif not await self._end_former_self(entry):
                     await self._see_leader(entry.data)
                     await self._follow(entry.revision)
-            except WatchLost:
+            except WatchCompactedError:
                 continue
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("leadership: %s", exc)
-                await curio.sleep(RETRY_GRANTS * self._grant_s)
+                await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
 
     async def _meet_vacancy(self) -> None:
         self._leadership.vacant()
@@ -168,7 +176,7 @@
         if self._lease.id is not None and free and not barred:
             await self._stand(self._lease.id)
         else:
-            await curio.sleep(VACANT_GRANTS * self._grant_s)
+            await curio.sleep(VACANT_CONTROLLER_LEASES * self._controller_lease_s)
 
     async def _end_former_self(self, entry: Entry) -> bool:
         """End a term left over from an earlier life of this node.
@@ -183,7 +191,7 @@
         if entry.lease_id is None:
             return False
         log.info("ending the lease %d of an earlier life", entry.lease_id)
-        await self._store.end_grant(entry.lease_id)
+        await self._store.revoke_lease(entry.lease_id)
         if entry.lease_id == self._lease.id:
             self._lease.id = None
         return True
@@ -191,7 +199,9 @@
     async def _follow(self, seen_revision: int) -> None:
         """Wait until the leadership key is free."""
         while True:
-            page = await self._store.watch(LEADER_KEY, seen_revision, WATCH_GRANTS * self._grant_s)
+            page = await self._store.watch(
+                LEADER_KEY, seen_revision, WATCH_CONTROLLER_LEASES * self._controller_lease_s
+            )
             seen_revision = max(seen_revision, page.revision)
             for event in page.events:
                 key, data, _ = wire.event_key(event)
@@ -217,22 +227,22 @@
         lead = self._leadership
         lead.stand()
         try:
-            last = await self._store.get(TERM_KEY, LEASES)
+            last = await self._store.get(TERM_KEY, LEASE_PRIORITY)
             term = max(lead.term, int(last.data["crown"]) if last is not None else 0) + 1
             token = f"{lead.node}-{lease_id}-{term}"
             value = {**lead.value(term), "by": token}
             revision = await self._store.commit(
                 [(LEADER_KEY, 0), (TERM_KEY, last.revision if last is not None else 0)],
                 [wire.put(LEADER_KEY, value, lease_id), wire.put(TERM_KEY, value)],
-                LEASES,
+                LEASE_PRIORITY,
                 LEADER_KEY,
                 token,
-                give_up_s=self._grant_s,
+                give_up_s=self._controller_lease_s,
             )
-        except Conflict:
+        except PreconditionFailedError:
             lead.step_down()
             return
-        except TROUBLE:
+        except STORE_ERRORS:
             lead.step_down()
             raise
         if self._lease.id != lease_id:
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/enforcing.py
@@ -15,15 +15,15 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudDown
+from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.placements import Place, Placements
 from topazhold.io.client import Client, Clients
-from topazhold.io.http import NoAnswer, NotSent
+from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, read
+from topazhold.wire.codec import InvalidMessageError, read
 from topazhold.wire.messages import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -148,7 +148,7 @@
     async def _read_list(self) -> None:
         try:
             self._placements.listed(await self._cloud.machines())
-        except CloudDown as exc:
+        except CloudUnavailableError as exc:
             log.debug("machine list: %s", exc)
 
     async def _look(self, name: str, place: Place) -> None:
@@ -174,7 +174,7 @@
             )
             if status in (200, 409):
                 self._placements.seen(read(body, Heartbeat))
-        except (NotSent, NoAnswer, BadMessage, ValueError) as exc:
+        except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("look at %s: %s", name, exc)
         finally:
             self._looking.discard(name)
@@ -190,7 +190,7 @@
         try:
             log.info("%d machines with tasks of cancelled jobs released from here", len(names))
             await self._cloud.release(names)
-        except CloudDown as exc:
+        except CloudUnavailableError as exc:
             log.debug("release: %s", exc)
             await curio.sleep(0.25 * self._heartbeat_interval_s)
         else:
--- a/topazhold/control/gang_search.py
+++ b/topazhold/control/gang_search.py
@@ -10,12 +10,12 @@
 import curio
 
 from topazhold.control.booking import MAX_SEARCHES, Booking, View, Wanted, max_follower_searches
+from topazhold.control.key_value_store import DECISION_PRIORITY, STORE_ERRORS, KeyValueStore
 from topazhold.control.leading import Leading
-from topazhold.control.store import DECISIONS, TROUBLE, Store
 from topazhold.core import records
 from topazhold.core.preemption import queue_key
 from topazhold.settings import Operator, Settings
-from topazhold.wire.codec import BadMessage
+from topazhold.wire.codec import InvalidMessageError
 from topazhold.wire.messages import JobSpec
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
         self,
         settings: Settings,
         operator: Operator,
-        store: Store,
+        store: KeyValueStore,
         booking: Booking,
         view: View,
         leading: Callable[[], Leading | None],
@@ -88,7 +88,7 @@
                 continue
             try:
                 busy = await self._book(lease_id, await curio.clock())
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("booking: %s", exc)
             else:
                 await curio.sleep(busy * SEARCH_PAUSE)
@@ -170,10 +170,10 @@
                     booking.wanted[job_id] = Wanted(spec, its_turn, now)
 
     async def _read_spec(self, job_id: str) -> JobSpec | None:
-        entry = await self._store.get(records.live_key(job_id), DECISIONS)
+        entry = await self._store.get(records.live_key(job_id), DECISION_PRIORITY)
         if entry is None:
             return None
         try:
             return records.read_live(entry.data, entry.revision, time.time(), 0.0).spec
-        except (BadMessage, ValueError):
+        except (InvalidMessageError, ValueError):
             return None
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -7,13 +7,19 @@
 
 import curio
 
-from topazhold.control.store import DECISIONS, TROUBLE, Conflict, StoreDown, StoreUnknown
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    STORE_ERRORS,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    StoreUnavailableError,
+)
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShard
 from topazhold.core.jobs import TaskAttempt
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage
+from topazhold.wire.codec import InvalidMessageError
 
 log = logging.getLogger(__name__)
 
@@ -104,23 +110,23 @@
                 revision = await self._context.store.commit(
                     conditions,
                     operations,
-                    DECISIONS,
+                    DECISION_PRIORITY,
                     records.on_key(next(iter(values))),
                     token,
                     give_up_s=self._context.block_s,
                 )
                 break
-            except Conflict as exc:
+            except PreconditionFailedError as exc:
                 log.debug("intents not written, changed: %s", exc)
                 scheduler.intents_failed(batch, await curio.clock())
                 await self._context.repair(exc.keys)
                 return
-            except StoreDown as exc:
+            except StoreUnavailableError as exc:
                 log.debug("intents not written: %s", exc)
                 scheduler.intents_failed(batch, await curio.clock())
                 await curio.sleep(self._context.retry_s)
                 return
-            except (StoreUnknown, BadMessage):
+            except (OutcomeUnknownError, InvalidMessageError):
                 # Still open: nothing else may be planned for these tasks.
                 continue
         for name in values:
@@ -137,14 +143,14 @@
         for shard in context.shards.unwritten():
             value = context.shards.value(shard, context.scheduler.machines, context.token())
             try:
-                revision = await context.store.multi(
+                revision = await context.store.compare_and_swap(
                     [*context.conditions(), (records.on_key(shard.name), shard.revision)],
                     [wire.put(records.on_key(shard.name), value)],
-                    DECISIONS,
+                    DECISION_PRIORITY,
                 )
-            except Conflict as exc:
+            except PreconditionFailedError as exc:
                 await context.repair(exc.keys)
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("shard %s not written apart: %s", shard.name, exc)
                 return False
             else:
@@ -166,10 +172,10 @@
             key = records.on_key(name)
             change = wire.put(key, value) if value["boxes"] else wire.drop(key)
             try:
-                done = await self._context.store.multi(
-                    [*self._context.conditions(), (key, revision)], [change], DECISIONS
+                done = await self._context.store.compare_and_swap(
+                    [*self._context.conditions(), (key, revision)], [change], DECISION_PRIORITY
                 )
-            except (*TROUBLE, Conflict) as exc:
+            except (*STORE_ERRORS, PreconditionFailedError) as exc:
                 log.debug("intents on %s stay: %s", name, exc)
             else:
                 self._context.shards.marked(name, done if value["boxes"] else 0)
--- a/topazhold/control/store.py
+++ b/topazhold/control/key_value_store.py
@@ -8,19 +8,19 @@
 import curio
 
 from topazhold.io.client import Client
-from topazhold.io.http import NoAnswer, NotSent
-from topazhold.io.rate import Bucket
+from topazhold.io.http import NoResponseError, RequestNotSentError
+from topazhold.io.rate_limit import TokenBucket
 from topazhold.settings import State as StateLimits
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, json_size, read
+from topazhold.wire.codec import InvalidMessageError, json_size, read
 from topazhold.wire.messages import Entry
 
 log = logging.getLogger(__name__)
 
 #: Shares of the request limit that lower ranks must leave to higher ones.
-LEASES = 0.0
-DECISIONS = 0.1
-USERS = 0.3
+LEASE_PRIORITY = 0.0
+DECISION_PRIORITY = 0.1
+USER_PRIORITY = 0.3
 
 PAGE = 500
 #: Trouble shorter than this share of a request's time limit is taken for a hiccup.
@@ -29,15 +29,15 @@
 PATIENCE_S = 1.0
 
 
-class StoreDown(Exception):
+class StoreUnavailableError(Exception):
     """Not carried out: refused, over the limit, or out of reach."""
 
 
-class StoreUnknown(Exception):
+class OutcomeUnknownError(Exception):
     """No answer: the change may have been, or may yet be, carried out."""
 
 
-class Conflict(Exception):
+class PreconditionFailedError(Exception):
     """A guard failed; `keys` are the guarded keys that had changed."""
 
     def __init__(self, keys: list[str]) -> None:
@@ -45,11 +45,11 @@
         self.keys = keys
 
 
-class WatchLost(Exception):
+class WatchCompactedError(Exception):
     """The history does not go back that far; read the keys again."""
 
 
-class Store:
+class KeyValueStore:
     """One controller's access, within its share of the service's limits."""
 
     def __init__(
@@ -60,11 +60,13 @@
         self._limits = limits
         self._lowered = False  # whether the service has shown that its limits may be lower
         self._share = 1.0
-        self._reads = Bucket(limits.rps)
-        self._writes = Bucket(limits.write_rps)
+        self._reads = TokenBucket(limits.rps)
+        self._writes = TokenBucket(limits.write_rps)
         self._timeout_s = timeout_s
         self.failing_since: float | None = None
-        self.unanswered = 0  # requests in a row of which nothing has come, not even a refusal
+        self.unanswered_requests = (
+            0  # requests in a row of which nothing has come, not even a refusal
+        )
 
     def answers(self, now: float) -> bool:
         """Whether the service answers this controller, a hiccup aside."""
@@ -112,35 +114,35 @@
         client: Client | None = None,
     ) -> tuple[int, bytes]:
         now = await curio.clock()
-        if priority < USERS:
+        if priority < USER_PRIORITY:
             # Decisions wait for their turn; users are told at once to come again.
             wait = min(PATIENCE_S, await self.wait_s(priority, writes))
             if wait > 0:
                 await curio.sleep(wait)
                 now = await curio.clock()
         if not self._reads.take(now, 1, priority):
-            raise StoreDown("request limit")
+            raise StoreUnavailableError("request limit")
         if writes and not self._writes.take(now, writes, priority):
-            raise StoreDown("write limit")
+            raise StoreUnavailableError("write limit")
         try:
             status, body = await (client or self._client).ask(
                 method, target, message, timeout_s or self._timeout_s
             )
-        except NotSent as exc:
-            self.unanswered += 1
+        except RequestNotSentError as exc:
+            self.unanswered_requests += 1
             self._failed(now)
-            raise StoreDown(str(exc)) from None
-        except NoAnswer as exc:
-            self.unanswered += 1
+            raise StoreUnavailableError(str(exc)) from None
+        except NoResponseError as exc:
+            self.unanswered_requests += 1
             self._failed(now)
-            raise StoreUnknown(str(exc)) from None
-        self.unanswered = 0
+            raise OutcomeUnknownError(str(exc)) from None
+        self.unanswered_requests = 0
         if status in (429, 503):
             if status == 503:
                 self._failed(now)
             else:
                 self._over_limit()
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         self.failing_since = None
         return status, body
 
@@ -148,15 +150,17 @@
         if self.failing_since is None:
             self.failing_since = now
 
-    async def get(self, key: str, priority: float = USERS) -> Entry | None:
+    async def get(self, key: str, priority: float = USER_PRIORITY) -> Entry | None:
         status, body = await self._ask("GET", f"{wire.STORE_PATH}/{key}", None, priority)
         if status == 404:
             return None
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         return read(body, Entry)
 
-    async def entries(self, prefix: str, priority: float = DECISIONS) -> tuple[list[Entry], int]:
+    async def entries(
+        self, prefix: str, priority: float = DECISION_PRIORITY
+    ) -> tuple[list[Entry], int]:
         """All entries under a prefix, and the revision of the first page."""
         entries: list[Entry] = []
         after: str | None = None
@@ -165,7 +169,7 @@
             target = wire.store_query(prefix, after, PAGE)
             status, body = await self._ask("GET", target, None, priority)
             if status != 200:
-                raise StoreDown(f"status {status}")
+                raise StoreUnavailableError(f"status {status}")
             page = read(body, wire.EntryPage)
             seen_revision = page.revision if seen_revision is None else seen_revision
             entries += page.entries
@@ -173,15 +177,15 @@
                 return entries, seen_revision
             after = page.entries[-1].key
 
-    async def multi(
+    async def compare_and_swap(
         self, conditions: list[tuple[str, int]], operations: list[dict[str, Any]], priority: float
     ) -> int:
         """One transaction; the new revision. Raises Conflict."""
-        body = wire.multi_body(
+        body = wire.transaction_body(
             [wire.condition(key, revision) for key, revision in conditions], operations
         )
         status, answer = await self._ask(
-            "POST", wire.MULTI_PATH, body, priority, writes=len(operations)
+            "POST", wire.TRANSACTION_PATH, body, priority, writes=len(operations)
         )
         if status == 200:
             log.debug(
@@ -189,7 +193,7 @@
             )
             return read(answer, wire.Committed).revision
         if status == 409:
-            raise Conflict(read(answer, wire.Committed).failed)
+            raise PreconditionFailedError(read(answer, wire.Committed).failed)
         # 400 comes where a lease ended while the transaction was on its way, and for a
         # value or a transaction that is too large.
         log.info(
@@ -198,7 +202,7 @@
             answer[:200],
             ", ".join(f"{wire.changed_key(each)} ({json_size(each)})" for each in operations),
         )
-        raise StoreDown(f"status {status}")
+        raise StoreUnavailableError(f"status {status}")
 
     async def commit(
         self,
@@ -220,51 +224,51 @@
         start = await curio.clock()
         while True:
             try:
-                return await self.multi(conditions, operations, priority)
-            except Conflict:
+                return await self.compare_and_swap(conditions, operations, priority)
+            except PreconditionFailedError:
                 if not unknown:
                     raise
                 entry = await self._probe(probe, start, give_up_s)
                 if entry is not None and _token(entry) == token:
                     return entry.revision
                 raise
-            except StoreUnknown:
+            except OutcomeUnknownError:
                 unknown = True
-            except StoreDown:
+            except StoreUnavailableError:
                 if not unknown:
                     raise
             if await curio.clock() - start > give_up_s:
-                raise StoreUnknown("outcome open")
+                raise OutcomeUnknownError("outcome open")
             await curio.sleep(min(0.25, give_up_s / 8))
 
     async def _probe(self, key: str, start: float, give_up_s: float) -> Entry | None:
         while True:
             try:
-                return await self.get(key, LEASES)
-            except (StoreDown, StoreUnknown):
+                return await self.get(key, LEASE_PRIORITY)
+            except (StoreUnavailableError, OutcomeUnknownError):
                 if await curio.clock() - start > give_up_s:
-                    raise StoreUnknown("outcome open") from None
+                    raise OutcomeUnknownError("outcome open") from None
                 await curio.sleep(0.1)
 
-    async def grant(self, ttl_s: float) -> int:
-        body = wire.grant_body(int(ttl_s * 1000))
-        status, answer = await self._ask("POST", wire.GRANTS_PATH, body, LEASES)
+    async def grant_lease(self, ttl_s: float) -> int:
+        body = wire.lease_body(int(ttl_s * 1000))
+        status, answer = await self._ask("POST", wire.LEASES_PATH, body, LEASE_PRIORITY)
         if status != 200:
-            raise StoreDown(f"status {status}")
-        return read(answer, wire.Granted).lease_id
+            raise StoreUnavailableError(f"status {status}")
+        return read(answer, wire.LeaseGranted).lease_id
 
-    async def touch(self, lease_id: int) -> bool:
+    async def renew_lease(self, lease_id: int) -> bool:
         """Renew a grant; False if it has ended."""
-        target = f"{wire.GRANTS_PATH}/{lease_id}{wire.TOUCH_END}"
-        status, _ = await self._ask("POST", target, {}, LEASES)
+        target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
+        status, _ = await self._ask("POST", target, {}, LEASE_PRIORITY)
         if status == 404:
             return False
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         return True
 
-    async def end_grant(self, lease_id: int) -> None:
-        await self._ask("DELETE", f"{wire.GRANTS_PATH}/{lease_id}", None, LEASES)
+    async def revoke_lease(self, lease_id: int) -> None:
+        await self._ask("DELETE", f"{wire.LEASES_PATH}/{lease_id}", None, LEASE_PRIORITY)
 
     async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
         """Changes under a prefix after a revision; waits for one."""
@@ -273,14 +277,14 @@
             "GET",
             target,
             None,
-            LEASES,
+            LEASE_PRIORITY,
             timeout_s=block_s + self._timeout_s,
             client=self._watching,
         )
         if status == 410:
-            raise WatchLost(prefix)
+            raise WatchCompactedError(prefix)
         if status != 200:
-            raise StoreDown(f"status {status}")
+            raise StoreUnavailableError(f"status {status}")
         return read(body, wire.WatchPage)
 
 
@@ -293,4 +297,4 @@
 
 
 #: What a caller has to expect of any request to the store.
-TROUBLE = (StoreDown, StoreUnknown, BadMessage)
+STORE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, InvalidMessageError)
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leading.py
@@ -14,11 +14,16 @@
 from topazhold.control.cloud import Cloud
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.intents import Intents
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    STORE_ERRORS,
+    KeyValueStore,
+    WatchCompactedError,
+)
 from topazhold.control.saving import Saving
-from topazhold.control.store import DECISIONS, TROUBLE, Store, WatchLost
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.takeover import load
-from topazhold.control.term_context import Deposed, TermContext
+from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.jobs import Job, JobState
@@ -28,11 +33,11 @@
 from topazhold.duties.inheritance import read_entries
 from topazhold.duties.released import ReleasedMachines
 from topazhold.duties.term_duties import TermDuties
-from topazhold.io.account import Account, Duty
 from topazhold.io.client import Client
+from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, convert
+from topazhold.wire.codec import InvalidMessageError, convert
 from topazhold.wire.messages import Command, Heartbeat, MachineType
 
 log = logging.getLogger(__name__)
@@ -55,7 +60,7 @@
         self,
         settings: Settings,
         operator: Operator,
-        store: Store,
+        store: KeyValueStore,
         cloud: Cloud,
         reservation_table: ReservationTable,
         machine_types: dict[str, MachineType],
@@ -65,27 +70,34 @@
         now: float,
         tell: Callable[[tuple[Any, ...]], Awaitable[None]],
         dial: Callable[[tuple[str, int], int], Client],
-        assured: Callable[[float], bool],
+        lease_is_valid: Callable[[float], bool],
         cancellations: Cancellations,
-        account: Account,
-        grant_s: float,
+        cpu_accounting: CpuAccounting,
+        controller_lease_s: float,
         released: ReleasedMachines,
         tell_released: Callable[[list[str]], Awaitable[None]],
     ) -> None:
-        self._account = account
+        self._cpu_accounting = cpu_accounting
         self.term = term
         self._machine_types = machine_types
         self.scheduler = Scheduler(settings, operator, term, reservation_table, rng, now)
         self.scheduler.machine_types = machine_types
         self.loaded = False
         self.context = context = TermContext(
-            settings, store, self.scheduler, term, revision, assured, cancellations
+            settings, store, self.scheduler, term, revision, lease_is_valid, cancellations
         )
         self._intents = Intents(context)
         self.saving = Saving(context)
         self._released = released
         self.duties = TermDuties(
-            context, cloud, self._intents, settings, operator, grant_s, now, tell_released
+            context,
+            cloud,
+            self._intents,
+            settings,
+            operator,
+            controller_lease_s,
+            now,
+            tell_released,
         )
         self._direct_commands = DirectCommands(
             context, settings.cluster.limits.sockets, dial, self._hear_direct
@@ -104,7 +116,7 @@
                 orders = await read_entries(self.context)
                 self._seen_revisions = await load(self.context, self._machine_types)
                 break
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("take-over waits: %s", exc)
                 await curio.sleep(self.context.retry_s)
         await self.duties.take_over(orders, self._released.names())
@@ -121,28 +133,28 @@
         self.context.cancellations.informed = True
         self.loaded = True
         async with curio.TaskGroup(wait=any) as group:
-            for duty, loop in (
-                (Duty.COMMANDS, self._direct_commands.deposed.wait),
-                (Duty.COMMANDS, self._direct_commands.loop),
-                (Duty.PLANNING, self._plan_loop),
-                (Duty.PLANNING, self._tick_loop),
-                (Duty.STATE, self._watch_jobs),
-                (Duty.STATE, self._watch_reservations),
-                (Duty.STATE, self._watch_relays),
-                (Duty.STATE, self.saving.loop),
-                (Duty.SUMMARIES, self._summaries.loop),
-                *((Duty.CLOUD, loop) for loop in self.duties.loops()),
+            for category, loop in (
+                (WorkCategory.COMMANDS, self._direct_commands.deposed.wait),
+                (WorkCategory.COMMANDS, self._direct_commands.loop),
+                (WorkCategory.PLANNING, self._plan_loop),
+                (WorkCategory.PLANNING, self._tick_loop),
+                (WorkCategory.STATE, self._watch_jobs),
+                (WorkCategory.STATE, self._watch_reservations),
+                (WorkCategory.STATE, self._watch_relays),
+                (WorkCategory.STATE, self.saving.loop),
+                (WorkCategory.SUMMARIES, self._summaries.loop),
+                *((WorkCategory.CLOUD, loop) for loop in self.duties.loops()),
             ):
-                await group.spawn(self._run_loop, duty, loop)
+                await group.spawn(self._run_loop, category, loop)
         await self._direct_commands.close()
         self.duties.log_totals()
         if group.exception is not None:
             raise group.exception
 
-    async def _run_loop(self, duty: Duty, loop: Callable[[], Awaitable[Any]]) -> None:
+    async def _run_loop(self, category: WorkCategory, loop: Callable[[], Awaitable[Any]]) -> None:
         try:
-            await self._account.on_duty(duty, loop)
-        except Deposed as exc:
+            await self._cpu_accounting.run_in_category(category, loop)
+        except LeadershipLostError as exc:
             log.info("term %d ends: %s", self.term, exc)
 
     def view(self, now: float) -> View:
@@ -196,7 +208,7 @@
         if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
             return machine, []  # a newer one was heard while this one waited
         now = await curio.clock()
-        # Once the grant may have passed on, another may be leader: it knows of
+        # Once the lease may have passed on, another may be leader: it knows of
         # the intents, but nothing new is to begin behind its back.
         return machine, self.scheduler.answer(machine, heartbeat, now, self._may_launch(now))
 
@@ -210,7 +222,7 @@
 
     def _may_launch(self, now: float) -> bool:
         """While the state service does not answer, nobody can know what was cancelled."""
-        return self.context.assured(now) and self.context.store.answers(now)
+        return self.context.lease_is_valid(now) and self.context.store.answers(now)
 
     async def _hear_direct(self, heartbeat: Heartbeat) -> None:
         await self.hear(heartbeat, direct=True)
@@ -226,9 +238,9 @@
                 page = await self.context.store.watch(
                     prefix, self._seen_revisions[prefix], self.context.block_s
                 )
-            except WatchLost:
-                raise Deposed("changes were missed") from None
-            except TROUBLE as exc:
+            except WatchCompactedError:
+                raise LeadershipLostError("changes were missed") from None
+            except STORE_ERRORS as exc:
                 log.debug("watch %s: %s", prefix, exc)
                 await curio.sleep(self.context.retry_s)
                 continue
@@ -262,7 +274,7 @@
         for item in heartbeats:
             try:
                 heartbeat = convert(item, Heartbeat)
-            except BadMessage as exc:
+            except InvalidMessageError as exc:
                 log.debug("forwarded heartbeat unreadable: %s", exc)
                 continue
             self.scheduler.on_heartbeat(heartbeat, False, now, relayed=True)
@@ -281,7 +293,7 @@
         elif job is None:
             try:
                 new = records.read_live(data, revision, time.time(), await curio.clock())
-            except (BadMessage, ValueError, TypeError) as exc:
+            except (InvalidMessageError, ValueError, TypeError) as exc:
                 log.error("job %s unreadable: %s", job_id, exc)
                 return
             self.scheduler.add_job(new)
@@ -317,7 +329,7 @@
             for _ in range(4):
                 # A plan that can't be written now is made anew later, with more
                 # of it in one transaction.
-                await self.context.store.wait_for_limits(DECISIONS, PLAN_WRITES)
+                await self.context.store.wait_for_limits(DECISION_PRIORITY, PLAN_WRITES)
                 now = await curio.clock()
                 if now - self._ticked_at > TICK_HEARTBEATS * self.context.heartbeat_interval_s:
                     self._tick(now)
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -6,7 +6,7 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudDown
+from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.control.term_context import TermContext
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
             asked = await curio.clock()
             try:
                 listed = await self._cloud.machines()
-            except CloudDown as exc:
+            except CloudUnavailableError as exc:
                 log.debug("machine list: %s", exc)
             else:
                 scheduler.on_machine_list(listed, asked, await curio.clock())
--- a/topazhold/control/node.py
+++ b/topazhold/control/node.py
@@ -12,10 +12,11 @@
 
 from topazhold.control.booking import Booking, View
 from topazhold.control.cancellation_exchange import CancellationExchange
-from topazhold.control.cloud import Cloud, CloudDown
+from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.control.election import ControllerLease, Election, lease_time_s
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.gang_search import GangSearch
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.control.leading import Leading
 from topazhold.control.peer_messages import (
     CANCELLED,
@@ -33,9 +34,8 @@
     Released,
     Summary,
 )
-from topazhold.control.relay import SILENT_GRANTS, WorkerFallback
+from topazhold.control.relay import SILENT_CONTROLLER_LEASES, WorkerFallback
 from topazhold.control.report_relay import ReportRelay
-from topazhold.control.store import Store
 from topazhold.control.users import Users, users_request
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.jobs import NO_OBJECTIVE, Job
@@ -44,20 +44,20 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.search import pack_names, unpack_names
 from topazhold.duties.released import ReleasedMachines
-from topazhold.io.account import Account, Duty
 from topazhold.io.client import Client
-from topazhold.io.http import Answer, Request
-from topazhold.io.links import Link, Listener, encode
+from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
+from topazhold.io.http import Request, Response
+from topazhold.io.peer_transport import PeerConnection, PeerListener, encode
 from topazhold.io.server import Server
 from topazhold.settings import Operator, Settings, address
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, read
+from topazhold.wire.codec import InvalidMessageError, read
 from topazhold.wire.messages import Commands, Heartbeat, MachineType
 
 log = logging.getLogger(__name__)
 
 #: The most time that a round of searches takes, as a share of a lease's.
-ROUND_GRANTS = 0.1
+ROUND_CONTROLLER_LEASES = 0.1
 #: The catalog's prices move slowly.
 CATALOG_HEARTBEATS = 60
 #: Share of the sockets for those who connect to this node.
@@ -72,23 +72,23 @@
         settings: Settings,
         operator: Operator,
         dial: Callable[[tuple[str, int], int], Client] = Client,
-        account: Account | None = None,
+        cpu_accounting: CpuAccounting | None = None,
     ) -> None:
         cluster = settings.cluster
-        self.account = account if account is not None else Account()
+        self.cpu_accounting = cpu_accounting if cpu_accounting is not None else CpuAccounting()
         self.settings = settings
         self.operator = operator
         self.name = settings.node_name
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
-        self.grant_s = lease_time_s(settings)
+        self.controller_lease_s = lease_time_s(settings)
         self.rng = Random(f"{self.name}:{time.time_ns()}")
         self._dial = dial
         state = address(settings.outside.state)
-        self.store = Store(
+        self.store = KeyValueStore(
             dial(state, 6),
             dial(state, 4),
             cluster.state,
-            timeout_s=0.4 * self.grant_s,
+            timeout_s=0.4 * self.controller_lease_s,
         )
         self.cloud = Cloud(
             dial(address(settings.outside.cloud), 2), cluster.cloud.rps, timeout_s=5.0
@@ -103,7 +103,7 @@
             self.store,
             self.reservation_table,
             self.rng,
-            max_round_s=ROUND_GRANTS * self.grant_s,
+            max_round_s=ROUND_CONTROLLER_LEASES * self.controller_lease_s,
         )
         workers = cluster.workers
         self.cancellations = Cancellations(
@@ -126,7 +126,7 @@
             self.leadership,
             settings.domain,
             len(settings.seeds),
-            self.grant_s,
+            self.controller_lease_s,
             workers.lease_s,
             time.monotonic(),
             workers.cancel_s,
@@ -134,17 +134,24 @@
         self.leading: Leading | None = None
         self._changed = curio.Event()  # of the lease or the leadership
         self.lease = ControllerLease(
-            self.store, self.grant_s, self.booking.reset, self._depose, self._changed.set
+            self.store, self.controller_lease_s, self.booking.reset, self._depose, self._changed.set
         )
         self.election = Election(
-            self.store, self.leadership, self.lease, self.grant_s, self._elected, self._depose
+            self.store,
+            self.leadership,
+            self.lease,
+            self.controller_lease_s,
+            self._elected,
+            self._depose,
         )
-        self.links = {seed.node_name: Link(address(seed.addr), 0.5) for seed in settings.seeds}
+        self.peer_connections = {
+            seed.node_name: PeerConnection(address(seed.addr), 0.5) for seed in settings.seeds
+        }
         self.cancellation_exchange = CancellationExchange(
             self.name,
             self.heartbeat_interval_s,
             self.cancellations,
-            self.links,
+            self.peer_connections,
             self.fallback.hears_peers,
             self._tell_leading,
         )
@@ -170,14 +177,14 @@
             self.store,
             self.leadership,
             self.fallback,
-            self.links,
+            self.peer_connections,
             lambda: self.lease.id,
         )
         self._share(False)
 
     def _share(self, leads: bool) -> None:
         """The leader needs most of the state service's limits."""
-        nodes = 1 + len(self.links)
+        nodes = 1 + len(self.peer_connections)
         if nodes == 1:
             self.store.set_share(1.0)
         else:
@@ -192,16 +199,18 @@
             self.handle,
             int(sockets * SERVED_SHARE),
             idle_s=120.0,
-            is_guest=users_request,
-            max_guests=int(sockets * self.operator.user_socket_share),
+            is_limited=users_request,
+            max_limited=int(sockets * self.operator.user_socket_share),
         )
-        peers = Listener(self.peer_message, idle_s=60.0)
+        peers = PeerListener(self.peer_message, idle_s=60.0)
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(public.run, address(self.settings.bind))
             await group.spawn(peers.run, address(self.settings.peer_listen))
-            for link in self.links.values():
-                await group.spawn(self.account.on_duty, Duty.PEERS, link.run)
-            await group.spawn(self.account.loop, self.heartbeat_interval_s, log.info)
+            for connection in self.peer_connections.values():
+                await group.spawn(
+                    self.cpu_accounting.run_in_category, WorkCategory.PEERS, connection.run
+                )
+            await group.spawn(self.cpu_accounting.loop, self.heartbeat_interval_s, log.info)
             await group.spawn(self.work)
             log.info("node %s serves %s", self.name, self.settings.bind)
         if group.exception is not None:
@@ -210,37 +219,37 @@
     async def work(self) -> None:
         """All that goes on besides answering requests."""
         async with curio.TaskGroup(wait=any) as group:
-            for duty, loop in (
-                (Duty.STATE, self.lease.loop),
-                (Duty.STATE, self.election.loop),
-                (Duty.OTHER, self._leading_loop),
-                (Duty.CLOUD, self._catalog_loop),
-                (Duty.PEERS, self._ping_loop),
-                (Duty.SEARCHES, self.gang_search.loop),
-                (Duty.PEERS, self.report_relay.loop),
-                (Duty.OTHER, self._resign_loop),
-                (Duty.COMMANDS, self.enforcer.loop),
+            for category, loop in (
+                (WorkCategory.STATE, self.lease.loop),
+                (WorkCategory.STATE, self.election.loop),
+                (WorkCategory.OTHER, self._leading_loop),
+                (WorkCategory.CLOUD, self._catalog_loop),
+                (WorkCategory.PEERS, self._ping_loop),
+                (WorkCategory.SEARCHES, self.gang_search.loop),
+                (WorkCategory.PEERS, self.report_relay.loop),
+                (WorkCategory.OTHER, self._resign_loop),
+                (WorkCategory.COMMANDS, self.enforcer.loop),
             ):
-                await group.spawn(self.account.on_duty, duty, loop)
+                await group.spawn(self.cpu_accounting.run_in_category, category, loop)
         if group.exception is not None:
             raise group.exception
 
     # -- requests ----------------------------------------------------------
 
-    async def handle(self, request: Request) -> Answer:
+    async def handle(self, request: Request) -> Response:
         if request.path == wire.HEARTBEAT_PATH:
-            self.account.enter(Duty.HEARTBEATS)
+            self.cpu_accounting.enter(WorkCategory.HEARTBEATS)
             if request.method != "POST":
-                return Answer(405)
+                return Response(405)
             return await self._heartbeat(request.body)
         if request.path == wire.HEALTH_PATH:
-            self.account.enter(Duty.HEALTH)
+            self.cpu_accounting.enter(WorkCategory.HEALTH)
             if request.method != "GET":
-                return Answer(405)
-            return Answer(200 if self._healthy(await curio.clock()) else 503)
-        self.account.enter(Duty.USERS)
+                return Response(405)
+            return Response(200 if self._healthy(await curio.clock()) else 503)
+        self.cpu_accounting.enter(WorkCategory.USERS)
         answer = await self.users.handle(request)
-        return answer if answer is not None else Answer(404)
+        return answer if answer is not None else Response(404)
 
     def _served(self, now: float) -> bool:
         """Whether the state service answers this node, a hiccup aside."""
@@ -257,12 +266,12 @@
             return False
         return self._served(now) or not self.fallback.alone(now)
 
-    async def _heartbeat(self, body: bytes) -> Answer:
+    async def _heartbeat(self, body: bytes) -> Response:
         try:
             heartbeat = read(body, Heartbeat)
-        except BadMessage as exc:
+        except InvalidMessageError as exc:
             log.debug("heartbeat refused: %s", exc)
-            return Answer(400)
+            return Response(400)
         lead = self.leadership
         leading = self.leading
         if heartbeat.term > lead.term:
@@ -272,34 +281,34 @@
             if leading is not None:
                 await self._depose("a worker knows a higher term")
             lead.leader = None
-            return Answer(421, wire.redirect(None))
+            return Response(421, wire.redirect(None))
         now = await curio.clock()
         if self.fallback.isolated(self._served(now), now):
             # Nothing that this node hears reaches anybody: not even a leader may
-            # hold workers here, once its grant may have passed on.
-            if not self.lease.assured(now):
+            # hold workers here, once its lease may have passed on.
+            if not self.lease.lease_is_valid(now):
                 if not (self._informed(now) and self.fallback.keeps_isolated(heartbeat, now)):
-                    return Answer(421, wire.redirect(None))
+                    return Response(421, wire.redirect(None))
         if leading is None or not lead.leads:
             if self._informed(now) and self.fallback.keeps(heartbeat, now):
                 self.fallback.keep(heartbeat)
-                return self._answer_kept(heartbeat, lead.term)
+                return self._answer_locally(heartbeat, lead.term)
             leader = lead.leader if lead.leader != self.name else None
-            return Answer(421, wire.redirect(leader))
+            return Response(421, wire.redirect(leader))
         if not leading.loaded:
             if not self._informed(now):
-                return Answer(421, wire.redirect(None))
-            return self._answer_kept(heartbeat, leading.term)
+                return Response(421, wire.redirect(None))
+            return self._answer_locally(heartbeat, leading.term)
         _, commands = await leading.hear(heartbeat)
         if self.leading is not leading:
-            return Answer(421, wire.redirect(None))
-        return Answer(200, Commands(leading.term, commands))
+            return Response(421, wire.redirect(None))
+        return Response(200, Commands(leading.term, commands))
 
     def _informed(self, now: float) -> bool:
         """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
         return self.cancellations.informed and self.fallback.informed(now)
 
-    def _answer_kept(self, heartbeat: Heartbeat, term: int) -> Answer:
+    def _answer_locally(self, heartbeat: Heartbeat, term: int) -> Response:
         """A 200 without a scheduler: nothing but the kills that the record asks for."""
         self.placements.seen(heartbeat)
         commands = self.cancellations.kills(heartbeat)
@@ -309,7 +318,7 @@
                 len(commands),
                 heartbeat.machine,
             )
-        return Answer(200, Commands(term, commands))
+        return Response(200, Commands(term, commands))
 
     # -- cancellations -------------------------------------------------------
 
@@ -318,7 +327,7 @@
         if self.leading is not None and self.leading.loaded:
             return True
         leader, at = self._leader_loaded
-        quiet = now - at > 2 * SILENT_GRANTS * self.grant_s
+        quiet = now - at > 2 * SILENT_CONTROLLER_LEASES * self.controller_lease_s
         return not quiet and self.cancellations.peer_has(leader, job)
 
     async def _tell_leading(self, job: str, at: float) -> None:
@@ -360,10 +369,10 @@
             await curio.clock(),
             self._tell,
             self._dial,
-            self.lease.assured,
+            self.lease.lease_is_valid,
             self.cancellations,
-            self.account,
-            self.grant_s,
+            self.cpu_accounting,
+            self.controller_lease_s,
             self.released,
             self._tell_released,
         )
@@ -392,7 +401,7 @@
                 continue
             task = await curio.spawn(leading.run)
             while self.leading is leading and not task.terminated:
-                await curio.ignore_after(0.25 * self.grant_s, self._changed.wait)
+                await curio.ignore_after(0.25 * self.controller_lease_s, self._changed.wait)
                 self._changed.clear()
             await task.cancel()
             if self.leading is leading:
@@ -403,8 +412,8 @@
 
     async def _tell(self, message: tuple[Any, ...]) -> None:
         frame = encode(message)
-        for link in self.links.values():
-            await link.send(frame)
+        for connection in self.peer_connections.values():
+            await connection.send(frame)
 
     async def _ping(self) -> None:
         lead = self.leadership
@@ -433,11 +442,11 @@
     async def _ping_loop(self) -> None:
         while True:
             await self._ping()
-            await curio.sleep(0.25 * self.grant_s)
+            await curio.sleep(0.25 * self.controller_lease_s)
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
         """A message of another controller: hints only."""
-        self.account.enter(Duty.PEERS)
+        self.cpu_accounting.enter(WorkCategory.PEERS)
         tag = message[0]
         if tag == PING:
             await self._hear_ping(Ping(*message))
@@ -511,7 +520,7 @@
         """A leader that hardly hears any worker, while others do, makes room."""
         lease_s = self.settings.cluster.workers.lease_s
         while True:
-            await curio.sleep(0.5 * self.grant_s)
+            await curio.sleep(0.5 * self.controller_lease_s)
             leading = self.leading
             now = await curio.clock()
             if (
@@ -535,6 +544,6 @@
                     {machine_type.name: machine_type for machine_type in machine_types}
                 )
                 await curio.sleep(CATALOG_HEARTBEATS * self.heartbeat_interval_s)
-            except CloudDown as exc:
+            except CloudUnavailableError as exc:
                 log.debug("catalog: %s", exc)
                 await curio.sleep(max(1.0, 0.5 * self.heartbeat_interval_s))
--- a/topazhold/control/relay.py
+++ b/topazhold/control/relay.py
@@ -19,7 +19,7 @@
 from topazhold.wire.messages import Heartbeat
 
 #: A leader that has been silent for this share of a grant's time is cut off.
-SILENT_GRANTS = 0.9
+SILENT_CONTROLLER_LEASES = 0.9
 #: Steady clocks drift apart by at most this share.
 DRIFT = 0.002
 
@@ -84,7 +84,7 @@
         leadership: Leadership,
         zone: str,
         peers: int,
-        grant_s: float,
+        controller_lease_s: float,
         lease_s: float,
         now: float,
         cancel_s: float = math.inf,
@@ -93,7 +93,7 @@
         self._zone = zone
         self._peers = peers
         self._isolated = IsolatedNode(zone, lease_s)
-        self._silence_s = SILENT_GRANTS * grant_s
+        self._silence_s = SILENT_CONTROLLER_LEASES * controller_lease_s
         self._lease_s = lease_s
         # A task that an answer keeps alive lives for a lease more. Until so long after
         # the last word of a peer, whatever was cancelled since is gone in time.
--- a/topazhold/control/report_relay.py
+++ b/topazhold/control/report_relay.py
@@ -7,13 +7,18 @@
 
 import curio
 
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    STORE_ERRORS,
+    KeyValueStore,
+    PreconditionFailedError,
+)
 from topazhold.control.peer_messages import RELAY, Relay
 from topazhold.control.relay import WorkerFallback
-from topazhold.control.store import DECISIONS, TROUBLE, Conflict, Store
 from topazhold.control.term_context import TXN_BYTES
 from topazhold.core import records
 from topazhold.core.leadership import Leadership
-from topazhold.io.links import FRAME_LIMIT, Link, encode
+from topazhold.io.peer_transport import FRAME_LIMIT, PeerConnection, encode
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
@@ -32,10 +37,10 @@
     def __init__(
         self,
         settings: Settings,
-        store: Store,
+        store: KeyValueStore,
         leadership: Leadership,
         fallback: WorkerFallback,
-        links: Mapping[str, Link],
+        peer_connections: Mapping[str, PeerConnection],
         lease_id: Callable[[], int | None],
     ) -> None:
         self._node = settings.node_name
@@ -44,7 +49,7 @@
         self._store = store
         self._leadership = leadership
         self._fallback = fallback
-        self._links = links
+        self._peer_connections = peer_connections
         self._lease_id = lease_id
 
     async def loop(self) -> None:
@@ -57,15 +62,15 @@
         while True:
             await curio.sleep(self._heartbeat_interval_s)
             lead = self._leadership
-            link = self._links.get(lead.leader or "")
-            if link is None:
+            connection = self._peer_connections.get(lead.leader or "")
+            if connection is None:
                 continue
             if not self._fallback.leader_cut(await curio.clock()):
                 for _ in range(RELAY_FRAMES):
                     heartbeats = self._fallback.take(RELAY_FRAME_BYTES)
                     if not heartbeats:
                         break
-                    await link.send(encode(Relay(RELAY, lead.term, heartbeats)))
+                    await connection.send(encode(Relay(RELAY, lead.term, heartbeats)))
                 continue
             # A whole zone's reports don't fit one value: several, within a share of
             # what a transaction takes and of the changes a second.
@@ -80,6 +85,6 @@
             if not changes:
                 continue
             try:
-                await self._store.multi([], changes, DECISIONS)
-            except (*TROUBLE, Conflict) as exc:
+                await self._store.compare_and_swap([], changes, DECISION_PRIORITY)
+            except (*STORE_ERRORS, PreconditionFailedError) as exc:
                 log.debug("reports not relayed: %s", exc)
--- a/topazhold/control/saving.py
+++ b/topazhold/control/saving.py
@@ -7,7 +7,12 @@
 
 import curio
 
-from topazhold.control.store import DECISIONS, LEASES, TROUBLE, Conflict
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    LEASE_PRIORITY,
+    STORE_ERRORS,
+    PreconditionFailedError,
+)
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
 from topazhold.core.jobs import Job, JobState
@@ -57,19 +62,19 @@
                 await self._context.store.commit(
                     [*self._context.conditions(), (live, job.revision), (over, 0)],
                     [wire.drop(live), wire.put(over, value)],
-                    LEASES,
+                    LEASE_PRIORITY,
                     over,
                     token,
                     give_up_s=self._context.block_s,
                 )
-            except Conflict as exc:
+            except PreconditionFailedError as exc:
                 await self._context.repair(exc.keys)
                 if over in exc.keys:
                     await self._context.on_job_ended(job.id)
                 if job.state is JobState.LIVE:
                     await curio.sleep(self._context.retry_s)  # how it ended can't be read yet
                 continue
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("job %s not moved yet: %s", job.id, exc)
                 await curio.sleep(self._context.retry_s)
                 continue
@@ -92,15 +97,15 @@
             job.revision = await self._context.store.commit(
                 [*self._context.conditions(), (live, job.revision)],
                 operations,
-                DECISIONS,
+                DECISION_PRIORITY,
                 live,
                 token,
                 give_up_s=self._context.block_s,
             )
-        except Conflict as exc:
+        except PreconditionFailedError as exc:
             await self._context.repair(exc.keys)
             return
-        except TROUBLE as exc:
+        except STORE_ERRORS as exc:
             log.debug("job %s not saved: %s", job.id, exc)
             return
         job.saved_at = now
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -10,8 +10,12 @@
 import curio
 
 from topazhold.control.booking import View
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    STORE_ERRORS,
+    PreconditionFailedError,
+)
 from topazhold.control.peer_messages import PLACED, SUMMARY, Placed, Summary
-from topazhold.control.store import DECISIONS, TROUBLE, Conflict
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.jobs import AttemptState, JobState
@@ -169,11 +173,11 @@
         for start in range(0, len(operations), context.txn_ops):
             part = operations[start : start + context.txn_ops]
             try:
-                await context.store.multi(context.conditions(), part, DECISIONS)
-            except Conflict as exc:
+                await context.store.compare_and_swap(context.conditions(), part, DECISION_PRIORITY)
+            except PreconditionFailedError as exc:
                 await context.repair(exc.keys)
                 return
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("summary not written: %s", exc)
                 return
 
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -11,7 +11,7 @@
 
 import curio
 
-from topazhold.control.store import DECISIONS, TROUBLE, Store
+from topazhold.control.key_value_store import DECISION_PRIORITY, STORE_ERRORS, KeyValueStore
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.intent_shards import IntentShards
@@ -31,7 +31,7 @@
 TXN_BYTES = 48 * 1024
 
 
-class Deposed(Exception):
+class LeadershipLostError(Exception):
     """The term is over."""
 
 
@@ -41,11 +41,11 @@
     def __init__(
         self,
         settings: Settings,
-        store: Store,
+        store: KeyValueStore,
         scheduler: Scheduler,
         term: int,
         revision: int,
-        assured: Callable[[float], bool],
+        lease_is_valid: Callable[[float], bool],
         cancellations: Cancellations | None = None,
     ) -> None:
         cluster = settings.cluster
@@ -59,7 +59,7 @@
             workers = cluster.workers
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
         self.cancellations = cancellations
-        self.assured = assured  # whether nobody else can be leader yet
+        self.lease_is_valid = lease_is_valid  # whether nobody else can be leader yet
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.block_s = cluster.workers.lease_s
@@ -87,20 +87,20 @@
     async def repair(self, keys: list[str]) -> None:
         """Guards failed: learn what changed."""
         if LEADER_KEY in keys:
-            raise Deposed("the leadership mark has changed")
+            raise LeadershipLostError("the leadership mark has changed")
         for key in keys:
             try:
                 if key.startswith(records.LIVE_PREFIX):
                     await self._reread_job(key[len(records.LIVE_PREFIX) :])
                 elif key.startswith(records.ON_PREFIX):
-                    entry = await self.store.get(key, DECISIONS)
+                    entry = await self.store.get(key, DECISION_PRIORITY)
                     revision = entry.revision if entry is not None else 0
                     self.shards.marked(key[len(records.ON_PREFIX) :], revision)
-            except TROUBLE as exc:
+            except STORE_ERRORS as exc:
                 log.debug("repair of %s: %s", key, exc)
 
     async def _reread_job(self, job_id: str) -> None:
-        entry = await self.store.get(records.live_key(job_id), DECISIONS)
+        entry = await self.store.get(records.live_key(job_id), DECISION_PRIORITY)
         if entry is None:
             await self.on_job_ended(job_id)
         else:
@@ -138,8 +138,8 @@
             self.clean_up(job)
             return
         try:
-            entry = await self.store.get(records.over_key(job_id), DECISIONS)
-        except TROUBLE as exc:
+            entry = await self.store.get(records.over_key(job_id), DECISION_PRIORITY)
+        except STORE_ERRORS as exc:
             log.debug("end of %s not read: %s", job_id, exc)
             return
         now = await curio.clock()
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -11,14 +11,20 @@
 import curio
 import msgspec
 
-from topazhold.control.store import TROUBLE, USERS, Conflict, Store, StoreUnknown
+from topazhold.control.key_value_store import (
+    STORE_ERRORS,
+    USER_PRIORITY,
+    KeyValueStore,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+)
 from topazhold.core import autoscaling, records
 from topazhold.core.jobs import Job
 from topazhold.core.quota import team_limit_allows
-from topazhold.io.http import Answer, Request
+from topazhold.io.http import Request, Response
 from topazhold.settings import Settings, Team
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, convert, json_size, unpack
+from topazhold.wire.codec import InvalidMessageError, convert, json_size, unpack
 from topazhold.wire.messages import JobSpec, MachineType
 
 log = logging.getLogger(__name__)
@@ -44,7 +50,7 @@
     def __init__(
         self,
         settings: Settings,
-        store: Store,
+        store: KeyValueStore,
         machine_types: dict[str, MachineType],
         accepted: Callable[[Job], Awaitable[None]],
         running: Callable[[str], int],
@@ -63,7 +69,7 @@
         self._sequence = 0
         self._boot = f"{self._node}-{time.time_ns():x}"
 
-    async def handle(self, request: Request) -> Answer | None:
+    async def handle(self, request: Request) -> Response | None:
         """The answer to a users' request, or None if the path is not theirs."""
         path = request.path
         if path != wire.JOBS_PATH and not path.startswith(wire.JOBS_PATH + "/"):
@@ -73,23 +79,23 @@
         job = rest[: -len(wire.CANCEL_END)] if cancel else rest
         wanted = "POST" if cancel or not rest else "GET"
         if "/" in job:
-            return Answer(404)
+            return Response(404)
         if request.method != wanted:
-            return Answer(405)
+            return Response(405)
         if rest and not wire.valid_job_id(job):
-            return Answer(404)
+            return Response(404)
         if self._busy >= MAX_CONCURRENT_REQUESTS:
-            return Answer(503, retry_after=await self._busy_wait())
+            return Response(503, retry_after=await self._busy_wait())
         self._busy += 1
         try:
             if not rest:
                 return await self._submit(request.body)
             return await (self._cancel(job) if cancel else self._poll(job))
-        except StoreUnknown:
-            return Answer(504, retry_after=OUTAGE_RETRY_S)
-        except TROUBLE as exc:
+        except OutcomeUnknownError:
+            return Response(504, retry_after=OUTAGE_RETRY_S)
+        except STORE_ERRORS as exc:
             log.debug("request refused: %s", exc)
-            return Answer(503, retry_after=await self._busy_wait())
+            return Response(503, retry_after=await self._busy_wait())
         finally:
             self._busy -= 1
 
@@ -97,7 +103,7 @@
         """When to come back: after an outage's pause, or when the limits allow."""
         if self._store.failing_since is not None:
             return OUTAGE_RETRY_S
-        return max(1.0, await self._store.wait_s(USERS, 1))
+        return max(1.0, await self._store.wait_s(USER_PRIORITY, 1))
 
     def _token(self) -> str:
         self._sequence += 1
@@ -110,14 +116,14 @@
 
     # -- submit ------------------------------------------------------------
 
-    async def _submit(self, body: bytes) -> Answer:
+    async def _submit(self, body: bytes) -> Response:
         try:
             raw = unpack(body)
-        except BadMessage:
-            return Answer(400)
+        except InvalidMessageError:
+            return Response(400)
         job_id = raw.get("id") if isinstance(raw, dict) else None
         if not isinstance(job_id, str) or not wire.valid_job_id(job_id):
-            return Answer(400)
+            return Response(400)
         status, spec, reason = self._judge(raw)
         if status != 201 or spec is None:
             # A repeat of an accepted job is answered with its state, whatever
@@ -125,21 +131,21 @@
             known = await self._state(job_id)
             if known is None:
                 log.info("job %s refused: %d, %s", job_id, status, reason)
-            return known or Answer(status, retry_after=1.0 if status == 503 else None)
+            return known or Response(status, retry_after=1.0 if status == 503 else None)
         job = Job(spec, await curio.clock(), time.time(), self._node)
         token = self._token()
         value = records.live_value(job, token)
         if json_size(value) + records.marks_size(spec) > self._value_limit:
-            return Answer(400)
+            return Response(400)
         key = records.live_key(job_id)
         conditions = [(key, 0), (records.over_key(job_id), 0)]
         try:
             job.revision = await self._store.commit(
-                conditions, [wire.put(key, value)], USERS, key, token, OUTCOME_S
+                conditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_S
             )
-        except Conflict:
+        except PreconditionFailedError:
             known = await self._state(job_id)
-            return known or Answer(503, retry_after=1.0)
+            return known or Response(503, retry_after=1.0)
         log.info(
             "job %s accepted: %s, %s %s of %d for %s",
             job_id,
@@ -150,13 +156,13 @@
             spec.team,
         )
         await self._accepted(job)
-        return Answer(201, wire.job_answer(job_id, wire.PENDING))
+        return Response(201, wire.job_answer(job_id, wire.PENDING))
 
     def _judge(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
         """The status that a new job would get, with the reason."""
         try:
             spec = convert(raw, JobSpec)
-        except BadMessage as exc:
+        except InvalidMessageError as exc:
             return 400, None, str(exc)
         fault = spec.fault()
         if fault is not None:
@@ -181,17 +187,17 @@
 
     # -- poll --------------------------------------------------------------
 
-    async def _state(self, job_id: str) -> Answer | None:
+    async def _state(self, job_id: str) -> Response | None:
         """The job's present answer, or None if nobody submitted it."""
         final = self._final.get(job_id)
         if final is not None:
-            return Answer(200, wire.job_answer(job_id, final))
+            return Response(200, wire.job_answer(job_id, final))
         entry = await self._store.get(records.live_key(job_id))
         if entry is not None:
             running = self._running(job_id)
             stage = wire.RUNNING if running else wire.PENDING
             done = records.done_count(entry.data)
-            return Answer(200, wire.job_answer(job_id, stage, done, running))
+            return Response(200, wire.job_answer(job_id, stage, done, running))
         # Jobs move from live to over in one transaction, so this order
         # can't miss one.
         entry = await self._store.get(records.over_key(job_id))
@@ -201,17 +207,17 @@
         if stage == wire.ABORTED:
             await self._cancelled(job_id, records.over_at(entry.data, time.time()))
         self._keep_final(job_id, stage)
-        return Answer(200, wire.job_answer(job_id, stage))
+        return Response(200, wire.job_answer(job_id, stage))
 
-    async def _poll(self, job_id: str) -> Answer:
-        return await self._state(job_id) or Answer(404)
+    async def _poll(self, job_id: str) -> Response:
+        return await self._state(job_id) or Response(404)
 
     # -- cancel ------------------------------------------------------------
 
-    async def _cancel(self, job_id: str) -> Answer:
+    async def _cancel(self, job_id: str) -> Response:
         final = self._final.get(job_id)
         if final is not None:
-            return Answer(200, wire.job_answer(job_id, final))
+            return Response(200, wire.job_answer(job_id, final))
         live, over = records.live_key(job_id), records.over_key(job_id)
         for _ in range(8):
             entry = await self._store.get(live)
@@ -224,15 +230,15 @@
                 await self._store.commit(
                     [(live, entry.revision), (over, 0)],
                     [wire.drop(live), wire.put(over, value)],
-                    USERS,
+                    USER_PRIORITY,
                     over,
                     token,
                     OUTCOME_S,
                 )
-            except Conflict:
+            except PreconditionFailedError:
                 continue  # the leader saved progress, or another cancel came first
             await self._cancelled(job_id, at)
             self._keep_final(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
-            return Answer(200, wire.job_answer(job_id, wire.ABORTED))
-        return Answer(503, retry_after=1.0)
+            return Response(200, wire.job_answer(job_id, wire.ABORTED))
+        return Response(503, retry_after=1.0)
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -10,7 +10,7 @@
 from topazhold.core.jobs import PART, Job, JobState
 from topazhold.core.machines import Machine
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import BadMessage, convert
+from topazhold.wire.codec import InvalidMessageError, convert
 from topazhold.wire.messages import JobSpec
 
 LIVE_PREFIX = "live/"
@@ -70,7 +70,7 @@
 def read_live(data: Any, revision: int, now: float, clock: float) -> Job:
     """A job out of its live value; `now` is the time of day, `clock` the steady one."""
     if not isinstance(data, dict):
-        raise BadMessage("not a live job")
+        raise InvalidMessageError("not a live job")
     spec = convert(data.get("spec"), JobSpec)
     submitted = float(data.get("at", now))
     job = Job(spec, clock - max(0.0, now - submitted), submitted, str(data.get("node", "")))
@@ -103,7 +103,7 @@
 def read_over(data: Any, now: float, clock: float) -> Job:
     """A job that is over, for tasks that may still be on machines."""
     if not isinstance(data, dict):
-        raise BadMessage("not a job that is over")
+        raise InvalidMessageError("not a job that is over")
     spec = convert(data.get("spec"), JobSpec)
     at = float(data.get("at", now))
     job = Job(spec, clock, at, "")
--- a/topazhold/duties/cleaning.py
+++ b/topazhold/duties/cleaning.py
@@ -13,8 +13,8 @@
 
 import curio
 
-from topazhold.control.store import TROUBLE, USERS, Conflict
-from topazhold.control.term_context import Deposed, TermContext
+from topazhold.control.key_value_store import STORE_ERRORS, USER_PRIORITY, PreconditionFailedError
+from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.core.leadership import LEADER_KEY
@@ -64,12 +64,12 @@
         """Whether the state service let the work be done."""
         try:
             await work()
-        except Conflict as exc:
+        except PreconditionFailedError as exc:
             if LEADER_KEY in exc.keys:
-                raise Deposed("the leadership mark has changed") from None
+                raise LeadershipLostError("the leadership mark has changed") from None
             log.error("clean-up met a live job: %s", exc)
             return False
-        except TROUBLE as exc:
+        except STORE_ERRORS as exc:
             log.debug("clean-up waits: %s", exc)
             return False
         return True
@@ -77,14 +77,14 @@
     async def _sweep(self) -> None:
         """Find parts of jobs that are not live, and that nobody has seen to."""
         store = self._context.store
-        entries, _ = await store.entries(records.PART_PREFIX, USERS)
+        entries, _ = await store.entries(records.PART_PREFIX, USER_PRIORITY)
         parts: dict[str, list[int]] = {}
         for entry in entries:
             job_id, _, number = entry.key[len(records.PART_PREFIX) :].rpartition("/")
             if job_id and number.isdecimal() and job_id not in self._context.scheduler.jobs:
                 parts.setdefault(job_id, []).append(int(number))
         for job_id, numbers in parts.items():
-            if await store.get(records.live_key(job_id), USERS) is None:
+            if await store.get(records.live_key(job_id), USER_PRIORITY) is None:
                 log.info("%d parts of %s were left behind", len(numbers), job_id)
                 self._decide(job_id, numbers)
 
@@ -104,4 +104,4 @@
         for start in range(0, len(parts), context.txn_ops):
             some = parts[start : start + context.txn_ops]
             drops = [wire.drop(records.part_key(job_id, part)) for part in some]
-            await context.store.multi(conditions, drops, USERS)
+            await context.store.compare_and_swap(conditions, drops, USER_PRIORITY)
--- a/topazhold/duties/holder.py
+++ b/topazhold/duties/holder.py
@@ -13,11 +13,18 @@
 
 import curio
 
-from topazhold.control.store import DECISIONS, LEASES, TROUBLE, USERS, Conflict, StoreUnknown
-from topazhold.control.term_context import TXN_BYTES, Deposed, TermContext
+from topazhold.control.key_value_store import (
+    DECISION_PRIORITY,
+    LEASE_PRIORITY,
+    STORE_ERRORS,
+    USER_PRIORITY,
+    OutcomeUnknownError,
+    PreconditionFailedError,
+)
+from topazhold.control.term_context import TXN_BYTES, LeadershipLostError, TermContext
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.duties.book import AnyOrder, OrderBook
-from topazhold.duties.records import RecordError, write_record
+from topazhold.duties.records import InvalidRecordError, write_record
 from topazhold.duties.standing import HolderStanding, Standing
 from topazhold.wire import messages as wire
 
@@ -25,10 +32,10 @@
 
 #: A longer time between two looks at the clocks is taken for a pause; looks are due after a
 #: fifth of it. Shares of a lease's time.
-GAP_GRANTS = 0.5
-LOOK_GRANTS = 0.1
+GAP_CONTROLLER_LEASES = 0.5
+LOOK_CONTROLLER_LEASES = 0.1
 #: The lease must have so much of its time left when an order is decided or sent.
-MARGIN_GRANTS = 0.05
+MARGIN_CONTROLLER_LEASES = 0.05
 #: After a pause, machines are heard for so many heartbeat intervals before one is released
 #: without a record: what was known of them is old.
 HEARING_HEARTBEATS = 2.5
@@ -39,11 +46,13 @@
 class DutyHolder:
     """What all duties of a term need of the state service."""
 
-    def __init__(self, context: TermContext, book: OrderBook, grant_s: float, now: float) -> None:
+    def __init__(
+        self, context: TermContext, book: OrderBook, controller_lease_s: float, now: float
+    ) -> None:
         self._context = context
-        self._grant_s = grant_s
+        self._controller_lease_s = controller_lease_s
         self.book = book
-        self.standing = HolderStanding(GAP_GRANTS * grant_s, now, time.time())
+        self.standing = HolderStanding(GAP_CONTROLLER_LEASES * controller_lease_s, now, time.time())
         self._recording = curio.Lock()  # several duties record; each order is put once at a time
         self._unsure: dict[str, AnyOrder] = {}  # whose records may have been written
 
@@ -56,9 +65,11 @@
     async def look(self) -> bool:
         """Look at the clocks; whether orders may be decided and sent just now."""
         now = await curio.clock()
-        assured = self._context.assured(now + MARGIN_GRANTS * self._grant_s)
+        lease_is_valid = self._context.lease_is_valid(
+            now + MARGIN_CONTROLLER_LEASES * self._controller_lease_s
+        )
         pauses = self.standing.pauses
-        standing = self.standing.look(now, time.time(), assured)
+        standing = self.standing.look(now, time.time(), lease_is_valid)
         if self.standing.pauses != pauses:
             log.info("holder of term %d was paused: no orders until confirmed", self._context.term)
         return standing is Standing.CONFIRMED
@@ -69,13 +80,13 @@
             return True
         asked_at = await curio.clock()
         try:
-            entry = await self._context.store.get(LEADER_KEY, LEASES)
-        except TROUBLE as exc:
+            entry = await self._context.store.get(LEADER_KEY, LEASE_PRIORITY)
+        except STORE_ERRORS as exc:
             log.debug("leadership not confirmed: %s", exc)
             return False
         if entry is None or entry.revision != self._context.revision:
             self.standing.lose()
-            raise Deposed("another holder of the duties was found")
+            raise LeadershipLostError("another holder of the duties was found")
         self.standing.confirm(asked_at)
         return await self.look()
 
@@ -87,7 +98,7 @@
     async def watch_clocks(self) -> None:
         """Look often, so that a pause shows before the next order."""
         while True:
-            await curio.sleep(LOOK_GRANTS * self._grant_s)
+            await curio.sleep(LOOK_CONTROLLER_LEASES * self._controller_lease_s)
             await self.look()
 
     # -- records ---------------------------------------------------------------
@@ -106,22 +117,22 @@
         conditions = self._context.conditions() + [(order.key, 0) for order in orders]
         try:
             puts = [wire.put(order.key, write_record(order.record)) for order in orders]
-            await self._context.store.multi(conditions, puts, DECISIONS)
-        except RecordError as exc:
+            await self._context.store.compare_and_swap(conditions, puts, DECISION_PRIORITY)
+        except InvalidRecordError as exc:
             log.error("order not recorded: %s", exc)
             return False
-        except Conflict as exc:
+        except PreconditionFailedError as exc:
             if LEADER_KEY in exc.keys:
                 self.standing.lose()
-                raise Deposed("the leadership mark has changed") from None
+                raise LeadershipLostError("the leadership mark has changed") from None
             await self._read_back(order for order in orders if order.key in exc.keys)
             return False
-        except StoreUnknown as exc:
+        except OutcomeUnknownError as exc:
             # It may yet be carried out: the order stays, and is recorded under the same key.
             self._unsure.update({order.key: order for order in orders})
             log.debug("orders perhaps not recorded: %s", exc)
             return False
-        except TROUBLE as exc:
+        except STORE_ERRORS as exc:
             log.debug("orders not recorded: %s", exc)
             return False
         self._known(orders, await curio.clock())
@@ -137,8 +148,8 @@
         """Keys that are there already: an earlier try without an answer wrote them."""
         for order in orders:
             try:
-                entry = await self._context.store.get(order.key, DECISIONS)
-            except TROUBLE as exc:
+                entry = await self._context.store.get(order.key, DECISION_PRIORITY)
+            except STORE_ERRORS as exc:
                 log.debug("record %s not read: %s", order.key, exc)
                 continue
             if entry is not None and _token(entry.data) == order.record.by:
@@ -160,10 +171,12 @@
         if stored:
             drops = [wire.drop(order.key) for order in stored]
             try:
-                await self._context.store.multi(self._context.conditions(), drops, USERS)
-            except Conflict:
-                raise Deposed("the leadership mark has changed") from None
-            except TROUBLE as exc:
+                await self._context.store.compare_and_swap(
+                    self._context.conditions(), drops, USER_PRIORITY
+                )
+            except PreconditionFailedError:
+                raise LeadershipLostError("the leadership mark has changed") from None
+            except STORE_ERRORS as exc:
                 log.debug("%d records stay: %s", len(stored), exc)
                 return
         for order in stored:
--- a/topazhold/duties/inheritance.py
+++ b/topazhold/duties/inheritance.py
@@ -8,15 +8,15 @@
 
 import logging
 
-from topazhold.control.store import LEASES
+from topazhold.control.key_value_store import LEASE_PRIORITY
 from topazhold.control.term_context import TermContext
 from topazhold.core.ledger import ATTEMPTS_PER_TERM
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
 from topazhold.duties.records import (
     DUTY_PREFIX,
+    InvalidRecordError,
     OrderRecord,
-    RecordError,
     ReturnRecord,
     read_record,
 )
@@ -27,7 +27,7 @@
 
 async def read_entries(context: TermContext) -> list[Entry]:
     """All stored orders; raises what the state service's access raises."""
-    entries, _ = await context.store.entries(DUTY_PREFIX, LEASES)
+    entries, _ = await context.store.entries(DUTY_PREFIX, LEASE_PRIORITY)
     return entries
 
 
@@ -37,7 +37,7 @@
     for entry in entries:
         try:
             found.append(read_record(entry.key, entry.data))
-        except RecordError as exc:
+        except InvalidRecordError as exc:
             book.counters.unreadable += 1
             log.error("%s unreadable: %s", entry.key, exc)
     return found
--- a/topazhold/duties/inspection.py
+++ b/topazhold/duties/inspection.py
@@ -8,13 +8,13 @@
 import curio
 import msgspec
 
-from topazhold.control.store import LEASES, TROUBLE, Store
+from topazhold.control.key_value_store import LEASE_PRIORITY, STORE_ERRORS, KeyValueStore
 from topazhold.core.leadership import LEADER_KEY, read_value
 from topazhold.duties.records import (
     DUTY_PREFIX,
     CleanupRecord,
+    InvalidRecordError,
     OrderRecord,
-    RecordError,
     RentalRecord,
     ReturnRecord,
     read_record,
@@ -34,7 +34,7 @@
 NAMES_SHOWN = 4
 
 
-class Unreachable(Exception):
+class ControllersUnreachableError(Exception):
     """The state service gave no answer that can be used."""
 
 
@@ -67,12 +67,12 @@
 async def inspect(settings: Settings) -> DutiesReport:
     """Read the holder and all orders; raises Unreachable."""
     client = Client(address(settings.outside.state), 1)
-    store = Store(client, client, settings.cluster.state, TIMEOUT_S)
+    store = KeyValueStore(client, client, settings.cluster.state, TIMEOUT_S)
     try:
-        leader = await store.get(LEADER_KEY, LEASES)
-        entries, _ = await store.entries(DUTY_PREFIX, LEASES)
-    except TROUBLE as exc:
-        raise Unreachable(str(exc)) from None
+        leader = await store.get(LEADER_KEY, LEASE_PRIORITY)
+        entries, _ = await store.entries(DUTY_PREFIX, LEASE_PRIORITY)
+    except STORE_ERRORS as exc:
+        raise ControllersUnreachableError(str(exc)) from None
     finally:
         await client.close()
     found = read_value(leader.data) if leader is not None else None
@@ -93,7 +93,7 @@
 def _open_order(key: str, data: Any, term: int | None, now: float) -> OpenOrder:
     try:
         record = read_record(key, data)
-    except RecordError as exc:
+    except InvalidRecordError as exc:
         return OpenOrder(key, "unreadable", None, None, False, str(exc))
     kind, text = _describe(record)
     return OpenOrder(key, kind, record.term, max(0.0, now - record.at), record.term == term, text)
--- a/topazhold/duties/records.py
+++ b/topazhold/duties/records.py
@@ -13,7 +13,7 @@
 from msgspec import Meta
 
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES, MAX_SCALE_OUT_MACHINES
-from topazhold.wire.codec import BadMessage, convert, json_size
+from topazhold.wire.codec import InvalidMessageError, convert, json_size
 
 DUTY_PREFIX = "duty/"
 RETURN_PREFIX = "duty/return/"
@@ -84,7 +84,7 @@
 }
 
 
-class RecordError(ValueError):
+class InvalidRecordError(ValueError):
     """A record that can't be read or must not be written."""
 
 
@@ -98,7 +98,7 @@
     for prefix, kind in RECORD_TYPES.items():
         if type(record) is kind:
             return order_key(prefix, record.term, record.number)
-    raise RecordError(f"no key for a {type(record).__name__}")
+    raise InvalidRecordError(f"no key for a {type(record).__name__}")
 
 
 def write_record(record: OrderRecord) -> dict[str, Any]:
@@ -106,8 +106,8 @@
     value: dict[str, Any] = msgspec.to_builtins(record)
     try:
         convert(value, type(record))
-    except BadMessage as exc:
-        raise RecordError(f"{key_of(record)}: {exc}") from None
+    except InvalidMessageError as exc:
+        raise InvalidRecordError(f"{key_of(record)}: {exc}") from None
     return value
 
 
@@ -117,12 +117,12 @@
         if key.startswith(prefix):
             try:
                 record = convert(value, kind)
-            except BadMessage as exc:
-                raise RecordError(str(exc)) from None
+            except InvalidMessageError as exc:
+                raise InvalidRecordError(str(exc)) from None
             if key_of(record) != key:
-                raise RecordError(f"the record is of {key_of(record)}")
+                raise InvalidRecordError(f"the record is of {key_of(record)}")
             return record
-    raise RecordError("no such kind of order")
+    raise InvalidRecordError("no such kind of order")
 
 
 def split_machines(machines: Mapping[str, str], value_limit: int) -> Iterator[dict[str, str]]:
--- a/topazhold/duties/renting.py
+++ b/topazhold/duties/renting.py
@@ -7,7 +7,12 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudDown, NoCapacity, RequestRefused
+from topazhold.control.cloud import (
+    Cloud,
+    CloudCapacityError,
+    CloudRequestRejectedError,
+    CloudUnavailableError,
+)
 from topazhold.control.term_context import TermContext
 from topazhold.core.autoscaling import MAX_SCALE_OUT_MACHINES, ScaleOutRequest
 from topazhold.duties.holder import DutyHolder
@@ -84,14 +89,14 @@
         ask = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
         try:
             names = await self._cloud.rent(record.request, ask)
-        except (NoCapacity, RequestRefused) as exc:
-            if isinstance(exc, RequestRefused):
+        except (CloudCapacityError, CloudRequestRejectedError) as exc:
+            if isinstance(exc, CloudRequestRejectedError):
                 log.error("rental %s refused for good: %s", record.request, exc)
             now = await curio.clock()
             capacity_backoff.on_refused(*kind, pause_s, now)
             book.rented(order, [], now)
             return
-        except CloudDown as exc:
+        except CloudUnavailableError as exc:
             log.debug("rental %s: %s", record.request, exc)
             return
         now = await curio.clock()
--- a/topazhold/duties/returning.py
+++ b/topazhold/duties/returning.py
@@ -11,7 +11,7 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudDown
+from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
 from topazhold.core.intent_shards import IntentShard
@@ -88,7 +88,7 @@
         log.info("return of %d machines asked for%s", len(request.names), again)
         try:
             await self._cloud.release(request.names)
-        except CloudDown as exc:
+        except CloudUnavailableError as exc:
             log.debug("release: %s", exc)
             return
         now = await curio.clock()
--- a/topazhold/duties/standing.py
+++ b/topazhold/duties/standing.py
@@ -35,7 +35,7 @@
         self._clock_difference = wall - now
         self._state = Standing.DOUBTED
 
-    def look(self, now: float, wall: float, assured: bool) -> Standing:
+    def look(self, now: float, wall: float, lease_is_valid: bool) -> Standing:
         """Look at the clocks; `assured`: the lease can't have passed on.
 
         The steady clock may stand still while a machine is suspended; the time of day then
@@ -49,7 +49,7 @@
             return self._state
         if gap > self._longest_gap_s or jump > self._longest_gap_s:
             self._pause(now)
-        elif not assured:
+        elif not lease_is_valid:
             self._state = Standing.DOUBTED
         return self._state
 
--- a/topazhold/duties/term_duties.py
+++ b/topazhold/duties/term_duties.py
@@ -39,7 +39,7 @@
         intents: Intents,
         settings: Settings,
         operator: Operator,
-        grant_s: float,
+        controller_lease_s: float,
         now: float,
         tell_released: TellReleased,
     ) -> None:
@@ -49,7 +49,7 @@
         self.book = OrderBook(
             context.node, context.term, context.value_limit, keep_s, operator.record_orders
         )
-        self.holder = DutyHolder(context, self.book, grant_s, now)
+        self.holder = DutyHolder(context, self.book, controller_lease_s, now)
         self._machine_list = MachineList(context, cloud)
         self.returning = ReturnDuty(context, self.holder, cloud, intents, tell_released)
         self._renting = RentDuty(context, self.holder, cloud, self._machine_list.listed)
--- a/topazhold/io/client.py
+++ b/topazhold/io/client.py
@@ -9,8 +9,8 @@
 import curio
 import h11
 
-from topazhold.io.heads import HEAD_LIMIT
-from topazhold.io.http import CHUNK, NoAnswer, connect
+from topazhold.io.http import CHUNK, NoResponseError, connect
+from topazhold.io.http_heads import HEAD_LIMIT
 from topazhold.wire.codec import pack
 
 
@@ -37,7 +37,7 @@
             )
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as exc:
             await sock.close()
-            raise NoAnswer(f"{method} {self._host}: {type(exc).__name__}") from None
+            raise NoResponseError(f"{method} {self._host}: {type(exc).__name__}") from None
         except BaseException:
             await sock.close()
             raise
--- a/topazhold/io/account.py
+++ b/topazhold/io/cpu_accounting.py
@@ -26,7 +26,7 @@
 MAX_SAMPLES = 512
 
 
-class Duty(Enum):
+class WorkCategory(Enum):
     """What a task works for."""
 
     HEARTBEATS = "reports"
@@ -42,7 +42,7 @@
     OTHER = "other"
 
 
-class Entry:
+class CategoryUsage:
     """What one duty has taken since the last statement."""
 
     __slots__ = ("seconds", "pieces", "longest_s")
@@ -53,7 +53,7 @@
         self.longest_s = 0.0
 
 
-class Account(Activation):
+class CpuAccounting(Activation):
     """Sums up how long tasks run, by duty.
 
     A task begins without a duty, and each names its own by `enter`; the piece of work that
@@ -61,23 +61,27 @@
     """
 
     def __init__(self) -> None:
-        self._duties: dict[int, Duty] = {}  # tasks that have named one
+        self._categories: dict[int, WorkCategory] = {}  # tasks that have named one
         self._task = 0
-        self._duty = Duty.OTHER
+        self._category = WorkCategory.OTHER
         self._began = 0.0
-        self.entries = {duty: Entry() for duty in Duty}  # since the last statement
+        self.entries = {
+            category: CategoryUsage() for category in WorkCategory
+        }  # since the last statement
         self._since = time.monotonic()
         self._late: deque[float] = deque(maxlen=MAX_SAMPLES)
 
-    def enter(self, duty: Duty) -> None:
+    def enter(self, category: WorkCategory) -> None:
         """From now on the running task works for `duty`."""
-        self._duty = duty
+        self._category = category
         if self._task:
-            self._duties[self._task] = duty
+            self._categories[self._task] = category
 
-    async def on_duty(self, duty: Duty, work: Callable[[], Awaitable[Any]]) -> None:
+    async def run_in_category(
+        self, category: WorkCategory, work: Callable[[], Awaitable[Any]]
+    ) -> None:
         """Run a loop as work for `duty`."""
-        self.enter(duty)
+        self.enter(category)
         await work()
 
     async def loop(self, heartbeat_interval_s: float, state: Callable[[str], None]) -> None:
@@ -93,12 +97,12 @@
     def running(self, task: Any) -> None:
         """The kernel is about to run a task."""
         self._task = task.id
-        self._duty = self._duties.get(task.id, Duty.OTHER)
+        self._category = self._categories.get(task.id, WorkCategory.OTHER)
         self._began = time.monotonic()
 
     def suspended(self, task: Any, trap: Any) -> None:
         """A task waits, or has ended."""
-        entry = self.entries[self._duty]
+        entry = self.entries[self._category]
         took_s = time.monotonic() - self._began
         entry.seconds += took_s
         entry.pieces += 1
@@ -108,7 +112,7 @@
 
     def terminated(self, task: Any) -> None:
         """A task has ended."""
-        self._duties.pop(task.id, None)
+        self._categories.pop(task.id, None)
 
     def statement(self) -> str:
         """One line on the time since the last statement; the next one begins."""
@@ -116,9 +120,9 @@
         span = max(now - self._since, 1e-9)
         busy = sum(entry.seconds for entry in self.entries.values())
         parts = [
-            f"{duty.value} {100 * entry.seconds / span:.2f}% ({entry.pieces}, "
+            f"{category.value} {100 * entry.seconds / span:.2f}% ({entry.pieces}, "
             f"{1000 * entry.seconds / entry.pieces:.2f} ms, at most {1000 * entry.longest_s:.0f})"
-            for duty, entry in sorted(
+            for category, entry in sorted(
                 self.entries.items(), key=lambda item: item[1].seconds, reverse=True
             )
             if entry.pieces
@@ -129,7 +133,7 @@
             f"timers late {1000 * statistics.median(late):.0f} ms, at most "
             f"{1000 * max(late):.0f} ms; memory at most {peak_memory_mb():.1f} MB"
         )
-        self.entries = {duty: Entry() for duty in Duty}
+        self.entries = {category: CategoryUsage() for category in WorkCategory}
         self._late.clear()
         self._since = now
         return line
--- a/topazhold/io/http.py
+++ b/topazhold/io/http.py
@@ -30,7 +30,7 @@
         self.body = body
 
 
-class Answer:
+class Response:
     """A response: a status, a CBOR body and perhaps `Retry-After`."""
 
     __slots__ = ("status", "body", "retry_after", "close")
@@ -49,11 +49,11 @@
         return None if self.retry_after is None else max(1, round(self.retry_after))
 
 
-class NotSent(Exception):
+class RequestNotSentError(Exception):
     """The request did not leave this node."""
 
 
-class NoAnswer(Exception):
+class NoResponseError(Exception):
     """The request was sent and may have been, or may yet be, carried out."""
 
 
@@ -105,7 +105,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except (OSError, curio.TaskTimeout) as exc:
         await sock.close()
-        raise NotSent(f"{address[0]}:{address[1]}: {type(exc).__name__}") from None
+        raise RequestNotSentError(f"{address[0]}:{address[1]}: {type(exc).__name__}") from None
     except BaseException:
         await sock.close()
         raise
--- a/topazhold/io/links.py
+++ b/topazhold/io/peer_transport.py
@@ -14,7 +14,7 @@
 import cbor2
 import curio
 
-from topazhold.io.http import NotSent, connect, listen
+from topazhold.io.http import RequestNotSentError, connect, listen
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
     return bytes(data)
 
 
-class Listener:
+class PeerListener:
     """Receives the other controllers' messages."""
 
     def __init__(self, receiver: Receiver, idle_s: float) -> None:
@@ -86,7 +86,7 @@
                 log.debug("peer message dropped: %s: %r", message[0], exc)
 
 
-class Link:
+class PeerConnection:
     """Sends to one other controller; the oldest message gives way when it lags."""
 
     def __init__(self, address: tuple[str, int], period_s: float) -> None:
@@ -107,7 +107,7 @@
         while True:
             try:
                 sock = await connect(self._address, self._period_s * 2)
-            except NotSent:
+            except RequestNotSentError:
                 self._waiting.clear()
                 await curio.sleep(self._period_s)
                 continue
--- a/topazhold/io/rate.py
+++ b/topazhold/io/rate_limit.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Bucket:
+class TokenBucket:
     """Refills at `rate`, holds `rate` times `burst_s` at most."""
 
     def __init__(self, rate: float, burst_s: float = 1.0) -> None:
--- a/topazhold/io/server.py
+++ b/topazhold/io/server.py
@@ -11,14 +11,14 @@
 import h11
 from curio import socket
 
-from topazhold.io.heads import (
+from topazhold.io.http import CHUNK, Request, Response, listen
+from topazhold.io.http_heads import (
     HEAD_LIMIT,
     answer_event,
     parse_request_head,
     render_answer_head,
     split_head,
 )
-from topazhold.io.http import CHUNK, Answer, Request, listen
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import pack
 
@@ -27,7 +27,7 @@
 #: How often idle connections are looked for, as a share of the time that they may be idle.
 REAP_SHARE = 0.125
 
-Handler = Callable[[Request], Awaitable[Answer]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 
 class Connection:
@@ -45,7 +45,7 @@
         self._protocol: h11.Connection | None = None
         self._head_only = False  # the answer to a HEAD request has no body
 
-    async def receive(self) -> Request | Answer | None:
+    async def receive(self) -> Request | Response | None:
         """The next request, the answer to one that is refused, or None at the end.
 
         Raises `h11.RemoteProtocolError` if what arrives is not HTTP.
@@ -81,7 +81,7 @@
         del received[:whole]
         return Request(head.method, head.target, body)
 
-    async def _receive_any(self, protocol: h11.Connection) -> Request | Answer | None:
+    async def _receive_any(self, protocol: h11.Connection) -> Request | Response | None:
         head: h11.Request | None = None
         parts: list[bytes] = []
         size = 0
@@ -98,7 +98,7 @@
             elif isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > wire.BODY_LIMIT:
-                    return Answer(413, close=True)
+                    return Response(413, close=True)
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
@@ -107,7 +107,7 @@
             else:
                 return None
 
-    async def send(self, answer: Answer) -> bool:
+    async def send(self, answer: Response) -> bool:
         """Send an answer; whether the connection can go on."""
         body = b"" if answer.body is None else pack(answer.body)
         protocol = self._protocol
@@ -128,14 +128,14 @@
         """Answer what is not HTTP, if an answer can still be sent."""
         protocol = self._protocol
         if protocol is not None and protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
-            await self.send(Answer(status, close=True))
+            await self.send(Response(status, close=True))
 
 
 class Server:
     """Serves one address, with a bound on all connections and one on some.
 
-    Connections whose first request `is_guest` names are guests: they may take
-    `max_guests` at the most, so that others always find room.
+    Connections whose first request `is_limited` names are guests: they may take
+    `max_limited` at the most, so that others always find room.
     """
 
     def __init__(
@@ -143,16 +143,16 @@
         handler: Handler,
         limit: int,
         idle_s: float,
-        is_guest: Callable[[Request], bool] = lambda request: False,
-        max_guests: int = 0,
+        is_limited: Callable[[Request], bool] = lambda request: False,
+        max_limited: int = 0,
     ) -> None:
         self._handler = handler
         self._max = limit
         self._idle_s = idle_s
-        self._is_guest = is_guest
-        self._max_guests = max_guests
+        self._is_limited = is_limited
+        self._max_limited = max_limited
         self._open: set[Connection] = set()
-        self._guests = 0
+        self._limited_connections = 0
 
     async def run(self, address: tuple[str, int]) -> None:
         """Accept connections until cancelled."""
@@ -187,7 +187,7 @@
             self._open.discard(connection)
 
     async def _talk(self, connection: Connection) -> None:
-        guest = False
+        limited = False
         try:
             while True:
                 connection.waits_since = time.monotonic()
@@ -199,21 +199,21 @@
                 connection.waits_since = None
                 if request is None:
                     return
-                if isinstance(request, Request) and not guest and self._is_guest(request):
-                    if self._guests >= self._max_guests:
-                        request = Answer(503, retry_after=1.0, close=True)
+                if isinstance(request, Request) and not limited and self._is_limited(request):
+                    if self._limited_connections >= self._max_limited:
+                        request = Response(503, retry_after=1.0, close=True)
                     else:
-                        guest = True
-                        self._guests += 1
-                answer = request if isinstance(request, Answer) else await self._answer(request)
+                        limited = True
+                        self._limited_connections += 1
+                answer = request if isinstance(request, Response) else await self._answer(request)
                 if not await connection.send(answer):
                     return
         finally:
-            self._guests -= guest
+            self._limited_connections -= limited
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         try:
             return await self._handler(request)
         except Exception:  # one bad request must not take the node down
             log.exception("request failed: %s %s", request.method, request.path)
-            return Answer(500)
+            return Response(500)
--- a/topazhold/wire/codec.py
+++ b/topazhold/wire/codec.py
@@ -13,7 +13,7 @@
 T = TypeVar("T")
 
 
-class BadMessage(ValueError):
+class InvalidMessageError(ValueError):
     """A body that is not CBOR, or not the message that was expected."""
 
 
@@ -27,17 +27,17 @@
     try:
         return cbor2.loads(body)
     except Exception as exc:  # the decoder raises many kinds on hostile input
-        raise BadMessage(f"not CBOR: {type(exc).__name__}") from None
+        raise InvalidMessageError(f"not CBOR: {type(exc).__name__}") from None
 
 
 def convert(value: Any, kind: type[T]) -> T:
     """Check plain values against a struct; non-finite numbers are refused."""
     if not isinstance(value, dict):
-        raise BadMessage("not a map")
+        raise InvalidMessageError("not a map")
     try:
         message = msgspec.convert(value, kind)
     except (msgspec.ValidationError, RecursionError, TypeError) as exc:
-        raise BadMessage(str(exc)) from None
+        raise InvalidMessageError(str(exc)) from None
     _refuse_non_finite(message)
     return message
 
@@ -67,4 +67,4 @@
     for name in _fields_with_floats(message.__class__):
         value = getattr(message, name)
         if isinstance(value, float) and not math.isfinite(value):
-            raise BadMessage(f"{name}: not a finite number")
+            raise InvalidMessageError(f"{name}: not a finite number")
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -19,9 +19,9 @@
 MACHINES_PATH = "/machines"
 RELEASE_PATH = "/machines/release"
 STORE_PATH = "/store"
-MULTI_PATH = "/multi"
-GRANTS_PATH = "/grants"
-TOUCH_END = "/touch"
+TRANSACTION_PATH = "/multi"
+LEASES_PATH = "/grants"
+RENEW_END = "/touch"
 WATCH_PATH = "/watch"
 
 PENDING = "pending"
@@ -264,7 +264,7 @@
     events: list[dict[str, Any]]
 
 
-class Granted(msgspec.Struct):
+class LeaseGranted(msgspec.Struct):
     """A new lease."""
 
     lease_id: int = field(name="permit")
@@ -360,7 +360,7 @@
     return str(operation.get("put") or operation["drop"])
 
 
-def multi_body(
+def transaction_body(
     conditions: list[dict[str, Any]], operations: list[dict[str, Any]]
 ) -> dict[str, Any]:
     """A transaction."""
@@ -374,6 +374,6 @@
     return event["drop"], None, event.get("mark", 0)
 
 
-def grant_body(ttl_ms: int) -> dict[str, Any]:
+def lease_body(ttl_ms: int) -> dict[str, Any]:
     """A request for a lease."""
     return {"ttl_ms": ttl_ms}
