--- a/run.py
+++ b/run.py
@@ -26,7 +26,7 @@
 # there: it would compile them anew at every start, which takes longer than all else.
 sys.pycache_prefix = str(TARGET / "pycache")
 
-import topazhold.control.node  # noqa: E402, F401
+import topazhold.control.controller  # noqa: E402, F401
 from topazhold.cli import main  # noqa: E402
 
 sys.pycache_prefix = None
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -905,7 +905,7 @@
         return NetClient(world.net, name, address, lambda: alive["yes"], world.thawed, version)
 
     operator = version.load("settings", "Operator")()
-    node = version.load("control.node", "Node")(settings, operator, dial)
+    node = version.load("control.controller", "Controller")(settings, operator, dial)
     member(node, "rng").seed(world.rng.random())
     member(node, "peer_connections").update(
         {other: PeerLink(world, name, other) for other in world.names if other != name}
@@ -923,7 +923,7 @@
 
 def leader_term(controller: Any) -> Any:
     """The term that a controller leads, or None."""
-    return member(controller, "leading")
+    return member(controller, "leader_term")
 
 
 def is_leading(controller: Any) -> bool:
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -10,8 +10,13 @@
 
 from tests.conftest import make_spec
 from tests.standins import settings_for
-from topazhold.control.booking import Booking, View, Wanted, max_follower_searches
 from topazhold.control.election import CONTROLLER_LEASE_BOUNDS, lease_time_s
+from topazhold.control.gang_reservations import (
+    ClusterView,
+    GangReservations,
+    PendingGang,
+    max_follower_searches,
+)
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
@@ -25,8 +30,8 @@
     return Offer(name, "a", "b1", False, frozenset({"img-0"}), [(delay, ROOM)], [], 2.0)
 
 
-def view(**delays: float) -> View:
-    found = View()
+def cluster_view(**delays: float) -> ClusterView:
+    found = ClusterView()
     found.directory = [(name, "a") for name in delays]
     found.caches = {"a": [offer(name, delay) for name, delay in delays.items()]}
     return found
@@ -40,71 +45,71 @@
         monkeypatch.setattr("time.time", lambda: self.now)
 
 
-def booking(clock: Clock) -> Booking:
+def gang_reservations(clock: Clock) -> GangReservations:
     settings = settings_for("hive-0", "a", [])
-    found = Booking(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
+    found = GangReservations(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
-    found.wanted[job.id] = Wanted(job.spec, queue_key(job), 0.0)
+    found.pending[job.id] = PendingGang(job.spec, queue_key(job), 0.0)
     return found
 
 
-def reserved(found: Booking) -> set[str]:
+def reserved(found: GangReservations) -> set[str]:
     return set(found.mine["wk-000001"].slots)
 
 
 def test_hold_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
     """Gangs of eight changed machines every few seconds and never had them all."""
     clock = Clock(monkeypatch)
-    found = booking(clock)
-    found.round(view(m1=100.0), 0.0)
+    found = gang_reservations(clock)
+    found.round(cluster_view(m1=100.0), 0.0)
     assert reserved(found) == {"m1"}
     clock.now += 10.0
-    found.round(view(m1=100.0, m2=85.0), 10.0)
+    found.round(cluster_view(m1=100.0, m2=85.0), 10.0)
     assert reserved(found) == {"m1"}
-    found.round(view(m1=100.0, m2=60.0), 11.0)
+    found.round(cluster_view(m1=100.0, m2=60.0), 11.0)
     assert reserved(found) == {"m2"}
 
 
 def test_held_machine_that_frees_late_loses_to_one_that_is_free(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
-    found = booking(clock)
-    found.round(view(m1=10.0), 0.0)
+    found = gang_reservations(clock)
+    found.round(cluster_view(m1=10.0), 0.0)
     clock.now += 10.0
-    found.round(view(m1=90.0, m2=20.0), 10.0)
+    found.round(cluster_view(m1=90.0, m2=20.0), 10.0)
     assert reserved(found) == {"m2"}
 
 
 def test_lapsed_hold_is_booked_anew_only_if_it_is_still_the_best(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
-    found = booking(clock)
-    found.round(view(m1=100.0), 0.0)
+    found = gang_reservations(clock)
+    found.round(cluster_view(m1=100.0), 0.0)
     first = found.mine["wk-000001"].serial
     clock.now += 61.0
-    found.round(view(m1=50.0, m2=49.0), 61.0)
+    found.round(cluster_view(m1=50.0, m2=49.0), 61.0)
     assert reserved(found) == {"m1"} and found.mine["wk-000001"].serial > first
     clock.now += 61.0
-    found.round(view(), 122.0)
+    found.round(cluster_view(), 122.0)
     assert found.mine == {}, "nothing is known of it any more"
 
 
 def test_all_gangs_are_searched_for_in_turns(monkeypatch: Any) -> None:
     """Those with holds were not, as long as enough others had none."""
     clock = Clock(monkeypatch)
-    found = booking(clock)
-    found.round(view(m1=100.0), 0.0)
+    found = gang_reservations(clock)
+    found.round(cluster_view(m1=100.0), 0.0)
     for number in range(100, 140):
         job = Job(make_spec(number, tasks=4, gpus=4.0), 0.0, clock.now, "hive-0")
-        found.wanted[job.id] = Wanted(job.spec, queue_key(job), 1.0)
+        found.pending[job.id] = PendingGang(job.spec, queue_key(job), 1.0)
     for second in range(1, 5):
         clock.now += 1.0
-        found.round(view(m1=100.0, m2=5.0), float(second))
+        found.round(cluster_view(m1=100.0, m2=5.0), float(second))
     assert reserved(found) == {"m2"}
 
 
 def test_conflict_costs_only_what_the_other_booking_touched(monkeypatch: Any) -> None:
     """All holds were thrown away at a conflict, those that stood before included."""
-    found = booking(Clock(monkeypatch))
-    found.round(view(m1=5.0, m2=50.0, m3=50.0), 0.0)
+    found = gang_reservations(Clock(monkeypatch))
+    found.round(cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
     found.reservation_table.reservations["hive-0"] = dict(found.mine)
     found.reservation_table.revisions["hive-0"] = 3
     for number, name in ((2, "m2"), (3, "m3")):
@@ -118,13 +123,13 @@
     found.reservation_table.reservations["hive-1"] = {
         other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, queue_key(other))
     }
-    found.concede(before)
+    found.yield_contested(before)
     assert set(found.mine) == {"wk-000001", "wk-000003"}
 
 
 def test_gang_left_out_of_a_cut_list_still_waits() -> None:
     """Sixty gangs were told of; followers dropped the holds of all others."""
-    told = View()
+    told = ClusterView()
     told.read_jobs({"crown": 1, "waiting": [], "cut": True})
     assert not told.all_waiting
     told.read_jobs({"crown": 1, "waiting": []})
@@ -144,7 +149,7 @@
 def test_late_copy_of_a_summary_is_no_news() -> None:
     """Carried out late, an old one named gangs as waiting that had started, and left out
     others, whose controllers then gave up searching."""
-    told = View()
+    told = ClusterView()
     told.read_jobs({"crown": 2, "at": 100.0, "waiting": []})
     assert told.older({"crown": 2, "at": 95.0}) and told.older({"crown": 1, "at": 200.0})
     assert not told.older({"crown": 2, "at": 105.0}) and not told.older({"crown": 3, "at": 99.0})
@@ -156,24 +161,24 @@
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     searched: list[str] = []
 
-    def search(self: Booking, wanted: Wanted, *args: Any) -> None:
-        searched.append(wanted.spec.id)
+    def search(self: GangReservations, pending: PendingGang, *args: Any) -> None:
+        searched.append(pending.spec.id)
         clock[0] += 0.06
 
-    monkeypatch.setattr(Booking, "_search", search)
+    monkeypatch.setattr(GangReservations, "_search", search)
     settings = settings_for("hive-0", "a", [])
-    found = Booking(
+    found = GangReservations(
         settings, Operator(), None, ReservationTable("hive-0"), Random(1), max_round_s=0.1
     )  # type: ignore[arg-type]
     for number in range(5):
         spec = make_spec(number)
-        found.wanted[spec.id] = Wanted(spec, (0, 0, float(number)), float(number))
-    order = list(found.wanted)
-    found.round(View(), 1.0)
+        found.pending[spec.id] = PendingGang(spec, (0, 0, float(number)), float(number))
+    order = list(found.pending)
+    found.round(ClusterView(), 1.0)
     assert searched == order[:2]
-    found.round(View(), 2.0)
+    found.round(ClusterView(), 2.0)
     assert searched == order[:4], "those that were left come first"
-    found.round(View(), 3.0)
+    found.round(ClusterView(), 3.0)
     assert searched[4:] == [order[4], order[0]]
 
 
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -10,7 +10,7 @@
 from tests.test_random_days import play
 from tests.world import LARGEST
 from topazhold.control import users as users_module
-from topazhold.core import array_placing, placing, quota, records, recovery
+from topazhold.core import array_placing, failover, placing, quota, records
 from topazhold.core.jobs import Job
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Response
@@ -21,7 +21,7 @@
 
 def forget_intents(patch: pytest.MonkeyPatch) -> None:
     """A new leader that does not believe in its predecessor's intents."""
-    patch.setattr(recovery, "_adopt", lambda *args: None)
+    patch.setattr(failover, "_adopt", lambda *args: None)
     patch.setattr(Scheduler, "_on_orphan", lambda *args: None)
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -15,12 +15,12 @@
 
 from tests.scenes import SITES, Scene, assert_rules, play_scene
 from tests.standins import VirtualTime, Worker, run_virtual, settings_for, start_node
+from topazhold.control.cancellation_enforcer import CancellationEnforcer
 from topazhold.control.cancellation_exchange import CancellationExchange
-from topazhold.control.enforcing import Enforcer
-from topazhold.control.leading import Leading
-from topazhold.control.node import Node
+from topazhold.control.controller import Controller
+from topazhold.control.leader_term import LeaderTerm
 from topazhold.core.cancellations import MAX_SENT, Cancellations
-from topazhold.core.placements import Placements
+from topazhold.core.placement_hints import PlacementHints
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Response
 from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
@@ -141,8 +141,8 @@
         assert not scene.busy_workers()
         scene.state.set_down(False)
         new = await scene.new_leader(leader)
-        terms.append(scene.nodes[new].leading.term)
-        named = [m for m in scene.nodes[new].leading.scheduler.machines.values() if m.attempts]
+        terms.append(scene.nodes[new].leader_term.term)
+        named = [m for m in scene.nodes[new].leader_term.scheduler.machines.values() if m.attempts]
         assert len(named) > 3, "as far as she knows the tasks may be there"
         await curio.sleep(4 * scene.workers.heartbeat_interval_s)
         scene.state.set_down(True)
@@ -219,7 +219,7 @@
             elected[:] = [
                 name
                 for name, node in scene.nodes.items()
-                if name != old and node.leading is not None
+                if name != old and node.leader_term is not None
             ]
             return bool(elected)
 
@@ -227,10 +227,10 @@
             await curio.sleep(0.001)
         scene.state.set_down(True)
         scene.state.refused.clear()
-        leading = scene.nodes[elected[0]].leading
+        leading = scene.nodes[elected[0]].leader_term
         assert not leading.loaded
         await curio.sleep(scene.workers.cancel_s + scene.workers.lease_s)
-        assert scene.nodes[elected[0]].leading is leading and not leading.loaded
+        assert scene.nodes[elected[0]].leader_term is leading and not leading.loaded
 
     scene = play_scene(act, monkeypatch, site)
     assert_rules(scene)
@@ -252,7 +252,7 @@
                 for worker in scene.cloud.workers.values():
                     worker.hanging_until = scene.clock.now + 1.0
             job = await scene.submit(confirmer)
-            scheduler = scene.nodes[leader].leading.scheduler
+            scheduler = scene.nodes[leader].leader_term.scheduler
             want = scene.rng.choice(states)
 
             def reached(job: str = job, scheduler: Any = scheduler, want: str = want) -> bool:
@@ -296,8 +296,10 @@
     async def deaf_ear(self: Any, job_id: str, at: float) -> None:
         pass
 
-    monkeypatch.setattr(Leading, "cancelled", deaf_ear)
-    monkeypatch.setattr(Leading, "_may_launch", lambda self, now: self.context.lease_is_valid(now))
+    monkeypatch.setattr(LeaderTerm, "cancelled", deaf_ear)
+    monkeypatch.setattr(
+        LeaderTerm, "_may_launch", lambda self, now: self.context.lease_is_valid(now)
+    )
     late = [launch_in_flight(monkeypatch, seed, ["written"]).launched_late for seed in range(6)]
     assert any(late)
 
@@ -309,14 +311,14 @@
     async def idle(self: Any) -> None:
         pass
 
-    patch.setattr(Enforcer, "round", idle)
+    patch.setattr(CancellationEnforcer, "round", idle)
 
 
 def test_checker_catches_a_record_that_is_not_told(monkeypatch: pytest.MonkeyPatch) -> None:
     async def silent(self: Any, peer: str) -> None:
         pass
 
-    monkeypatch.setattr(CancellationExchange, "_tell", silent)
+    monkeypatch.setattr(CancellationExchange, "_broadcast", silent)
     monkeypatch.setattr(Cancellations, "informed", True, raising=False)
     assert breaks_on_some_seed(confirmer_ends, monkeypatch)
 
@@ -336,7 +338,9 @@
     no_enforcer(monkeypatch)
     assert gap(leader_ends, monkeypatch, "hive").broken == []
     monkeypatch.setattr(
-        Node, "_answer_locally", lambda self, heartbeat, term: Response(200, Commands(term, []))
+        Controller,
+        "_answer_locally",
+        lambda self, heartbeat, term: Response(200, Commands(term, [])),
     )
     assert breaks_on_some_seed(leader_ends, monkeypatch)
 
@@ -349,7 +353,7 @@
 def test_checker_catches_workers_kept_by_who_knows_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Node, "_informed", lambda self, now: True)
+    monkeypatch.setattr(Controller, "_informed", lambda self, now: True)
     assert breaks_on_some_seed(all_restart, monkeypatch)
 
 
@@ -361,16 +365,16 @@
     for number in range(2 * MAX_SENT + 5):
         assert here.add(f"wk-{number}", 1000.0, 1000.0)
     assert not here.add("wk-3", 1000.0, 1000.0)
-    for boot in ("there-1", "there-2"):
-        there = Cancellations(boot, 30.0, 10.0)
+    for incarnation in ("there-1", "there-2"):
+        there = Cancellations(incarnation, 30.0, 10.0)
         here.acknowledged("there", "", -1)  # it has just started
         messages = 0
         while (news := here.news("there")) is not None:
-            there.receive("here", here.boot, *news, 1001.0)
+            there.receive("here", here.incarnation, *news, 1001.0)
             here.acknowledged("there", *there.receipts()["here"])
             messages += 1
         assert messages == 3 and len(there) == len(here)
-        assert there.level_with("here", here.boot, here.last)
+        assert there.level_with("here", here.incarnation, here.last)
         assert here.peer_has("there", "wk-1004")
 
 
@@ -394,13 +398,13 @@
         tasks = [TaskStatus(f"{job}/0", 1, "running") for job in jobs]
         return Heartbeat("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
 
-    placements = Placements()
-    placements.told(3, [["host-1", "h:1", ["wk-1"]]])
-    placements.seen(report(5, []))
-    placements.seen(report(4, ["wk-1"]))
-    assert placements.may_run(frozenset(["wk-1"])) == {}
-    placements.told(2, [["host-1", "h:1", ["wk-1"]]])
-    assert placements.may_run(frozenset(["wk-1"])) == {}, "an earlier leader's word"
+    placement_hints = PlacementHints()
+    placement_hints.update_from_leader(3, [["host-1", "h:1", ["wk-1"]]])
+    placement_hints.update_from_heartbeat(report(5, []))
+    placement_hints.update_from_heartbeat(report(4, ["wk-1"]))
+    assert placement_hints.machines_of(frozenset(["wk-1"])) == {}
+    placement_hints.update_from_leader(2, [["host-1", "h:1", ["wk-1"]]])
+    assert placement_hints.machines_of(frozenset(["wk-1"])) == {}, "an earlier leader's word"
 
 
 def test_former_leader_does_not_release_what_her_successor_sees_to(
@@ -411,7 +415,7 @@
     told: list[list[str]] = []
     seen_to = {"wk-1": False}
 
-    async def tell_released(names: list[str]) -> None:
+    async def announce_released(names: list[str]) -> None:
         told.append(names)
 
     class Cloud:
@@ -425,28 +429,30 @@
         settings = settings_for("hive-0", "a", [])
         cancel_s = settings.cluster.workers.cancel_s
         record = Cancellations("b", cancel_s, settings.cluster.workers.lease_s)
-        placements = Placements()
-        placements.told(3, [["host-1", None, ["wk-1"]], ["host-2", None, ["wk-2"]]])
-        enforcer = Enforcer(
+        placement_hints = PlacementHints()
+        placement_hints.update_from_leader(
+            3, [["host-1", None, ["wk-1"]], ["host-2", None, ["wk-2"]]]
+        )
+        cancellation_enforcer = CancellationEnforcer(
             settings,
             record,
-            placements,
+            placement_hints,
             Cloud(),
             None,  # type: ignore[arg-type]
             lambda job, now: seen_to[job],
-            tell_released,
+            announce_released,
         )
         record.add("wk-1", time.time() - 0.65 * cancel_s, time.time())
         for _ in range(15):
-            await enforcer.round()
+            await cancellation_enforcer.round()
             await curio.sleep(0.01 * cancel_s)
         assert released == []
         seen_to["wk-1"] = True
-        await enforcer.round()
+        await cancellation_enforcer.round()
         await curio.sleep(0.01 * cancel_s)
         seen_to["wk-1"] = False
         for _ in range(14):
-            await enforcer.round()
+            await cancellation_enforcer.round()
             await curio.sleep(0.01 * cancel_s)
         assert [names for _, names in released] == [["host-1"]], "at the last moment"
         assert told == [["host-1"]], "the others learn of it"
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -17,7 +17,7 @@
 from tests.test_service_days import LATER
 from tests.versions import CURRENT, Version, member, production
 from tests.world import NAMES, World
-from topazhold.control.node import Node
+from topazhold.control.controller import Controller
 from topazhold.core import leadership, records, reservations
 from topazhold.core.jobs import PART, Job
 from topazhold.wire import messages as wire
@@ -53,13 +53,13 @@
     return [msgspec.to_builtins(convert(item, kind)) for item in heartbeats]
 
 
-def view_meaning(view: Any) -> Any:
+def view_meaning(cluster_view: Any) -> Any:
     caches = {
         zone: [member(offer, "pack")() for offer in cache]
-        for zone, cache in member(view, "caches").items()
+        for zone, cache in member(cluster_view, "caches").items()
     }
     names = ("directory", "waiting", "running", "all_waiting", "term")
-    return caches, *(member(view, name) for name in names)
+    return caches, *(member(cluster_view, name) for name in names)
 
 
 def live_meaning(version: Version, data: Any) -> Any:
@@ -84,12 +84,12 @@
 
 
 def summary_meaning(version: Version, key: str, data: Any) -> Any:
-    view = version.load("control.booking", "View")()
+    cluster_view = version.load("control.gang_reservations", "ClusterView")()
     if key == "sum/*":
-        member(view, "read_jobs")(data)
+        member(cluster_view, "read_jobs")(data)
     else:
-        member(view, "read_zone")(key.partition("/")[2], data)
-    return view_meaning(view)
+        member(cluster_view, "read_zone")(key.partition("/")[2], data)
+    return view_meaning(cluster_view)
 
 
 def stored_meaning(version: Version, key: str, data: Any) -> Any:
@@ -118,15 +118,15 @@
     return (
         member(lead, "leader"),
         member(lead, "term"),
-        sorted(member(member(controller, "fallback"), "_silent")),
+        sorted(member(member(controller, "follower_heartbeats"), "_silent")),
         sorted(member(cancelled, "_entries").items()),
         member(cancelled, "receipts")(),
         member(cancelled, "_acked"),
         {
             name: (member(place, "endpoint"), sorted(member(place, "jobs")))
-            for name, place in member(member(controller, "placements"), "places").items()
+            for name, place in member(member(controller, "placement_hints"), "places").items()
         },
-        view_meaning(member(controller, "view")),
+        view_meaning(member(controller, "cluster_view")),
     )
 
 
@@ -263,12 +263,12 @@
 
 
 def longer_ping(patch: pytest.MonkeyPatch) -> None:
-    tell = Node._tell
+    tell = Controller._broadcast
 
     async def told(self: Any, message: tuple[Any, ...]) -> None:
         await tell(self, (*message, 1) if message[0] == "ping" else message)
 
-    patch.setattr(Node, "_tell", told)
+    patch.setattr(Controller, "_broadcast", told)
 
 
 def unreadable_intents(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -57,7 +57,7 @@
 
 async def order(scene: Scene, leader: str, kind: str) -> None:
     """Let the leader decide on a return or a rental."""
-    scheduler = scene.nodes[leader].leading.scheduler
+    scheduler = scene.nodes[leader].leader_term.scheduler
     if kind == "return":
         busy = {worker.name for worker in scene.busy_workers()}
         idle = sorted(name for name in scheduler.machines if name not in busy)
@@ -75,7 +75,7 @@
     leader = scene.leader()
     assert leader is not None
     await scene.until(lambda: not open_records(scene), 240.0)
-    known = scene.nodes[leader].leading.scheduler.machines
+    known = scene.nodes[leader].leader_term.scheduler.machines
     await scene.until(lambda: scene.cloud.workers.keys() <= known.keys(), 60.0)
 
 
@@ -218,7 +218,7 @@
         scene.state.set_down(False)
         await scene.end(leader)
         new = await scene.new_leader(leader)
-        assert worker.name not in scene.nodes[new].leading.scheduler.machines
+        assert worker.name not in scene.nodes[new].leader_term.scheduler.machines
         await settle(scene)
 
     assert_rules(play_scene(act, monkeypatch))
@@ -240,7 +240,7 @@
         )
         scene.frozen[leader] = scene.clock.now + PAUSE_S
         new = await scene.new_leader(leader)
-        scheduler = scene.nodes[new].leading.scheduler
+        scheduler = scene.nodes[new].leader_term.scheduler
         scheduler.release(scheduler.machines[idle.name], "chosen", scene.clock.now)
         await scene.until(lambda: idle.gone)
         await settle(scene)
@@ -254,7 +254,7 @@
         taken: list[str] = []
 
         def take(source: str) -> None:
-            for name in scene.nodes[leader].leading.scheduler.releases:
+            for name in scene.nodes[leader].leader_term.scheduler.releases:
                 taken.append(name)
                 scene.cloud.take(scene.cloud.workers[name])
 
@@ -278,7 +278,7 @@
         scene.cloud.down = True  # the successor can't complete it yet
         await order(scene, leader, "return")
         await scene.until(lambda: trap.source is not None)
-        (name,) = scene.nodes[leader].leading.scheduler.releases
+        (name,) = scene.nodes[leader].leader_term.scheduler.releases
         new = await scene.new_leader(leader)
         await scene.submit(new, 10.0, tasks=8, gpus=1.0, shape="gang")
         await curio.sleep(20.0)
@@ -302,7 +302,7 @@
         trap = Trap(scene.net.hosts, "after_record", "return", freeze(scene), HELD_S)
         await order(scene, leader, "return")
         await scene.until(lambda: trap.source is not None)
-        (name,) = scene.nodes[leader].leading.scheduler.releases
+        (name,) = scene.nodes[leader].leader_term.scheduler.releases
         for node in list(scene.nodes):
             await scene.end(node)
         scene.frozen.clear()
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.conftest import Bench, make_spec
-from topazhold.core import records, recovery
+from topazhold.core import failover, records
 from topazhold.core.intent_shards import MAX_MACHINES, IntentShards
 from topazhold.core.jobs import Job, TaskAttempt
 from topazhold.wire.codec import json_size
@@ -72,7 +72,7 @@
     job = Job(spec, bench.now, 1e9, "hive-0")
     old, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 0, 7]]]}})
     new, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 1, 8]]]}})
-    recovery.take_over(bench.scheduler, [job], new + old, bench.now)
+    failover.rebuild(bench.scheduler, [job], new + old, bench.now)
     assert sorted(job.attempts) == [0, 1]
 
 
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -65,7 +65,7 @@
 
         await scene.until(placed_again, 60.0)
         status, answer = await scene.request(new, "POST", "/v1/report", held)
-        assert scene.nodes[new].leading.term > held["crown"], "from before her time"
+        assert scene.nodes[new].leader_term.term > held["crown"], "from before her time"
         launches = [
             command for command in (answer or {}).get("calls", []) if command["call"] == "launch"
         ]
@@ -95,7 +95,7 @@
         await scene.request(new, "POST", "/v1/report", held)
         run = [
             run
-            for run in scene.nodes[new].leading.scheduler.jobs[job].attempts.values()
+            for run in scene.nodes[new].leader_term.scheduler.jobs[job].attempts.values()
             if run.machine == first.name
         ]
         assert len(run) == 1 and run[0].present, "it still counts as possibly running"
@@ -117,12 +117,12 @@
         await scene.end(two)
         await scene.back(two, 0.05)
         three = await scene.new_leader(None)
-        term = scene.nodes[three].leading.term
+        term = scene.nodes[three].leader_term.term
         for name in list(scene.nodes):
             await scene.end(name)
         await scene.back(three, 0.4)
         again = await scene.new_leader(None)
-        assert again == three and scene.nodes[again].leading.term > term
+        assert again == three and scene.nodes[again].leader_term.term > term
         for name in scene.names:
             await scene.back(name, 0.5)
         await coming.join()
@@ -185,7 +185,7 @@
             await scene.until(lambda done=done: len(scene.results) > done, 80.0)  # type: ignore[misc]
             ended = scene.leader()
             assert ended is not None
-            terms.add(scene.nodes[ended].leading.term)
+            terms.add(scene.nodes[ended].leader_term.term)
             await scene.end(ended)
             await scene.back(ended, 1.0)
             await scene.new_leader(None)
@@ -210,7 +210,7 @@
         terms = set()
         for number in range(11):
             leader = await scene.new_leader(None)
-            terms.add(scene.nodes[leader].leading.term)
+            terms.add(scene.nodes[leader].leader_term.term)
             await curio.sleep(scene.rng.uniform(0.5, 6.0))
             if number in (3, 7):
                 scene.state.set_down(True)
@@ -313,7 +313,7 @@
         await scene.end(old)
         new = await scene.new_leader(old)
         await curio.sleep(1.0)
-        assert cut.present() and unhearing.term < scene.nodes[new].leading.term
+        assert cut.present() and unhearing.term < scene.nodes[new].leader_term.term
         await scene.users_come(10, 1.2 * scene.workers.lease_s)
         scene.net.cuts.clear()
         await scene.back(old)
@@ -628,7 +628,7 @@
         new = await scene.new_leader(leader, 10 * scene.nodes[leader].controller_lease_s)
         await scene.jobs_running(1, new)
         scene.net.lost.clear()
-        await scene.until(lambda: scene.nodes[leader].leading is None)
+        await scene.until(lambda: scene.nodes[leader].leader_term is None)
         await curio.sleep(scene.workers.lease_s)
         assert scene.leader() == new
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazhold.control.relay import WorkerFallback
+from topazhold.control.follower_heartbeats import FollowerHeartbeats
 from topazhold.core.leadership import Leadership, Role
 from topazhold.wire.messages import Heartbeat, TaskStatus
 
@@ -14,150 +14,158 @@
     return Heartbeat(machine, "h:1", "b1", zone, False, 1, 1, term, tasks)
 
 
-def follower(leader: str | None = "hive-1", term: int = 7) -> tuple[WorkerFallback, Leadership]:
+def follower(leader: str | None = "hive-1", term: int = 7) -> tuple[FollowerHeartbeats, Leadership]:
     lead = Leadership("hive-0")
     lead.term, lead.leader = term, leader
-    return WorkerFallback(lead, "a", 2, controller_lease_s=2.0, lease_s=10.0, now=0.0), lead
+    return FollowerHeartbeats(lead, "a", 2, controller_lease_s=2.0, lease_s=10.0, now=0.0), lead
 
 
 def test_sends_workers_to_a_leader_that_lives() -> None:
-    fallback, _ = follower()
-    fallback.heard("hive-1", True, [], 5.0)
-    assert not fallback.keeps(report(), 5.5)
+    follower_heartbeats, _ = follower()
+    follower_heartbeats.heard("hive-1", True, [], 5.0)
+    assert not follower_heartbeats.keeps(report(), 5.5)
 
 
 def test_keeps_workers_of_a_silent_leader_and_of_none() -> None:
-    fallback, lead = follower()
-    fallback.heard("hive-1", True, [], 5.0)
-    assert fallback.keeps(report(), 9.0)
+    follower_heartbeats, lead = follower()
+    follower_heartbeats.heard("hive-1", True, [], 5.0)
+    assert follower_heartbeats.keeps(report(), 9.0)
     lead.leader = None
-    assert fallback.keeps(report(), 9.0)
+    assert follower_heartbeats.keeps(report(), 9.0)
 
 
 def test_never_keeps_a_worker_that_saw_another_term() -> None:
     """A 200 with a lower term would be dropped while the lease runs out."""
-    fallback, _ = follower()
-    assert not fallback.keeps(report(term=8), 9.0)
-    assert not fallback.keeps(report(term=6), 9.0)
+    follower_heartbeats, _ = follower()
+    assert not follower_heartbeats.keeps(report(term=8), 9.0)
+    assert not follower_heartbeats.keeps(report(term=6), 9.0)
     none, _ = follower(leader=None, term=0)
     assert not none.keeps(report(term=0), 9.0)
 
 
 def test_tries_the_leader_again_once_per_lease() -> None:
-    fallback, _ = follower()
+    follower_heartbeats, _ = follower()
     answers = []
     for second in range(30):
-        fallback.heard("hive-1", True, ["host-1"], float(second))
-        answers.append(fallback.keeps(report(), float(second)))
+        follower_heartbeats.heard("hive-1", True, ["host-1"], float(second))
+        answers.append(follower_heartbeats.keeps(report(), float(second)))
     assert answers[0] and answers.count(False) == 2
-    fallback.heard("hive-1", True, [], 30.0)
-    assert not fallback.keeps(report(), 30.0)
+    follower_heartbeats.heard("hive-1", True, [], 30.0)
+    assert not follower_heartbeats.keeps(report(), 30.0)
 
 
 def test_reports_are_passed_on_in_parts_that_fit() -> None:
-    fallback, _ = follower()
+    follower_heartbeats, _ = follower()
     for number in range(10):
-        fallback.keep(report(machine=f"host-{number}"))
+        follower_heartbeats.keep(report(machine=f"host-{number}"))
     seen = []
-    while part := fallback.take(500):
+    while part := follower_heartbeats.take(500):
         seen += [item["box"] for item in part]
     assert seen == [f"host-{number}" for number in range(10)]
 
 
 def test_leadership_never_goes_back() -> None:
     lead = Leadership("hive-0")
-    lead.stand()
-    lead.win(4)
-    assert not lead.learn("hive-1", 3) and lead.leads
+    lead.become_candidate()
+    lead.become_leader(4)
+    assert not lead.learn("hive-1", 3) and lead.is_leader
     assert lead.learn("hive-1", 5) and lead.role is Role.FOLLOWER
     assert not lead.learn("hive-2", 4) and lead.leader == "hive-1"
 
 
 def test_only_a_node_that_alone_is_not_served_goes_unhealthy() -> None:
     """In an outage for all, unhealthy nodes would only lengthen it."""
-    fallback, _ = follower()
-    assert not fallback.alone(1.0)
-    fallback.heard("hive-1", False, None, 1.0)
-    assert not fallback.alone(1.5)
-    fallback.heard("hive-2", True, None, 2.0)
-    assert fallback.alone(2.5)
-    assert fallback.alone(60.0)
+    follower_heartbeats, _ = follower()
+    assert not follower_heartbeats.alone(1.0)
+    follower_heartbeats.heard("hive-1", False, None, 1.0)
+    assert not follower_heartbeats.alone(1.5)
+    follower_heartbeats.heard("hive-2", True, None, 2.0)
+    assert follower_heartbeats.alone(2.5)
+    assert follower_heartbeats.alone(60.0)
 
 
 # -- a node that reaches nothing but workers ------------------------------------
 
 
 def test_adrift_only_without_state_service_and_peers() -> None:
-    fallback, _ = follower()
-    assert not fallback.isolated(False, 1.0), "just started"
-    assert fallback.isolated(False, 10.0)
-    assert not fallback.isolated(True, 10.0)
-    fallback.heard("hive-2", False, None, 10.0)
-    assert not fallback.isolated(False, 11.0)
+    follower_heartbeats, _ = follower()
+    assert not follower_heartbeats.isolated(False, 1.0), "just started"
+    assert follower_heartbeats.isolated(False, 10.0)
+    assert not follower_heartbeats.isolated(True, 10.0)
+    follower_heartbeats.heard("hive-2", False, None, 10.0)
+    assert not follower_heartbeats.isolated(False, 11.0)
 
 
 def test_isolated_node_sends_workers_away_that_can_reach_others() -> None:
     """Its answers led nowhere: nothing launched, nothing seen to end, while the leader waited."""
-    fallback, _ = follower()
-    assert fallback.isolated(False, 20.0)
-    assert not fallback.keeps_isolated(report(machine="host-9", zone="b"), 20.0)
-    assert not fallback.keeps_isolated(report(busy=True), 20.5), "the zone is not cut off"
+    follower_heartbeats, _ = follower()
+    assert follower_heartbeats.isolated(False, 20.0)
+    assert not follower_heartbeats.keeps_isolated(report(machine="host-9", zone="b"), 20.0)
+    assert not follower_heartbeats.keeps_isolated(report(busy=True), 20.5), (
+        "the zone is not cut off"
+    )
 
 
 def test_node_of_a_cut_zone_keeps_busy_workers() -> None:
     """Sent away, they would find nobody, and lose their leases on the way round."""
-    fallback, _ = follower()
-    assert fallback.isolated(False, 20.0)
-    assert not fallback.keeps_isolated(report(machine="host-2"), 20.0), "has nothing to lose"
-    assert fallback.keeps_isolated(report(busy=True), 20.5)
-    assert fallback.keeps_isolated(report(machine="host-2"), 26.0), (
+    follower_heartbeats, _ = follower()
+    assert follower_heartbeats.isolated(False, 20.0)
+    assert not follower_heartbeats.keeps_isolated(report(machine="host-2"), 20.0), (
+        "has nothing to lose"
+    )
+    assert follower_heartbeats.keeps_isolated(report(busy=True), 20.5)
+    assert follower_heartbeats.keeps_isolated(report(machine="host-2"), 26.0), (
         "it came back: nobody else is there"
     )
     for second in range(21, 36):
-        assert fallback.keeps_isolated(report(busy=True), float(second))
+        assert follower_heartbeats.keeps_isolated(report(busy=True), float(second))
 
 
 def test_worker_sent_ahead_that_stays_away_shows_the_way_out() -> None:
-    fallback, _ = follower()
-    assert fallback.isolated(False, 20.0)
-    assert not fallback.keeps_isolated(report(machine="host-2", busy=True), 20.0), "one goes ahead"
-    assert fallback.keeps_isolated(report(machine="host-3", busy=True), 20.5)
-    assert not fallback.keeps_isolated(report(machine="host-3", busy=True), 31.0)
+    follower_heartbeats, _ = follower()
+    assert follower_heartbeats.isolated(False, 20.0)
+    assert not follower_heartbeats.keeps_isolated(report(machine="host-2", busy=True), 20.0), (
+        "one goes ahead"
+    )
+    assert follower_heartbeats.keeps_isolated(report(machine="host-3", busy=True), 20.5)
+    assert not follower_heartbeats.keeps_isolated(report(machine="host-3", busy=True), 31.0)
 
 
 def test_isolated_node_never_keeps_a_worker_that_saw_another_term() -> None:
-    fallback, _ = follower()
-    assert fallback.isolated(False, 20.0)
-    fallback.keeps_isolated(report(machine="host-2"), 20.0)
-    assert not fallback.keeps_isolated(report(term=8, busy=True), 20.5)
+    follower_heartbeats, _ = follower()
+    assert follower_heartbeats.isolated(False, 20.0)
+    follower_heartbeats.keeps_isolated(report(machine="host-2"), 20.0)
+    assert not follower_heartbeats.keeps_isolated(report(term=8, busy=True), 20.5)
 
 
 def test_news_of_ended_tasks_is_passed_on_first() -> None:
     """Of a cut zone's 150 reports a value takes a dozen: in order of arrival the leader
     learnt of ended tasks minutes late."""
-    fallback, _ = follower()
+    follower_heartbeats, _ = follower()
     for number in range(150):
         heartbeat = report(machine=f"host-{number}", busy=True)
         if number >= 145:
             heartbeat.tasks[0].state = "ended"
-        fallback.keep(heartbeat)
-    assert {item["box"] for item in fallback.take(1200)} >= {f"host-{n}" for n in range(145, 150)}
+        follower_heartbeats.keep(heartbeat)
+    assert {item["box"] for item in follower_heartbeats.take(1200)} >= {
+        f"host-{n}" for n in range(145, 150)
+    }
 
 
 def test_report_that_fits_no_value_holds_no_other_back() -> None:
-    fallback, _ = follower()
+    follower_heartbeats, _ = follower()
     big = report(machine="host-1", busy=True)
     big.tasks *= 100
-    fallback.keep(big)
-    fallback.keep(report(machine="host-2"))
-    assert [item["box"] for item in fallback.take(500)] == ["host-2"]
-    assert fallback.take(500) == []
+    follower_heartbeats.keep(big)
+    follower_heartbeats.keep(report(machine="host-2"))
+    assert [item["box"] for item in follower_heartbeats.take(500)] == ["host-2"]
+    assert follower_heartbeats.take(500) == []
 
 
 def test_late_copy_does_not_take_a_newer_reports_place() -> None:
-    fallback, _ = follower()
+    follower_heartbeats, _ = follower()
     newer, older = report(busy=True), report()
     newer.sequence = 9
-    fallback.keep(newer)
-    fallback.keep(older)
-    assert [item["tally"] for item in fallback.take(2000)] == [9]
+    follower_heartbeats.keep(newer)
+    follower_heartbeats.keep(older)
+    assert [item["tally"] for item in follower_heartbeats.take(2000)] == [9]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 import math
 
 from tests.conftest import Bench, make_spec
-from topazhold.core import preemption, recovery
+from topazhold.core import failover, preemption
 from topazhold.core.autoscaling import counts_as_capacity
 from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
@@ -311,7 +311,7 @@
     bench = Bench(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), bench.now, 1e9, "hive-0")
     intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     bench.report("host-1")
     assert bench.plan() == []
     bench.report("host-0", term=7)  # written before the worker saw the new term
@@ -325,7 +325,7 @@
     job = Job(make_spec(shape="batch", tasks=1), bench.now, 1e9, "hive-0")
     job.abort(bench.now)
     intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     assert bench.scheduler.usage.used("red") == (4.0, 2.0)
     bench.scheduler.tick(bench.now)
     assert job.state is JobState.ABORTED and job.attempts[0].stopping
@@ -396,7 +396,7 @@
     job = Job(make_spec(shape="batch", tasks=1), bench.now, 1e9, "hive-0")
     job.abort(bench.now - 0.7 * bench.scheduler.cancel_s)
     intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     bench.scheduler.tick(bench.now)
     assert bench.scheduler.releases == {}
     bench.now += 0.11 * bench.scheduler.cancel_s
@@ -411,7 +411,7 @@
         Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)]),
         Intents("host-2", 1, "a", False, "b1", [("wk-000001", 1, 77)]),
     ]
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     for index, name in enumerate(("host-0", "host-2")):
         task_name = f"wk-000001/{index}"
         bench.tasks[name] = {(task_name, 77): TaskStatus(task_name, 77, "flushing")}
@@ -495,7 +495,7 @@
     bench = Bench(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), bench.now, 1e9, "hive-0")
     intents = [Intents("host-0", 3, "a", False, "b1", [("wk-000001", 0, 77)])]
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     bench.report("host-1")
     bench.report("host-0", term=7, incarnation=3)
     assert bench.plan() == [], "the same session proves nothing"
@@ -660,7 +660,7 @@
         for number, name in enumerate(names)
     ]
     job = Job(make_spec(shape="batch", tasks=8), bench.now, 1e9, "hive-0")
-    recovery.take_over(bench.scheduler, [job], intents, bench.now)
+    failover.rebuild(bench.scheduler, [job], intents, bench.now)
     for _ in range(40):
         bench.now += 1.0
         bench.scheduler.tick(bench.now)
--- a/tests/test_unrecordable_order.py
+++ b/tests/test_unrecordable_order.py
@@ -40,7 +40,7 @@
     await scene.jobs_running(1, scene.names[0], tasks=3, gpus=1.0)
     leader = scene.leader()
     assert leader is not None
-    book = scene.nodes[leader].leading.duties.book
+    book = scene.nodes[leader].leader_term.duties.book
     await scene.until(lambda: book.may_rent() and idle_machines(scene, leader))
     return leader
 
@@ -48,13 +48,13 @@
 def idle_machines(scene: Scene, leader: str) -> list[str]:
     """Machines without tasks that the leader knows of."""
     busy = {worker.name for worker in scene.busy_workers()}
-    machines = scene.nodes[leader].leading.scheduler.machines
+    machines = scene.nodes[leader].leader_term.scheduler.machines
     return sorted(machines.keys() & scene.cloud.workers.keys() - busy)
 
 
 async def scale_in(scene: Scene, leader: str) -> Shown:
     """An idle machine is to go."""
-    scheduler = scene.nodes[leader].leading.scheduler
+    scheduler = scene.nodes[leader].leader_term.scheduler
     name = idle_machines(scene, leader)[0]
     worker = scene.cloud.workers[name]
     scheduler.release(scheduler.machines[name], "chosen", scene.clock.now)
@@ -71,7 +71,7 @@
 
 def decide_unrecordable(scene: Scene, leader: str) -> None:
     """An operation whose record is refused, however its count came to be."""
-    book = scene.nodes[leader].leading.duties.book
+    book = scene.nodes[leader].leader_term.duties.book
     order = book.decide_rental(ScaleOutRequest("b1", "a", False, 1), scene.clock.now)
     order.record = msgspec.structs.replace(order.record, count=PROTOCOL_MACHINES + 1)
     with pytest.raises(InvalidRecordError):
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -12,7 +12,7 @@
 from tests.conftest import make_spec
 from tests.standins import VirtualTime, body_fields, run_virtual, start_node
 from tests.world import NAMES, World
-from topazhold.control.takeover import load_parts
+from topazhold.control.failover import load_completion_bitmaps
 from topazhold.io.http import Request
 from topazhold.wire.codec import pack
 
@@ -161,16 +161,16 @@
         answer = await submit(node, shape="batch", tasks=100_000, gpus=0.5, cpus=1.0)
         assert answer.status == 201
         await curio.sleep(3.0)
-        job = node.leading.scheduler.jobs["wk-000001"]
+        job = node.leader_term.scheduler.jobs["wk-000001"]
         for index in range(0, 100_000, 3):
             job.mark_done(index)
         for _ in range(6):
-            await node.leading.saving.save(job, world.clock.now)
+            await node.leader_term.job_persistence.save(job, world.clock.now)
         assert not job.unsaved
-        await load_parts(node.leading.context, job)
+        await load_completion_bitmaps(node.leader_term.context, job)
         fresh = type(job)(job.spec, 0.0, 0.0, "")
         fresh.load_part(0, world.state.data["live/wk-000001"][0]["done"])
-        await load_parts(node.leading.context, fresh)
+        await load_completion_bitmaps(node.leader_term.context, fresh)
         assert fresh.done == job.done
 
     scene(monkeypatch, act)
@@ -180,12 +180,12 @@
     async def act(world: World, node: Any) -> None:
         assert (await submit(node, shape="daemon")).status == 201
         await curio.sleep(1.0)
-        job = node.leading.scheduler.jobs["wk-000001"]
+        job = node.leader_term.scheduler.jobs["wk-000001"]
         assert not job.gang and job.waiting_count == 2
         answer = await ask(node, "POST", "/api/jobs/wk-000001/cancel")
         assert answer.body["stage"] == "aborted"
         await curio.sleep(1.0)
-        assert "wk-000001" not in node.leading.scheduler.jobs
+        assert "wk-000001" not in node.leader_term.scheduler.jobs
 
     scene(monkeypatch, act)
 
@@ -201,13 +201,13 @@
         await start_node(world, NAMES[0])
         await curio.sleep(2.0)
         node = world.nodes[NAMES[0]]
-        assert node.leading is not None and node.leading.loaded
+        assert node.leader_term is not None and node.leader_term.loaded
         assert (await submit(node)).status == 201
         for odd in ("wk-000077", "wk-000078"):
             answer = await ask(node, "GET", f"/api/jobs/{odd}")
             assert answer.status == 200 and answer.body["stage"] == "pending"
-        assert sorted(node.leading.scheduler.jobs) == ["wk-000001"]
-        assert "host-000099" in node.leading.scheduler._removed_machines, (
+        assert sorted(node.leader_term.scheduler.jobs) == ["wk-000001"]
+        assert "host-000099" in node.leader_term.scheduler._removed_machines, (
             "only a release proves what is on it"
         )
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -33,13 +33,21 @@
 #: have other names now: today's name -> production's. Whoever uses both versions names
 #: things as they are called today, and gets at them by `Version.module` and `member`.
 PRODUCTION_MODULES: dict[str, str] = {
+    "control.controller": "control.node",
+    "control.gang_reservations": "control.booking",
     "core.reservations": "core.holds",
 }
 PRODUCTION_MEMBERS: dict[str, str] = {
+    "ClusterView": "View",
+    "Controller": "Node",
     "Heartbeat": "Report",
     "NoResponseError": "NoAnswer",
     "RequestNotSentError": "NotSent",
+    "cluster_view": "view",
+    "follower_heartbeats": "fallback",
+    "leader_term": "leading",
     "peer_connections": "links",
+    "placement_hints": "placements",
 }
 
 _IMPORT = re.compile(rf"^(\s*(?:from|import)\s+){PACKAGE}\b", re.MULTILINE)
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -66,13 +66,13 @@
     set_up_logging()
     import curio
 
-    from topazhold.control.node import Node
+    from topazhold.control.controller import Controller
     from topazhold.io.cpu_accounting import CpuAccounting
 
     cpu_accounting = CpuAccounting()
 
     async def serve() -> None:
-        await Node(settings, own, cpu_accounting=cpu_accounting).run()
+        await Controller(settings, own, cpu_accounting=cpu_accounting).run()
 
     try:
         curio.run(serve, activations=[cpu_accounting])
--- a/topazhold/control/enforcing.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -18,7 +18,7 @@
 from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.cancellations import Cancellations
-from topazhold.core.placements import Place, Placements
+from topazhold.core.placement_hints import PlacementHint, PlacementHints
 from topazhold.io.client import Client, Clients
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import Settings, address
@@ -47,27 +47,27 @@
 LOOKING_SHARE = 1 / 32
 
 
-class Enforcer:
+class CancellationEnforcer:
     """One controller's last word on cancelled jobs."""
 
     def __init__(
         self,
         settings: Settings,
         cancellations: Cancellations,
-        placements: Placements,
+        placement_hints: PlacementHints,
         cloud: Cloud,
         dial: Callable[[tuple[str, int], int], Client],
         seen_to: Callable[[str, float], bool],
-        tell_released: Callable[[list[str]], Awaitable[None]],
+        announce_released: Callable[[list[str]], Awaitable[None]],
     ) -> None:
         workers = settings.cluster.workers
         self._cancel_s = workers.cancel_s
         self._heartbeat_interval_s = workers.heartbeat_interval_s
         self._cancellations = cancellations
-        self._placements = placements
+        self._placement_hints = placement_hints
         self._cloud = cloud
-        self._seen_to = seen_to  # whether a leader that has loaded knows the cancellation
-        self._tell_released = tell_released
+        self._has_owner = seen_to  # whether a leader that has loaded knows the cancellation
+        self._announce_released = announce_released
         self._max = max(4, int(settings.cluster.limits.sockets * LOOKING_SHARE))
         self._looking: set[str] = set()
         self._clients = Clients(dial, self._max)
@@ -86,7 +86,7 @@
         ages = {
             job: wall - at
             for job, at in self._cancellations.since(wall - END_SHARE * self._cancel_s)
-            if not self._seen_to(job, now)
+            if not self._has_owner(job, now)
         }
         self._left_since = {job: self._left_since.get(job, now) for job in ages}
         look_s = LOOK_SHARE * self._cancel_s
@@ -109,7 +109,7 @@
         if not ages:
             return
         await self._list(now)
-        reserved = self._placements.may_run(frozenset(ages))
+        reserved = self._placement_hints.machines_of(frozenset(ages))
         await self._release(
             [
                 name
@@ -124,7 +124,7 @@
         sweeps = [newest + (1 + n) * LOOK_SHARE * self._cancel_s for n in range(SWEEPS)]
         first: list[str] = []
         others: list[str] = []
-        for name, place in self._placements.places.items():
+        for name, place in self._placement_hints.places.items():
             if place.endpoint is None or name in self._looking:
                 continue
             if name in reserved:
@@ -133,7 +133,7 @@
             elif any(place.looks < at <= now for at in sweeps):
                 others.append(name)
         for name in (first + others)[: self._max - len(self._looking)]:
-            place = self._placements.places[name]
+            place = self._placement_hints.places[name]
             place.looks = now
             self._looking.add(name)
             await curio.spawn(self._look, name, place, daemon=True)
@@ -147,11 +147,11 @@
 
     async def _read_list(self) -> None:
         try:
-            self._placements.listed(await self._cloud.machines())
+            self._placement_hints.listed(await self._cloud.machines())
         except CloudUnavailableError as exc:
             log.debug("machine list: %s", exc)
 
-    async def _look(self, name: str, place: Place) -> None:
+    async def _look(self, name: str, place: PlacementHint) -> None:
         """Ask a worker what it has, and kill what it must not have."""
         assert place.endpoint is not None
         try:
@@ -162,7 +162,7 @@
             if status != 200:
                 return
             heartbeat = read(body, Heartbeat)
-            self._placements.seen(heartbeat)
+            self._placement_hints.update_from_heartbeat(heartbeat)
             commands = self._cancellations.kills(heartbeat)
             if not commands:
                 return
@@ -173,7 +173,7 @@
                 "POST", wire.COMMANDS_PATH, orders, self._heartbeat_interval_s
             )
             if status in (200, 409):
-                self._placements.seen(read(body, Heartbeat))
+                self._placement_hints.update_from_heartbeat(read(body, Heartbeat))
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("look at %s: %s", name, exc)
         finally:
@@ -195,7 +195,7 @@
             await curio.sleep(0.25 * self._heartbeat_interval_s)
         else:
             for name in names:
-                self._placements.gone(name)
-            await self._tell_released(names)
+                self._placement_hints.gone(name)
+            await self._announce_released(names)
         finally:
             self._releasing = False
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -21,7 +21,7 @@
 class CancellationExchange:
     """Keeps the peers' records of cancellations level with this controller's.
 
-    `cancelled` is called for each cancellation that is news here, and `hears_peers`
+    `cancelled` is called for each cancellation that is news here, and `reaches_peers`
     says whether any peer was heard just now.
     """
 
@@ -31,14 +31,14 @@
         heartbeat_interval_s: float,
         cancellations: Cancellations,
         peer_connections: Mapping[str, PeerConnection],
-        hears_peers: Callable[[float], bool],
+        reaches_peers: Callable[[float], bool],
         cancelled: TellCancelled,
     ) -> None:
         self._node = node
         self._heartbeat_interval_s = heartbeat_interval_s
         self._cancellations = cancellations
         self._peer_connections = peer_connections
-        self._hears_peers = hears_peers
+        self._reaches_peers = reaches_peers
         self._cancelled = cancelled
         self._receipt = curio.Event()  # set, and replaced, when a peer acknowledges
 
@@ -52,40 +52,40 @@
             return
         await self._cancelled(job, at)
         for peer in self._peer_connections:
-            await self._tell(peer)
+            await self._broadcast(peer)
         now = await curio.clock()
         end = now + RECEIPT_HEARTBEATS * self._heartbeat_interval_s
-        while now < end and self._hears_peers(now):
+        while now < end and self._reaches_peers(now):
             if any(self._cancellations.peer_has(peer, job) for peer in self._peer_connections):
                 return
             await curio.ignore_after(end - now, self._receipt.wait)
             now = await curio.clock()
 
-    async def _tell(self, peer: str) -> None:
+    async def _broadcast(self, peer: str) -> None:
         """Send a peer what it lacks; it acknowledges, or is told again by the next ping."""
         news = self._cancellations.news(peer)
         connection = self._peer_connections.get(peer)
         if news is not None and connection is not None:
-            message = Cancelled(CANCELLED, self._node, self._cancellations.boot, *news)
+            message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *news)
             await connection.send(encode(message))
 
-    async def hear_news(self, news: Cancelled) -> None:
+    async def on_cancellations(self, news: Cancelled) -> None:
         """A peer's message with cancellations; it is acknowledged."""
         peer = str(news.node)
         fresh = self._cancellations.receive(
-            peer, str(news.boot), int(news.after), int(news.upto), news.entries, time.time()
+            peer, str(news.incarnation), int(news.after), int(news.upto), news.entries, time.time()
         )
         for job, at in fresh:
             await self._cancelled(job, at)
         connection = self._peer_connections.get(peer)
         if connection is not None:
-            boot, upto = self._cancellations.receipts()[peer]
-            await connection.send(encode(Receipt(RECEIPT, self._node, boot, upto)))
+            incarnation, upto = self._cancellations.receipts()[peer]
+            await connection.send(encode(Receipt(RECEIPT, self._node, incarnation, upto)))
 
-    async def hear_receipt(self, peer: str, boot: str, upto: int) -> None:
+    async def on_receipt(self, peer: str, incarnation: str, upto: int) -> None:
         """A peer acknowledges all up to a number; what it still lacks is sent."""
-        lacks = self._cancellations.acknowledged(peer, boot, upto)
+        lacks = self._cancellations.acknowledged(peer, incarnation, upto)
         passed, self._receipt = self._receipt, curio.Event()
         await passed.set()
         if lacks:
-            await self._tell(peer)
+            await self._broadcast(peer)
--- a/topazhold/control/node.py
+++ b/topazhold/control/controller.py
@@ -10,14 +10,15 @@
 
 import curio
 
-from topazhold.control.booking import Booking, View
+from topazhold.control.cancellation_enforcer import CancellationEnforcer
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.control.election import ControllerLease, Election, lease_time_s
-from topazhold.control.enforcing import Enforcer
-from topazhold.control.gang_search import GangSearch
+from topazhold.control.follower_heartbeats import SILENT_CONTROLLER_LEASES, FollowerHeartbeats
+from topazhold.control.gang_reservations import ClusterView, GangReservations
+from topazhold.control.heartbeat_forwarding import HeartbeatForwarding
 from topazhold.control.key_value_store import KeyValueStore
-from topazhold.control.leading import Leading
+from topazhold.control.leader_term import LeaderTerm
 from topazhold.control.peer_messages import (
     CANCELLED,
     PING,
@@ -34,13 +35,12 @@
     Released,
     Summary,
 )
-from topazhold.control.relay import SILENT_CONTROLLER_LEASES, WorkerFallback
-from topazhold.control.report_relay import ReportRelay
+from topazhold.control.placement_search import PlacementSearch
 from topazhold.control.users import Users, users_request
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.jobs import NO_OBJECTIVE, Job
 from topazhold.core.leadership import Leadership
-from topazhold.core.placements import Placements
+from topazhold.core.placement_hints import PlacementHints
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.search import pack_names, unpack_names
 from topazhold.duties.released import ReleasedMachines
@@ -64,7 +64,7 @@
 SERVED_SHARE = 0.8
 
 
-class Node:
+class Controller:
     """A controller process."""
 
     def __init__(
@@ -96,8 +96,8 @@
         self.leadership = Leadership(self.name)
         self.reservation_table = ReservationTable(self.name)
         self.machine_types: dict[str, MachineType] = {}
-        self.view = View()
-        self.booking = Booking(
+        self.cluster_view = ClusterView()
+        self.gang_reservations = GangReservations(
             settings,
             operator,
             self.store,
@@ -109,20 +109,20 @@
         self.cancellations = Cancellations(
             f"{self.name}-{time.time_ns():x}", workers.cancel_s, workers.lease_s
         )
-        self.placements = Placements()
+        self.placement_hints = PlacementHints()
         self.released = ReleasedMachines()
-        self.enforcer = Enforcer(
+        self.cancellation_enforcer = CancellationEnforcer(
             settings,
             self.cancellations,
-            self.placements,
+            self.placement_hints,
             self.cloud,
             dial,
-            self._seen_to,
-            self._tell_released,
+            self._has_owner,
+            self._announce_released,
         )
         self._leader_loaded: tuple[str, float] = ("", -1e9)  # whose ping said so, when
-        self._peer_boots: dict[str, str] = {}
-        self.fallback = WorkerFallback(
+        self._peer_incarnations: dict[str, str] = {}
+        self.follower_heartbeats = FollowerHeartbeats(
             self.leadership,
             settings.domain,
             len(settings.seeds),
@@ -131,18 +131,22 @@
             time.monotonic(),
             workers.cancel_s,
         )
-        self.leading: Leading | None = None
+        self.leader_term: LeaderTerm | None = None
         self._changed = curio.Event()  # of the lease or the leadership
         self.lease = ControllerLease(
-            self.store, self.controller_lease_s, self.booking.reset, self._depose, self._changed.set
+            self.store,
+            self.controller_lease_s,
+            self.gang_reservations.reset,
+            self._end_term,
+            self._changed.set,
         )
         self.election = Election(
             self.store,
             self.leadership,
             self.lease,
             self.controller_lease_s,
-            self._elected,
-            self._depose,
+            self._begin_term,
+            self._end_term,
         )
         self.peer_connections = {
             seed.node_name: PeerConnection(address(seed.addr), 0.5) for seed in settings.seeds
@@ -152,8 +156,8 @@
             self.heartbeat_interval_s,
             self.cancellations,
             self.peer_connections,
-            self.fallback.hears_peers,
-            self._tell_leading,
+            self.follower_heartbeats.reaches_peers,
+            self._notify_leader_term,
         )
         self.users = Users(
             settings,
@@ -163,26 +167,26 @@
             self._running_count,
             self.cancellation_exchange.confirm,
         )
-        self.gang_search = GangSearch(
+        self.placement_search = PlacementSearch(
             settings,
             operator,
             self.store,
-            self.booking,
-            self.view,
-            lambda: self.leading,
+            self.gang_reservations,
+            self.cluster_view,
+            lambda: self.leader_term,
             lambda: self.lease.id,
         )
-        self.report_relay = ReportRelay(
+        self.heartbeat_forwarding = HeartbeatForwarding(
             settings,
             self.store,
             self.leadership,
-            self.fallback,
+            self.follower_heartbeats,
             self.peer_connections,
             lambda: self.lease.id,
         )
         self._share(False)
 
-    def _share(self, leads: bool) -> None:
+    def _share(self, is_leader: bool) -> None:
         """The leader needs most of the state service's limits."""
         nodes = 1 + len(self.peer_connections)
         if nodes == 1:
@@ -190,7 +194,7 @@
         else:
             # The shares add up to more than the whole: the nodes are seldom
             # busy at once, and what is too much the service itself refuses.
-            self.store.set_share(0.85 if leads else max(0.35, 1.0 / nodes))
+            self.store.set_share(0.85 if is_leader else max(0.35, 1.0 / nodes))
 
     async def run(self) -> None:
         """Serve until killed."""
@@ -222,13 +226,13 @@
             for category, loop in (
                 (WorkCategory.STATE, self.lease.loop),
                 (WorkCategory.STATE, self.election.loop),
-                (WorkCategory.OTHER, self._leading_loop),
+                (WorkCategory.OTHER, self._leader_term_loop),
                 (WorkCategory.CLOUD, self._catalog_loop),
                 (WorkCategory.PEERS, self._ping_loop),
-                (WorkCategory.SEARCHES, self.gang_search.loop),
-                (WorkCategory.PEERS, self.report_relay.loop),
+                (WorkCategory.SEARCHES, self.placement_search.loop),
+                (WorkCategory.PEERS, self.heartbeat_forwarding.loop),
                 (WorkCategory.OTHER, self._resign_loop),
-                (WorkCategory.COMMANDS, self.enforcer.loop),
+                (WorkCategory.COMMANDS, self.cancellation_enforcer.loop),
             ):
                 await group.spawn(self.cpu_accounting.run_in_category, category, loop)
         if group.exception is not None:
@@ -264,7 +268,7 @@
         """
         if not self.machine_types:
             return False
-        return self._served(now) or not self.fallback.alone(now)
+        return self._served(now) or not self.follower_heartbeats.alone(now)
 
     async def _heartbeat(self, body: bytes) -> Response:
         try:
@@ -273,44 +277,46 @@
             log.debug("heartbeat refused: %s", exc)
             return Response(400)
         lead = self.leadership
-        leading = self.leading
+        leader_term = self.leader_term
         if heartbeat.term > lead.term:
             # A worker knows a term that this node does not: whoever thinks
             # to be leader here is not any more.
             lead.term = heartbeat.term
-            if leading is not None:
-                await self._depose("a worker knows a higher term")
+            if leader_term is not None:
+                await self._end_term("a worker knows a higher term")
             lead.leader = None
             return Response(421, wire.redirect(None))
         now = await curio.clock()
-        if self.fallback.isolated(self._served(now), now):
+        if self.follower_heartbeats.isolated(self._served(now), now):
             # Nothing that this node hears reaches anybody: not even a leader may
             # hold workers here, once its lease may have passed on.
             if not self.lease.lease_is_valid(now):
-                if not (self._informed(now) and self.fallback.keeps_isolated(heartbeat, now)):
+                if not (
+                    self._informed(now) and self.follower_heartbeats.keeps_isolated(heartbeat, now)
+                ):
                     return Response(421, wire.redirect(None))
-        if leading is None or not lead.leads:
-            if self._informed(now) and self.fallback.keeps(heartbeat, now):
-                self.fallback.keep(heartbeat)
+        if leader_term is None or not lead.is_leader:
+            if self._informed(now) and self.follower_heartbeats.keeps(heartbeat, now):
+                self.follower_heartbeats.keep(heartbeat)
                 return self._answer_locally(heartbeat, lead.term)
             leader = lead.leader if lead.leader != self.name else None
             return Response(421, wire.redirect(leader))
-        if not leading.loaded:
+        if not leader_term.loaded:
             if not self._informed(now):
                 return Response(421, wire.redirect(None))
-            return self._answer_locally(heartbeat, leading.term)
-        _, commands = await leading.hear(heartbeat)
-        if self.leading is not leading:
+            return self._answer_locally(heartbeat, leader_term.term)
+        _, commands = await leader_term.on_heartbeat(heartbeat)
+        if self.leader_term is not leader_term:
             return Response(421, wire.redirect(None))
-        return Response(200, Commands(leading.term, commands))
+        return Response(200, Commands(leader_term.term, commands))
 
     def _informed(self, now: float) -> bool:
         """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
-        return self.cancellations.informed and self.fallback.informed(now)
+        return self.cancellations.informed and self.follower_heartbeats.informed(now)
 
     def _answer_locally(self, heartbeat: Heartbeat, term: int) -> Response:
         """A 200 without a scheduler: nothing but the kills that the record asks for."""
-        self.placements.seen(heartbeat)
+        self.placement_hints.update_from_heartbeat(heartbeat)
         commands = self.cancellations.kills(heartbeat)
         if commands:
             log.info(
@@ -322,41 +328,41 @@
 
     # -- cancellations -------------------------------------------------------
 
-    def _seen_to(self, job: str, now: float) -> bool:
+    def _has_owner(self, job: str, now: float) -> bool:
         """Whether a leader that has loaded sees to a cancellation."""
-        if self.leading is not None and self.leading.loaded:
+        if self.leader_term is not None and self.leader_term.loaded:
             return True
         leader, at = self._leader_loaded
         quiet = now - at > 2 * SILENT_CONTROLLER_LEASES * self.controller_lease_s
         return not quiet and self.cancellations.peer_has(leader, job)
 
-    async def _tell_leading(self, job: str, at: float) -> None:
+    async def _notify_leader_term(self, job: str, at: float) -> None:
         """A job is cancelled: the term that this controller leads, if any, is to know."""
-        if self.leading is not None:
-            await self.leading.cancelled(job, at)
+        if self.leader_term is not None:
+            await self.leader_term.cancelled(job, at)
 
     # -- work accepted here ----------------------------------------------------
 
     async def _accepted(self, job: Job) -> None:
-        if self.leading is not None:
-            await self.leading.accepted(job)
+        if self.leader_term is not None:
+            await self.leader_term.accepted(job)
         if job.gang:
             waits = self.settings.cluster.wait_objectives()
             job.wait_objective_s = waits.get(job.spec.job_class, (NO_OBJECTIVE, NO_OBJECTIVE))[0]
-            await self.booking.accepted(job, await curio.clock())
+            await self.gang_reservations.accepted(job, await curio.clock())
 
     def _running_count(self, job_id: str) -> int:
-        if self.leading is not None and self.leading.loaded:
-            job = self.leading.scheduler.jobs.get(job_id)
+        if self.leader_term is not None and self.leader_term.loaded:
+            job = self.leader_term.scheduler.jobs.get(job_id)
             return job.running_count() if job is not None else 0
-        return self.view.running.get(job_id, 0)
+        return self.cluster_view.running.get(job_id, 0)
 
     # -- the term ------------------------------------------------------------
 
-    async def _elected(self, term: int, revision: int) -> None:
+    async def _begin_term(self, term: int, revision: int) -> None:
         """Begin a term."""
         self._share(True)
-        self.leading = Leading(
+        self.leader_term = LeaderTerm(
             self.settings,
             self.operator,
             self.store,
@@ -367,50 +373,52 @@
             revision,
             self.rng,
             await curio.clock(),
-            self._tell,
+            self._broadcast,
             self._dial,
             self.lease.lease_is_valid,
             self.cancellations,
             self.cpu_accounting,
             self.controller_lease_s,
             self.released,
-            self._tell_released,
+            self._announce_released,
         )
         await self._changed.set()
         await self._ping()
 
-    async def _depose(self, reason: str) -> None:
+    async def _end_term(self, reason: str) -> None:
         """End this node's term, if there is one."""
-        if self.leading is None:
+        if self.leader_term is None:
             return
         log.info("node %s is leader no more: %s", self.name, reason)
-        self.leadership.step_down()
-        if self.leading.loaded:
-            self.placements.told(self.leading.term, self.leading.placed())
-        self.leading = None
+        self.leadership.become_follower()
+        if self.leader_term.loaded:
+            self.placement_hints.update_from_leader(
+                self.leader_term.term, self.leader_term.placed()
+            )
+        self.leader_term = None
         self._share(False)
         await self._changed.set()
 
-    async def _leading_loop(self) -> None:
+    async def _leader_term_loop(self) -> None:
         """Run the term's loops for as long as it lasts."""
         while True:
             await self._changed.wait()
             self._changed.clear()
-            leading = self.leading
-            if leading is None:
+            leader_term = self.leader_term
+            if leader_term is None:
                 continue
-            task = await curio.spawn(leading.run)
-            while self.leading is leading and not task.terminated:
+            task = await curio.spawn(leader_term.run)
+            while self.leader_term is leader_term and not task.terminated:
                 await curio.ignore_after(0.25 * self.controller_lease_s, self._changed.wait)
                 self._changed.clear()
             await task.cancel()
-            if self.leading is leading:
-                await self._depose("its loops ended")
+            if self.leader_term is leader_term:
+                await self._end_term("its loops ended")
                 await self.lease.drop()
 
     # -- peers ---------------------------------------------------------------
 
-    async def _tell(self, message: tuple[Any, ...]) -> None:
+    async def _broadcast(self, message: tuple[Any, ...]) -> None:
         frame = encode(message)
         for connection in self.peer_connections.values():
             await connection.send(frame)
@@ -418,14 +426,14 @@
     async def _ping(self) -> None:
         lead = self.leadership
         silent: list[str] | None = None
-        if self.leading is not None and self.leading.loaded:
+        if self.leader_term is not None and self.leader_term.loaded:
             silent = pack_names(
-                self.leading.scheduler.machines_without_heartbeat(await curio.clock())
+                self.leader_term.scheduler.machines_without_heartbeat(await curio.clock())
             )
         served = self.store.failing_since is None
         cancellations = self.cancellations
-        enforces = silent is not None or bool(self.placements.places)
-        await self._tell(
+        enforces = silent is not None or bool(self.placement_hints.places)
+        await self._broadcast(
             Ping(
                 PING,
                 self.name,
@@ -434,7 +442,7 @@
                 silent,
                 served,
                 enforces,
-                [cancellations.boot, cancellations.last, cancellations.informed],
+                [cancellations.incarnation, cancellations.last, cancellations.informed],
                 cancellations.receipts(),
             )
         )
@@ -449,35 +457,35 @@
         self.cpu_accounting.enter(WorkCategory.PEERS)
         tag = message[0]
         if tag == PING:
-            await self._hear_ping(Ping(*message))
+            await self._on_ping(Ping(*message))
         elif tag == CANCELLED:
-            await self.cancellation_exchange.hear_news(Cancelled(*message))
+            await self.cancellation_exchange.on_cancellations(Cancelled(*message))
         elif tag == RECEIPT:
             receipt = Receipt(*message)
-            await self.cancellation_exchange.hear_receipt(
-                str(receipt.node), str(receipt.boot), int(receipt.upto)
+            await self.cancellation_exchange.on_receipt(
+                str(receipt.node), str(receipt.incarnation), int(receipt.upto)
             )
         elif tag == RELEASED:
-            await self._hear_released(Released(*message).machines)
+            await self._on_released(Released(*message).machines)
         elif tag == PLACED:
             placed = Placed(*message)
-            if self.leading is None or not self.leading.loaded:
-                self.placements.told(int(placed.term), placed.items)
+            if self.leader_term is None or not self.leader_term.loaded:
+                self.placement_hints.update_from_leader(int(placed.term), placed.items)
         elif tag == RELAY:
             relay = Relay(*message)
-            if self.leading is not None and self.leading.term == int(relay.term):
-                await self.leading.relayed(relay.heartbeats)
+            if self.leader_term is not None and self.leader_term.term == int(relay.term):
+                await self.leader_term.forwarded(relay.heartbeats)
         elif tag == SUMMARY:
             summary = Summary(*message)
-            if int(summary.term) >= self.leadership.term and self.leading is None:
-                self.gang_search.read_summary(summary.values, await curio.clock())
+            if int(summary.term) >= self.leadership.term and self.leader_term is None:
+                self.placement_search.read_summary(summary.values, await curio.clock())
 
-    async def _hear_ping(self, ping: Ping) -> None:
+    async def _on_ping(self, ping: Ping) -> None:
         """A peer lives; what it knows of the leader and of cancellations."""
         peer = str(ping.node)
         from_leader = ping.silent is not None and ping.node == ping.leader
         now = await curio.clock()
-        self.fallback.heard(
+        self.follower_heartbeats.heard(
             peer,
             bool(ping.served),
             unpack_names(ping.silent) if from_leader else None,
@@ -489,49 +497,49 @@
         await self._level(peer, ping.record, ping.receipts)
         if ping.leader and int(ping.term) >= self.leadership.term:
             if self.leadership.learn(str(ping.leader), int(ping.term)):
-                await self._depose("a peer follows a later leader")
+                await self._end_term("a peer follows a later leader")
 
-    async def _tell_released(self, machines: list[str]) -> None:
+    async def _announce_released(self, machines: list[str]) -> None:
         """The cloud has confirmed a release that is not recorded: the others must know."""
-        await self._tell(Released(RELEASED, self.name, machines))
-        await self._hear_released(machines)
+        await self._broadcast(Released(RELEASED, self.name, machines))
+        await self._on_released(machines)
 
-    async def _hear_released(self, machines: list[str]) -> None:
+    async def _on_released(self, machines: list[str]) -> None:
         names = [str(name) for name in machines]
         self.released.add(names)
         for name in names:
-            self.placements.gone(name)
-        if self.leading is not None:
-            await self.leading.released(names)
+            self.placement_hints.gone(name)
+        if self.leader_term is not None:
+            await self.leader_term.released(names)
 
     async def _level(self, peer: str, record: Any, receipts: Any) -> None:
         """Compare the records of cancellations with a peer's."""
-        boot, last, informed = record
-        if informed and self.cancellations.level_with(peer, str(boot), int(last)):
+        incarnation, last, informed = record
+        if informed and self.cancellations.level_with(peer, str(incarnation), int(last)):
             self.cancellations.informed = True
-        if self._peer_boots.get(peer) != boot:
-            self._peer_boots[peer] = str(boot)
-            if self.leading is not None:
-                self.leading.tell_anew()
-        of_boot, upto = receipts.get(self.name, ("", -1))
-        await self.cancellation_exchange.hear_receipt(peer, str(of_boot), int(upto))
+        if self._peer_incarnations.get(peer) != incarnation:
+            self._peer_incarnations[peer] = str(incarnation)
+            if self.leader_term is not None:
+                self.leader_term.resend_all()
+        of_incarnation, upto = receipts.get(self.name, ("", -1))
+        await self.cancellation_exchange.on_receipt(peer, str(of_incarnation), int(upto))
 
     async def _resign_loop(self) -> None:
         """A leader that hardly hears any worker, while others do, makes room."""
         lease_s = self.settings.cluster.workers.lease_s
         while True:
             await curio.sleep(0.5 * self.controller_lease_s)
-            leading = self.leading
+            leader_term = self.leader_term
             now = await curio.clock()
             if (
-                leading is None
-                or not leading.loaded
-                or not leading.scheduler.is_partitioned_from_workers(now)
+                leader_term is None
+                or not leader_term.loaded
+                or not leader_term.scheduler.is_partitioned_from_workers(now)
             ):
                 continue
             log.info("node %s hears too few of the workers that others hear", self.name)
             self.election.bar(now + 2 * lease_s)
-            await self._depose("cut from the workers")
+            await self._end_term("cut from the workers")
             await self.lease.drop()
 
     # -- the catalog -------------------------------------------------------------
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -43,9 +43,9 @@
         self._max_silent = max(1, int(self._max * SILENT_SHARE))
         self._clients = Clients(dial, max(4, int(sockets * KEPT_SHARE)))
         self._context = context
-        self._hear = hear
+        self._on_heartbeat = hear
         self._striking: dict[str, bool] = {}  # under way; whether the worker is silent
-        self.deposed = curio.Event()
+        self.superseded = curio.Event()
 
     async def close(self) -> None:
         await self._clients.close()
@@ -89,7 +89,7 @@
             await self.direct(machine, commands)
         except LeadershipLostError as exc:
             log.info("term %d ends: %s", self._context.term, exc)
-            await self.deposed.set()
+            await self.superseded.set()
         finally:
             del self._striking[machine.name]
 
@@ -106,6 +106,6 @@
                 heartbeat = read(body, Heartbeat)
                 if heartbeat.term > self._context.term:
                     raise LeadershipLostError("a worker knows a higher term")
-                await self._hear(heartbeat)
+                await self._on_heartbeat(heartbeat)
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("direct to %s: %s", machine.name, exc)
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -139,14 +139,14 @@
         lease: ControllerLease,
         controller_lease_s: float,
         elected: Callable[[int, int], Awaitable[None]],
-        deposed: Callable[[str], Awaitable[None]],
+        superseded: Callable[[str], Awaitable[None]],
     ) -> None:
         self._store = store
         self._leadership = leadership
         self._lease = lease
         self._controller_lease_s = controller_lease_s
-        self._elected = elected
-        self._deposed = deposed
+        self._begin_term = elected
+        self._on_deposed = superseded
         self._barred_until = 0.0
 
     def bar(self, until: float) -> None:
@@ -186,7 +186,7 @@
         without an answer.
         """
         value = read_value(entry.data)
-        if value is None or value[0] != self._leadership.node or self._leadership.leads:
+        if value is None or value[0] != self._leadership.node or self._leadership.is_leader:
             return False
         if entry.lease_id is None:
             return False
@@ -220,12 +220,12 @@
         if leader == self._leadership.node:
             return
         if self._leadership.learn(leader, term):
-            await self._deposed("another leader was elected")
+            await self._on_deposed("another leader was elected")
 
     async def _stand(self, lease_id: int) -> None:
         """Try for the key with the next term."""
         lead = self._leadership
-        lead.stand()
+        lead.become_candidate()
         try:
             last = await self._store.get(TERM_KEY, LEASE_PRIORITY)
             term = max(lead.term, int(last.data["crown"]) if last is not None else 0) + 1
@@ -240,14 +240,14 @@
                 give_up_s=self._controller_lease_s,
             )
         except PreconditionFailedError:
-            lead.step_down()
+            lead.become_follower()
             return
         except STORE_ERRORS:
-            lead.step_down()
+            lead.become_follower()
             raise
         if self._lease.id != lease_id:
-            lead.step_down()
+            lead.become_follower()
             return
-        lead.win(term)
+        lead.become_leader(term)
         log.info("node %s elected leader, term %d", lead.node, term)
-        await self._elected(term, revision)
+        await self._begin_term(term, revision)
--- a/topazhold/control/takeover.py
+++ b/topazhold/control/failover.py
@@ -9,7 +9,7 @@
 
 from topazhold.control.key_value_store import LEASE_PRIORITY
 from topazhold.control.term_context import TermContext
-from topazhold.core import records, recovery
+from topazhold.core import failover, records
 from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.reservations import RESERVATION_PREFIX
@@ -45,7 +45,7 @@
             log.error("%s unreadable: %s", entry.key, exc)
             continue
         if records.parts_of(job) > 1:
-            await load_parts(context, job)
+            await load_completion_bitmaps(context, job)
         jobs.append(job)
     ons, _ = await context.store.entries(records.ON_PREFIX, LEASE_PRIORITY)
     # A take-over that was interrupted is begun anew, this with it: two shards
@@ -59,7 +59,7 @@
         unreadable += odd
         names = [each.machine for each in found]
         context.shards.found(entry.key[len(records.ON_PREFIX) :], entry.revision, names)
-    for job_id in recovery.missing_jobs([job.id for job in jobs], intents):
+    for job_id in failover.missing_jobs([job.id for job in jobs], intents):
         over = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
         if over is not None:
             try:
@@ -69,7 +69,7 @@
                     context.cancellations.add(job.id, job.submitted, wall)
             except (InvalidMessageError, ValueError, TypeError) as exc:
                 log.error("%s unreadable: %s", over.key, exc)
-    recovery.take_over(scheduler, jobs, intents, await curio.clock())
+    failover.rebuild(scheduler, jobs, intents, await curio.clock())
     for name in unreadable:
         # Anything may be on it: only its release proves otherwise.
         machine = scheduler.add_machine(name, "", False, "", await curio.clock())
@@ -77,7 +77,7 @@
     return seen_revision
 
 
-async def load_parts(context: TermContext, job: Job) -> None:
+async def load_completion_bitmaps(context: TermContext, job: Job) -> None:
     prefix = f"{records.PART_PREFIX}{job.id}/"
     parts, _ = await context.store.entries(prefix, LEASE_PRIORITY)
     for entry in parts:
--- a/topazhold/control/relay.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -28,7 +28,7 @@
     return any(task.state == wire.ENDED for task in heartbeat.tasks)
 
 
-class IsolatedNode:
+class PartitionedControllerPolicy:
     """Which workers a node keeps that is cut from all but its workers.
 
     Its answers keep their tasks alive and lead nowhere else. If only this node
@@ -76,7 +76,7 @@
         return True
 
 
-class WorkerFallback:
+class FollowerHeartbeats:
     """Decides which workers to keep here, and collects their reports."""
 
     def __init__(
@@ -92,7 +92,7 @@
         self._lead = leadership
         self._zone = zone
         self._peers = peers
-        self._isolated = IsolatedNode(zone, lease_s)
+        self._isolated = PartitionedControllerPolicy(zone, lease_s)
         self._silence_s = SILENT_CONTROLLER_LEASES * controller_lease_s
         self._lease_s = lease_s
         # A task that an answer keeps alive lives for a lease more. Until so long after
@@ -121,7 +121,7 @@
         if silent is not None:
             self._silent = set(silent)
 
-    def hears_peers(self, now: float) -> bool:
+    def reaches_peers(self, now: float) -> bool:
         """Whether any peer was heard just now."""
         return any(now - at < self._silence_s for at in self._heard.values())
 
--- a/topazhold/control/booking.py
+++ b/topazhold/control/gang_reservations.py
@@ -69,7 +69,7 @@
     return max(MAX_SEARCHES, min(MAX_FOLLOWER_SEARCHES, int(cpu_share * ROUND_S / SEARCH_S)))
 
 
-class Wanted:
+class PendingGang:
     """A gang that this controller searches for."""
 
     __slots__ = ("spec", "queue_key", "since", "searched")
@@ -88,7 +88,7 @@
         return self.queue_key[:2]
 
 
-class View:
+class ClusterView:
     """The fleet as the summaries show it."""
 
     def __init__(self) -> None:
@@ -128,7 +128,7 @@
         self.running = {str(job): int(count) for job, count in data.get("running", {}).items()}
 
 
-class Booking:
+class GangReservations:
     """Searches for waiting gangs and books each better group at once."""
 
     def __init__(
@@ -159,7 +159,7 @@
             distance_s=workers.heartbeat_interval_s,
             preference_s=1.0 * workers.heartbeat_interval_s,
         )
-        self.wanted: dict[str, Wanted] = {}
+        self.pending: dict[str, PendingGang] = {}
         self.mine: dict[str, Reservation] = {}
         self._written: list[Any] | None = None
         self._serial = 0
@@ -170,11 +170,11 @@
 
     async def accepted(self, job: Job, now: float) -> None:
         """This node has accepted a gang: search for it now."""
-        self.wanted[job.id] = Wanted(job.spec, queue_key(job), now)
+        self.pending[job.id] = PendingGang(job.spec, queue_key(job), now)
         await self.wake.set()
 
     def forget(self, job: str) -> None:
-        self.wanted.pop(job, None)
+        self.pending.pop(job, None)
         self.mine.pop(job, None)
 
     def reset(self) -> None:
@@ -182,54 +182,56 @@
         self.mine.clear()
         self._written = None
 
-    def _search(self, wanted: Wanted, view: View, draft: ReservationTable) -> Group | None:
-        taken = draft.taken(wanted.spec.id, wanted.queue_key, lambda reservation: True)
+    def _search(
+        self, pending: PendingGang, cluster_view: ClusterView, draft: ReservationTable
+    ) -> Group | None:
+        taken = draft.taken(pending.spec.id, pending.queue_key, lambda reservation: True)
         return search(
             self._rng,
-            view.directory,
-            view.caches,
-            wanted.spec,
-            wanted.priority,
+            cluster_view.directory,
+            cluster_view.caches,
+            pending.spec,
+            pending.priority,
             taken,
             self.rules,
             self._tries,
         )
 
-    def round(self, view: View, now: float, limit: int = MAX_SEARCHES) -> None:
+    def round(self, cluster_view: ClusterView, now: float, limit: int = MAX_SEARCHES) -> None:
         """One round of searches; changes `mine` where a better group turned up."""
         wall = time.time()
         for job, reservation in list(self.mine.items()):
-            if job not in self.wanted or wall - reservation.made_at > 2 * self._expiry_s:
+            if job not in self.pending or wall - reservation.made_at > 2 * self._expiry_s:
                 del self.mine[job]
         # Others' holds as they were read, our own as they are to be written.
         draft = ReservationTable(self.node)
         draft.reservations = {**self.reservation_table.reservations, self.node: self.mine}
         # In turns: when those without a hold always came first, holds on machines
         # that free late were kept while others came up.
-        order = sorted(self.wanted.values(), key=lambda w: (w.searched, w.queue_key, w.since))
+        order = sorted(self.pending.values(), key=lambda w: (w.searched, w.queue_key, w.since))
         began = time.monotonic()
-        for number, wanted in enumerate(order[:limit]):
+        for number, pending in enumerate(order[:limit]):
             if number and time.monotonic() - began > self._max_round_s:
                 break  # the others come first in the next round
-            wanted.searched = now
-            job = wanted.spec.id
+            pending.searched = now
+            job = pending.spec.id
             old = self.mine.get(job)
             if old is not None and old.free_now and wall - old.made_at < self._settle_s:
                 continue  # about to be used
             if old is None and len(self.mine) >= self._max_reservations:
                 continue
-            group = self._search(wanted, view, draft)
+            group = self._search(pending, cluster_view, draft)
             if old is not None:
-                group = self._better(wanted, old, group, view, draft, wall)
+                group = self._better(pending, old, group, cluster_view, draft, wall)
             if group is not None:
-                self._reserve(wanted, group, wall)
+                self._reserve(pending, group, wall)
 
     def _better(
         self,
-        wanted: Wanted,
+        pending: PendingGang,
         old: Reservation,
         group: Group | None,
-        view: View,
+        cluster_view: ClusterView,
         draft: ReservationTable,
         wall: float,
     ) -> Group | None:
@@ -240,9 +242,9 @@
         better: a large gang that changed all its machines for a few seconds lost
         those that had come free for it, again and again.
         """
-        taken = draft.taken(old.job, wanted.queue_key, lambda reservation: True)
+        taken = draft.taken(old.job, pending.queue_key, lambda reservation: True)
         present = score_reserved(
-            old.slots, view.caches, wanted.spec, wanted.priority, taken, self.rules
+            old.slots, cluster_view.caches, pending.spec, pending.priority, taken, self.rules
         )
         late = wall - old.made_at > self._expiry_s
         if math.isinf(present):
@@ -255,8 +257,8 @@
         # Lapsed, and found to be the best all the same: booked anew.
         return Group(present, present, present, old.slots) if late else None
 
-    def _reserve(self, wanted: Wanted, group: Group, wall: float) -> None:
-        spec = wanted.spec
+    def _reserve(self, pending: PendingGang, group: Group, wall: float) -> None:
+        spec = pending.spec
         self._serial = max(self._serial + 1, int(wall * 1000))
         self.mine[spec.id] = Reservation(
             spec.id,
@@ -266,7 +268,7 @@
             self._serial,
             wall,
             group.capacity_wait <= self._heartbeat_interval_s,
-            wanted.queue_key,
+            pending.queue_key,
         )
         log.info(
             "reservation %s on %s, wait %.1f s, score %.1f",
@@ -302,7 +304,7 @@
             self.wrote_at = now - 1.0 + CONFLICT_PAUSE_S * (1.0 + self._rng.random())
             before = dict(self.reservation_table.revisions)
             await self.read_reservations()
-            self.concede(before)
+            self.yield_contested(before)
             await self.wake.set()
             return False
         except STORE_ERRORS as exc:
@@ -312,7 +314,7 @@
         self.reservation_table.read(self.node, value, revision)
         return True
 
-    def concede(self, before: Mapping[str, int]) -> None:
+    def yield_contested(self, before: Mapping[str, int]) -> None:
         """Drop new holds that touch what others have booked in between.
 
         All that stood before, and all that nobody else touched, stays: thrown away
--- a/topazhold/control/report_relay.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -7,6 +7,7 @@
 
 import curio
 
+from topazhold.control.follower_heartbeats import FollowerHeartbeats
 from topazhold.control.key_value_store import (
     DECISION_PRIORITY,
     STORE_ERRORS,
@@ -14,7 +15,6 @@
     PreconditionFailedError,
 )
 from topazhold.control.peer_messages import RELAY, Relay
-from topazhold.control.relay import WorkerFallback
 from topazhold.control.term_context import TXN_BYTES
 from topazhold.core import records
 from topazhold.core.leadership import Leadership
@@ -31,7 +31,7 @@
 RELAY_SHARE = 0.2
 
 
-class ReportRelay:
+class HeartbeatForwarding:
     """Sends kept reports by the link to the leader, or through the state service."""
 
     def __init__(
@@ -39,7 +39,7 @@
         settings: Settings,
         store: KeyValueStore,
         leadership: Leadership,
-        fallback: WorkerFallback,
+        follower_heartbeats: FollowerHeartbeats,
         peer_connections: Mapping[str, PeerConnection],
         lease_id: Callable[[], int | None],
     ) -> None:
@@ -48,7 +48,7 @@
         self._limits = settings.cluster.state
         self._store = store
         self._leadership = leadership
-        self._fallback = fallback
+        self._follower_heartbeats = follower_heartbeats
         self._peer_connections = peer_connections
         self._lease_id = lease_id
 
@@ -65,9 +65,9 @@
             connection = self._peer_connections.get(lead.leader or "")
             if connection is None:
                 continue
-            if not self._fallback.leader_cut(await curio.clock()):
+            if not self._follower_heartbeats.leader_cut(await curio.clock()):
                 for _ in range(RELAY_FRAMES):
-                    heartbeats = self._fallback.take(RELAY_FRAME_BYTES)
+                    heartbeats = self._follower_heartbeats.take(RELAY_FRAME_BYTES)
                     if not heartbeats:
                         break
                     await connection.send(encode(Relay(RELAY, lead.term, heartbeats)))
@@ -76,7 +76,7 @@
             # what a transaction takes and of the changes a second.
             changes = []
             for number in range(max_frames):
-                heartbeats = self._fallback.take(limit)
+                heartbeats = self._follower_heartbeats.take(limit)
                 if not heartbeats:
                     break
                 key = f"{records.RELAY_PREFIX}{self._node}/{number}"
--- a/topazhold/control/saving.py
+++ b/topazhold/control/job_persistence.py
@@ -25,7 +25,7 @@
 MAX_MOVED_JOBS = 8
 
 
-class Saving:
+class JobPersistence:
     """Writes what workers have reported as done."""
 
     def __init__(self, context: TermContext) -> None:
--- a/topazhold/control/leading.py
+++ b/topazhold/control/leader_term.py
@@ -10,19 +10,19 @@
 
 import curio
 
-from topazhold.control.booking import View
 from topazhold.control.cloud import Cloud
 from topazhold.control.direct_commands import DirectCommands
+from topazhold.control.failover import load
+from topazhold.control.gang_reservations import ClusterView
 from topazhold.control.intents import Intents
+from topazhold.control.job_persistence import JobPersistence
 from topazhold.control.key_value_store import (
     DECISION_PRIORITY,
     STORE_ERRORS,
     KeyValueStore,
     WatchCompactedError,
 )
-from topazhold.control.saving import Saving
 from topazhold.control.summaries import SummaryPublisher
-from topazhold.control.takeover import load
 from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
@@ -53,7 +53,7 @@
 DECIDING_PAUSE = 3.0
 
 
-class Leading:
+class LeaderTerm:
     """One term from the election to its end."""
 
     def __init__(
@@ -68,14 +68,14 @@
         revision: int,
         rng: Random,
         now: float,
-        tell: Callable[[tuple[Any, ...]], Awaitable[None]],
+        broadcast: Callable[[tuple[Any, ...]], Awaitable[None]],
         dial: Callable[[tuple[str, int], int], Client],
         lease_is_valid: Callable[[float], bool],
         cancellations: Cancellations,
         cpu_accounting: CpuAccounting,
         controller_lease_s: float,
         released: ReleasedMachines,
-        tell_released: Callable[[list[str]], Awaitable[None]],
+        announce_released: Callable[[list[str]], Awaitable[None]],
     ) -> None:
         self._cpu_accounting = cpu_accounting
         self.term = term
@@ -87,7 +87,7 @@
             settings, store, self.scheduler, term, revision, lease_is_valid, cancellations
         )
         self._intents = Intents(context)
-        self.saving = Saving(context)
+        self.job_persistence = JobPersistence(context)
         self._released = released
         self.duties = TermDuties(
             context,
@@ -97,12 +97,12 @@
             operator,
             controller_lease_s,
             now,
-            tell_released,
+            announce_released,
         )
         self._direct_commands = DirectCommands(
-            context, settings.cluster.limits.sockets, dial, self._hear_direct
+            context, settings.cluster.limits.sockets, dial, self._on_direct_heartbeat
         )
-        self._summaries = SummaryPublisher(context, operator.summary_s, tell)
+        self._summaries = SummaryPublisher(context, operator.summary_s, broadcast)
         self._round = curio.Event()  # set, and replaced, at the end of a planning round
         self._seen_revisions: dict[str, int] = {}
         self._ticked_at = -1e9
@@ -129,19 +129,19 @@
             len(self.scheduler.jobs),
             len(self.scheduler.machines),
         )
-        await self.context.learn_cancelled()
+        await self.context.learn_cancellations()
         self.context.cancellations.informed = True
         self.loaded = True
         async with curio.TaskGroup(wait=any) as group:
             for category, loop in (
-                (WorkCategory.COMMANDS, self._direct_commands.deposed.wait),
+                (WorkCategory.COMMANDS, self._direct_commands.superseded.wait),
                 (WorkCategory.COMMANDS, self._direct_commands.loop),
                 (WorkCategory.PLANNING, self._plan_loop),
                 (WorkCategory.PLANNING, self._tick_loop),
                 (WorkCategory.STATE, self._watch_jobs),
                 (WorkCategory.STATE, self._watch_reservations),
                 (WorkCategory.STATE, self._watch_relays),
-                (WorkCategory.STATE, self.saving.loop),
+                (WorkCategory.STATE, self.job_persistence.loop),
                 (WorkCategory.SUMMARIES, self._summaries.loop),
                 *((WorkCategory.CLOUD, loop) for loop in self.duties.loops()),
             ):
@@ -157,9 +157,9 @@
         except LeadershipLostError as exc:
             log.info("term %d ends: %s", self.term, exc)
 
-    def view(self, now: float) -> View:
+    def cluster_view(self, now: float) -> ClusterView:
         """The fleet for this node's own searches, fresh."""
-        return self._summaries.view(now)
+        return self._summaries.cluster_view(now)
 
     async def released(self, machines: list[str]) -> None:
         """Another controller's release of these machines was answered."""
@@ -175,9 +175,9 @@
         """Where tasks may be, for whoever has no scheduler."""
         return self._summaries.placed()
 
-    def tell_anew(self) -> None:
+    def resend_all(self) -> None:
         """A peer has just started: it knows of no machine."""
-        self._summaries.tell_anew()
+        self._summaries.resend_all()
 
     async def request_plan(self) -> None:
         """Something changed: plan soon."""
@@ -192,7 +192,7 @@
         await self.context.request_plan()
         await curio.ignore_after(limit_s, self._round.wait)
 
-    async def hear(
+    async def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool = False
     ) -> tuple[Machine | None, list[Command]]:
         """A worker's heartbeat; the commands for its answer."""
@@ -224,8 +224,8 @@
         """While the state service does not answer, nobody can know what was cancelled."""
         return self.context.lease_is_valid(now) and self.context.store.answers(now)
 
-    async def _hear_direct(self, heartbeat: Heartbeat) -> None:
-        await self.hear(heartbeat, direct=True)
+    async def _on_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
+        await self.on_heartbeat(heartbeat, direct=True)
 
     async def accepted(self, job: Job) -> None:
         if self.loaded:
@@ -263,11 +263,11 @@
     async def _watch_relays(self) -> None:
         async def apply(node: str, data: Any, revision: int) -> None:
             if isinstance(data, dict) and data.get("crown") == self.term:
-                await self.relayed(data.get("reports", []))
+                await self.forwarded(data.get("reports", []))
 
         await self._watch(records.RELAY_PREFIX, apply)
 
-    async def relayed(self, heartbeats: Any) -> None:
+    async def forwarded(self, heartbeats: Any) -> None:
         """Reports that a follower took in while this node can't be reached."""
         now = await curio.clock()
         before = self.scheduler.changes
@@ -277,7 +277,7 @@
             except InvalidMessageError as exc:
                 log.debug("forwarded heartbeat unreadable: %s", exc)
                 continue
-            self.scheduler.on_heartbeat(heartbeat, False, now, relayed=True)
+            self.scheduler.on_heartbeat(heartbeat, False, now, forwarded=True)
         if self.scheduler.changes != before:
             await self.context.request_plan()
 
@@ -287,7 +287,7 @@
     async def _job_changed(self, job_id: str, data: Any, revision: int) -> None:
         job = self.scheduler.jobs.get(job_id)
         if data is None:
-            # Of one that it has seen complete, `Saving.finish` finds out.
+            # Of one that it has seen complete, `JobPersistence.finish` finds out.
             if job is not None and job.state is JobState.LIVE and not job.complete:
                 await self.context.on_job_ended(job_id)
         elif job is None:
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -36,7 +36,7 @@
 
     tag: str
     node: str
-    boot: str
+    incarnation: str
     after: int
     upto: int
     entries: list[Any]
@@ -47,7 +47,7 @@
 
     tag: str
     node: str
-    boot: str
+    incarnation: str
     upto: int
 
 
--- a/topazhold/control/gang_search.py
+++ b/topazhold/control/placement_search.py
@@ -9,9 +9,15 @@
 
 import curio
 
-from topazhold.control.booking import MAX_SEARCHES, Booking, View, Wanted, max_follower_searches
+from topazhold.control.gang_reservations import (
+    MAX_SEARCHES,
+    ClusterView,
+    GangReservations,
+    PendingGang,
+    max_follower_searches,
+)
 from topazhold.control.key_value_store import DECISION_PRIORITY, STORE_ERRORS, KeyValueStore
-from topazhold.control.leading import Leading
+from topazhold.control.leader_term import LeaderTerm
 from topazhold.core import records
 from topazhold.core.preemption import queue_key
 from topazhold.settings import Operator, Settings
@@ -26,7 +32,7 @@
 SEARCH_PAUSE = 4.0
 
 
-class GangSearch:
+class PlacementSearch:
     """Searches for the gangs that this controller accepted, as leader also for others.
 
     `leading` gives the term that this controller leads, if it does, and `lease_id` the
@@ -38,17 +44,17 @@
         settings: Settings,
         operator: Operator,
         store: KeyValueStore,
-        booking: Booking,
-        view: View,
-        leading: Callable[[], Leading | None],
+        gang_reservations: GangReservations,
+        cluster_view: ClusterView,
+        leader_term: Callable[[], LeaderTerm | None],
         lease_id: Callable[[], int | None],
     ) -> None:
         self._node = settings.node_name
         self._summary_s = operator.summary_s
         self._store = store
-        self._booking = booking
-        self._view = view
-        self._leading = leading
+        self._gang_reservations = gang_reservations
+        self._cluster_view = cluster_view
+        self._leader_term = leader_term
         self._lease_id = lease_id
         self._fetched_at = -1e9
         self._searches = max_follower_searches(settings.cluster.limits.cpu_share)
@@ -57,14 +63,14 @@
         """A summary, as old as it is: a transaction may be carried out late, after newer
         ones, and a message may be held up on its way."""
         jobs = values.get("")
-        if not isinstance(jobs, dict) or self._view.older(jobs):
+        if not isinstance(jobs, dict) or self._cluster_view.older(jobs):
             return
         for zone, data in values.items():
             if zone:
-                self._view.read_zone(zone, data)
+                self._cluster_view.read_zone(zone, data)
             else:
-                self._view.read_jobs(data)
-        self._view.at = now - max(0.0, time.time() - self._view.written)
+                self._cluster_view.read_jobs(data)
+        self._cluster_view.at = now - max(0.0, time.time() - self._cluster_view.written)
 
     async def _fetch_summary(self, now: float) -> None:
         entries, _ = await self._store.entries(records.SUMMARY_PREFIX)
@@ -76,13 +82,13 @@
 
     async def loop(self) -> None:
         """At most one write of holds a second."""
-        booking = self._booking
+        gang_reservations = self._gang_reservations
         while True:
-            await curio.ignore_after(1.0, booking.wake.wait)
+            await curio.ignore_after(1.0, gang_reservations.wake.wait)
             now = await curio.clock()
-            if now - booking.wrote_at < 1.0:
-                await curio.sleep(1.0 - (now - booking.wrote_at))
-            booking.wake.clear()
+            if now - gang_reservations.wrote_at < 1.0:
+                await curio.sleep(1.0 - (now - gang_reservations.wrote_at))
+            gang_reservations.wake.clear()
             lease_id = self._lease_id()
             if lease_id is None:
                 continue
@@ -95,79 +101,87 @@
 
     async def _book(self, lease_id: int, now: float) -> float:
         """One round of searches; the time that it kept this process busy."""
-        leading = self._leading()
-        booking = self._booking
-        if leading is not None:
-            if not leading.loaded:
+        leader_term = self._leader_term()
+        gang_reservations = self._gang_reservations
+        if leader_term is not None:
+            if not leader_term.loaded:
                 return 0.0
-            self._wanted_of_leader(leading, now)
-            view = leading.view(now) if booking.wanted else self._view
+            self._pending_of_leader(leader_term, now)
+            cluster_view = (
+                leader_term.cluster_view(now) if gang_reservations.pending else self._cluster_view
+            )
         else:
-            view = self._view
-            if now - max(view.at, self._fetched_at) > self._summary_s:
+            cluster_view = self._cluster_view
+            if now - max(cluster_view.at, self._fetched_at) > self._summary_s:
                 self._fetched_at = now
                 await self._fetch_summary(now)
-            await self._wanted_of_follower(now)
-            if booking.wanted:
-                await booking.read_reservations()
+            await self._pending_of_follower(now)
+            if gang_reservations.pending:
+                await gang_reservations.read_reservations()
         began = time.monotonic()
-        booking.round(view, now, MAX_SEARCHES if leading is not None else self._searches)
+        gang_reservations.round(
+            cluster_view, now, MAX_SEARCHES if leader_term is not None else self._searches
+        )
         busy = time.monotonic() - began
-        if await booking.write(lease_id, now) and leading is not None:
-            await leading.request_plan()
+        if await gang_reservations.write(lease_id, now) and leader_term is not None:
+            await leader_term.request_plan()
         return busy
 
-    def _wanted_of_leader(self, leading: Leading, now: float) -> None:
+    def _pending_of_leader(self, leader_term: LeaderTerm, now: float) -> None:
         """Its own gangs, and those whose controller is gone or finds nothing."""
-        wanted = self._booking.wanted
-        waiting = {job.id: job for job in leading.scheduler.waiting_gangs(now)}
-        for job_id in list(wanted):
+        pending = self._gang_reservations.pending
+        waiting = {job.id: job for job in leader_term.scheduler.waiting_gangs(now)}
+        for job_id in list(pending):
             if job_id not in waiting:
-                self._booking.forget(job_id)
+                self._gang_reservations.forget(job_id)
         for job in waiting.values():
             others = (
-                job.node != self._node and job.node in self._booking.reservation_table.revisions
+                job.node != self._node
+                and job.node in self._gang_reservations.reservation_table.revisions
             )
             # Its own controller searches; two at once would only replace each
             # other's holds. The leader steps in where nothing comes of it.
-            if others and leading.scheduler.wanting_s(job, now) < 2 * self._summary_s:
-                if job.id not in self._booking.mine:
-                    self._booking.forget(job.id)
+            if others and leader_term.scheduler.wanting_s(job, now) < 2 * self._summary_s:
+                if job.id not in self._gang_reservations.mine:
+                    self._gang_reservations.forget(job.id)
                     continue
-            known = wanted.get(job.id)
+            known = pending.get(job.id)
             if known is None:
-                wanted[job.id] = Wanted(job.spec, queue_key(job), job.arrived)
+                pending[job.id] = PendingGang(job.spec, queue_key(job), job.arrived)
             else:
                 known.queue_key = queue_key(job)
-            reservation = self._booking.mine.get(job.id)
-            if reservation is not None and leading.scheduler.spent(job, reservation):
-                del self._booking.mine[job.id]
+            reservation = self._gang_reservations.mine.get(job.id)
+            if reservation is not None and leader_term.scheduler.spent(job, reservation):
+                del self._gang_reservations.mine[job.id]
 
-    async def _wanted_of_follower(self, now: float) -> None:
+    async def _pending_of_follower(self, now: float) -> None:
         """Gangs accepted here that the leader still lists as waiting."""
-        booking = self._booking
-        waiting = self._view.waiting
-        for job_id, wanted in list(booking.wanted.items()):
+        gang_reservations = self._gang_reservations
+        waiting = self._cluster_view.waiting
+        for job_id, pending in list(gang_reservations.pending.items()):
             told = waiting.get(job_id)
             if told is None:
                 # Started, or over; if the leader has only not heard of it yet,
                 # it will name this node as its searcher.
-                if self._view.at - wanted.since > 2 * PEER_SUMMARY_S and self._view.all_waiting:
-                    booking.forget(job_id)
+                if (
+                    self._cluster_view.at - pending.since > 2 * PEER_SUMMARY_S
+                    and self._cluster_view.all_waiting
+                ):
+                    gang_reservations.forget(job_id)
             else:
-                wanted.queue_key = told[1]
+                pending.queue_key = told[1]
                 if told[2]:
-                    reservation = booking.mine.get(job_id)
+                    reservation = gang_reservations.mine.get(job_id)
                     if (
                         reservation is not None
                         and time.time() - reservation.made_at > self._summary_s
                     ):
-                        del booking.mine[job_id]  # refused, or used up
+                        del gang_reservations.mine[job_id]  # refused, or used up
         for job_id, (node, its_turn, _) in waiting.items():
-            if node == self._node and job_id not in booking.wanted:
+            if node == self._node and job_id not in gang_reservations.pending:
                 spec = await self._read_spec(job_id)
                 if spec is not None:
-                    booking.wanted[job_id] = Wanted(spec, its_turn, now)
+                    gang_reservations.pending[job_id] = PendingGang(spec, its_turn, now)
 
     async def _read_spec(self, job_id: str) -> JobSpec | None:
         entry = await self._store.get(records.live_key(job_id), DECISION_PRIORITY)
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from topazhold.control.booking import View
+from topazhold.control.gang_reservations import ClusterView
 from topazhold.control.key_value_store import (
     DECISION_PRIORITY,
     STORE_ERRORS,
@@ -52,48 +52,50 @@
         self,
         context: TermContext,
         summary_s: float,
-        tell: Callable[[tuple[Any, ...]], Awaitable[None]],
+        broadcast: Callable[[tuple[Any, ...]], Awaitable[None]],
     ) -> None:
         self._context = context
         self._summary_s = summary_s
-        self._tell = tell
-        self._told: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint
+        self._broadcast = broadcast
+        self._sent: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint
         self._rounds = 0
 
     def placed(self) -> list[list[Any]]:
         """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
         return [_place(machine) for machine in self._context.scheduler.machines.values()]
 
-    def tell_anew(self) -> None:
+    def resend_all(self) -> None:
         """Tell of every machine once more."""
-        self._told.clear()
+        self._sent.clear()
 
-    def placed_news(self) -> list[list[Any]]:
+    def placement_changes(self) -> list[list[Any]]:
         """Machines that have changed, and a few others in turn, for who missed them."""
         machines = self._context.scheduler.machines
         self._rounds += 1
         items: list[list[Any]] = []
         for number, machine in enumerate(machines.values()):
             state = (machine.changes, machine.endpoint)
-            stale = self._told.get(machine.name) != state
+            stale = self._sent.get(machine.name) != state
             if stale or (number + self._rounds) % RETELL_ROUNDS == 0:
-                self._told[machine.name] = state
+                self._sent[machine.name] = state
                 items.append(_place(machine))
-        for name in [name for name in self._told if name not in machines]:
-            del self._told[name]
+        for name in [name for name in self._sent if name not in machines]:
+            del self._sent[name]
             items.append([name, None, None])
         return items
 
-    def view(self, now: float) -> View:
+    def cluster_view(self, now: float) -> ClusterView:
         """The fleet for this node's own searches, fresh."""
         scheduler = self._context.scheduler
-        view = View()
-        view.at = now
-        view.term = self._context.term
-        view.directory = scheduler.directory()
+        cluster_view = ClusterView()
+        cluster_view.at = now
+        cluster_view.term = self._context.term
+        cluster_view.directory = scheduler.directory()
         largest = scheduler.largest_gang(now)
-        view.caches = {zone: scheduler.offers(zone, now, largest) for zone in self._context.zones}
-        return view
+        cluster_view.caches = {
+            zone: scheduler.offers(zone, now, largest) for zone in self._context.zones
+        }
+        return cluster_view
 
     def summary(self, now: float) -> dict[str, Any]:
         """What the other controllers are told: a value per zone, one for jobs."""
@@ -187,12 +189,12 @@
         while True:
             now = await curio.clock()
             values = await self._collect(now)
-            await self._tell(Summary(SUMMARY, self._context.term, values))
+            await self._broadcast(Summary(SUMMARY, self._context.term, values))
             await curio.sleep(0)
-            items = self.placed_news()
+            items = self.placement_changes()
             for start in range(0, len(items), MAX_PLACED):
                 part = items[start : start + MAX_PLACED]
-                await self._tell(Placed(PLACED, self._context.term, part))
+                await self._broadcast(Placed(PLACED, self._context.term, part))
                 await curio.sleep(0)
             if now - written_at >= self._summary_s:
                 written_at = now
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -119,7 +119,7 @@
         self.scheduler.on_job_ended(job_id, False, now - max(0.0, wall - at), now)
         await self.request_plan()
 
-    async def learn_cancelled(self) -> None:
+    async def learn_cancellations(self) -> None:
         """All that the record names; what was read at a take-over may be older."""
         for job_id, at in self.cancellations.since(0.0):
             await self.cancelled(job_id, at)
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -67,7 +67,7 @@
         self._final: OrderedDict[str, str] = OrderedDict()
         self._busy = 0
         self._sequence = 0
-        self._boot = f"{self._node}-{time.time_ns():x}"
+        self._incarnation = f"{self._node}-{time.time_ns():x}"
 
     async def handle(self, request: Request) -> Response | None:
         """The answer to a users' request, or None if the path is not theirs."""
@@ -107,7 +107,7 @@
 
     def _token(self) -> str:
         self._sequence += 1
-        return f"{self._boot}-{self._sequence}"
+        return f"{self._incarnation}-{self._sequence}"
 
     def _keep_final(self, job: str, stage: str) -> None:
         self._final[job] = stage
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -30,8 +30,8 @@
     up to a number. The numbers belong to this process: `boot` tells it from others.
     """
 
-    def __init__(self, boot: str, cancel_s: float, lease_s: float) -> None:
-        self.boot = boot
+    def __init__(self, incarnation: str, cancel_s: float, lease_s: float) -> None:
+        self.incarnation = incarnation
         #: Whether no confirmation can have been missed. A process that has just
         #: started can't know of those before, until a peer that can tells it all,
         #: or it has read the whole state as leader.
@@ -112,9 +112,9 @@
             upto = self._entries[fresh[-1][0]][0]
         return after, upto, fresh
 
-    def acknowledged(self, peer: str, boot: str, upto: int) -> bool:
+    def acknowledged(self, peer: str, incarnation: str, upto: int) -> bool:
         """A peer has all up to a number; whether it lacks anything."""
-        self._acked[peer] = upto if boot == self.boot else -1
+        self._acked[peer] = upto if incarnation == self.incarnation else -1
         return self._acked[peer] < self._last
 
     def peer_has(self, peer: str, job: str) -> bool:
@@ -122,24 +122,24 @@
         return entry is not None and self._acked.get(peer, -1) >= entry[0]
 
     def receive(
-        self, peer: str, boot: str, after: int, upto: int, entries: Iterable[Any], now: float
+        self, peer: str, incarnation: str, after: int, upto: int, entries: Iterable[Any], now: float
     ) -> list[tuple[str, float]]:
         """A peer's news; those that are news here too.
 
         What comes out of order is not taken: the acknowledgement, which stays as it
         was, has it sent anew.
         """
-        of_boot, got = self._got.get(peer, ("", -1))
-        if of_boot != boot:
+        of_incarnation, got = self._got.get(peer, ("", -1))
+        if of_incarnation != incarnation:
             got = -1
         if after > got:
-            self._got[peer] = (boot, got)
+            self._got[peer] = (incarnation, got)
             return []
         fresh = []
         for job, at in entries:
             if isinstance(job, str) and self.add(job, float(at), now):
                 fresh.append((job, float(at)))
-        self._got[peer] = (boot, max(got, int(upto)))
+        self._got[peer] = (incarnation, max(got, int(upto)))
         return fresh
 
     @property
@@ -149,8 +149,8 @@
 
     def receipts(self) -> dict[str, list[Any]]:
         """What has come from each peer, to be acknowledged."""
-        return {peer: [boot, got] for peer, (boot, got) in self._got.items()}
+        return {peer: [incarnation, got] for peer, (incarnation, got) in self._got.items()}
 
-    def level_with(self, peer: str, boot: str, last: int) -> bool:
+    def level_with(self, peer: str, incarnation: str, last: int) -> bool:
         """Whether all that a peer knows is known here."""
-        return self._got.get(peer) == (boot, last)
+        return self._got.get(peer) == (incarnation, last)
--- a/topazhold/core/recovery.py
+++ b/topazhold/core/failover.py
@@ -21,7 +21,7 @@
     return sorted({job for each in intents for job, _, _ in each.attempts} - known)
 
 
-def take_over(
+def rebuild(
     scheduler: Scheduler, jobs: Iterable[Job], intents: Iterable[Intents], now: float
 ) -> None:
     """Build the scheduler of a new term."""
--- a/topazhold/core/leadership.py
+++ b/topazhold/core/leadership.py
@@ -34,21 +34,21 @@
         self.term = 0  # newest term heard of
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.role is Role.LEADER
 
-    def stand(self) -> None:
+    def become_candidate(self) -> None:
         """The key is free: try for it."""
         if self.role is Role.FOLLOWER:
             self.role = Role.CANDIDATE
 
-    def win(self, term: int) -> None:
+    def become_leader(self, term: int) -> None:
         """The election transaction was carried out."""
         self.role = Role.LEADER
         self.leader = self.node
         self.term = max(term, self.term)
 
-    def step_down(self) -> bool:
+    def become_follower(self) -> bool:
         """Give up the role; whether there was one."""
         was = self.role is Role.LEADER
         self.role = Role.FOLLOWER
@@ -58,11 +58,11 @@
 
     def learn(self, leader: str, term: int) -> bool:
         """Hear of a term; True if it ends this node's own."""
-        if term < self.term or (term == self.term and self.leads):
+        if term < self.term or (term == self.term and self.is_leader):
             return False
-        ended = self.leads and term > self.term
+        ended = self.is_leader and term > self.term
         if ended:
-            self.step_down()
+            self.become_follower()
         self.term = term
         self.leader = leader
         return ended
--- a/topazhold/core/observing.py
+++ b/topazhold/core/observing.py
@@ -71,7 +71,7 @@
                 machine.missed_lists += 1
 
     def on_heartbeat(
-        self, heartbeat: Heartbeat, direct: bool, now: float, relayed: bool = False
+        self, heartbeat: Heartbeat, direct: bool, now: float, forwarded: bool = False
     ) -> Machine | None:
         """A worker's heartbeat; None if it is stale or from a released machine.
 
@@ -105,7 +105,7 @@
         self._check_command_reachability(machine, heartbeat, now)
         if not direct:
             machine.last_answered_at = now
-            if not relayed:
+            if not forwarded:
                 machine.last_own_heartbeat_at = now
         self._on_preemption_notice(machine, heartbeat.notice_s, now)
         self._reconcile_tasks(machine, heartbeat, synced, direct, now)
--- a/topazhold/core/placements.py
+++ b/topazhold/core/placement_hints.py
@@ -17,7 +17,7 @@
 MAX_MACHINES_KNOWN = 10_000
 
 
-class Place:
+class PlacementHint:
     """One machine: how to reach it, and whose tasks may be on it."""
 
     __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "looks")
@@ -30,24 +30,24 @@
         self.looks = 0.0  # when it was last looked at, on the steady clock
 
 
-class Placements:
+class PlacementHints:
     """All machines of which this controller has heard."""
 
     def __init__(self) -> None:
         self.term = 0
-        self.places: dict[str, Place] = {}
+        self.places: dict[str, PlacementHint] = {}
 
-    def _place(self, name: str, endpoint: str | None) -> Place:
-        place = self.places.get(name)
-        if place is None:
-            place = self.places[name] = Place(endpoint)
+    def _hint(self, name: str, endpoint: str | None) -> PlacementHint:
+        hint = self.places.get(name)
+        if hint is None:
+            hint = self.places[name] = PlacementHint(endpoint)
             if len(self.places) > MAX_MACHINES_KNOWN:
                 del self.places[next(iter(self.places))]
         elif endpoint:
-            place.endpoint = endpoint
-        return place
+            hint.endpoint = endpoint
+        return hint
 
-    def told(self, term: int, items: Iterable[Any]) -> None:
+    def update_from_leader(self, term: int, items: Iterable[Any]) -> None:
         """What a leader tells: machine, endpoint, and jobs, or None if it is gone."""
         if term < self.term:
             return
@@ -56,15 +56,15 @@
             if jobs is None:
                 self.places.pop(name, None)
             else:
-                self._place(str(name), endpoint).jobs = frozenset(map(str, jobs))
+                self._hint(str(name), endpoint).jobs = frozenset(map(str, jobs))
 
-    def seen(self, heartbeat: Heartbeat) -> None:
+    def update_from_heartbeat(self, heartbeat: Heartbeat) -> None:
         """A worker's own word; an older one than is known says nothing."""
-        place = self._place(heartbeat.machine, heartbeat.endpoint)
-        if (heartbeat.incarnation, heartbeat.sequence) <= (place.incarnation, place.sequence):
+        hint = self._hint(heartbeat.machine, heartbeat.endpoint)
+        if (heartbeat.incarnation, heartbeat.sequence) <= (hint.incarnation, hint.sequence):
             return
-        place.incarnation, place.sequence = heartbeat.incarnation, heartbeat.sequence
-        place.jobs = frozenset(
+        hint.incarnation, hint.sequence = heartbeat.incarnation, heartbeat.sequence
+        hint.jobs = frozenset(
             task.task_name.partition("/")[0] for task in heartbeat.tasks if task.state != wire.ENDED
         )
 
@@ -72,13 +72,13 @@
         """The cloud's list: machines that nobody has told of."""
         for item in listed_machines:
             if item.endpoint is not None:
-                self._place(item.id, item.endpoint)
+                self._hint(item.id, item.endpoint)
 
     def gone(self, name: str) -> None:
         self.places.pop(name, None)
 
-    def may_run(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
+    def machines_of(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
         """Machines that may hold tasks of these jobs, with which."""
         return {
-            name: reserved for name, place in self.places.items() if (reserved := place.jobs & jobs)
+            name: reserved for name, hint in self.places.items() if (reserved := hint.jobs & jobs)
         }
--- a/topazhold/duties/returning.py
+++ b/topazhold/duties/returning.py
@@ -22,7 +22,7 @@
 log = logging.getLogger(__name__)
 
 #: Tells the other controllers of machines that were released without a record.
-TellReleased = Callable[[list[str]], Awaitable[None]]
+AnnounceReleased = Callable[[list[str]], Awaitable[None]]
 
 
 class ReturnDuty:
@@ -34,13 +34,13 @@
         holder: DutyHolder,
         cloud: Cloud,
         intents: Intents,
-        tell_released: TellReleased,
+        announce_released: AnnounceReleased,
     ) -> None:
         self._context = context
         self._holder = holder
         self._cloud = cloud
         self._intents = intents
-        self._tell_released = tell_released
+        self._announce_released = announce_released
 
     async def loop(self) -> None:
         """Return what is to go, again and again."""
@@ -101,7 +101,7 @@
         book.machines_gone(request.names, now)
         await self._forget(request.names, now)
         if unrecorded:
-            await self._tell_released(unrecorded)
+            await self._announce_released(unrecorded)
 
     async def released_by_peer(self, names: list[str], now: float) -> None:
         """Another controller's release of these machines was answered: they are gone."""
--- a/topazhold/duties/term_duties.py
+++ b/topazhold/duties/term_duties.py
@@ -17,7 +17,7 @@
 from topazhold.duties.inheritance import inherit
 from topazhold.duties.orders import ReturnOrder
 from topazhold.duties.renting import RentDuty
-from topazhold.duties.returning import ReturnDuty, TellReleased
+from topazhold.duties.returning import AnnounceReleased, ReturnDuty
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import Entry
 
@@ -41,7 +41,7 @@
         operator: Operator,
         controller_lease_s: float,
         now: float,
-        tell_released: TellReleased,
+        announce_released: AnnounceReleased,
     ) -> None:
         workers = settings.cluster.workers
         keep_s = KEEP_LAGS * settings.cluster.cloud.list_lag_s + KEEP_LEASES * workers.lease_s
@@ -51,7 +51,7 @@
         )
         self.holder = DutyHolder(context, self.book, controller_lease_s, now)
         self._machine_list = MachineList(context, cloud)
-        self.returning = ReturnDuty(context, self.holder, cloud, intents, tell_released)
+        self.returning = ReturnDuty(context, self.holder, cloud, intents, announce_released)
         self._renting = RentDuty(context, self.holder, cloud, self._machine_list.listed)
         self._cleaning = CleanupDuty(context, self.holder)
         context.clean_up = self._cleaning.on_job_ended
