--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -20,14 +20,14 @@
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
-from topazhold.core.search import Offer
+from topazhold.core.search import ResourceOffer
 from topazhold.settings import Operator
 
 ROOM = (16.0, 4.0, 64.0)
 
 
-def offer(name: str, delay: float) -> Offer:
-    return Offer(name, "a", "b1", False, frozenset({"img-0"}), [(delay, ROOM)], [], 2.0)
+def offer(name: str, delay: float) -> ResourceOffer:
+    return ResourceOffer(name, "a", "b1", False, frozenset({"img-0"}), [(delay, ROOM)], [], 2.0)
 
 
 def cluster_view(**delays: float) -> ClusterView:
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -10,7 +10,7 @@
 from tests.test_random_days import play
 from tests.world import LARGEST
 from topazhold.control import users as users_module
-from topazhold.core import array_placing, failover, placing, quota, records
+from topazhold.core import array_placement, failover, gang_placement, quota, records
 from topazhold.core.jobs import Job
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Response
@@ -41,8 +41,8 @@
 
 
 def any_place(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(placing, "allowed", lambda *args: True)
-    patch.setattr(array_placing, "allowed", lambda *args: True)
+    patch.setattr(gang_placement, "allowed", lambda *args: True)
+    patch.setattr(array_placement, "allowed", lambda *args: True)
     patch.setattr(Scheduler, "_reservation_fault", lambda *args: None)
     patch.setattr(Scheduler, "_array_zone", lambda *args: None)
 
@@ -60,7 +60,7 @@
 
 def early_done(patch: pytest.MonkeyPatch) -> None:
     """One task done passes for the whole job."""
-    patch.setattr(Job, "complete", property(lambda self: self.done_count > 0))
+    patch.setattr(Job, "complete", property(lambda self: self.completed_count > 0))
 
 
 def invent(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -19,7 +19,7 @@
 from tests.world import NAMES, World
 from topazhold.control.controller import Controller
 from topazhold.core import leadership, records, reservations
-from topazhold.core.jobs import PART, Job
+from topazhold.core.jobs import TASKS_PER_PART, Job
 from topazhold.wire import messages as wire
 
 WALL, CLOCK = 1.7e9 + 2000.0, 500.0
@@ -37,8 +37,8 @@
     """What a version has understood of a job."""
     return (
         msgspec.to_builtins(member(job, "spec")),
-        bytes(member(job, "done")),
-        member(job, "done_count"),
+        bytes(member(job, "completed")),
+        member(job, "completed_count"),
         member(job, "arrived"),
         member(job, "submitted"),
         member(job, "node"),
@@ -64,7 +64,7 @@
 
 def live_meaning(version: Version, data: Any) -> Any:
     job = version.load("core.records", "read_live")(data, 5, WALL, CLOCK)
-    return job_meaning(job), version.load("core.records", "done_count")(data)
+    return job_meaning(job), version.load("core.records", "completed_count")(data)
 
 
 def over_meaning(version: Version, data: Any) -> Any:
@@ -201,7 +201,7 @@
     assert_read_alike(corpus, monkeypatch)
 
 
-@pytest.mark.parametrize("tasks", [1, 9, PART, PART + 10])
+@pytest.mark.parametrize("tasks", [1, 9, TASKS_PER_PART, TASKS_PER_PART + 10])
 def test_done_marks_are_read_alike(tasks: int) -> None:
     """Every third task is done; the marks of the first part stand in the live value."""
     spec = make_spec(shape="batch", tasks=tasks)
@@ -211,12 +211,12 @@
     jobs = [Job(spec, 0.0, 0.0, ""), old_job(as_old, 0.0, 0.0, "")]
     for job in jobs:
         for index in range(0, tasks, 3):
-            member(job, "mark_done")(index)
+            member(job, "mark_completed")(index)
     fresh = [old_job(as_old, 0.0, 0.0, ""), Job(spec, 0.0, 0.0, "")]
     for writer, reader in zip(jobs, fresh, strict=True):
-        for part in range((tasks + PART - 1) // PART):
+        for part in range((tasks + TASKS_PER_PART - 1) // TASKS_PER_PART):
             member(reader, "load_part")(part, member(writer, "part_text")(part))
-        assert member(reader, "done") == member(writer, "done")
+        assert member(reader, "completed") == member(writer, "completed")
 
 
 def test_end_of_a_job_is_read_alike() -> None:
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -19,7 +19,7 @@
 from topazhold.wire import messages as wire
 
 
-class Ledger:
+class RecordingStore:
     """A store that keeps what it was asked, within the protocol's limits."""
 
     def __init__(self, txn_ops: int) -> None:
@@ -42,10 +42,12 @@
         return len(self.guarded)
 
 
-def write_plan(monkeypatch: pytest.MonkeyPatch, machines: int, jobs: int) -> tuple[Ledger, Any]:
+def write_plan(
+    monkeypatch: pytest.MonkeyPatch, machines: int, jobs: int
+) -> tuple[RecordingStore, Any]:
     """A plan of so many one-task jobs over so many machines, written."""
     settings = settings_for("hive-0", "a", [])
-    store = Ledger(settings.cluster.state.txn_ops)
+    store = RecordingStore(settings.cluster.state.txn_ops)
     scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     names = [f"host-{number:06d}" for number in range(machines)]
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -209,14 +209,14 @@
                 return fault(self, *args)
 
             patch.setattr(Scheduler, "_reservation_fault", counted)
-            survey = Scheduler._survey
+            survey = Scheduler._begin_round
 
             def forget(self: Scheduler, *args: Any) -> None:
                 survey(self, *args)
                 self._full = Forgetful()
 
             if forgets:
-                patch.setattr(Scheduler, "_survey", forget)
+                patch.setattr(Scheduler, "_begin_round", forget)
             day = Day(seed)
             story: list[object] = []
             for _ in range(300):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -172,7 +172,7 @@
     bench.all_report()
     bench.state(name, "ended", "done")
     assert bench.report(name) == [] and bench.scheduler.machines[name].wake_tasks == []
-    job.unsaved.clear()
+    job.unsaved_parts.clear()
     kept = len(bench.tasks[name])
     commands = bench.report(name)
     assert {command.kind for command in commands} <= {"clear"}
@@ -357,14 +357,14 @@
     job = bench.job(make_spec(shape="batch", tasks=100_000, gpus=0.0, cpus=1.0))
     assert len(bench.plan()) > 0
     for index in range(0, 100_000, 2):
-        job.mark_done(index)
+        job.mark_completed(index)
     again = Job(job.spec, 0.0, 0.0, "")
     for part in range(25):
         text = job.part_text(part)
         assert len(text) < 1024
         if text:
             again.load_part(part, text)
-    assert again.done == job.done and again.done_count == 50_000
+    assert again.completed == job.completed and again.completed_count == 50_000
 
 
 def test_no_two_jobs_may_stop_each_other() -> None:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -13,19 +13,19 @@
     ReservedResources,
     pack_value,
 )
-from topazhold.core.search import Offer, SearchRules
+from topazhold.core.search import ResourceOffer, SearchRules
 from topazhold.wire.codec import json_size
 
 RULES = SearchRules(2.0, 16, 20, distance_s=1.0, preference_s=0.5)
 ROOM = (16.0, 4.0, 64.0)
 
 
-def offer(name: str, zone: str, delay: float = 0.0, images: tuple[str, ...] = ()) -> Offer:
-    return Offer(name, zone, "b1", False, frozenset(images), [(delay, ROOM)], [], 2.0)
+def offer(name: str, zone: str, delay: float = 0.0, images: tuple[str, ...] = ()) -> ResourceOffer:
+    return ResourceOffer(name, zone, "b1", False, frozenset(images), [(delay, ROOM)], [], 2.0)
 
 
-def fleet(*offers: Offer) -> tuple[list[tuple[str, str]], dict[str, list[Offer]]]:
-    caches: dict[str, list[Offer]] = {}
+def fleet(*offers: ResourceOffer) -> tuple[list[tuple[str, str]], dict[str, list[ResourceOffer]]]:
+    caches: dict[str, list[ResourceOffer]] = {}
     for item in offers:
         caches.setdefault(item.zone, []).append(item)
     return [(item.name, item.zone) for item in offers], caches
@@ -142,7 +142,7 @@
 
 
 def test_offer_round_trip() -> None:
-    item = Offer(
+    item = ResourceOffer(
         "m1",
         "a",
         "b1",
@@ -154,7 +154,7 @@
     )
     again = search.unpack_offer("a", item.pack())
     assert again.pack() == item.pack()
-    assert [delay for delay, _ in again.ladder((1, 1), None)] == [0.0, 2.0, 9.5]
+    assert [delay for delay, _ in again.availability_for((1, 1), None)] == [0.0, 2.0, 9.5]
 
 
 def test_held_group_is_judged_by_what_is_known_now() -> None:
@@ -190,7 +190,7 @@
 
 def test_machine_without_a_free_card_is_not_free() -> None:
     """Full machines filled the caches, and those about to boot were not in them."""
-    full = Offer(
+    full = ResourceOffer(
         "m1", "a", "b1", False, frozenset(), [(0.0, (2.0, 0.0, 8.0)), (90.0, ROOM)], [], 2.0
     )
     assert search.sooner(full)[0] == 90.0
@@ -227,6 +227,6 @@
             group = find(spec, directory, caches, tries=6)
         finally:
             search.score_group = score_group
-        soonest = sorted(offers, key=lambda item: item.rungs[0][0])[:size]
+        soonest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
         assert group is not None and set(group.slots) == {item.name for item in soonest}
         assert len(scored) <= 73, "each group once, however many tries"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -68,7 +68,7 @@
     bench.state(first.machine, "ended", cause)
     bench.report(first.machine)
     assert job.waiting_count == 1 and not job.complete
-    assert bench.scheduler.finished == [] and job.done_count == 0
+    assert bench.scheduler.finished == [] and job.completed_count == 0
     run_all(bench)
     again = run_of(job, first.index)
     assert again.attempt_number > first.attempt_number and job.running_count() == 2
@@ -77,11 +77,11 @@
 def test_done_marks_of_a_service_are_not_believed() -> None:
     """A record with marks, whoever wrote it, must not end a service."""
     marked = Job(make_spec(shape="batch", tasks=2), 0.0, 0.0, "")
-    marked.mark_done(0)
-    marked.mark_done(1)
+    marked.mark_completed(0)
+    marked.mark_completed(1)
     job = Job(service_spec(tasks=2), 0.0, 0.0, "")
     job.load_part(0, marked.part_text(0))
-    assert job.done_count == 0 and not job.complete
+    assert job.completed_count == 0 and not job.complete
 
 
 def test_replacement_waits_for_the_proof(bench: Bench) -> None:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -276,7 +276,7 @@
     job = Job(spec, 0.0, 0.0, "hive-0")
     before = json_size(records.live_value(job, "t"))
     for index in range(tasks):
-        job.mark_done(index)
+        job.mark_completed(index)
     value = records.live_value(job, "t")
     assert json_size({**value, "count": 0}) <= before + records.marks_size(spec)
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -163,15 +163,15 @@
         await curio.sleep(3.0)
         job = node.leader_term.scheduler.jobs["wk-000001"]
         for index in range(0, 100_000, 3):
-            job.mark_done(index)
+            job.mark_completed(index)
         for _ in range(6):
             await node.leader_term.job_persistence.save(job, world.clock.now)
-        assert not job.unsaved
+        assert not job.unsaved_parts
         await load_completion_bitmaps(node.leader_term.context, job)
         fresh = type(job)(job.spec, 0.0, 0.0, "")
         fresh.load_part(0, world.state.data["live/wk-000001"][0]["done"])
         await load_completion_bitmaps(node.leader_term.context, fresh)
-        assert fresh.done == job.done
+        assert fresh.completed == job.completed
 
     scene(monkeypatch, act)
 
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -44,8 +44,11 @@
     "NoResponseError": "NoAnswer",
     "RequestNotSentError": "NotSent",
     "cluster_view": "view",
+    "completed": "done",
+    "completed_count": "done_count",
     "follower_heartbeats": "fallback",
     "leader_term": "leading",
+    "mark_completed": "mark_done",
     "peer_connections": "links",
     "placement_hints": "placements",
 }
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -31,8 +31,8 @@
 from topazhold.core.search import (
     AGED,
     Group,
-    Offer,
     Priority,
+    ResourceOffer,
     SearchRules,
     score_reserved,
     search,
@@ -96,7 +96,7 @@
         self.term = 0
         self.written = 0.0  # time of day at which the leader made it
         self.directory: list[tuple[str, str]] = []
-        self.caches: dict[str, Sequence[Offer]] = {}
+        self.caches: dict[str, Sequence[ResourceOffer]] = {}
         self.waiting: dict[str, tuple[str, QueueKey, bool]] = {}
         self.all_waiting = True  # whether `waiting` names every gang that waits
         self.running: dict[str, int] = {}
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -47,7 +47,7 @@
                 del scheduler.finished[: len(batch)]
             now = await curio.clock()
             for job in list(scheduler.jobs.values()):
-                if job.unsaved and job.state is JobState.LIVE and not job.complete:
+                if job.unsaved_parts and job.state is JobState.LIVE and not job.complete:
                     if now - job.saved_at > self._context.block_s:
                         await self.save(job, now)
 
@@ -86,7 +86,7 @@
         """Save done marks; the workers' own record is cleared only after."""
         token = self._context.token()
         live = records.live_key(job.id)
-        parts = sorted(job.unsaved)[: self._context.txn_ops - 1]
+        parts = sorted(job.unsaved_parts)[: self._context.txn_ops - 1]
         operations = [wire.put(live, records.live_value(job, token))]
         for part in parts:
             if part > 0:
@@ -111,4 +111,4 @@
         job.saved_at = now
         for part, text in counts.items():
             if job.part_text(part) == text:
-                job.unsaved.discard(part)
+                job.unsaved_parts.discard(part)
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -196,7 +196,7 @@
         if entry is not None:
             running = self._running(job_id)
             stage = wire.RUNNING if running else wire.PENDING
-            done = records.done_count(entry.data)
+            done = records.completed_count(entry.data)
             return Response(200, wire.job_answer(job_id, stage, done, running))
         # Jobs move from live to over in one transaction, so this order
         # can't miss one.
--- a/topazhold/core/array_placing.py
+++ b/topazhold/core/array_placement.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 
 from topazhold.core import preemption
+from topazhold.core.cluster_state import NO_RESOURCES
+from topazhold.core.heartbeat_reconciliation import BAD_JOB_MACHINES
 from topazhold.core.jobs import Job, Resources, TaskAttempt
-from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, add_resources, count_fitting
-from topazhold.core.observing import BAD_JOB_MACHINES
-from topazhold.core.plan_round import PlanRound
+from topazhold.core.scheduling_round import SchedulingRound
 from topazhold.core.search import allowed
 
 #: Tasks of an array that get room back from other teams at once.
@@ -18,7 +18,7 @@
 MAX_PLACED_TASKS = 96
 
 
-class ArrayPlacing(PlanRound):
+class ArrayPlacement(SchedulingRound):
     """Plans of arrays' tasks."""
 
     def _plan_array(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -142,7 +142,7 @@
         machine_type = best_type(job.spec, machine_types)
         if machine_type is None:
             continue
-        tasks = job.spec.tasks - job.done_count
+        tasks = job.spec.tasks - job.completed_count
         if job.need[1] > 0:
             tasks = min(tasks, int(available.get(job.spec.team, 0.0) // job.need[1]))
             available[job.spec.team] = available.get(job.spec.team, 0.0) - tasks * job.need[1]
--- a/topazhold/core/ledger.py
+++ b/topazhold/core/cluster_state.py
@@ -15,7 +15,7 @@
 from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import Reservation, ReservationTable, ReservedResources
-from topazhold.core.search import Offer
+from topazhold.core.search import ResourceOffer
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import MachineType
 
@@ -42,7 +42,7 @@
 UP = (MachineState.UNSYNCED, MachineState.READY, MachineState.DRAINING)
 
 
-class Ledger:
+class ClusterState:
     """Jobs, machines and runs, and the changes that keep them in step."""
 
     def __init__(
@@ -127,11 +127,11 @@
         self._partition_seen_at: dict[
             str, float
         ] = {}  # zones, by when many were last silent at once
-        self._offers: dict[str, tuple[float, list[Offer]]] = {}
+        self._offers: dict[str, tuple[float, list[ResourceOffer]]] = {}
         # By gang: its hold's serial, when it was judged, whether all room is there soon.
-        self._soon_known: dict[str, tuple[int, float, bool]] = {}
+        self._known_available_soon: dict[str, tuple[int, float, bool]] = {}
         # By machine: its count of changes, when the offer was made, the offer.
-        self._known_offers: dict[str, tuple[int, float, Offer]] = {}
+        self._known_offers: dict[str, tuple[int, float, ResourceOffer]] = {}
 
     def add_job(self, job: Job) -> None:
         """A job is live: accepted just now, or found by a new leader."""
@@ -156,7 +156,7 @@
             self.rejected.pop(job.id, None)
             self._starved_since.pop(job.id, None)
             self._wanting_since.pop(job.id, None)
-            self._soon_known.pop(job.id, None)
+            self._known_available_soon.pop(job.id, None)
             self._checked.pop(job.id, None)
 
     def _fleet_changed(self) -> None:
--- a/topazhold/core/stopping.py
+++ b/topazhold/core/eviction.py
@@ -6,11 +6,11 @@
 import math
 
 from topazhold.core import gangs
+from topazhold.core.cluster_state import UP
 from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
-from topazhold.core.ledger import UP
 from topazhold.core.machines import QUARANTINED, Machine, MachineState, fits
-from topazhold.core.ordering import Ordering
 from topazhold.core.search import allowed
+from topazhold.core.worker_commands import WorkerCommands
 
 log = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
 LAST_MOVE_HEARTBEATS = 2.0
 
 
-class Stopping(Ordering):
+class Eviction(WorkerCommands):
     """Who has to leave, and when a machine has to go."""
 
     def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -53,7 +53,7 @@
     now: float,
 ) -> None:
     job = scheduler.jobs.get(job_id)
-    if job is None or index >= job.spec.tasks or job.done[index]:
+    if job is None or index >= job.spec.tasks or job.completed[index]:
         return
     old = job.attempts.get(index)
     if old is not None:
--- a/topazhold/core/placing.py
+++ b/topazhold/core/gang_placement.py
@@ -6,18 +6,18 @@
 from collections.abc import Iterable, Mapping
 
 from topazhold.core import gangs, preemption
-from topazhold.core.array_placing import MAX_PLACED_TASKS
+from topazhold.core.array_placement import MAX_PLACED_TASKS
+from topazhold.core.cluster_state import NO_RESOURCES
 from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
-from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
+from topazhold.core.replica_placement import ReplicaPlacement
 from topazhold.core.reservations import Reservation
 from topazhold.core.search import allowed
-from topazhold.core.service_placing import ServicePlacing
 
 log = logging.getLogger(__name__)
 
 
-class Placing(ServicePlacing):
+class GangPlacement(ReplicaPlacement):
     """Plans of new runs; their intents are written before anything is launched."""
 
     def wants_plan(self, machine: Machine, now: float) -> bool:
@@ -36,7 +36,7 @@
         if not jobs:
             self._needs = set()
             return []
-        self._survey(jobs, now)
+        self._begin_round(jobs, now)
         planned: list[TaskAttempt] = []
         # What gangs whose machines are free are to have of their teams' limits.
         # Without it a team's arrays take up its limit task by task, and a gang
@@ -160,7 +160,7 @@
                 return
             chosen += found
         # From now on not even work that yields may come in between.
-        job.gathers_until = now + 2 * self.heartbeat_interval_s
+        job.gathering_until = now + 2 * self.heartbeat_interval_s
         for attempt in chosen:
             if not attempt.stopping:
                 self.preempt(attempt, f"room for {job.id}", now)
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -47,7 +47,7 @@
         return None
     if job.gang_state is GangState.WAITING:
         return None
-    if len(attempts) + job.done_count < job.spec.tasks:
+    if len(attempts) + job.completed_count < job.spec.tasks:
         return "a task is gone"
     if job.gang_state is GangState.STARTING:
         if any(attempt.state is AttemptState.RUNNING for attempt in attempts.values()):
--- a/topazhold/core/observing.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -5,9 +5,9 @@
 import logging
 from collections.abc import Iterable
 
+from topazhold.core.eviction import Eviction
 from topazhold.core.jobs import ON_MACHINE, UNSENT, AttemptState, Job, JobState, TaskAttempt
 from topazhold.core.machines import QUARANTINED, Machine, MachineState
-from topazhold.core.stopping import Stopping
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
@@ -29,7 +29,7 @@
 QUARANTINE_JOBS = 2
 
 
-class Observing(Stopping):
+class HeartbeatReconciliation(Eviction):
     """What reports and lists say, and what they prove."""
 
     def on_machine_list(
@@ -346,13 +346,13 @@
         job = self.jobs.get(key[0])
         if job is None or job.state is not JobState.LIVE or key[1] >= job.spec.tasks:
             return
-        done_before = job.done_count
+        done_before = job.completed_count
         if job.gang:
             # A gang completes together: one task done means all are.
             for index in range(job.spec.tasks):
-                job.mark_done(index)
+                job.mark_completed(index)
         else:
-            job.mark_done(key[1])
-        self.changes += job.done_count != done_before
+            job.mark_completed(key[1])
+        self.changes += job.completed_count != done_before
         if job.complete and job not in self.finished:
             self.finished.append(job)
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -11,7 +11,7 @@
 from topazhold.wire.messages import JobSpec
 
 #: Tasks whose done marks share one value of the state service.
-PART = 4096
+TASKS_PER_PART = 4096
 
 #: The wait aimed at for a class that has no aim for its start.
 NO_OBJECTIVE = 1e9
@@ -180,14 +180,14 @@
         self.within_guarantee = False
         self.wait_objective_s = NO_OBJECTIVE
         self.is_aged = False  # a gang that has waited long
-        self.gathers_until = -1e9  # work gives way to it, on all its machines
+        self.gathering_until = -1e9  # work gives way to it, on all its machines
         self.attempts: dict[int, TaskAttempt] = {}
-        self.done = bytearray(spec.tasks)
-        self.done_count = 0
-        self.unsaved: set[int] = set()  # parts with marks not yet saved
+        self.completed = bytearray(spec.tasks)
+        self.completed_count = 0
+        self.unsaved_parts: set[int] = set()  # parts with marks not yet saved
         self.saved_at = arrived
-        self.fresh = 0  # no task from here on was ever placed
-        self.again: list[int] = []
+        self.next_unplaced = 0  # no task from here on was ever placed
+        self.requeued: list[int] = []
         self.gang_state = GangState.WAITING
         self.gang_since = arrived
         self.progress_s = 0.0
@@ -202,27 +202,27 @@
     @property
     def waiting_count(self) -> int:
         """Tasks that are neither done nor on a machine."""
-        return self.spec.tasks - self.done_count - len(self.attempts)
+        return self.spec.tasks - self.completed_count - len(self.attempts)
 
     def running_count(self) -> int:
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def waiting_tasks(self) -> Iterator[int]:
         """Tasks to place, lowest first; each is taken off as it is yielded."""
-        while self.again:
-            index = heapq.heappop(self.again)
-            if not self.done[index] and index not in self.attempts:
+        while self.requeued:
+            index = heapq.heappop(self.requeued)
+            if not self.completed[index] and index not in self.attempts:
                 yield index
-        while self.fresh < self.spec.tasks:
-            index = self.fresh
-            self.fresh += 1
-            if not self.done[index] and index not in self.attempts:
+        while self.next_unplaced < self.spec.tasks:
+            index = self.next_unplaced
+            self.next_unplaced += 1
+            if not self.completed[index] and index not in self.attempts:
                 yield index
 
-    def place_again(self, index: int) -> None:
+    def requeue(self, index: int) -> None:
         """Queue a task that was taken off the queue."""
-        if index < self.fresh and not self.done[index]:
-            heapq.heappush(self.again, index)
+        if index < self.next_unplaced and not self.completed[index]:
+            heapq.heappush(self.requeued, index)
 
     def add_attempt(self, attempt: TaskAttempt) -> None:
         self.attempts[attempt.index] = attempt
@@ -232,18 +232,18 @@
         if self.attempts.get(attempt.index) is attempt:
             del self.attempts[attempt.index]
             if self.state is JobState.LIVE:
-                self.place_again(attempt.index)
+                self.requeue(attempt.index)
 
-    def mark_done(self, index: int) -> None:
+    def mark_completed(self, index: int) -> None:
         """A task has completed; a service's replica never does, whatever its worker says."""
-        if not self.done[index] and not self.service:
-            self.done[index] = 1
-            self.done_count += 1
-            self.unsaved.add(index // PART)
+        if not self.completed[index] and not self.service:
+            self.completed[index] = 1
+            self.completed_count += 1
+            self.unsaved_parts.add(index // TASKS_PER_PART)
 
     @property
     def complete(self) -> bool:
-        return self.done_count == self.spec.tasks
+        return self.completed_count == self.spec.tasks
 
     def zones_used(self, zone_of: dict[str, str]) -> dict[str, int]:
         """Present tasks per zone; machines unknown by now count under ''."""
@@ -273,7 +273,7 @@
 
     def part_text(self, part: int) -> str:
         """Done marks of one part; text, since the interface has no binary data."""
-        marks = self.done[part * PART : (part + 1) * PART]
+        marks = self.completed[part * TASKS_PER_PART : (part + 1) * TASKS_PER_PART]
         return _marks_to_text(marks)
 
     def load_part(self, part: int, text: str) -> None:
@@ -281,10 +281,10 @@
         if self.service:
             return
         for offset in _text_to_marks(text):
-            index = part * PART + offset
-            if index < self.spec.tasks and not self.done[index]:
-                self.done[index] = 1
-                self.done_count += 1
+            index = part * TASKS_PER_PART + offset
+            if index < self.spec.tasks and not self.completed[index]:
+                self.completed[index] = 1
+                self.completed_count += 1
 
 
 def _marks_to_text(marks: bytearray) -> str:
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from topazhold.core.jobs import PART, Job, JobState
+from topazhold.core.jobs import TASKS_PER_PART, Job, JobState
 from topazhold.core.machines import Machine
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, convert
@@ -52,7 +52,7 @@
         "spec": msgspec.to_builtins(job.spec),
         "at": job.submitted,
         "node": job.node,
-        "count": job.done_count,
+        "count": job.completed_count,
     }
     done = job.part_text(0)
     if done:
@@ -64,7 +64,7 @@
     """How much a live value may grow by the done marks of its first part."""
     if spec.service:
         return 0
-    return len('"done":"",') + (min(spec.tasks, PART) + 7) // 8 * 4 // 3 + 4
+    return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
 
 
 def read_live(data: Any, revision: int, now: float, clock: float) -> Job:
@@ -114,7 +114,7 @@
     return job
 
 
-def done_count(data: Any) -> int:
+def completed_count(data: Any) -> int:
     """Tasks done, for display; a record that can't be read still is an accepted job."""
     count = data.get("count", 0) if isinstance(data, dict) else 0
     return count if isinstance(count, int) else 0
@@ -184,4 +184,4 @@
 
 
 def parts_of(job: Job) -> int:
-    return (job.spec.tasks + PART - 1) // PART
+    return (job.spec.tasks + TASKS_PER_PART - 1) // TASKS_PER_PART
--- a/topazhold/core/service_placing.py
+++ b/topazhold/core/replica_placement.py
@@ -6,9 +6,9 @@
 from collections.abc import Mapping
 
 from topazhold.core import preemption
-from topazhold.core.array_placing import MAX_PLACED_TASKS, ArrayPlacing
+from topazhold.core.array_placement import MAX_PLACED_TASKS, ArrayPlacement
+from topazhold.core.cluster_state import NO_RESOURCES
 from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
-from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.search import allowed
 
@@ -29,7 +29,7 @@
 MAX_KINDS = 24
 
 
-class ServicePlace:
+class ReplicaCandidate:
     """A machine with room for replicas of one job."""
 
     __slots__ = ("cost_s", "count", "machine")
@@ -40,11 +40,11 @@
         self.count = count
 
 
-class ServicePlacing(ArrayPlacing):
+class ReplicaPlacement(ArrayPlacement):
     """Plans of services' replicas, first ones and replacements alike."""
 
-    def _survey(self, jobs: list[Job], now: float) -> None:
-        super()._survey(jobs, now)
+    def _begin_round(self, jobs: list[Job], now: float) -> None:
+        super()._begin_round(jobs, now)
         self._work_kinds = None
         self._hindrances = {}
 
@@ -65,7 +65,7 @@
     def _place_replicas(
         self,
         job: Job,
-        places: list[ServicePlace],
+        places: list[ReplicaCandidate],
         zones: dict[str, int],
         planned: list[TaskAttempt],
         now: float,
@@ -112,7 +112,7 @@
 
     def _service_places(
         self, job: Job, taken: Mapping[str, Resources], now: float
-    ) -> list[ServicePlace]:
+    ) -> list[ReplicaCandidate]:
         """Machines that have room now."""
         spec = job.spec
         places = []
@@ -124,7 +124,9 @@
             available = add_resources(machine.free(), taken.get(machine.name, NO_RESOURCES), -1.0)
             count = count_fitting(job.need, available, spec.tasks)
             if count:
-                places.append(ServicePlace(machine, self._place_cost_s(job, machine, now), count))
+                places.append(
+                    ReplicaCandidate(machine, self._place_cost_s(job, machine, now), count)
+                )
         return places
 
     def _place_cost_s(self, job: Job, machine: Machine, now: float) -> float:
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -173,13 +173,13 @@
         self,
         reservation_table: ReservationTable,
         queue_key_of: Callable[[Reservation], QueueKey | None],
-        gathers: Callable[[Reservation], bool],
+        is_gathering: Callable[[Reservation], bool],
     ) -> None:
         """`queue_key_of` gives the present turn of a hold's job; None if it binds nobody.
 
         `gathers` tells whether the job is getting its room just now.
         """
-        self._gathers = gathers
+        self._is_gathering = is_gathering
         turns = [
             (queue_key_of(reservation), reservation) for reservation in reservation_table.all()
         ]
@@ -196,9 +196,9 @@
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
     def _add(self, queue_key: QueueKey, reservation: Reservation, sign: int = 1) -> None:
-        gathers = self._gathers(reservation)
+        is_gathering = self._is_gathering(reservation)
         for urgency_level in range(-1, LEVELS):
-            if urgency_level <= queue_key[1] or gathers:
+            if urgency_level <= queue_key[1] or is_gathering:
                 add_reservation(self._by_machine.setdefault(urgency_level, {}), reservation, sign)
 
     def release(self, job: str) -> None:
--- a/topazhold/core/offering.py
+++ b/topazhold/core/resource_offers.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from topazhold.core import preemption
+from topazhold.core.cluster_state import NO_RESOURCES
+from topazhold.core.heartbeat_reconciliation import HeartbeatReconciliation
 from topazhold.core.jobs import AttemptState, GangState, Job, Resources
-from topazhold.core.ledger import NO_RESOURCES
 from topazhold.core.machines import Machine, MachineState, add_resources
-from topazhold.core.observing import Observing
-from topazhold.core.search import AGED, Offer, Priority
+from topazhold.core.search import AGED, Priority, ResourceOffer
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
@@ -19,10 +19,12 @@
 MAX_AVAILABILITY_STEPS = 4
 
 
-class Offering(Observing):
+class ResourceOffers(HeartbeatReconciliation):
     """Offers of machines, each made anew only where something changed."""
 
-    def _present_offer(self, machine: Machine, now: float, shared: bool = False) -> Offer | None:
+    def _present_offer(
+        self, machine: Machine, now: float, shared: bool = False
+    ) -> ResourceOffer | None:
         """The machine's offer, made anew only where something changed on it.
 
         Making every offer anew for every summary and search took a fifth of a leader's
@@ -41,18 +43,18 @@
         self._known_offers[machine.name] = (machine.changes, now, offer)
         return offer
 
-    def _offer(self, machine: Machine, now: float) -> Offer:
+    def _offer(self, machine: Machine, now: float) -> ResourceOffer:
         assert machine.machine_type is not None
-        rungs: list[tuple[float, Resources]] = []
-        evictable: list[tuple[Priority, float, Resources]] = []
+        availability: list[tuple[float, Resources]] = []
+        preemptible: list[tuple[Priority, float, Resources]] = []
         if machine.state is MachineState.STARTING:
             wait = machine.machine_type.boot_s - (now - machine.rented_at)
-            rungs.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
+            availability.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
         else:
             available = machine.free()
             # A worker that can be rung takes a launch at once, others at their
             # next report.
-            rungs.append(
+            availability.append(
                 (0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, available)
             )
             ends = []
@@ -77,20 +79,20 @@
             for number, (left, need) in enumerate(ends, start=1):
                 available = add_resources(available, need)
                 if number % step == 0 or number == len(ends):
-                    rungs.append((left, available))
-            evictable = self._evictable(machine)
-        return Offer(
+                    availability.append((left, available))
+            preemptible = self._preemptible(machine)
+        return ResourceOffer(
             machine.name,
             machine.zone,
             machine.machine_type.name,
             machine.spot,
             frozenset(machine.images),
-            rungs,
-            evictable,
+            availability,
+            preemptible,
             machine.machine_type.fetch_gb_per_s,
         )
 
-    def _evictable(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
+    def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
         """Room that work of each rank could take from work behind it."""
         # Runs of one kind of job are added up first: this is asked of every
         # machine for every summary.
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -10,19 +10,19 @@
 import math
 
 from topazhold.core import autoscaling, preemption
+from topazhold.core.cluster_state import UP
+from topazhold.core.gang_placement import GangPlacement
 from topazhold.core.jobs import Job, JobState, Resources
-from topazhold.core.ledger import UP
 from topazhold.core.machines import Machine, count_fitting
-from topazhold.core.placing import Placing
 from topazhold.core.reservations import add_reservation
-from topazhold.core.search import CACHE_LENGTH, Offer, allowed, sooner
+from topazhold.core.search import CACHE_LENGTH, ResourceOffer, allowed, sooner
 from topazhold.wire.messages import MachineType
 
 #: How old a list of offers may be.
 OFFER_HEARTBEATS = 0.2
 
 
-class Scheduler(Placing):
+class Scheduler(GangPlacement):
     """All duties together, with what others are told and what is rented."""
 
     def waiting_gangs(self, now: float) -> list[Job]:
@@ -51,7 +51,7 @@
         gangs = [job for job in self.waiting_gangs(now) if job.spec.same_place]
         return max(gangs, key=lambda job: (job.spec.tasks, job.id), default=None)
 
-    def offers(self, zone: str, now: float, largest: Job | None = None) -> list[Offer]:
+    def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
         """The zone's cache: machines with room, soonest free first.
 
         Twenty machines can't give a gang of sixteen its alpha·N candidates, and
@@ -96,7 +96,7 @@
             add_reservation(by_machine, reservation)
         return by_machine
 
-    def _all_offers(self, zone: str, now: float) -> list[Offer]:
+    def _all_offers(self, zone: str, now: float) -> list[ResourceOffer]:
         """Every machine's offer; searches and summaries of about the same time share them."""
         at, found = self._offers.get(zone, (-1e9, []))
         if now - at < OFFER_HEARTBEATS * self.heartbeat_interval_s:
--- a/topazhold/core/plan_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -5,11 +5,11 @@
 import math
 
 from topazhold.core import preemption
+from topazhold.core.cluster_state import NO_RESOURCES, LowerWork
 from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
-from topazhold.core.ledger import NO_RESOURCES, LowerWork
 from topazhold.core.machines import Machine, MachineState, add_resources, fits
-from topazhold.core.offering import Offering
 from topazhold.core.reservations import QueueKey, Reservation, ReservedResources
+from topazhold.core.resource_offers import ResourceOffers
 
 #: A hold whose room is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
@@ -17,7 +17,7 @@
 LATE_BOOTS = 1.5
 
 
-class PlanRound(Offering):
+class SchedulingRound(ResourceOffers):
     """The common ground of a round of planning.
 
     What many jobs ask for is added up once per round: what holds keep, which
@@ -26,14 +26,14 @@
     machines spent its whole share of a core on it.
     """
 
-    def _survey(self, jobs: list[Job], now: float) -> None:
+    def _begin_round(self, jobs: list[Job], now: float) -> None:
         """What a round of planning needs to know of the whole fleet."""
         self._lower = {}
         self._full = set()
         self._reserved = ReservedResources(
             self.reservation_table,
             self._queue_key_of,
-            lambda reservation: self._gathers(reservation, now),
+            lambda reservation: self._is_gathering(reservation, now),
         )
         self._needs = needs = {job.need for job in jobs}
         self._least = (
@@ -56,7 +56,7 @@
         # that can wait does not fill the last machines.
         self._free_plain = free - self.reserve_share * total
 
-    def _gathers(self, reservation: Reservation, now: float) -> bool:
+    def _is_gathering(self, reservation: Reservation, now: float) -> bool:
         """Whether not even work that yields may come in between.
 
         A task that would be stopped before its image is there does nobody any good:
@@ -64,11 +64,11 @@
         of two whose other machine was seconds behind.
         """
         job = self.jobs[reservation.job]
-        return job.gathers_until > now or self._soon(reservation, job, now)
+        return job.gathering_until > now or self._is_available_soon(reservation, job, now)
 
-    def _soon(self, reservation: Reservation, job: Job, now: float) -> bool:
+    def _is_available_soon(self, reservation: Reservation, job: Job, now: float) -> bool:
         """Whether all room of a hold is likely to be there within a few heartbeat intervals."""
-        known = self._soon_known.get(job.id)
+        known = self._known_available_soon.get(job.id)
         if (
             known is not None
             and known[0] == reservation.serial
@@ -90,12 +90,13 @@
             # Natural ends only: whether others can be stopped, `_preempt_for_gang` finds out.
             whole = add_resources(NO_RESOURCES, job.need, float(count))
             wait = next(
-                (delay for delay, available in offer.rungs if fits(whole, available)), math.inf
+                (delay for delay, available in offer.availability if fits(whole, available)),
+                math.inf,
             )
             if wait >= SOON_HEARTBEATS * self.heartbeat_interval_s:
                 soon = False
                 break
-        self._soon_known[job.id] = (reservation.serial, now, soon)
+        self._known_available_soon[job.id] = (reservation.serial, now, soon)
         return soon
 
     def _claim(self, job: Job) -> None:
--- a/topazhold/core/search.py
+++ b/topazhold/core/search.py
@@ -34,7 +34,7 @@
 MAX_GROUPS = 70
 
 
-class Offer:
+class ResourceOffer:
     """What one machine can give, and when."""
 
     __slots__ = (
@@ -43,8 +43,8 @@
         "machine_type",
         "spot",
         "images",
-        "rungs",
-        "evictable",
+        "availability",
+        "preemptible",
         "fetch_rate",
     )
 
@@ -55,8 +55,8 @@
         machine_type: str,
         spot: bool,
         images: frozenset[str],
-        rungs: list[tuple[float, Resources]],
-        evictable: list[tuple[Priority, float, Resources]],
+        availability: list[tuple[float, Resources]],
+        preemptible: list[tuple[Priority, float, Resources]],
         fetch_rate: float,
     ) -> None:
         self.name = name
@@ -64,48 +64,51 @@
         self.machine_type = machine_type
         self.spot = spot
         self.images = images
-        self.rungs = rungs  # (seconds from now, room free then)
-        self.evictable = evictable  # (rank, seconds, room that it may take from others)
+        self.availability = availability  # (seconds from now, room free then)
+        self.preemptible = preemptible  # (rank, seconds, room that it may take from others)
         self.fetch_rate = fetch_rate
 
-    def ladder(
+    def availability_for(
         self, priority: Priority, reserved: Resources | None
     ) -> list[tuple[float, Resources]]:
         """Room over time for work of a rank, less what others hold."""
-        rungs = list(self.rungs)
-        if rungs:
-            for delay, available in self._evictable_for(priority):
-                rungs.append((delay, add_resources(rungs[0][1], available)))
+        availability = list(self.availability)
+        if availability:
+            for delay, available in self._preemptible_for(priority):
+                availability.append((delay, add_resources(availability[0][1], available)))
         if reserved is not None:
-            rungs = [
-                (delay, add_resources(available, reserved, -1.0)) for delay, available in rungs
+            availability = [
+                (delay, add_resources(available, reserved, -1.0))
+                for delay, available in availability
             ]
-        rungs.sort(key=lambda rung: rung[0])
-        return rungs
+        availability.sort(key=lambda step: step[0])
+        return availability
 
-    def _evictable_for(self, priority: Priority) -> list[tuple[float, Resources]]:
+    def _preemptible_for(self, priority: Priority) -> list[tuple[float, Resources]]:
         """What work of a rank may take from others; a pressing gang has its own entry only
         where it may take less than work within its guarantee."""
         found = [
             (delay, available)
-            for of_priority, delay, available in self.evictable
+            for of_priority, delay, available in self.preemptible
             if of_priority == priority
         ]
         if not found and priority[0] == AGED:
-            return self._evictable_for((0, priority[1]))
+            return self._preemptible_for((0, priority[1]))
         return found
 
     def full(self, reserved: Mapping[str, Resources]) -> bool:
         """Whether holds keep all that will ever be free here."""
-        if not self.rungs:
+        if not self.availability:
             return True
-        available = add_resources(self.rungs[-1][1], reserved.get(self.name, (0.0, 0.0, 0.0)), -1.0)
-        gpus = self.rungs[-1][1][1] > 0
+        available = add_resources(
+            self.availability[-1][1], reserved.get(self.name, (0.0, 0.0, 0.0)), -1.0
+        )
+        gpus = self.availability[-1][1][1] > 0
         return (available[1] if gpus else available[0]) <= SLACK
 
     def ready_for(self, priority: Priority, need: Resources) -> float:
         """How soon there is room for one task of this size."""
-        for delay, available in self.ladder(priority, None):
+        for delay, available in self.availability_for(priority, None):
             if fits(need, available):
                 return delay
         return math.inf
@@ -118,30 +121,30 @@
             sorted(self.images),
             [
                 [round(delay, 1), *(round(part, 3) for part in available)]
-                for delay, available in self.rungs
+                for delay, available in self.availability
             ],
             [
                 [*priority, round(delay, 1), *(round(part, 3) for part in available)]
-                for priority, delay, available in self.evictable
+                for priority, delay, available in self.preemptible
             ],
             round(self.fetch_rate, 3),
         ]
 
 
-def unpack_offer(zone: str, data: Any) -> Offer:
+def unpack_offer(zone: str, data: Any) -> ResourceOffer:
     """Read an offer out of a zone's summary; ValueError if it is none."""
     try:
-        name, machine_type, spot, images, rungs, evictable, rate = data
-        return Offer(
+        name, machine_type, spot, images, availability, preemptible, rate = data
+        return ResourceOffer(
             str(name),
             zone,
             str(machine_type),
             bool(spot),
             frozenset(images),
-            [(float(r[0]), (float(r[1]), float(r[2]), float(r[3]))) for r in rungs],
+            [(float(r[0]), (float(r[1]), float(r[2]), float(r[3]))) for r in availability],
             [
                 ((int(e[0]), int(e[1])), float(e[2]), (float(e[3]), float(e[4]), float(e[5])))
-                for e in evictable
+                for e in preemptible
             ],
             float(rate),
         )
@@ -154,7 +157,9 @@
 
     __slots__ = ("offer", "name", "zone", "nth", "delay", "ready", "cost")
 
-    def __init__(self, offer: Offer, nth: int, delay: float, ready: float, cost: float) -> None:
+    def __init__(
+        self, offer: ResourceOffer, nth: int, delay: float, ready: float, cost: float
+    ) -> None:
         self.offer = offer
         self.name = offer.name
         self.zone = offer.zone
@@ -201,7 +206,7 @@
 
 
 def offer_slots(
-    offer: Offer,
+    offer: ResourceOffer,
     spec: JobSpec,
     priority: Priority,
     reserved: Resources | None,
@@ -216,8 +221,8 @@
     if spec.image not in offer.images:
         fetch = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
     slots: list[Slot] = []
-    whole = offer.rungs[-1][1] if offer.rungs else need
-    for delay, available in offer.ladder(priority, reserved):
+    whole = offer.availability[-1][1] if offer.availability else need
+    for delay, available in offer.availability_for(priority, reserved):
         count = count_fitting(need, available, limit)
         cost = 0.0
         if spec.spot and not offer.spot:
@@ -237,7 +242,7 @@
 def gather(
     rng: Random,
     directory: Sequence[tuple[str, str]],
-    caches: Mapping[str, Sequence[Offer]],
+    caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
     priority: Priority,
     taken: Mapping[str, Resources],
@@ -273,7 +278,7 @@
 
 
 def _cache_slots(
-    offers: Sequence[Offer],
+    offers: Sequence[ResourceOffer],
     spec: JobSpec,
     priority: Priority,
     taken: Mapping[str, Resources],
@@ -401,7 +406,7 @@
 
 def score_reserved(
     reserved: Mapping[str, int],
-    caches: Mapping[str, Sequence[Offer]],
+    caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
     priority: Priority,
     taken: Mapping[str, Resources],
@@ -422,7 +427,7 @@
 def search(
     rng: Random,
     directory: Sequence[tuple[str, str]],
-    caches: Mapping[str, Sequence[Offer]],
+    caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
     priority: Priority,
     taken: Mapping[str, Resources],
@@ -480,14 +485,14 @@
     return kept
 
 
-def sooner(offer: Offer) -> tuple[float, float]:
+def sooner(offer: ResourceOffer) -> tuple[float, float]:
     """Order of a cache: soonest free first, then the roomiest.
 
     A machine whose cards are all taken is not free for the CPUs and memory that are
     left: such ones stood before those about to come up.
     """
-    gpus = bool(offer.rungs) and offer.rungs[-1][1][1] > 0
-    for delay, available in offer.rungs:
+    gpus = bool(offer.availability) and offer.availability[-1][1][1] > 0
+    for delay, available in offer.availability:
         if available[0] > 0 and (available[1] > 0 or not gpus):
             return (delay, -available[1])
     return (math.inf, 0.0)
--- a/topazhold/core/ordering.py
+++ b/topazhold/core/worker_commands.py
@@ -5,8 +5,8 @@
 import logging
 from collections.abc import Iterable
 
-from topazhold.core.jobs import PART, UNSENT, AttemptState, JobState
-from topazhold.core.ledger import Ledger
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.jobs import TASKS_PER_PART, UNSENT, AttemptState, JobState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Command, Heartbeat
@@ -19,7 +19,7 @@
 ANSWER_HEARTBEATS = 0.1
 
 
-class Ordering(Ledger):
+class WorkerCommands(ClusterState):
     """What a worker is told."""
 
     def answer(
@@ -64,7 +64,7 @@
                     job is not None
                     and key is not None
                     and job.state is JobState.LIVE
-                    and key[1] // PART in job.unsaved
+                    and key[1] // TASKS_PER_PART in job.unsaved_parts
                 ):
                     continue  # the worker's word is the only record until it is saved
             commands.append(wire.clear(task.task_name, task.attempt_number))
--- a/topazhold/duties/inheritance.py
+++ b/topazhold/duties/inheritance.py
@@ -10,7 +10,7 @@
 
 from topazhold.control.key_value_store import LEASE_PRIORITY
 from topazhold.control.term_context import TermContext
-from topazhold.core.ledger import ATTEMPTS_PER_TERM
+from topazhold.core.cluster_state import ATTEMPTS_PER_TERM
 from topazhold.core.scheduler import Scheduler
 from topazhold.duties.book import OrderBook
 from topazhold.duties.records import (
