--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -167,7 +167,7 @@
             if not commands:
                 return
             # Kills are safe from anybody, and a token equal to the worker's is heard.
-            orders = Commands(heartbeat.term, commands, heartbeat.incarnation)
+            orders = Commands(heartbeat.fencing_token, commands, heartbeat.incarnation)
             log.info("%d tasks of cancelled jobs on %s killed from here", len(commands), name)
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, orders, self._heartbeat_interval_s
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -278,10 +278,10 @@
             return Response(400)
         lead = self.leadership
         leader_term = self.leader_term
-        if heartbeat.term > lead.term:
+        if heartbeat.fencing_token > lead.term:
             # A worker knows a term that this node does not: whoever thinks
             # to be leader here is not any more.
-            lead.term = heartbeat.term
+            lead.term = heartbeat.fencing_token
             if leader_term is not None:
                 await self._end_term("a worker knows a higher term")
             lead.leader = None
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -104,7 +104,7 @@
             )
             if status in (200, 409):
                 heartbeat = read(body, Heartbeat)
-                if heartbeat.term > self._context.term:
+                if heartbeat.fencing_token > self._context.term:
                     raise LeadershipLostError("a worker knows a higher term")
                 await self._on_heartbeat(heartbeat)
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -157,7 +157,9 @@
 
     def keeps_isolated(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer a worker here although nothing comes of it."""
-        return heartbeat.term == self._lead.term > 0 and self._isolated.keeps(heartbeat, now)
+        return heartbeat.fencing_token == self._lead.term > 0 and self._isolated.keeps(
+            heartbeat, now
+        )
 
     def leader_cut(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
@@ -167,7 +169,7 @@
     def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer this worker here instead of sending it to the leader."""
         lead = self._lead
-        if lead.term == 0 or heartbeat.term != lead.term:
+        if lead.term == 0 or heartbeat.fencing_token != lead.term:
             return False
         if lead.leader is None or lead.leader == lead.node or self.leader_cut(now):
             return True
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -100,7 +100,7 @@
             self._begin_incarnation(machine, heartbeat.incarnation, now)
         machine.sequence = heartbeat.sequence
         machine.endpoint = heartbeat.endpoint
-        synced = heartbeat.term == self.term
+        synced = heartbeat.fencing_token == self.term
         machine.hear(synced, now)
         self._check_command_reachability(machine, heartbeat, now)
         if not direct:
@@ -140,9 +140,9 @@
         self, machine: Machine, heartbeat: Heartbeat, now: float
     ) -> None:
         """Whether answers reach the worker, as far as its reports show it."""
-        term_before, machine.term = machine.term, heartbeat.term
+        term_before, machine.term = machine.term, heartbeat.fencing_token
         heard = (
-            heartbeat.term == self.term != term_before
+            heartbeat.fencing_token == self.term != term_before
             or now - machine.incarnation_since > REACHED_LEASES * self.lease_s
         )
         if heard and machine.mark_command_reachable():
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -27,7 +27,11 @@
     ) -> list[Command]:
         """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
         commands = self._clears(machine, heartbeat) + self.kills(machine)
-        if launches and machine.state is MachineState.READY and heartbeat.term == self.term:
+        if (
+            launches
+            and machine.state is MachineState.READY
+            and heartbeat.fencing_token == self.term
+        ):
             for attempt in machine.attempts.values():
                 # Only in the session that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
--- a/topazhold/wire/messages.py
+++ b/topazhold/wire/messages.py
@@ -157,7 +157,7 @@
     spot: bool = field(name="drones")
     incarnation: int = field(name="flight")
     sequence: int = field(name="tally")
-    term: int = field(name="crown")  # its highest fencing token
+    fencing_token: int = field(name="crown")  # the highest that it has seen
     tasks: list[TaskStatus] = field(name="frames")
     notice_s: float | None = field(name="smoke_s", default=None)
 
@@ -189,7 +189,7 @@
 class Commands(msgspec.Struct, omit_defaults=True):
     """Commands, with the right to give them."""
 
-    term: int = field(name="crown")  # the fencing token
+    fencing_token: int = field(name="crown")
     commands: list[Command] = field(name="calls")
     incarnation: int | None = field(name="flight", default=None)
 
