--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -8,7 +8,16 @@
 import curio
 import pytest
 
-from tests.standins import VirtualTime, Worker, body_fields, run_virtual, start_node, stop_node
+from tests.standins import (
+    VirtualTime,
+    Worker,
+    body_fields,
+    fencing_token,
+    has_loaded,
+    run_virtual,
+    start_node,
+    stop_node,
+)
 from tests.world import STEP_S, World
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.wire.codec import unpack
@@ -89,9 +98,7 @@
     def leader(self) -> str | None:
         """The loaded leader with the newest token."""
         leading = [
-            (node.leading.term, name)
-            for name, node in self.nodes.items()
-            if node.leading is not None and node.leading.loaded
+            (fencing_token(node), name) for name, node in self.nodes.items() if has_loaded(node)
         ]
         return max(leading)[1] if leading else None
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -20,7 +20,7 @@
 from curio.task import Task as Task_
 
 from tests.cloud_history import CloudHistory
-from tests.versions import CURRENT, Version
+from tests.versions import CURRENT, Version, member
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import LaterLimits, Settings
 from topazhold.wire.codec import json_size, pack, unpack
@@ -233,7 +233,8 @@
         thawed: Callable[[str], Awaitable[None]],
         version: Version,
     ) -> None:
-        self._errors = version.module("io.http")
+        self._not_sent = version.load("io.http", "NotSent")
+        self._no_answer = version.load("io.http", "NoAnswer")
         self._thawed = thawed
         self._net = net
         self._source = source
@@ -253,9 +254,9 @@
                 self._source, self._target, method, target, message, timeout_s
             )
         except NotSent as exc:
-            raise self._errors.NotSent(str(exc)) from None
+            raise self._not_sent(str(exc)) from None
         except NoAnswer as exc:
-            raise self._errors.NoAnswer(str(exc)) from None
+            raise self._no_answer(str(exc)) from None
         finally:
             await self._thawed(self._source)
 
@@ -851,7 +852,7 @@
         self._world.peer_messages.setdefault(message[0], []).append(message)
         del self._world.peer_messages[message[0]][:-KEPT_MESSAGES]
         try:
-            await node.peer_message(message)
+            await hand_over(node, message)
         except (ValueError, TypeError, IndexError, KeyError) as exc:
             # The real listener drops it; between versions that must not happen.
             self._world.violate("peer_message", f"{message[0]} at {self._target}: {exc!r}")
@@ -897,32 +898,58 @@
     def dial(address: tuple[str, int], keep: int) -> Any:
         return NetClient(world.net, name, address, lambda: alive["yes"], world.thawed, version)
 
-    operator = version.module("settings").Operator()
-    node = version.module("control.node").Node(settings, operator, dial)
-    node.rng.seed(world.rng.random())
-    node.links.update(
-        {  # type: ignore[dict-item]
-            other: PeerLink(world, name, other) for other in world.names if other != name
-        }
+    operator = version.load("settings", "Operator")()
+    node = version.load("control.node", "Node")(settings, operator, dial)
+    member(node, "rng").seed(world.rng.random())
+    member(node, "links").update(
+        {other: PeerLink(world, name, other) for other in world.names if other != name}
     )
     return node
 
 
+# -- what a controller of either version is asked for ----------------------------
+
+
+async def hand_over(controller: Any, message: tuple[Any, ...]) -> None:
+    """A message of another controller arrives."""
+    await member(controller, "peer_message")(message)
+
+
+def leader_term(controller: Any) -> Any:
+    """The term that a controller leads, or None."""
+    return member(controller, "leading")
+
+
+def is_leading(controller: Any) -> bool:
+    """Whether it has been elected and has not given up."""
+    return leader_term(controller) is not None
+
+
+def has_loaded(controller: Any) -> bool:
+    """Whether it leads and has read all that is stored."""
+    return is_leading(controller) and member(leader_term(controller), "loaded")
+
+
+def fencing_token(controller: Any) -> int:
+    """The fencing token of the term that it leads."""
+    return int(member(leader_term(controller), "term"))
+
+
 async def start_node(world: Any, name: str) -> None:
     """Start a controller process, as the platform does after an end."""
     alive = {"yes": True}
     node = create_node(world, name, alive)
-    request_kind = world.versions.get(name, CURRENT).module("io.http").Request
+    request_kind = world.versions.get(name, CURRENT).load("io.http", "Request")
     host = world.node_settings[name].bind
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         data = pack(body) if body is not None else b""
         await world.thawed(name)
-        answer = await node.handle(request_kind(method, path, data))
+        answer = await member(node, "handle")(request_kind(method, path, data))
         await world.thawed(name)
-        return answer.status, answer.body
+        return member(answer, "status"), member(answer, "body")
 
-    task = await curio.spawn(node.work, daemon=True)
+    task = await curio.spawn(member(node, "work"), daemon=True)
     world.nodes[name] = node
     world.running[name] = (task, alive)
     world.net.hosts[host] = handle
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -12,10 +12,10 @@
 
 from tests.conftest import make_spec
 from tests.corpus import DAYS, FILE, Collector, Corpus, collect_day
-from tests.standins import VirtualTime, create_node, run_virtual
+from tests.standins import VirtualTime, create_node, hand_over, run_virtual
 from tests.test_random_days import play
 from tests.test_service_days import LATER
-from tests.versions import CURRENT, Version, production
+from tests.versions import CURRENT, Version, member, production
 from tests.world import NAMES, World
 from topazhold.control.node import Node
 from topazhold.core import holds, leadership, records
@@ -36,53 +36,98 @@
 def job_meaning(job: Any) -> Any:
     """What a version has understood of a job."""
     return (
-        msgspec.to_builtins(job.spec),
-        bytes(job.done),
-        job.done_count,
-        job.arrived,
-        job.submitted,
-        job.node,
-        job.state.value,
-        job.cancelled_at,
+        msgspec.to_builtins(member(job, "spec")),
+        bytes(member(job, "done")),
+        member(job, "done_count"),
+        member(job, "arrived"),
+        member(job, "submitted"),
+        member(job, "node"),
+        member(job, "state").value,
+        member(job, "cancelled_at"),
     )
 
 
 def read_reports(version: Version, reports: Any) -> Any:
-    convert = version.module("wire.codec").convert
-    kind = version.module("wire.messages").Report
+    convert = version.load("wire.codec", "convert")
+    kind = version.load("wire.messages", "Report")
     return [msgspec.to_builtins(convert(item, kind)) for item in reports]
 
 
 def view_meaning(view: Any) -> Any:
-    caches = {zone: [offer.pack() for offer in cache] for zone, cache in view.caches.items()}
-    return caches, view.directory, view.waiting, view.running, view.all_waiting, view.term
+    caches = {
+        zone: [member(offer, "pack")() for offer in cache]
+        for zone, cache in member(view, "caches").items()
+    }
+    names = ("directory", "waiting", "running", "all_waiting", "term")
+    return caches, *(member(view, name) for name in names)
+
+
+def live_meaning(version: Version, data: Any) -> Any:
+    job = version.load("core.records", "read_live")(data, 5, WALL, CLOCK)
+    return job_meaning(job), version.load("core.records", "done_count")(data)
+
+
+def over_meaning(version: Version, data: Any) -> Any:
+    job = version.load("core.records", "read_over")(data, WALL, CLOCK)
+    stage = version.load("core.records", "over_stage")(data)
+    return job_meaning(job), stage, version.load("core.records", "over_at")(data, 0.0)
+
+
+def intents_meaning(version: Version, data: Any) -> Any:
+    found, odd = version.load("core.records", "read_on")(data)
+    return [tuple(each) for each in found], odd
+
+
+def holds_meaning(version: Version, data: Any) -> Any:
+    holds = version.load("core.holds", "unpack_value")(data)
+    return [member(hold, "pack")() for hold in holds]
+
+
+def summary_meaning(version: Version, key: str, data: Any) -> Any:
+    view = version.load("control.booking", "View")()
+    if key == "sum/*":
+        member(view, "read_jobs")(data)
+    else:
+        member(view, "read_zone")(key.partition("/")[2], data)
+    return view_meaning(view)
 
 
 def stored_meaning(version: Version, key: str, data: Any) -> Any:
     """What a version reads out of a stored value."""
-    of_version = version.module("core.records")
     first = key.partition("/")[0]
     if first == "live":
-        return job_meaning(of_version.read_live(data, 5, WALL, CLOCK)), of_version.done_count(data)
+        return live_meaning(version, data)
     if first == "over":
-        job = of_version.read_over(data, WALL, CLOCK)
-        return job_meaning(job), of_version.over_stage(data), of_version.over_at(data, 0.0)
+        return over_meaning(version, data)
     if first == "on":
-        found, odd = of_version.read_on(data)
-        return [tuple(each) for each in found], odd
+        return intents_meaning(version, data)
     if first == "hold":
-        return [hold.pack() for hold in version.module("core.holds").unpack_value(data)]
+        return holds_meaning(version, data)
     if first in ("queen", "crown"):
-        return version.module("core.leadership").read_value(data)
+        return version.load("core.leadership", "read_value")(data)
     if first == "relay":
         return data["crown"], read_reports(version, data["reports"])
     assert first == "sum"
-    view = version.module("control.booking").View()
-    if key == "sum/*":
-        view.read_jobs(data)
-    else:
-        view.read_zone(key.partition("/")[2], data)
-    return view_meaning(view)
+    return summary_meaning(version, key, data)
+
+
+def controller_meaning(controller: Any) -> Any:
+    """What a controller knows of its peers."""
+    lead = member(controller, "leadership")
+    cancelled = member(controller, "cancellations")
+    return (
+        member(lead, "leader"),
+        member(lead, "term"),
+        sorted(member(member(controller, "fallback"), "_silent")),
+        sorted(member(cancelled, "_entries").items()),
+        member(cancelled, "receipts")(),
+        member(cancelled, "_acked"),
+        {
+            name: (member(place, "endpoint"), sorted(member(place, "jobs")))
+            for name, place in member(member(controller, "placements"), "places").items()
+        },
+        view_meaning(member(controller, "view")),
+    )
 
 
 def heard(version: Version, messages: list[Any], monkeypatch: pytest.MonkeyPatch) -> Any:
@@ -94,24 +139,8 @@
         world.versions = {NAMES[0]: version}
         node = create_node(world, NAMES[0], {"yes": True})
         for message in messages:
-            await node.peer_message(tuple(message))
-            lead = node.leadership
-            cancelled = node.cancellations
-            known.append(
-                (
-                    lead.leader,
-                    lead.term,
-                    sorted(node.fallback._silent),
-                    sorted(cancelled._entries.items()),
-                    cancelled.receipts(),
-                    cancelled._acked,
-                    {
-                        name: (place.endpoint, sorted(place.jobs))
-                        for name, place in node.placements.places.items()
-                    },
-                    view_meaning(node.view),
-                )
-            )
+            await hand_over(node, tuple(message))
+            known.append(controller_meaning(node))
 
     run_virtual(main, monkeypatch)
     return known
@@ -176,18 +205,18 @@
 def test_done_marks_are_read_alike(tasks: int) -> None:
     """Every third task is done; the marks of the first part stand in the live value."""
     spec = make_spec(shape="batch", tasks=tasks)
-    old_jobs = production().module("core.jobs")
-    old_spec = production().module("wire.messages").JobSpec
+    old_job = production().load("core.jobs", "Job")
+    old_spec = production().load("wire.messages", "JobSpec")
     as_old = msgspec.convert(msgspec.to_builtins(spec), old_spec)
-    jobs = [Job(spec, 0.0, 0.0, ""), old_jobs.Job(as_old, 0.0, 0.0, "")]
+    jobs = [Job(spec, 0.0, 0.0, ""), old_job(as_old, 0.0, 0.0, "")]
     for job in jobs:
         for index in range(0, tasks, 3):
-            job.mark_done(index)
-    fresh = [old_jobs.Job(as_old, 0.0, 0.0, ""), Job(spec, 0.0, 0.0, "")]
+            member(job, "mark_done")(index)
+    fresh = [old_job(as_old, 0.0, 0.0, ""), Job(spec, 0.0, 0.0, "")]
     for writer, reader in zip(jobs, fresh, strict=True):
         for part in range((tasks + PART - 1) // PART):
-            reader.load_part(part, writer.part_text(part))
-        assert reader.done == writer.done
+            member(reader, "load_part")(part, member(writer, "part_text")(part))
+        assert member(reader, "done") == member(writer, "done")
 
 
 def test_end_of_a_job_is_read_alike() -> None:
@@ -195,9 +224,10 @@
     spec = make_spec(machine_types=["b1"] * 50, image="i" * 200, job_class="c" * 200)
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
     value = records.over_value(live["spec"], wire.ABORTED, WALL - 3.0, "t")
-    job = production().module("core.records").read_over(value, WALL, CLOCK)
-    assert (job.id, job.spec.team, job.need) == (spec.id, spec.team, (4.0, 2.0, 8.0))
-    assert job.cancelled_at == pytest.approx(CLOCK - 3.0)
+    job = production().load("core.records", "read_over")(value, WALL, CLOCK)
+    team = member(member(job, "spec"), "team")
+    assert (member(job, "id"), team, member(job, "need")) == (spec.id, spec.team, (4.0, 2.0, 8.0))
+    assert member(job, "cancelled_at") == pytest.approx(CLOCK - 3.0)
 
 
 # -- variants that are not compatible must be seen ---------------------------------
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -29,6 +29,12 @@
 PACKAGE = "topazhold"
 PRODUCTION_PACKAGE = "topazhold_production"
 
+#: What production calls the modules, and the classes, functions and attributes in them, that
+#: have other names now: today's name -> production's. Whoever uses both versions names
+#: things as they are called today, and gets at them by `Version.module` and `member`.
+PRODUCTION_MODULES: dict[str, str] = {}
+PRODUCTION_MEMBERS: dict[str, str] = {}
+
 _IMPORT = re.compile(rf"^(\s*(?:from|import)\s+){PACKAGE}\b", re.MULTILINE)
 
 
@@ -39,14 +45,28 @@
     package: str
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version, such as `control.node`."""
+        """A module of this version, by the name that it has in the current one."""
+        if self.package == PRODUCTION_PACKAGE:
+            name = PRODUCTION_MODULES.get(name, name)
         return importlib.import_module(f"{self.package}.{name}")
 
+    def load(self, module: str, name: str) -> Any:
+        """A class or function of a module, both by the names they have in the current version."""
+        return member(self.module(module), name)
+
     def settings(self, settings: Settings) -> Any:
         """The same settings as this version reads them."""
         if self.package == PACKAGE:
             return settings
-        return msgspec.convert(msgspec.to_builtins(settings), self.module("settings").Settings)
+        return msgspec.convert(msgspec.to_builtins(settings), self.load("settings", "Settings"))
+
+
+def member(owner: Any, name: str) -> Any:
+    """What stands in a module, or in an object of a version, by its name in the current one."""
+    module = owner.__name__ if isinstance(owner, ModuleType) else type(owner).__module__
+    if module.partition(".")[0] == PRODUCTION_PACKAGE:
+        name = PRODUCTION_MEMBERS.get(name, name)
+    return getattr(owner, name)
 
 
 CURRENT = Version(PACKAGE)
--- a/tests/world.py
+++ b/tests/world.py
@@ -15,6 +15,7 @@
     Task,
     VirtualTime,
     Worker,
+    is_leading,
     settings_for,
     start_node,
     stop_node,
@@ -112,6 +113,10 @@
         self.broken.append(rule)
         self.note(f"BROKEN {rule}: {text}")
 
+    def leaders(self) -> list[str]:
+        """The controllers that have been elected; several while one does not know better."""
+        return [name for name, node in self.nodes.items() if is_leading(node)]
+
     # -- what workers tell the world ---------------------------------------
 
     def launched(self, worker: Worker, task_name: str) -> None:
@@ -516,12 +521,12 @@
                 await self.crash([each])
                 await curio.sleep(2.0)
         elif kind == "crash_leader":
-            await self.crash([n for n, node in self.nodes.items() if node.leading is not None])
+            await self.crash(self.leaders())
         elif kind == "crash_election":
             # Whoever is elected ends at once, and is back within a moment.
             for _ in range(3):
                 await self.crash(
-                    [n for n, node in self.nodes.items() if node.leading is not None],
+                    self.leaders(),
                     [0.02, 0.1, 0.3],
                 )
                 await curio.sleep(rng.uniform(0.0, 2.0))
@@ -534,9 +539,7 @@
             await curio.sleep(for_s)
             self.state.refused.discard(name)
         elif kind == "leader_refused":
-            for n, node in list(self.nodes.items()):
-                if node.leading is not None:
-                    self.state.refused.add(n)
+            self.state.refused |= set(self.leaders())
             await curio.sleep(for_s)
             self.state.refused.clear()
         elif kind in CUTS:
@@ -550,7 +553,7 @@
             self.work_s = 0.0
         elif kind == "state_one_way":
             # The state service hears some controller, or it the service, and not both.
-            leading = [n for n, node in self.nodes.items() if node.leading is not None]
+            leading = self.leaders()
             lost = {(rng.choice([*leading, name]), StateService.HOST)}
             if rng.random() < 0.5:
                 lost = {(b, a) for a, b in lost}
@@ -570,7 +573,7 @@
             await curio.sleep(for_s)
             self.net.late_writes = 0.0
         elif kind == "refused_then_down":
-            leading = [n for n, node in self.nodes.items() if node.leading is not None]
+            leading = self.leaders()
             self.state.refused |= set(leading)
             await curio.sleep(rng.uniform(0.2, 2.0))
             self.state.set_down(True)
@@ -582,7 +585,7 @@
             await curio.sleep(for_s)
             self.net.copies = 0.0
         elif kind in ("freeze", "freeze_leader"):
-            leaders = [n for n, node in self.nodes.items() if node.leading is not None]
+            leaders = self.leaders()
             if kind == "freeze_leader":
                 name = leaders[0] if leaders else name
             self.frozen[name] = self.clock.now + for_s
@@ -641,15 +644,9 @@
                 (name, o) for o in (*self.names, StateService.HOST) if o != name
             ],
             "leader_off_all_but_workers": [
-                (n, o)
-                for n, node in self.nodes.items()
-                if node.leading is not None
-                for o in (*self.names, StateService.HOST)
-                if o != n
-            ],
-            "leader_off_zone": [
-                (n, "b") for n, node in self.nodes.items() if node.leading is not None
+                (n, o) for n in self.leaders() for o in (*self.names, StateService.HOST) if o != n
             ],
+            "leader_off_zone": [(n, "b") for n in self.leaders()],
             "machine_cut": [
                 (worker.host, n)
                 for worker in list(self.cloud.workers.values())[:2]
