--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.standins import settings_for
+from tests.fakes.controllers import make_settings
 from topazhold.core.holds import Hold, HoldTable
 from topazhold.core.jobs import Job, Run
 from topazhold.core.preemption import turn
@@ -48,7 +48,7 @@
 
     def __init__(self, machines: int = 4, term: int = 5) -> None:
         self.now = 100.0
-        settings = settings_for("hive-0", "a", [])
+        settings = make_settings("hive-0", "a", [])
         self.hold_table = HoldTable("hive-0")
         self.scheduler = Scheduler(settings, Operator(), term, self.hold_table, Random(1), self.now)
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
--- a/tests/corpus.py
+++ b/tests/corpus.py
@@ -14,7 +14,7 @@
 import curio
 import pytest
 
-from tests.standins import VirtualTime, run_virtual
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.world import World
 from topazhold.settings import LaterLimits
 
--- /dev/null
+++ b/tests/fakes/controllers.py
@@ -0,0 +1,98 @@
+"""Controllers of either version: their settings, processes, and what is asked of them."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import curio
+import msgspec
+
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import FakeClient
+from tests.fakes.peer_link import PeerLink
+from tests.versions import CURRENT, member
+from topazhold.settings import Settings
+from topazhold.wire.codec import pack
+
+
+def make_settings(name: str, zone: str, others: list[tuple[str, str]]) -> Settings:
+    """A small deployment: two zones, two teams, short times."""
+    return msgspec.convert(
+        {
+            "node_name": name,
+            "domain": zone,
+            "bind": f"{name}:80",
+            "peer_listen": f"{name}:81",
+            "seeds": [{"node_name": o, "domain": z, "addr": f"{o}:81"} for o, z in others],
+            "outside": {"cloud": FakeCloud.HOST, "state": FakeKeyValueStore.HOST},
+            "cluster": {
+                "zones": ["a", "b"],
+                "teams": [
+                    {"name": "red", "gpus": 8.0, "gpus_max": 20.0},
+                    {"name": "blue", "gpus": 4.0, "gpus_max": 12.0},
+                ],
+                "workers": {
+                    "report_s": 1.0,
+                    "lease_s": 10.0,
+                    "gang_wait_s": 20.0,
+                    "gang_peer_s": 4.0,
+                    "cancel_s": 20.0,
+                },
+                "state": {"rps": 400.0, "write_rps": 200.0, "value_kb": 8.0, "txn_ops": 8},
+                "cloud": {"rps": 20.0, "list_lag_s": 2.0},
+                "limits": {"cpu_share": 0.5, "mem_mb": 100.0, "sockets": 100},
+            },
+        },
+        Settings,
+    )
+
+
+def create_controller(world: Any, name: str, alive: dict[str, bool]) -> Any:
+    """A controller of the version that is installed there; it does nothing yet."""
+    version = world.versions.get(name, CURRENT)
+    settings = version.settings(world.node_settings[name])
+
+    def dial(address: tuple[str, int], keep: int) -> Any:
+        return FakeClient(world.net, name, address, lambda: alive["yes"], world.thawed, version)
+
+    operator = version.load("settings", "Operator")()
+    node = version.load("control.node", "Node")(settings, operator, dial)
+    member(node, "rng").seed(world.rng.random())
+    member(node, "links").update(
+        {other: PeerLink(world, name, other) for other in world.names if other != name}
+    )
+    return node
+
+
+async def start_controller(world: Any, name: str) -> None:
+    """Start a controller process, as the platform does after an end."""
+    alive = {"yes": True}
+    node = create_controller(world, name, alive)
+    request_kind = world.versions.get(name, CURRENT).load("io.http", "Request")
+    host = world.node_settings[name].bind
+
+    async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+        data = pack(body) if body is not None else b""
+        await world.thawed(name)
+        answer = await member(node, "handle")(request_kind(method, path, data))
+        await world.thawed(name)
+        return member(answer, "status"), member(answer, "body")
+
+    task = await curio.spawn(member(node, "work"), daemon=True)
+    world.nodes[name] = node
+    world.running[name] = (task, alive)
+    world.net.hosts[host] = handle
+    world.net.hosts[name] = handle
+    world.net.places[name] = world.zones[name]
+
+
+async def stop_controller(world: Any, name: str) -> None:
+    """Kill a controller: no goodbye, nothing kept."""
+    task, alive = world.running.pop(name)
+    alive["yes"] = False
+    settings = world.node_settings[name]
+    world.net.hosts.pop(settings.bind, None)
+    world.net.hosts.pop(name, None)
+    world.nodes.pop(name, None)
+    await task.cancel(blocking=False)
--- /dev/null
+++ b/tests/fakes/peer_link.py
@@ -0,0 +1,44 @@
+"""Links between controllers."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import curio
+
+from tests.versions import deliver_peer_message
+from topazhold.wire.codec import unpack
+
+#: Messages between controllers that are kept of each kind.
+KEPT_MESSAGES = 200
+
+
+class PeerLink:
+    """Stands in for a link to another controller."""
+
+    def __init__(self, world: Any, source: str, target: str) -> None:
+        self._world = world
+        self._source = source
+        self._target = target
+
+    async def send(self, frame: bytes) -> None:
+        await curio.spawn(self._deliver, frame, daemon=True)
+
+    async def _deliver(self, frame: bytes) -> None:
+        net = self._world.net
+        await curio.sleep(net.rng.uniform(0.001, 0.01))
+        await self._world.thawed(self._source)
+        await self._world.thawed(self._target)
+        node = self._world.nodes.get(self._target)
+        cut = self._world.peers_refuse or net.cut(self._source, self._target)
+        cut = cut or net.loses(self._source, self._target)
+        if node is None or cut or net.rng.random() < net.loss:
+            return
+        message = tuple(unpack(frame[4:]))
+        self._world.peer_messages.setdefault(message[0], []).append(message)
+        del self._world.peer_messages[message[0]][:-KEPT_MESSAGES]
+        try:
+            await deliver_peer_message(node, message)
+        except (ValueError, TypeError, IndexError, KeyError) as exc:
+            # The real listener drops it; between versions that must not happen.
+            self._world.violate("peer_message", f"{message[0]} at {self._target}: {exc!r}")
--- /dev/null
+++ b/tests/fakes/virtual_time.py
@@ -0,0 +1,65 @@
+"""Virtual time: a curio kernel whose selector advances a clock instead of waiting."""
+
+from __future__ import annotations
+
+import selectors
+import time
+from collections.abc import Awaitable, Callable, Coroutine
+from typing import Any
+
+from curio.kernel import Kernel
+from curio.task import Task as CurioTask
+
+
+def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+    """Run a coroutine that never waits."""
+    try:
+        coroutine.send(None)
+    except StopIteration as exc:
+        return exc.value
+    raise AssertionError("it waits")
+
+
+class VirtualTime(selectors.BaseSelector):
+    """A selector that never waits: time jumps to the next timer."""
+
+    def __init__(self, start: float = 1000.0) -> None:
+        self.now = start
+        self._keys: dict[Any, selectors.SelectorKey] = {}
+
+    def register(self, fileobj: Any, events: int, data: Any = None) -> Any:
+        self._keys[fileobj] = selectors.SelectorKey(fileobj, 0, events, data)
+        return self._keys[fileobj]
+
+    def unregister(self, fileobj: Any) -> Any:
+        return self._keys.pop(fileobj)
+
+    def modify(self, fileobj: Any, events: int, data: Any = None) -> Any:
+        return self.register(fileobj, events, data)
+
+    def select(self, timeout: float | None = None) -> list[Any]:
+        if timeout is None:
+            raise RuntimeError("every task waits for ever")
+        if timeout > 0:
+            self.now += timeout + 1e-6
+        return []
+
+    def get_map(self) -> Any:
+        return self._keys
+
+
+def run_virtual(main: Callable[[VirtualTime], Awaitable[None]], monkeypatch: Any) -> None:
+    """Run a coroutine function in virtual time."""
+    clock = VirtualTime()
+    monkeypatch.setattr(time, "monotonic", lambda: clock.now)
+    monkeypatch.setattr(time, "time", lambda: 1.7e9 + clock.now)
+    monkeypatch.setattr(time, "time_ns", lambda: int((1.7e9 + clock.now) * 1e9))
+    # curio keeps waiting tasks in sets; by their numbers the order is the same
+    # in every run, by their addresses it is not.
+    monkeypatch.setattr(CurioTask, "__hash__", lambda task: task.id)
+    monkeypatch.setattr(CurioTask, "_lastid", 1)
+    kernel = Kernel(selector=clock)
+    try:
+        kernel.run(main, clock)
+    finally:
+        kernel.run(shutdown=True)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,6 +1,6 @@
-"""The real controllers as processes on 127.0.0.1, with the stand-ins behind sockets.
+"""The real controllers as processes on 127.0.0.1, with the fakes behind sockets.
 
-Every controller has ports of its own for the state service and the cloud, so that the stand-ins
+Every controller has ports of its own for the state service and the cloud, so that the fakes
 know who asks. Times are real; scenes wait for events.
 """
 
@@ -18,7 +18,10 @@
 
 import curio
 
-from tests.standins import CloudService, Net, StateService, VirtualTime
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import Network
+from tests.fakes.virtual_time import VirtualTime
 from tests.world import NAMES, ZONES, World
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.io.client import Client
@@ -64,7 +67,7 @@
 
 
 class SteadyTime(VirtualTime):
-    """The machine's steady clock, where the stand-ins expect a clock of their own."""
+    """The machine's steady clock, where the fakes expect a clock of their own."""
 
     def __init__(self) -> None:
         pass
@@ -80,7 +83,7 @@
         return int(sock.getsockname()[1])
 
 
-class SocketNet(Net):
+class SocketNet(Network):
     """Requests to controllers go over TCP."""
 
     def __init__(self, rng: Any, ports: dict[str, dict[str, int]]) -> None:
@@ -93,7 +96,7 @@
         return await self._clients[target].ask(method, path, message, timeout_s)
 
 
-class SocketCloud(CloudService):
+class SocketCloud(FakeCloud):
     """Each worker listens on a port of its own."""
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
@@ -106,7 +109,7 @@
 
 
 async def serve(port: int, handler: Callable[[], Any], source: str) -> None:
-    """Put a socket in front of a stand-in."""
+    """Put a socket in front of a fake."""
 
     async def handle(request: Request) -> Answer:
         path = request.path + (f"?{request.query}" if request.query else "")
@@ -133,8 +136,8 @@
         self.net = SocketNet(self.rng, self.ports)
         self.cloud = SocketCloud(self, self.rng, capacity)
         self.state.on_change = self._changed
-        self.net.hosts[StateService.HOST] = self.state.handle
-        self.net.hosts[CloudService.HOST] = self.cloud.handle
+        self.net.hosts[FakeKeyValueStore.HOST] = self.state.handle
+        self.net.hosts[FakeCloud.HOST] = self.cloud.handle
         self.settings: Settings = self.node_settings[NAMES[0]]
         self.settings.cluster.workers.report_s = REPORT_S
         self.settings.cluster.workers.lease_s = LEASE_S
@@ -203,8 +206,8 @@
     async def begin(self, machines: int) -> None:
         """Start everything, and wait for a leader."""
         for name, ports in self.ports.items():
-            for host in (StateService.HOST, CloudService.HOST):
-                port = ports["state" if host == StateService.HOST else "cloud"]
+            for host in (FakeKeyValueStore.HOST, FakeCloud.HOST):
+                port = ports["state" if host == FakeKeyValueStore.HOST else "cloud"]
                 handler = self._current(host)
                 await curio.spawn(serve, port, handler, name, daemon=True)
         await curio.spawn(self.steps, daemon=True)
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -8,16 +8,11 @@
 import curio
 import pytest
 
-from tests.standins import (
-    VirtualTime,
-    Worker,
-    body_fields,
-    fencing_token,
-    has_loaded,
-    run_virtual,
-    start_node,
-    stop_node,
-)
+from tests.fakes.controllers import start_controller, stop_controller
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.fakes.worker import FakeWorker
+from tests.job_specs import submission_fields
+from tests.versions import fencing_token, has_loaded
 from tests.world import STEP_S, World
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.wire.codec import unpack
@@ -46,13 +41,13 @@
         self.task_s: dict[tuple[str, int], float] = {}  # tasks that run for another time
         self.users: list[Any] = []
 
-    def launched(self, worker: Worker, task_name: str) -> None:
+    def launched(self, worker: FakeWorker, task_name: str) -> None:
         super().launched(worker, task_name)
         at = self.cancelled_at.get(task_name.partition("/")[0])
         if at is not None and self.clock.now - at > IN_FLIGHT_S:
             self.launched_late.append(task_name)
 
-    def started(self, worker: Worker, task: Any) -> None:
+    def started(self, worker: FakeWorker, task: Any) -> None:
         if task.job in self.cancelled_at:
             self.started_late.append(task.task_name)
         super().started(worker, task)
@@ -82,7 +77,7 @@
 
     async def begin(self, machines: int = 6) -> None:
         for name in self.names:
-            await start_node(self, name)
+            await start_controller(self, name)
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
         await curio.spawn(self.steps, daemon=True)
@@ -126,7 +121,7 @@
             "drones": False,
             "cap_s": 0.0,
             "forage_s": run_s,
-            **body_fields(changes),
+            **submission_fields(changes),
         }
         job = str(spec["id"])
         self.specs[job] = spec
@@ -175,12 +170,12 @@
         return status, body
 
     async def end(self, name: str) -> None:
-        await stop_node(self, name)
+        await stop_controller(self, name)
 
     async def back(self, name: str, after_s: float = 0.0) -> None:
         await curio.sleep(after_s)
         if name not in self.nodes:
-            await start_node(self, name)
+            await start_controller(self, name)
 
     async def new_leader(self, old: str | None, most_s: float = 30.0) -> str:
         """Wait until another one leads than `old`."""
@@ -192,7 +187,7 @@
     def cut_off(self, one: str, others: list[str]) -> None:
         self.net.cuts |= {frozenset((one, other)) for other in others if other != one}
 
-    def busy_workers(self) -> list[Worker]:
+    def busy_workers(self) -> list[FakeWorker]:
         return [worker for worker in self.cloud.workers.values() if worker.present()]
 
     # -- users in the background --------------------------------------------------
@@ -227,7 +222,7 @@
         await act(scene)
         await curio.sleep(2 * STEP_S)
         for name in list(scene.nodes):
-            await stop_node(scene, name)
+            await stop_controller(scene, name)
 
     run_virtual(main, monkeypatch)
     return scenes[0]
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.conftest import make_spec
-from tests.standins import settings_for
+from tests.fakes.controllers import make_settings
 from topazhold.control.booking import Booking, View, Wanted, searches_beside
 from topazhold.control.election import GRANT_BOUNDS, lease_time_s
 from topazhold.core.holds import Hold, HoldTable
@@ -41,7 +41,7 @@
 
 
 def booking(clock: Clock) -> Booking:
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1))  # type: ignore[arg-type]
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
     found.wanted[job.id] = Wanted(job.spec, turn(job), 0.0)
@@ -154,7 +154,7 @@
         clock[0] += 0.06
 
     monkeypatch.setattr(Booking, "_search", search)
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     found = Booking(settings, Operator(), None, HoldTable("hive-0"), Random(1), most_round_s=0.1)  # type: ignore[arg-type]
     for number in range(5):
         spec = make_spec(number)
@@ -170,7 +170,7 @@
 
 def test_a_lease_outlasts_more_work_where_the_processor_is_slower() -> None:
     """At 1.5 s on 6.5% of a core a leader lost its lease every few seconds."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     lasts = []
     for share in (2.0, 0.43, 0.065, 0.0):
         settings.cluster.limits.cpu_share = share
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -13,8 +13,10 @@
 import curio
 import pytest
 
+from tests.fakes.controllers import make_settings, start_controller
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.fakes.worker import FakeWorker
 from tests.scenes import SITES, Scene, assert_rules, play_scene
-from tests.standins import VirtualTime, Worker, run_virtual, settings_for, start_node
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.leading import Leading
@@ -48,7 +50,7 @@
     await curio.sleep(1.0)
     for name in scene.names:
         if name not in scene.nodes:
-            await start_node(scene, name)
+            await start_controller(scene, name)
 
 
 async def all_restart(scene: Scene, leader: str, confirmer: str) -> None:
@@ -57,14 +59,14 @@
         await scene.end(name)
     await curio.sleep(1.0)
     for name in scene.names:
-        await start_node(scene, name)
+        await start_controller(scene, name)
 
 
 async def confirmer_restarts_alone(scene: Scene, leader: str, confirmer: str) -> None:
     scene.peers_refuse = True
     await scene.end(confirmer)
     await curio.sleep(0.5)
-    await start_node(scene, confirmer)
+    await start_controller(scene, confirmer)
 
 
 def gap(
@@ -160,15 +162,15 @@
     assert scene.took_s() < 0.7 * scene.workers.cancel_s
 
 
-def deaf(worker: Worker, until: float) -> None:
+def deaf(worker: FakeWorker, until: float) -> None:
     worker.deaf_until = until
 
 
-def mute(worker: Worker, until: float) -> None:
+def mute(worker: FakeWorker, until: float) -> None:
     worker.mute_until = until
 
 
-def hang(worker: Worker, until: float) -> None:
+def hang(worker: FakeWorker, until: float) -> None:
     worker.hanging_until = until
 
 
@@ -176,14 +178,14 @@
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("trouble", [deaf, mute, hang])
 def test_gap_with_machines_out_of_reach(
-    trouble: Callable[[Worker, float], None],
+    trouble: Callable[[FakeWorker, float], None],
     site: str,
     links: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What can't be shown to be gone takes its machine with it, without the state service."""
 
-    healthy: list[Worker] = []
+    healthy: list[FakeWorker] = []
 
     def before(scene: Scene) -> None:
         busy = [worker for worker in scene.cloud.workers.values() if worker.present()]
@@ -422,7 +424,7 @@
             released.append((await curio.clock(), names))
 
     async def main(clock: VirtualTime) -> None:
-        settings = settings_for("hive-0", "a", [])
+        settings = make_settings("hive-0", "a", [])
         cancel_s = settings.cluster.workers.cancel_s
         record = Cancellations("b", cancel_s, settings.cluster.workers.lease_s)
         placements = Placements()
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -12,10 +12,11 @@
 
 from tests.conftest import make_spec
 from tests.corpus import DAYS, FILE, Collector, Corpus, collect_day
-from tests.standins import VirtualTime, create_node, hand_over, run_virtual
+from tests.fakes.controllers import create_controller
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.test_random_days import play
 from tests.test_service_days import LATER
-from tests.versions import CURRENT, Version, member, production
+from tests.versions import CURRENT, Version, deliver_peer_message, member, production
 from tests.world import NAMES, World
 from topazhold.control.node import Node
 from topazhold.core import holds, leadership, records
@@ -137,9 +138,9 @@
     async def main(clock: VirtualTime) -> None:
         world = World(clock, 1)
         world.versions = {NAMES[0]: version}
-        node = create_node(world, NAMES[0], {"yes": True})
+        node = create_controller(world, NAMES[0], {"yes": True})
         for message in messages:
-            await hand_over(node, tuple(message))
+            await deliver_peer_message(node, tuple(message))
             known.append(controller_meaning(node))
 
     run_virtual(main, monkeypatch)
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -9,7 +9,8 @@
 import pytest
 
 from tests.conftest import MACHINE_TYPE, Bench, make_spec
-from tests.standins import VirtualTime, run_virtual, settings_for
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
@@ -61,7 +62,7 @@
 
 
 def fleet(machines: int) -> tuple[TermContext, Scheduler]:
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(machines):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -8,8 +8,9 @@
 import curio
 import pytest
 
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.controllers import start_controller
 from tests.scenes import Scene, assert_rules, play_scene
-from tests.standins import CloudService, start_node
 from tests.traps import POINTS, Trap
 from tests.versions import production
 from topazhold.core.renting import Ask
@@ -146,7 +147,7 @@
         scene.frozen.clear()
         await curio.sleep(1.0)
         for name in scene.names:  # the same node may lead again, under another term
-            await start_node(scene, name)
+            await start_controller(scene, name)
         await settle(scene)
 
     assert_rules(play_scene(act, monkeypatch))
@@ -177,7 +178,7 @@
 
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        cloud = scene.net.hosts[CloudService.HOST]
+        cloud = scene.net.hosts[FakeCloud.HOST]
         asked: list[str] = []
 
         async def refuse(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -186,7 +187,7 @@
                 return status, {"error": "trouble"}
             return await cloud(source, method, path, body)
 
-        scene.net.hosts[CloudService.HOST] = refuse
+        scene.net.hosts[FakeCloud.HOST] = refuse
         await order(scene, leader, "rental")
         await scene.until(lambda: len(asked) == 3)
         repeated = len(set(asked)) < 3
@@ -308,7 +309,7 @@
         scene.frozen.clear()
         scene.versions = dict.fromkeys(scene.names, production())
         for node in scene.names:
-            await start_node(scene, node)
+            await start_controller(scene, node)
         await scene.until(lambda: scene.leader() is not None)
         await scene.submit(scene.names[0], 500.0, tasks=16, gpus=1.0)  # on all machines
         worker = scene.cloud.workers[name]
--- a/tests/test_duties_records.py
+++ b/tests/test_duties_records.py
@@ -13,8 +13,8 @@
 import pytest
 from click.testing import CliRunner
 
+from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.loopback import NAMES, ROOT, LoopbackWorld, free_port, serve
-from tests.standins import StateService
 from tests.test_random_days import play
 from topazhold.cli import main
 from topazhold.core.leadership import LEADER_KEY
@@ -118,7 +118,7 @@
 
 def test_command_without_state_service_or_settings(tmp_path: Path) -> None:
     world = LoopbackWorld(1, tmp_path, "")
-    assert StateService.HOST in world.net.hosts  # made, but not served
+    assert FakeKeyValueStore.HOST in world.net.hosts  # made, but not served
     world.ports[NAMES[0]]["state"] = free_port()
     result = CliRunner().invoke(main, ["duties", "--config", str(world.config(NAMES[0]))])
     assert result.exit_code == 3 and len(result.stderr.strip().splitlines()) == 1
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -8,7 +8,7 @@
 import cbor2
 import h11
 
-from tests.standins import finish
+from tests.fakes.virtual_time import finish
 from topazhold.io.heads import MAX_HEADS, parse_request_head, render_answer_head
 from topazhold.io.http import Answer, Request
 from topazhold.io.server import Connection
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -9,7 +9,8 @@
 import pytest
 
 from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import VirtualTime, run_virtual, settings_for
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
@@ -44,7 +45,7 @@
 
 def write_plan(monkeypatch: pytest.MonkeyPatch, machines: int, jobs: int) -> tuple[Ledger, Any]:
     """A plan of so many one-task jobs over so many machines, written."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     store = Ledger(settings.cluster.state.txn_ops)
     scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -8,10 +8,11 @@
 import curio
 import pytest
 
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.scenes import Scene, assert_rules, play_scene
-from tests.standins import CloudService, StateService
 
-OUTSIDE = [StateService.HOST, CloudService.HOST, "user"]
+OUTSIDE = [FakeKeyValueStore.HOST, FakeCloud.HOST, "user"]
 
 
 def limits(scene: Scene, gpus: float) -> None:
@@ -547,7 +548,7 @@
         jobs = await scene.jobs_running(4, old, gpus=2.0)
         busy = scene.busy_workers()
         at = scene.clock.now
-        scene.cut_off(old, [*scene.names, StateService.HOST])
+        scene.cut_off(old, [*scene.names, FakeKeyValueStore.HOST])
         new = await scene.new_leader(old)
         served = [w for w in busy if w.answered_by.get(old, 0.0) > at]
         assert served, "workers still report to the old one"
@@ -621,7 +622,7 @@
         await scene.jobs_running(1, scene.names[0])
         leader = scene.leader()
         assert leader is not None
-        scene.net.lost.add((StateService.HOST, leader))
+        scene.net.lost.add((FakeKeyValueStore.HOST, leader))
         new = await scene.new_leader(leader, 10 * scene.nodes[leader].grant_s)
         await scene.jobs_running(1, new)
         scene.net.lost.clear()
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -11,7 +11,8 @@
 from click.testing import CliRunner
 
 from tests.conftest import MACHINE_TYPE, Bench, make_spec
-from tests.standins import VirtualTime, run_virtual, settings_for
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.test_intent_shards import fill, fleet
 from tests.test_settings import GOOD
 from topazhold import settings as conf
@@ -146,7 +147,7 @@
 
 
 def lowered_settings() -> Any:
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     settings.cluster.state.next = LaterLimits(value_kb=2.0, txn_ops=5)
     return settings
 
@@ -293,7 +294,7 @@
 
 
 def write_some(client: Answering, rate: LaterLimits | None, monkeypatch: pytest.MonkeyPatch) -> Any:
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     settings.cluster.state.write_rps = 20.0
     settings.cluster.state.next = rate
     outcomes: list[Any] = []
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -9,7 +9,8 @@
 import pytest
 
 from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import VirtualTime, run_virtual, settings_for
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
@@ -23,7 +24,7 @@
 def test_summary_of_many_zones_fits_one_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
     """Six zones with values of 16 KiB each passed the 64 KiB of a transaction: none of
     it was written. What is left out is said to be."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
     settings.cluster.state.value_kb = 16.0
     settings.cluster.teams[0].gpus_max = 1e6
@@ -53,7 +54,7 @@
 
 def test_others_get_their_turn_while_a_summary_is_made(monkeypatch: pytest.MonkeyPatch) -> None:
     """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
     scheduler = Scheduler(settings, Operator(), 3, HoldTable("hive-0"), Random(1), 0.0)
     turns: list[int] = []
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -1,4 +1,4 @@
-"""The users' interface against the real control code and the stand-in store."""
+"""The users' interface against the real control code and the fake key-value store."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 import pytest
 
 from tests.conftest import make_spec
-from tests.standins import VirtualTime, body_fields, run_virtual, start_node
+from tests.fakes.controllers import start_controller
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import submission_fields
 from tests.world import NAMES, World
 from topazhold.control.takeover import load_parts
 from topazhold.io.http import Request
@@ -26,7 +28,7 @@
     async def main(clock: VirtualTime) -> None:
         world = World(clock, 1)
         worlds.append(world)
-        await start_node(world, NAMES[0])
+        await start_controller(world, NAMES[0])
         await curio.sleep(grace_s)
         await act(world, world.nodes[NAMES[0]])
 
@@ -36,7 +38,7 @@
 
 async def submit(node: Any, **changes: Any) -> Any:
     body = msgspec.to_builtins(make_spec())
-    body.update(body_fields(changes))
+    body.update(submission_fields(changes))
     return await node.handle(Request("POST", "/api/jobs", pack(body)))
 
 
@@ -96,7 +98,7 @@
     async def main(clock: VirtualTime) -> None:
         world = World(clock, 1)
         world.cloud.down = True
-        await start_node(world, NAMES[0])
+        await start_controller(world, NAMES[0])
         await curio.sleep(2.0)
         await act(world, world.nodes[NAMES[0]])
 
@@ -198,7 +200,7 @@
         world.state.data["live/wk-000077"] = ("nonsense", 5, None)
         world.state.data["live/wk-000078"] = ({"spec": {"id": "wk-000078"}, "at": "x"}, 6, None)
         world.state.data["on/0001"] = ({"boxes": {"host-000099": [1]}}, 7, None)
-        await start_node(world, NAMES[0])
+        await start_controller(world, NAMES[0])
         await curio.sleep(2.0)
         node = world.nodes[NAMES[0]]
         assert node.leading is not None and node.leading.loaded
--- a/tests/traps.py
+++ b/tests/traps.py
@@ -7,7 +7,8 @@
 
 import curio
 
-from tests.standins import CloudService, StateService
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
 from topazhold.duties.records import RENTAL_PREFIX, RETURN_PREFIX
 from topazhold.io.http import NoAnswer
 
@@ -35,10 +36,10 @@
         self._point, self._act, self._held_s = point, act, held_s
         self._path, self._prefix = KINDS[kind]
         self.source: str | None = None  # whose order it was
-        self._state = hosts[StateService.HOST]
-        self._cloud = hosts[CloudService.HOST]
-        hosts[StateService.HOST] = self._on_state
-        hosts[CloudService.HOST] = self._on_cloud
+        self._state = hosts[FakeKeyValueStore.HOST]
+        self._cloud = hosts[FakeCloud.HOST]
+        hosts[FakeKeyValueStore.HOST] = self._on_state
+        hosts[FakeCloud.HOST] = self._on_cloud
 
     def _spring(self, source: str, point: str) -> bool:
         if self.source is not None or point != self._point:
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -95,3 +95,31 @@
     (folder / PACKAGE).rename(folder / PRODUCTION_PACKAGE)
     sys.path.insert(0, str(folder))
     return Version(PRODUCTION_PACKAGE)
+
+
+# -- what the harness asks of a controller of either version ------------------------
+
+
+async def deliver_peer_message(controller: Any, message: tuple[Any, ...]) -> None:
+    """A message of another controller arrives."""
+    await member(controller, "peer_message")(message)
+
+
+def leader_term(controller: Any) -> Any:
+    """The term that a controller leads, or None."""
+    return member(controller, "leading")
+
+
+def is_leading(controller: Any) -> bool:
+    """Whether it has been elected and has not given up."""
+    return leader_term(controller) is not None
+
+
+def has_loaded(controller: Any) -> bool:
+    """Whether it leads and has read all that is stored."""
+    return is_leading(controller) and member(leader_term(controller), "loaded")
+
+
+def fencing_token(controller: Any) -> int:
+    """The fencing token of the term that it leads."""
+    return int(member(leader_term(controller), "term"))
--- a/tests/world.py
+++ b/tests/world.py
@@ -8,19 +8,13 @@
 
 import curio
 
-from tests.standins import (
-    CloudService,
-    Net,
-    StateService,
-    Task,
-    VirtualTime,
-    Worker,
-    is_leading,
-    settings_for,
-    start_node,
-    stop_node,
-)
-from tests.versions import Version, production
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.controllers import make_settings, start_controller, stop_controller
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import Network
+from tests.fakes.virtual_time import VirtualTime
+from tests.fakes.worker import FakeTask, FakeWorker
+from tests.versions import Version, is_leading, production
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.settings import LaterLimits
 from topazhold.wire.codec import unpack
@@ -54,21 +48,21 @@
     def __init__(self, clock: VirtualTime, seed: int, capacity: int = 9) -> None:
         self.clock = clock
         self.rng = Random(seed)
-        self.net = Net(self.rng)
+        self.net = Network(self.rng)
         self.names = list(NAMES)
         self.zones = ZONES
         self.node_settings = {
-            name: settings_for(name, ZONES[name], [(o, ZONES[o]) for o in NAMES if o != name])
+            name: make_settings(name, ZONES[name], [(o, ZONES[o]) for o in NAMES if o != name])
             for name in NAMES
         }
         self.settings = self.node_settings[NAMES[0]]
         self.nodes: dict[str, Any] = {}
         self.running: dict[str, Any] = {}
-        self.state = StateService(clock)
-        self.cloud = CloudService(self, self.rng, capacity)
+        self.state = FakeKeyValueStore(clock)
+        self.cloud = FakeCloud(self, self.rng, capacity)
         self.state.on_change = self.cloud.orders.stored
-        self.net.hosts[StateService.HOST] = self.state.handle
-        self.net.hosts[CloudService.HOST] = self.cloud.handle
+        self.net.hosts[FakeKeyValueStore.HOST] = self.state.handle
+        self.net.hosts[FakeCloud.HOST] = self.cloud.handle
         self.specs: dict[str, dict[str, Any]] = {}
         self.run_s: dict[str, float] = {}
         self.results: set[tuple[str, int]] = set()
@@ -119,11 +113,11 @@
 
     # -- what workers tell the world ---------------------------------------
 
-    def launched(self, worker: Worker, task_name: str) -> None:
+    def launched(self, worker: FakeWorker, task_name: str) -> None:
         """A launch is carried out."""
         self.cloud.orders.launched(worker, task_name)
 
-    def started(self, worker: Worker, task: Task) -> None:
+    def started(self, worker: FakeWorker, task: FakeTask) -> None:
         """A task has its image: the moment that the rules look at."""
         self.starts += 1
         self.began_at.setdefault(task.job, self.clock.now)
@@ -137,7 +131,7 @@
         if not spec["drones"] and worker.spot:
             self.violate("wrong_place", f"{task_name} on a spot machine")
 
-    def _check_place(self, worker: Worker, task: Task) -> None:
+    def _check_place(self, worker: FakeWorker, task: FakeTask) -> None:
         spec = task.spec
         if spec.get("apiary") and worker.zone != spec["apiary"]:
             self.violate("wrong_place", f"{task.task_name} in {worker.zone}")
@@ -153,13 +147,13 @@
         if spec["scatter"] and zones.count(worker.zone) + 1 > (spec["frames"] + 1) // 2:
             self.violate("wrong_place", f"{task.task_name}: too many in {worker.zone}")
 
-    def runs_for(self, task: Task) -> float:
+    def runs_for(self, task: FakeTask) -> float:
         """How long a task runs, once it runs; a replica does not end."""
         if task.spec["shape"] == "daemon":
             return math.inf
         return self.run_s[task.job]
 
-    def peers(self, task: Task) -> list[tuple[Worker, Task]]:
+    def peers(self, task: FakeTask) -> list[tuple[FakeWorker, FakeTask]]:
         return [
             (worker, there)
             for worker in self.cloud.workers.values()
@@ -167,7 +161,7 @@
             if there.job == task.job and there.attempt == task.attempt
         ]
 
-    def gather(self, worker: Worker, task: Task) -> None:
+    def gather(self, worker: FakeWorker, task: FakeTask) -> None:
         """A gang runs once all its tasks are there."""
         ready = [t for _, t in self.peers(task) if t.state == "gathering"]
         if len({t.index for t in ready}) == task.spec["frames"]:
@@ -179,7 +173,7 @@
         elif self.clock.now - task.gathered_at > self.settings.cluster.workers.gang_wait_s:
             worker._end(task, "incomplete")
 
-    def complete(self, worker: Worker, task: Task) -> None:
+    def complete(self, worker: FakeWorker, task: FakeTask) -> None:
         self._complete(worker, task)
         if self.cancel_at_end and self.rng.random() < self.cancel_at_end:
             if all((task.job, i) in self.results for i in range(task.spec["frames"])):
@@ -198,7 +192,7 @@
         status, body = await self.ask("POST", f"/api/jobs/{job}/cancel", {}, 5.0)
         self.hear(job, status, body, False)
 
-    def _complete(self, worker: Worker, task: Task) -> None:
+    def _complete(self, worker: FakeWorker, task: FakeTask) -> None:
         if task.spec["shape"] == "daemon":
             worker._end(task, "done")
             return
@@ -554,7 +548,7 @@
         elif kind == "state_one_way":
             # The state service hears some controller, or it the service, and not both.
             leading = self.leaders()
-            lost = {(rng.choice([*leading, name]), StateService.HOST)}
+            lost = {(rng.choice([*leading, name]), FakeKeyValueStore.HOST)}
             if rng.random() < 0.5:
                 lost = {(b, a) for a, b in lost}
             self.net.lost |= lost
@@ -631,20 +625,22 @@
                         worker._end(task, self.rng.choice(["done", "error"]))
 
     async def cut(self, kind: str, name: str, for_s: float) -> None:
+        all_but_workers = (*self.names, FakeKeyValueStore.HOST)
         pairs = {
             "zones_cut": [("a", "b")],
             "node_cut": [(name, z) for z in ("a", "b")]
             + [
                 (name, o)
-                for o in (*self.names, "user", StateService.HOST, CloudService.HOST)
+                for o in (*self.names, "user", FakeKeyValueStore.HOST, FakeCloud.HOST)
                 if o != name
             ],
-            "node_off_state": [(name, StateService.HOST)],
-            "node_off_all_but_workers": [
-                (name, o) for o in (*self.names, StateService.HOST) if o != name
-            ],
+            "node_off_state": [(name, FakeKeyValueStore.HOST)],
+            "node_off_all_but_workers": [(name, o) for o in all_but_workers if o != name],
             "leader_off_all_but_workers": [
-                (n, o) for n in self.leaders() for o in (*self.names, StateService.HOST) if o != n
+                (n, o)
+                for n in self.leaders()
+                for o in (*self.names, FakeKeyValueStore.HOST)
+                if o != n
             ],
             "leader_off_zone": [(n, "b") for n in self.leaders()],
             "machine_cut": [
@@ -680,11 +676,11 @@
     async def crash(self, names: list[str], back_s: list[float] | None = None) -> None:
         for name in names:
             if name in self.nodes:
-                await stop_node(self, name)
+                await stop_controller(self, name)
         await curio.sleep(self.rng.choice(back_s or [0.05, 0.2, 1.0, 3.0]))
         for name in names:
             if name not in self.nodes:
-                await start_node(self, name)
+                await start_controller(self, name)
 
     # -- the run -----------------------------------------------------------------
 
@@ -738,7 +734,7 @@
         if later is not None:
             self.run_production(later)
         for name in self.names:
-            await start_node(self, name)
+            await start_controller(self, name)
         for number in range(self.cloud.capacity * 4 // 9):
             await self.cloud.add("ab"[number % 2], False)
         steps = await curio.spawn(self.steps, daemon=True)
@@ -761,7 +757,7 @@
             await task.cancel()
         self.check_shares()
         for name in list(self.nodes):
-            await stop_node(self, name)
+            await stop_controller(self, name)
 
     def unfinished(self) -> list[str]:
         return [job for job in self.specs if self.told.get(job) not in ("done", "aborted")]
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -22,7 +22,7 @@
 import msgspec
 
 from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import settings_for
+from tests.fakes.controllers import make_settings
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import Hold, HoldTable
@@ -50,7 +50,7 @@
     def __init__(self, machines: int, tasks: int, gangs: int, arrays: int) -> None:
         self.now = 1000.0
         self.rng = Random(1)
-        self.settings = settings_for("node-0", "a", [])
+        self.settings = make_settings("node-0", "a", [])
         for team in self.settings.cluster.teams:
             team.gpus = team.gpus_max = 1e6
         self.hold_table = HoldTable("node-0")
