--- /dev/null
+++ b/tests/random_days.py
@@ -0,0 +1,55 @@
+"""Days whose jobs and faults are drawn from a seed."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.world import World
+from topazhold.settings import LaterLimits
+
+#: Kinds of faults, by what they hit; one that stands twice is drawn twice as often.
+CONTROLLERS = ["crash", "crash", "crash_leader", "crash_all", "roll", "crash_election"]
+NETWORK = [
+    "zones_cut",
+    "node_cut",
+    "node_off_state",
+    "machine_cut",
+    "leader_off_zone",
+    "loss",
+    "node_off_all_but_workers",
+    "leader_off_all_but_workers",
+    "late_copies",
+]
+OUTSIDE = ["state_down", "state_refused", "leader_refused", "cloud_down"]
+MACHINES = ["hang", "hang", "notice", "taken", "sick", "deaf", "deaf_zone", "blink"]
+MANY = ["mass_hang", "mass_die", "freeze", "freeze_leader", "peers_refuse", "state_slow"]
+ALL = CONTROLLERS + NETWORK + OUTSIDE + MACHINES
+
+
+def play(
+    seed: int,
+    kinds: list[str],
+    monkeypatch: Any,
+    jobs: int = 30,
+    trouble_s: float = 60.0,
+    calm_s: float = 400.0,
+    capacity: int = 9,
+    limit: float = 1.0,
+    services: float = 0.0,
+    later: LaterLimits | None = None,
+) -> World:
+    worlds: list[World] = []
+
+    async def main(clock: VirtualTime) -> None:
+        world = World(clock, seed, capacity)
+        for settings in world.node_settings.values():
+            for team in settings.cluster.teams:
+                team.gpus *= limit
+                team.gpus_max *= limit
+        worlds.append(world)
+        world.services = services
+        await world.play(jobs, trouble_s, calm_s, kinds, later)
+
+    run_virtual(main, monkeypatch)
+    return worlds[0]
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.test_random_days import play
+from tests.random_days import play
 from tests.world import LARGEST
 from topazhold.control import users as users_module
 from topazhold.core import array_placing, placing, quota, records, recovery
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -14,7 +14,7 @@
 from tests.corpus import DAYS, FILE, Collector, Corpus, collect_day
 from tests.fakes.controllers import create_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
-from tests.test_random_days import play
+from tests.random_days import play
 from tests.test_service_days import LATER
 from tests.versions import CURRENT, Version, deliver_peer_message, member, production
 from tests.world import NAMES, World
--- a/tests/test_duties_records.py
+++ b/tests/test_duties_records.py
@@ -15,7 +15,7 @@
 
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.loopback import NAMES, ROOT, LoopbackWorld, free_port, serve
-from tests.test_random_days import play
+from tests.random_days import play
 from topazhold.cli import main
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.duties.inspection import DUTIES
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.test_random_days import ALL, CONTROLLERS, MACHINES, MANY, NETWORK, OUTSIDE, play
+from tests.random_days import ALL, CONTROLLERS, MACHINES, MANY, NETWORK, OUTSIDE, play
 from tests.world import World
 from topazhold.settings import LaterLimits
 
