--- a/tests/cloud_history.py
+++ b/tests/cloud_history.py
@@ -30,8 +30,8 @@
 class CloudHistory:
     """Judges every order that has an effect; `judges` is off where old versions lead."""
 
-    def __init__(self, world: Any) -> None:
-        self._world = world
+    def __init__(self, simulation: Any) -> None:
+        self._simulation = simulation
         self.judges = True
         self.returns: dict[str, tuple[str, float]] = {}  # machine -> record, since when
         self.rentals: set[str] = set()  # names of recorded requests
@@ -45,16 +45,16 @@
             self.rentals.add(data["request"])
         elif key.startswith(RETURN_PREFIX):
             for name in data["machines"]:
-                before, _ = self.returns.setdefault(name, (key, self._world.clock.now))
+                before, _ = self.returns.setdefault(name, (key, self._simulation.clock.now))
                 if before != key:
                     self._violate("returned_twice", f"{name} by {before} and {key}")
 
     def _violate(self, rule: str, text: str) -> None:
         if self.judges:
-            self._world.violate(rule, text)
+            self._simulation.record_violation(rule, text)
 
     def _holder(self) -> str | None:
-        value = self._world.state.data.get(LEADER_KEY)
+        value = self._simulation.store.data.get(LEADER_KEY)
         return value[0]["node"] if value is not None else None
 
     def arrived(self, source: str) -> None:
@@ -64,7 +64,7 @@
 
     def _execute(self, source: str, names: list[str], recorded: bool) -> None:
         holder = self._holder()
-        self.executed.append(Executed(self._world.clock.now, source, holder, recorded, names))
+        self.executed.append(Executed(self._simulation.clock.now, source, holder, recorded, names))
 
     def released(self, source: str, workers: list[Any]) -> None:
         """Machines are about to go that were there."""
@@ -76,7 +76,7 @@
             if worker.name in self.returns:
                 continue
             self.forced.append(worker.name)
-            if not worker.hosted & self._world.cancel_asked:
+            if not worker.hosted & self._simulation.rules.cancel_requested:
                 self._violate("unrecorded_return", f"{worker.name} by {source}")
 
     def rented(self, source: str, request: str, names: list[str]) -> None:
@@ -88,5 +88,5 @@
     def launched(self, worker: Any, task_name: str) -> None:
         """A task comes to a machine, which may have been given up by then."""
         record = self.returns.get(worker.name)
-        if record is not None and self._world.clock.now - record[1] > IN_FLIGHT_S:
+        if record is not None and self._simulation.clock.now - record[1] > IN_FLIGHT_S:
             self._violate("placed_on_returned", f"{task_name} on {worker.name}, {record[0]}")
--- a/tests/corpus.py
+++ b/tests/corpus.py
@@ -15,7 +15,7 @@
 import pytest
 
 from tests.fakes.virtual_time import VirtualTime, run_virtual
-from tests.world import World
+from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
 FILE = Path(__file__).resolve().parent / "data" / "production_corpus.json"
@@ -53,13 +53,13 @@
     return "sum/*" if key == "sum/*" else first
 
 
-async def collect(world: World, collector: Collector) -> None:
+async def collect(simulation: Simulation, collector: Collector) -> None:
     """Look at all that is stored and sent, again and again."""
     while True:
         await curio.sleep(LOOK_S)
-        for key, (data, _, _) in world.state.data.items():
+        for key, (data, _, _) in simulation.store.data.items():
             collector.add("stored", kind_of(key), [key, data])
-        for tag, messages in world.peer_messages.items():
+        for tag, messages in simulation.peer_messages.items():
             for message in messages:
                 collector.add("messages", tag, list(message))
             messages.clear()
@@ -75,11 +75,11 @@
     """Play a day of one version alone; collect what it stores and sends."""
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, seed)
+        simulation = Simulation(clock, seed)
         if production:
-            world.run_production(LaterLimits())
-        looking = await curio.spawn(collect, world, collector, daemon=True)
-        await world.play(30, 60.0, 60.0, kinds)
+            simulation.install_production(LaterLimits())
+        looking = await curio.spawn(collect, simulation, collector, daemon=True)
+        await simulation.run_day(30, 60.0, 60.0, kinds)
         await looking.cancel()
 
     run_virtual(main, monkeypatch)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -16,25 +16,25 @@
 
     HOST = "cloud:1"
 
-    def __init__(self, world: Any, rng: Random, capacity: int) -> None:
-        self.world = world
+    def __init__(self, simulation: Any, rng: Random, capacity: int) -> None:
+        self.simulation = simulation
         self.rng = rng
         self.capacity = capacity
         self.workers: dict[str, FakeWorker] = {}
         self.asks: dict[str, list[str]] = {}
         self.number = 0
         self.history: list[tuple[float, list[dict[str, Any]]]] = []
-        self.orders = CloudHistory(world)
+        self.orders = CloudHistory(simulation)
         self.down = False
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
         name = f"host-{self.number:06d}"
         self.number += 1
-        worker = FakeWorker(self.world, name, zone, spot, self.rng)
+        worker = FakeWorker(self.simulation, name, zone, spot, self.rng)
         self.workers[name] = worker
-        self.world.net.places[worker.host] = zone
+        self.simulation.network.places[worker.host] = zone
         if boots:
-            self.world.net.hosts[worker.host] = worker.handle
+            self.simulation.network.hosts[worker.host] = worker.handle
             await curio.spawn(worker.run, daemon=True)
         return name
 
@@ -44,7 +44,7 @@
         self.workers.pop(worker.name, None)
 
     def snapshot(self) -> None:
-        now = self.world.clock.now
+        now = self.simulation.clock.now
         machine_names = [
             {
                 "id": w.name,
@@ -64,8 +64,8 @@
         if self.down:
             return 503, {"error": "trouble"}
         if method == "GET" and path.startswith("/machines"):
-            lag = self.rng.uniform(0.0, 2.0) * self.world.settings.cluster.cloud.list_lag_s
-            wanted = self.world.clock.now - lag
+            lag = self.rng.uniform(0.0, 2.0) * self.simulation.settings.cluster.cloud.list_lag_s
+            wanted = self.simulation.clock.now - lag
             old = [machine_names for at, machine_names in self.history if at <= wanted]
             machine_names = old[-1] if old else []
             return 200, {"boxes": machine_names, "truncated": False}
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -48,51 +48,62 @@
     )
 
 
-def create_controller(world: Any, name: str, alive: dict[str, bool]) -> Any:
+def create_controller(simulation: Any, name: str, alive: dict[str, bool]) -> Any:
     """A controller of the version that is installed there; it does nothing yet."""
-    version = world.versions.get(name, CURRENT)
-    settings = version.settings(world.node_settings[name])
+    version = simulation.versions.get(name, CURRENT)
+    settings = version.settings(simulation.controller_settings[name])
 
     def dial(address: tuple[str, int], keep: int) -> Any:
-        return FakeClient(world.net, name, address, lambda: alive["yes"], world.thawed, version)
+        return FakeClient(
+            simulation.network,
+            name,
+            address,
+            lambda: alive["yes"],
+            simulation.wait_while_paused,
+            version,
+        )
 
     operator = version.load("settings", "Operator")()
     node = version.load("control.node", "Node")(settings, operator, dial)
-    member(node, "rng").seed(world.rng.random())
+    member(node, "rng").seed(simulation.rng.random())
     member(node, "links").update(
-        {other: PeerLink(world, name, other) for other in world.names if other != name}
+        {
+            other: PeerLink(simulation, name, other)
+            for other in simulation.controller_names
+            if other != name
+        }
     )
     return node
 
 
-async def start_controller(world: Any, name: str) -> None:
+async def start_controller(simulation: Any, name: str) -> None:
     """Start a controller process, as the platform does after an end."""
     alive = {"yes": True}
-    node = create_controller(world, name, alive)
-    request_kind = world.versions.get(name, CURRENT).load("io.http", "Request")
-    host = world.node_settings[name].bind
+    node = create_controller(simulation, name, alive)
+    request_kind = simulation.versions.get(name, CURRENT).load("io.http", "Request")
+    host = simulation.controller_settings[name].bind
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         data = pack(body) if body is not None else b""
-        await world.thawed(name)
+        await simulation.wait_while_paused(name)
         answer = await member(node, "handle")(request_kind(method, path, data))
-        await world.thawed(name)
+        await simulation.wait_while_paused(name)
         return member(answer, "status"), member(answer, "body")
 
     task = await curio.spawn(member(node, "work"), daemon=True)
-    world.nodes[name] = node
-    world.running[name] = (task, alive)
-    world.net.hosts[host] = handle
-    world.net.hosts[name] = handle
-    world.net.places[name] = world.zones[name]
+    simulation.controllers[name] = node
+    simulation.processes[name] = (task, alive)
+    simulation.network.hosts[host] = handle
+    simulation.network.hosts[name] = handle
+    simulation.network.places[name] = simulation.zones[name]
 
 
-async def stop_controller(world: Any, name: str) -> None:
+async def stop_controller(simulation: Any, name: str) -> None:
     """Kill a controller: no goodbye, nothing kept."""
-    task, alive = world.running.pop(name)
+    task, alive = simulation.processes.pop(name)
     alive["yes"] = False
-    settings = world.node_settings[name]
-    world.net.hosts.pop(settings.bind, None)
-    world.net.hosts.pop(name, None)
-    world.nodes.pop(name, None)
+    settings = simulation.controller_settings[name]
+    simulation.network.hosts.pop(settings.bind, None)
+    simulation.network.hosts.pop(name, None)
+    simulation.controllers.pop(name, None)
     await task.cancel(blocking=False)
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -16,8 +16,8 @@
 class PeerLink:
     """Stands in for a link to another controller."""
 
-    def __init__(self, world: Any, source: str, target: str) -> None:
-        self._world = world
+    def __init__(self, simulation: Any, source: str, target: str) -> None:
+        self._simulation = simulation
         self._source = source
         self._target = target
 
@@ -25,20 +25,22 @@
         await curio.spawn(self._deliver, frame, daemon=True)
 
     async def _deliver(self, frame: bytes) -> None:
-        net = self._world.net
+        net = self._simulation.network
         await curio.sleep(net.rng.uniform(0.001, 0.01))
-        await self._world.thawed(self._source)
-        await self._world.thawed(self._target)
-        node = self._world.nodes.get(self._target)
-        cut = self._world.peers_refuse or net.cut(self._source, self._target)
+        await self._simulation.wait_while_paused(self._source)
+        await self._simulation.wait_while_paused(self._target)
+        node = self._simulation.controllers.get(self._target)
+        cut = self._simulation.peers_unreachable or net.cut(self._source, self._target)
         cut = cut or net.loses(self._source, self._target)
         if node is None or cut or net.rng.random() < net.loss:
             return
         message = tuple(unpack(frame[4:]))
-        self._world.peer_messages.setdefault(message[0], []).append(message)
-        del self._world.peer_messages[message[0]][:-KEPT_MESSAGES]
+        self._simulation.peer_messages.setdefault(message[0], []).append(message)
+        del self._simulation.peer_messages[message[0]][:-KEPT_MESSAGES]
         try:
             await deliver_peer_message(node, message)
         except (ValueError, TypeError, IndexError, KeyError) as exc:
             # The real listener drops it; between versions that must not happen.
-            self._world.violate("peer_message", f"{message[0]} at {self._target}: {exc!r}")
+            self._simulation.record_violation(
+                "peer_message", f"{message[0]} at {self._target}: {exc!r}"
+            )
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -30,8 +30,8 @@
 class FakeWorker:
     """One machine with its worker."""
 
-    def __init__(self, world: Any, name: str, zone: str, spot: bool, rng: Random) -> None:
-        self.world = world
+    def __init__(self, simulation: Any, name: str, zone: str, spot: bool, rng: Random) -> None:
+        self.simulation = simulation
         self.name = name
         self.zone = zone
         self.spot = spot
@@ -54,9 +54,9 @@
         self.late_commands = 0  # direct commands carried out when it went on after a while
         self.past_reports: list[dict[str, Any]] = []
         self.answered_by: dict[str, float] = {}  # controllers, by their last 200
-        self.node = rng.randrange(len(world.names))
+        self.node = rng.randrange(len(simulation.controller_names))
         self.changed = False
-        self.rented_at = world.clock.now
+        self.rented_at = simulation.clock.now
         self.hosted: set[str] = set()  # jobs of all tasks that were ever launched here
 
     def state(self, now: float) -> str:
@@ -70,7 +70,7 @@
         well = self.up and not self.gone and not self.sick and self.gone_at is None
         return (
             well
-            and self.world.clock.now > max(self.hanging_until, self.deaf_until)
+            and self.simulation.clock.now > max(self.hanging_until, self.deaf_until)
             and spec["apiary"] in (None, self.zone)
             and (spec["drones"] or not self.spot)
         )
@@ -97,7 +97,7 @@
             if task.kept:
                 item["kept"] = True
             tasks.append(item)
-        smoke = None if self.gone_at is None else max(0.0, self.gone_at - self.world.clock.now)
+        smoke = None if self.gone_at is None else max(0.0, self.gone_at - self.simulation.clock.now)
         return {
             "box": self.name,
             "endpoint": self.host,
@@ -115,59 +115,65 @@
         """Report until the machine is gone."""
         await curio.sleep(self.rng.uniform(0.5, 4.0))
         self.up = True
-        self.lease_from = self.world.clock.now
-        workers = self.world.settings.cluster.workers
+        self.lease_from = self.simulation.clock.now
+        workers = self.simulation.settings.cluster.workers
         while not self.gone:
-            now = self.world.clock.now
+            now = self.simulation.clock.now
             if now < self.hanging_until:
                 await curio.sleep(0.2)
                 continue
             pause = await self._report_once()
-            end = self.world.clock.now + pause * self.rng.uniform(0.75, 1.25)
-            floor = self.world.clock.now + min(pause, 0.5)
-            while self.world.clock.now < end and not self.gone:
-                if self.changed and self.world.clock.now >= floor and pause == workers.report_s:
+            end = self.simulation.clock.now + pause * self.rng.uniform(0.75, 1.25)
+            floor = self.simulation.clock.now + min(pause, 0.5)
+            while self.simulation.clock.now < end and not self.gone:
+                if (
+                    self.changed
+                    and self.simulation.clock.now >= floor
+                    and pause == workers.report_s
+                ):
                     break
                 await curio.sleep(0.1)
                 self._check_lease()
 
     def _check_lease(self) -> None:
-        lease_s = self.world.settings.cluster.workers.lease_s
-        if self.world.clock.now - self.lease_from > lease_s and self.up:
-            self.world.note(f"{self.name}: lease ended")
+        lease_s = self.simulation.settings.cluster.workers.lease_s
+        if self.simulation.clock.now - self.lease_from > lease_s and self.up:
+            self.simulation.note(f"{self.name}: lease ended")
             self.new_session()
 
     def die(self) -> None:
         """It stops with all that is on it, and is listed as running for a while."""
         self.gone = True
         self.tasks.clear()
-        self.failed_at = self.world.clock.now + 8.0
-        self.world.net.hosts.pop(self.host, None)
+        self.failed_at = self.simulation.clock.now + 8.0
+        self.simulation.network.hosts.pop(self.host, None)
 
     def new_session(self) -> None:
         """All tasks are gone, and the next session begins."""
         self.tasks.clear()
         self.session += 1
-        self.lease_from = self.world.clock.now
+        self.lease_from = self.simulation.clock.now
         self.changed = True
 
     async def _report_once(self) -> float:
-        world = self.world
+        simulation = self.simulation
         self.changed = False
-        sent = world.clock.now
+        sent = simulation.clock.now
         session = self.session
-        names = world.names
+        names = simulation.controller_names
         target = names[self.node % len(names)]
         rep = self.report()
         self.past_reports = [*self.past_reports[-40:], rep]
-        await world.net.copy(self.host, names, "POST", "/v1/report", rep)
+        await simulation.network.copy(self.host, names, "POST", "/v1/report", rep)
         try:
             if sent < self.mute_until:
                 await curio.sleep(0.5)
                 raise NotSent(target)
-            status, body = await world.net.ask(self.host, target, "POST", "/v1/report", rep, 4.0)
+            status, body = await simulation.network.ask(
+                self.host, target, "POST", "/v1/report", rep, 4.0
+            )
             if sent < self.deaf_until:
-                await curio.sleep(max(0.0, sent + 4.0 - world.clock.now))
+                await curio.sleep(max(0.0, sent + 4.0 - simulation.clock.now))
                 raise NoAnswer(target)
         except (NotSent, NoAnswer):
             self.node += 1
@@ -175,8 +181,8 @@
         if self.gone or session != self.session:
             return 0.5
         answer = read_body(body)
-        if status == 421 and answer and answer.get("queen") in world.names:
-            other = world.names.index(answer["queen"])
+        if status == 421 and answer and answer.get("queen") in simulation.controller_names:
+            other = simulation.controller_names.index(answer["queen"])
             if other != self.node % len(names):
                 self.node = other
                 return 0.1
@@ -184,20 +190,20 @@
             self.node += 1
             return 1.0
         if answer["crown"] < self.term:
-            return float(world.settings.cluster.workers.report_s)
+            return float(simulation.settings.cluster.workers.report_s)
         if answer["crown"] > self.term:
             self.term = answer["crown"]
             self.changed = True
         self.lease_from = sent
-        self.answered_by[target] = world.clock.now
+        self.answered_by[target] = simulation.clock.now
         self._carry_out(answer["calls"])
-        return float(world.settings.cluster.workers.report_s)
+        return float(simulation.settings.cluster.workers.report_s)
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        if self.gone or self.world.clock.now < self.deaf_until:
+        if self.gone or self.simulation.clock.now < self.deaf_until:
             await curio.sleep(1e9)
-        late = self.world.clock.now < self.hanging_until
-        while self.world.clock.now < self.hanging_until:
+        late = self.simulation.clock.now < self.hanging_until
+        while self.simulation.clock.now < self.hanging_until:
             await curio.sleep(0.2)
         self.late_commands += late and path == "/commands"
         if path != "/commands":
@@ -231,8 +237,8 @@
 
     def _launch(self, task_name: str, attempt: int) -> None:
         self.changed = True
-        self.world.launched(self, task_name)
-        spec = self.world.specs.get(task_name.partition("/")[0])
+        self.simulation.task_launched(self, task_name)
+        spec = self.simulation.users.specs.get(task_name.partition("/")[0])
         task = FakeTask(task_name, attempt, spec or {"image_gb": 0})
         self.hosted.add(task.job)
         self.tasks[(task_name, attempt)] = task
@@ -256,11 +262,11 @@
 
     def step(self, dt: float) -> None:
         """Let the tasks get on."""
-        now = self.world.clock.now
+        now = self.simulation.clock.now
         if self.gone or now < self.hanging_until:
             return
         if self.gone_at is not None and now > self.gone_at:
-            self.world.cloud.take(self)
+            self.simulation.cloud.take(self)
             return
         for task in list(self.tasks.values()):
             if task.state == "pulling":
@@ -269,11 +275,11 @@
                     self.images.add(task.spec["comb"])
                     self._start(task)
             elif task.state == "gathering":
-                self.world.gather(self, task)
+                self.simulation.tasks.start_gang_if_complete(self, task)
             elif task.state == "running":
                 task.left -= dt
                 if task.left <= 0:
-                    self.world.complete(self, task)
+                    self.simulation.tasks.complete(self, task)
             elif task.state == "flushing":
                 task.left -= dt
                 if task.left <= 0:
@@ -281,14 +287,14 @@
 
     def _start(self, task: FakeTask) -> None:
         self.changed = True
-        self.world.started(self, task)
+        self.simulation.task_started(self, task)
         if self.sick or task.spec["lane"] == "broken":
             self._end(task, "error")
-        elif (task.job, task.index) in self.world.results:
+        elif (task.job, task.index) in self.simulation.tasks.completed:
             self._end(task, "done")
         elif task.spec["shape"] == "gang":
             task.state = "gathering"
-            task.gathered_at = self.world.clock.now
+            task.gathered_at = self.simulation.clock.now
         else:
             task.state = "running"
-            task.left = self.world.runs_for(task)
+            task.left = self.simulation.tasks.run_time_s(task)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -22,7 +22,7 @@
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import Network
 from tests.fakes.virtual_time import VirtualTime
-from tests.world import NAMES, ZONES, World
+from tests.simulation.deployment import CONTROLLER_NAMES, ZONES, Simulation
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.io.client import Client
 from topazhold.io.http import Answer, NoAnswer, NotSent, Request
@@ -124,21 +124,21 @@
     await Server(handle, 500, idle_s=60.0).run((LOOPBACK, port))
 
 
-class LoopbackWorld(World):
+class LoopbackSimulation(Simulation):
     """Three controllers of the real program, and everything around them."""
 
     def __init__(self, seed: int, folder: Path, operator: str, capacity: int = 9) -> None:
         self.ports = {
             name: {use: free_port() for use in ("public", "peers", "state", "cloud")}
-            for name in NAMES
+            for name in CONTROLLER_NAMES
         }
         super().__init__(SteadyTime(), seed, capacity)
-        self.net = SocketNet(self.rng, self.ports)
+        self.network = SocketNet(self.rng, self.ports)
         self.cloud = SocketCloud(self, self.rng, capacity)
-        self.state.on_change = self._changed
-        self.net.hosts[FakeKeyValueStore.HOST] = self.state.handle
-        self.net.hosts[FakeCloud.HOST] = self.cloud.handle
-        self.settings: Settings = self.node_settings[NAMES[0]]
+        self.store.on_change = self._changed
+        self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
+        self.network.hosts[FakeCloud.HOST] = self.cloud.handle
+        self.settings: Settings = self.controller_settings[CONTROLLER_NAMES[0]]
         self.settings.cluster.workers.report_s = REPORT_S
         self.settings.cluster.workers.lease_s = LEASE_S
         self.settings.cluster.workers.cancel_s = CANCEL_S
@@ -154,7 +154,7 @@
 
     def leader(self) -> str | None:
         """Who holds the leadership key."""
-        value = self.state.data.get(LEADER_KEY)
+        value = self.store.data.get(LEADER_KEY)
         return value[0]["node"] if value is not None else None
 
     # -- processes -------------------------------------------------------------
@@ -164,7 +164,7 @@
         path = self.folder / f"{name}.toml"
         seeds = "".join(
             SEED.format(name=other, zone=ZONES[other], peers=self.ports[other]["peers"])
-            for other in NAMES
+            for other in CONTROLLER_NAMES
             if other != name
         )
         path.write_text(
@@ -185,16 +185,16 @@
         command = [sys.executable, "run.py", "--config", str(self.config(name))]
         command += ["--operator", str(self.folder / "operator.textproto")]
         with (self.folder / f"{name}.log").open("ab") as log:
-            self.nodes[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
+            self.controllers[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
 
     def pause(self, name: str) -> None:
-        os.kill(self.nodes[name].pid, signal.SIGSTOP)
+        os.kill(self.controllers[name].pid, signal.SIGSTOP)
 
     def go_on(self, name: str) -> None:
-        os.kill(self.nodes[name].pid, signal.SIGCONT)
+        os.kill(self.controllers[name].pid, signal.SIGCONT)
 
     def end_all(self) -> None:
-        for process in self.nodes.values():
+        for process in self.controllers.values():
             process.kill()
             process.wait()
 
@@ -210,15 +210,15 @@
                 port = ports["state" if host == FakeKeyValueStore.HOST else "cloud"]
                 handler = self._current(host)
                 await curio.spawn(serve, port, handler, name, daemon=True)
-        await curio.spawn(self.steps, daemon=True)
+        await curio.spawn(self.run_steps, daemon=True)
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
-        for name in self.names:
+        for name in self.controller_names:
             self.start(name)
         await self.until(lambda: self.leader() is not None)
 
     def _current(self, host: str) -> Callable[[], Any]:
-        return lambda: self.net.hosts[host]
+        return lambda: self.network.hosts[host]
 
     async def until(
         self, true: Callable[[], Any], what: str = "it", most_s: float = PATIENCE_S
@@ -231,22 +231,22 @@
 
 
 def play(
-    act: Callable[[LoopbackWorld], Awaitable[None]],
+    act: Callable[[LoopbackSimulation], Awaitable[None]],
     folder: Path,
     seed: int = 1,
     operator: str = "record_orders: true\n",
-) -> LoopbackWorld:
+) -> LoopbackSimulation:
     """Run a scene with real processes; they are ended whatever happens."""
-    worlds: list[LoopbackWorld] = []
+    simulations: list[LoopbackSimulation] = []
 
     async def main() -> None:
-        world = LoopbackWorld(seed, folder, operator)
-        worlds.append(world)
+        simulation = LoopbackSimulation(seed, folder, operator)
+        simulations.append(simulation)
         try:
-            await act(world)
+            await act(simulation)
         finally:
-            world.end_all()
+            simulation.end_all()
             await curio.sleep(0.2)  # the last connections end before the kernel does
 
     curio.run(main)
-    return worlds[0]
+    return simulations[0]
--- a/tests/pause_scenes.py
+++ b/tests/pause_scenes.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from tests.loopback import LEASE_S, LoopbackWorld, play
+from tests.loopback import LEASE_S, LoopbackSimulation, play
 from tests.traps import Trap
 
 #: An order that the network holds is carried out so long after it was sent, and the stopped
@@ -38,33 +38,33 @@
     stopped_at: list[float] = []
     elected_at: list[float] = []
 
-    async def act(world: LoopbackWorld) -> None:
+    async def act(simulation: LoopbackSimulation) -> None:
         def stop(source: str) -> None:
-            world.pause(source)
-            stopped_at.append(world.clock.now)
+            simulation.pause(source)
+            stopped_at.append(simulation.clock.now)
 
         # Of four machines some stay idle and are returned; two are too few for three users.
-        trap = Trap(world.net.hosts, point, kind, stop, HELD_S)
-        await world.begin(machines=4 if kind == "return" else 2)
+        trap = Trap(simulation.network.hosts, point, kind, stop, HELD_S)
+        await simulation.begin(machines=4 if kind == "return" else 2)
         for number in range(3):
-            await curio.spawn(world.user, number, daemon=True)
-        await world.until(lambda: trap.source is not None, f"a {kind}")
+            await curio.spawn(simulation.users.follow_job, number, daemon=True)
+        await simulation.until(lambda: trap.source is not None, f"a {kind}")
         former = trap.source
         assert former is not None
-        await world.until(lambda: world.leader() not in (None, former), "a successor")
-        elected_at.append(world.elected[-1][0])
+        await simulation.until(lambda: simulation.leader() not in (None, former), "a successor")
+        elected_at.append(simulation.elected[-1][0])
         await curio.sleep(REPLACED_S)
-        world.go_on(former)
+        simulation.go_on(former)
         await curio.sleep(max(WATCHED_S, HELD_S if point == "before_answer" else 0.0, LEASE_S))
 
-    world = play(act, folder, seed, operator)
-    history = world.cloud.orders
+    simulation = play(act, folder, seed, operator)
+    history = simulation.cloud.orders
     return PauseOutcome(
         orders=history.received,
         executed=len(history.executed),
         stale=history.received_stale,
         stale_effect=sum(done.stale and not done.recorded for done in history.executed),
-        returned_twice=world.broken.count("returned_twice"),
-        broken=world.broken,
+        returned_twice=simulation.violations.count("returned_twice"),
+        broken=simulation.violations,
         without_holder_s=elected_at[0] - stopped_at[0],
     )
--- a/tests/random_days.py
+++ b/tests/random_days.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from tests.fakes.virtual_time import VirtualTime, run_virtual
-from tests.world import World
+from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
 #: Kinds of faults, by what they hit; one that stands twice is drawn twice as often.
@@ -38,18 +38,18 @@
     limit: float = 1.0,
     services: float = 0.0,
     later: LaterLimits | None = None,
-) -> World:
-    worlds: list[World] = []
+) -> Simulation:
+    simulations: list[Simulation] = []
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, seed, capacity)
-        for settings in world.node_settings.values():
+        simulation = Simulation(clock, seed, capacity)
+        for settings in simulation.controller_settings.values():
             for team in settings.cluster.teams:
                 team.gpus *= limit
                 team.gpus_max *= limit
-        worlds.append(world)
-        world.services = services
-        await world.play(jobs, trouble_s, calm_s, kinds, later)
+        simulations.append(simulation)
+        simulation.users.service_share = services
+        await simulation.run_day(jobs, trouble_s, calm_s, kinds, later)
 
     run_virtual(main, monkeypatch)
-    return worlds[0]
+    return simulations[0]
--- a/tests/scenes.py
+++ b/tests/scenes.py
@@ -10,10 +10,11 @@
 
 from tests.fakes.controllers import start_controller, stop_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
-from tests.fakes.worker import FakeWorker
+from tests.fakes.worker import FakeTask, FakeWorker
 from tests.job_specs import submission_fields
+from tests.simulation.deployment import SETTLING_S, Simulation
+from tests.simulation.rules import CHECK_INTERVAL_S
 from tests.versions import fencing_token, has_loaded
-from tests.world import STEP_S, World
 from topazhold.io.http import NoAnswer, NotSent
 from topazhold.wire.codec import unpack
 
@@ -24,12 +25,12 @@
 IN_FLIGHT_S = 0.05
 
 
-class Scene(World):
-    """A world without users or troubles of its own; `play` does what a test asks."""
+class Scene(Simulation):
+    """A simulation without users or troubles of its own; `play` does what a test asks."""
 
     def __init__(self, clock: VirtualTime, seed: int, site: str) -> None:
         super().__init__(clock, seed, capacity=8)
-        for settings in self.node_settings.values():
+        for settings in self.controller_settings.values():
             workers = settings.cluster.workers
             workers.report_s, workers.lease_s, workers.cancel_s = SITES[site]
             settings.cluster.teams[0].gpus_max = settings.cluster.teams[1].gpus_max = 100.0
@@ -38,32 +39,28 @@
         self.gone_at: dict[str, float] = {}  # cancelled jobs, by when the last task was gone
         self.started_late: list[str] = []  # tasks that started after a confirmation
         self.launched_late: list[str] = []  # whose launch can't have left before it
-        self.task_s: dict[tuple[str, int], float] = {}  # tasks that run for another time
-        self.users: list[Any] = []
+        self.background_users: list[Any] = []
 
-    def launched(self, worker: FakeWorker, task_name: str) -> None:
-        super().launched(worker, task_name)
-        at = self.cancelled_at.get(task_name.partition("/")[0])
+    def task_launched(self, worker: FakeWorker, task_name: str) -> None:
+        super().task_launched(worker, task_name)
+        at = self.rules.cancel_confirmed_at.get(task_name.partition("/")[0])
         if at is not None and self.clock.now - at > IN_FLIGHT_S:
             self.launched_late.append(task_name)
 
-    def started(self, worker: FakeWorker, task: Any) -> None:
-        if task.job in self.cancelled_at:
+    def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
+        if task.job in self.rules.cancel_confirmed_at:
             self.started_late.append(task.task_name)
-        super().started(worker, task)
+        super().task_started(worker, task)
 
-    def runs_for(self, task: Any) -> float:
-        return self.task_s.get((task.job, task.index), super().runs_for(task))
-
-    def check(self) -> None:
-        super().check()
+    def check_running_tasks(self) -> None:
+        super().check_running_tasks()
         there = {
             task.job
             for worker in self.cloud.workers.values()
             for task in worker.tasks.values()
             if task.state != "ended"
         }
-        for job in self.cancelled_at:
+        for job in self.rules.cancel_confirmed_at:
             if job in there:
                 self.gone_at.pop(job, None)
             else:
@@ -71,16 +68,18 @@
 
     def took_s(self) -> float:
         """How long after its confirmation the latest job's last task was gone."""
-        return max(self.gone_at.get(job, LONG_S) - at for job, at in self.cancelled_at.items())
+        return max(
+            self.gone_at.get(job, LONG_S) - at for job, at in self.rules.cancel_confirmed_at.items()
+        )
 
     # -- what a test does -----------------------------------------------------
 
     async def begin(self, machines: int = 6) -> None:
-        for name in self.names:
+        for name in self.controller_names:
             await start_controller(self, name)
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
-        await curio.spawn(self.steps, daemon=True)
+        await curio.spawn(self.run_steps, daemon=True)
         await self.until(lambda: self.leader() is not None)
 
     async def until(self, true: Callable[[], Any], most_s: float = 60.0) -> None:
@@ -93,12 +92,16 @@
     def leader(self) -> str | None:
         """The loaded leader with the newest token."""
         leading = [
-            (fencing_token(node), name) for name, node in self.nodes.items() if has_loaded(node)
+            (fencing_token(node), name)
+            for name, node in self.controllers.items()
+            if has_loaded(node)
         ]
         return max(leading)[1] if leading else None
 
     def others(self, name: str | None) -> list[str]:
-        return [other for other in self.names if other != name and other in self.nodes]
+        return [
+            other for other in self.controller_names if other != name and other in self.controllers
+        ]
 
     def present_jobs(self) -> set[str]:
         return {task.job for worker in self.cloud.workers.values() for task in worker.present()}
@@ -107,7 +110,7 @@
         """A job that is accepted by this controller."""
         self.numbers += 1
         spec = {
-            **self.new_spec(self.numbers),
+            **self.users.draw_spec(self.numbers),
             "lane": "fill",
             "shape": "batch",
             "frames": 3,
@@ -124,18 +127,18 @@
             **submission_fields(changes),
         }
         job = str(spec["id"])
-        self.specs[job] = spec
-        self.run_s[job] = run_s
-        self.submitted_at[job] = self.clock.now
+        self.users.specs[job] = spec
+        self.tasks.job_run_s[job] = run_s
+        self.users.submitted_at[job] = self.clock.now
         status, body = await self.request(via, "POST", "/api/jobs", spec)
-        self.hear(job, status, body, True)
+        self.rules.check_answer(job, status, body, True)
         assert status == 201, status
         return job
 
     async def jobs_running(self, count: int, via: str, **changes: Any) -> list[str]:
         """So many jobs, all their tasks on machines."""
         jobs = [await self.submit(via, **changes) for _ in range(count)]
-        tasks = sum(self.specs[job]["frames"] for job in jobs)
+        tasks = sum(self.users.specs[job]["frames"] for job in jobs)
 
         def on() -> bool:
             stages = [
@@ -151,22 +154,22 @@
 
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         try:
-            status, data = await self.net.ask("user", via, method, path, body, 5.0)
+            status, data = await self.network.ask("user", via, method, path, body, 5.0)
         except (NotSent, NoAnswer):
             return 0, None
         return status, unpack(data) if data else None
 
     async def cancel(self, job: str, via: str) -> int:
         """Ask one controller to cancel; the checker hears the answer."""
-        self.cancel_asked.add(job)
+        self.rules.cancel_requested.add(job)
         status, body = await self.request(via, "POST", f"/api/jobs/{job}/cancel", {})
-        self.hear(job, status, body, False)
+        self.rules.check_answer(job, status, body, False)
         return status
 
     async def poll(self, job: str, via: str) -> tuple[int, Any]:
         sent = self.clock.now
         status, body = await self.request(via, "GET", f"/api/jobs/{job}", None)
-        self.hear(job, status, body, False, sent)
+        self.rules.check_answer(job, status, body, False, sent)
         return status, body
 
     async def end(self, name: str) -> None:
@@ -174,7 +177,7 @@
 
     async def back(self, name: str, after_s: float = 0.0) -> None:
         await curio.sleep(after_s)
-        if name not in self.nodes:
+        if name not in self.controllers:
             await start_controller(self, name)
 
     async def new_leader(self, old: str | None, most_s: float = 30.0) -> str:
@@ -185,7 +188,7 @@
         return found
 
     def cut_off(self, one: str, others: list[str]) -> None:
-        self.net.cuts |= {frozenset((one, other)) for other in others if other != one}
+        self.network.cuts |= {frozenset((one, other)) for other in others if other != one}
 
     def busy_workers(self) -> list[FakeWorker]:
         return [worker for worker in self.cloud.workers.values() if worker.present()]
@@ -195,16 +198,16 @@
     async def users_come(self, jobs: int, over_s: float) -> None:
         """Users submit, ask and cancel for some time, and go on until all is over."""
         for number in range(jobs):
-            user = await curio.spawn(self.user, 500000 + number, daemon=True)
-            self.users.append(user)
+            user = await curio.spawn(self.users.follow_job, 500000 + number, daemon=True)
+            self.background_users.append(user)
             await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
 
     async def all_over(self, most_s: float = 500.0) -> None:
         """The troubles are over: every job ends, and none is left waiting."""
-        self.calm_at = self.clock.now + 40.0
-        await self.until(lambda: all(user.terminated for user in self.users), most_s)
-        assert not self.asking
-        self.check_shares()
+        self.rules.calm_since = self.clock.now + SETTLING_S
+        await self.until(lambda: all(user.terminated for user in self.background_users), most_s)
+        assert not self.users.polled
+        self.rules.check_starvation()
 
 
 def play_scene(
@@ -220,8 +223,8 @@
         scene = Scene(clock, seed, site)
         scenes.append(scene)
         await act(scene)
-        await curio.sleep(2 * STEP_S)
-        for name in list(scene.nodes):
+        await curio.sleep(2 * CHECK_INTERVAL_S)
+        for name in list(scene.controllers):
             await stop_controller(scene, name)
 
     run_virtual(main, monkeypatch)
@@ -229,4 +232,4 @@
 
 
 def assert_rules(scene: Scene) -> None:
-    assert scene.broken == [], "\n".join(scene.notes[-40:])
+    assert scene.violations == [], "\n".join(scene.notes[-40:])
--- /dev/null
+++ b/tests/simulation/controller_faults.py
@@ -0,0 +1,74 @@
+"""Faults of controllers: they end, stand still, or fall behind."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import curio
+
+from tests.simulation.fault import Fault
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+#: Delays of a controller that is back within a moment.
+QUICK_RESTART_DELAYS_S = [0.02, 0.1, 0.3]
+
+
+async def crash(simulation: Simulation, fault: Fault) -> None:
+    """One controller ends."""
+    await simulation.restart_controllers([fault.controller])
+
+
+async def crash_all(simulation: Simulation, fault: Fault) -> None:
+    """All controllers end at once."""
+    await simulation.restart_controllers(list(simulation.controllers))
+
+
+async def rolling_restart(simulation: Simulation, fault: Fault) -> None:
+    """All controllers end, one after the other."""
+    for name in simulation.controller_names:
+        await simulation.restart_controllers([name])
+        await curio.sleep(2.0)
+
+
+async def crash_leader(simulation: Simulation, fault: Fault) -> None:
+    """Whoever leads ends."""
+    await simulation.restart_controllers(simulation.leaders())
+
+
+async def crash_during_election(simulation: Simulation, fault: Fault) -> None:
+    """Whoever is elected ends at once, and is back within a moment."""
+    for _ in range(3):
+        await simulation.restart_controllers(simulation.leaders(), QUICK_RESTART_DELAYS_S)
+        await curio.sleep(simulation.rng.uniform(0.0, 2.0))
+
+
+async def pause_controller(simulation: Simulation, fault: Fault) -> None:
+    """One controller stands still; its clocks run on."""
+    simulation.paused_until[fault.controller] = simulation.clock.now + fault.duration_s
+
+
+async def pause_leader(simulation: Simulation, fault: Fault) -> None:
+    """The leader stands still, or whoever was drawn if nobody leads."""
+    name = next(iter(simulation.leaders()), fault.controller)
+    simulation.paused_until[name] = simulation.clock.now + fault.duration_s
+
+
+async def overload_controllers(simulation: Simulation, fault: Fault) -> None:
+    """Leaders get more messages than they have time for; all else is late by less."""
+    simulation.message_cost_s = simulation.rng.uniform(0.03, 0.08)
+    await curio.sleep(2 * fault.duration_s)
+    simulation.message_cost_s = 0.0
+
+
+FAULTS = {
+    "crash": crash,
+    "crash_all": crash_all,
+    "roll": rolling_restart,
+    "crash_leader": crash_leader,
+    "crash_election": crash_during_election,
+    "freeze": pause_controller,
+    "freeze_leader": pause_leader,
+    "slow": overload_controllers,
+}
--- /dev/null
+++ b/tests/simulation/deployment.py
@@ -0,0 +1,217 @@
+"""The simulated deployment: controllers, key-value store, cloud and machines, and its days."""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Any
+
+import curio
+
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.controllers import make_settings, start_controller, stop_controller
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import Network
+from tests.fakes.virtual_time import VirtualTime
+from tests.fakes.worker import FakeTask, FakeWorker
+from tests.simulation.faults import FaultInjector
+from tests.simulation.rules import CHECK_INTERVAL_S, RuleChecker
+from tests.simulation.tasks import TaskExecution
+from tests.simulation.users import Users
+from tests.versions import Version, is_leading, production
+from topazhold.settings import LaterLimits
+
+CONTROLLER_NAMES = ("hive-0", "hive-1", "hive-2")
+ZONES = {"hive-0": "a", "hive-1": "b", "hive-2": "a"}
+#: How long a controller is away when it is restarted; one of these is drawn.
+RESTART_DELAYS_S = [0.05, 0.2, 1.0, 3.0]
+#: What is under way when the last fault has begun has ended so much later.
+SETTLING_S = 40.0
+#: Share of the jobs that are services, once all controllers know services.
+SERVICE_SHARE_AFTER_UPGRADE = 0.3
+
+
+class Simulation:
+    """The controllers and everything around them; `violations` lists the rules broken."""
+
+    def __init__(self, clock: VirtualTime, seed: int, capacity: int = 9) -> None:
+        self.clock = clock
+        self.rng = Random(seed)
+        self.network = Network(self.rng)
+        self.controller_names = list(CONTROLLER_NAMES)
+        self.zones = ZONES
+        self.controller_settings = {
+            name: make_settings(
+                name,
+                ZONES[name],
+                [(other, ZONES[other]) for other in CONTROLLER_NAMES if other != name],
+            )
+            for name in CONTROLLER_NAMES
+        }
+        self.settings = self.controller_settings[CONTROLLER_NAMES[0]]
+        self.controllers: dict[str, Any] = {}
+        self.processes: dict[str, Any] = {}
+        self.versions: dict[str, Version] = {}  # controllers of another version than the current
+        self.paused_until: dict[str, float] = {}  # by controller
+        self.message_cost_s = 0.0  # what each message, in or out, keeps a controller busy
+        self.peers_unreachable = False
+        self.peer_messages: dict[str, list[tuple[Any, ...]]] = {}  # by tag, the last ones
+        self.notes: list[str] = []
+        self.violations: list[str] = []
+        self.store = FakeKeyValueStore(clock)
+        self.cloud = FakeCloud(self, self.rng, capacity)
+        self.store.on_change = self.cloud.orders.stored
+        self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
+        self.network.hosts[FakeCloud.HOST] = self.cloud.handle
+        self.tasks = TaskExecution(self)
+        self.users = Users(self)
+        self.rules = RuleChecker(self)
+        self.faults = FaultInjector(self)
+
+    def note(self, text: str) -> None:
+        """Write a line of the day's story."""
+        self.notes.append(f"{self.clock.now - 1000:8.2f} {text}")
+
+    def record_violation(self, rule: str, text: str) -> None:
+        """A rule is broken."""
+        self.violations.append(rule)
+        self.note(f"BROKEN {rule}: {text}")
+
+    @property
+    def starts(self) -> int:
+        """How many tasks have started."""
+        return self.tasks.starts
+
+    def leaders(self) -> list[str]:
+        """The controllers that have been elected; several while one does not know better."""
+        return [name for name, controller in self.controllers.items() if is_leading(controller)]
+
+    def running_workers(self) -> list[FakeWorker]:
+        """The workers of machines that are up."""
+        return [worker for worker in self.cloud.workers.values() if worker.up]
+
+    def unfinished(self) -> list[str]:
+        """Jobs whose users have not been told of an end."""
+        return [job for job in self.users.specs if not self.rules.end_is_reported(job)]
+
+    # -- what happens to controllers and tasks -----------------------------------
+
+    async def wait_while_paused(self, name: str) -> None:
+        """Wait while a controller is paused, or busy with earlier messages; its clocks run on."""
+        while self.clock.now < self.paused_until.get(name, 0.0):
+            await curio.sleep(self.paused_until[name] - self.clock.now)
+        if self.message_cost_s:
+            self.paused_until[name] = self.clock.now + self.message_cost_s
+
+    async def restart_controllers(
+        self, names: list[str], delays_s: list[float] | None = None
+    ) -> None:
+        """Kill controllers and start them again after a while; who is away already comes back."""
+        for name in names:
+            if name in self.controllers:
+                await stop_controller(self, name)
+        await curio.sleep(self.rng.choice(delays_s or RESTART_DELAYS_S))
+        for name in names:
+            if name not in self.controllers:
+                await start_controller(self, name)
+
+    def task_launched(self, worker: FakeWorker, task_name: str) -> None:
+        """A worker carries out a launch."""
+        self.cloud.orders.launched(worker, task_name)
+
+    def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
+        """A task has its image: the moment that the rules look at."""
+        self.tasks.record_start(task)
+        self.rules.check_start(worker, task)
+
+    def check_running_tasks(self) -> None:
+        """Check the rules that hold for running tasks at every moment."""
+        self.rules.check_running_tasks()
+
+    # -- a day -------------------------------------------------------------------
+
+    async def run_steps(self) -> None:
+        """Let tasks run and check the rules, step by step, without end."""
+        while True:
+            await curio.sleep(CHECK_INTERVAL_S)
+            for worker in list(self.cloud.workers.values()):
+                worker.step(CHECK_INTERVAL_S)
+            await self.users.cancel_ending_jobs()
+            self.check_running_tasks()
+            self.rules.check_answered()
+            self.rules.check_waiting()
+            self.cloud.snapshot()
+
+    def install_production(self, later: LaterLimits) -> None:
+        """All controllers are of the production version; they know what is to come."""
+        self.versions = dict.fromkeys(self.controller_names, production())
+        self.cloud.orders.judges = False  # production records no orders
+        for settings in self.controller_settings.values():
+            settings.cluster.state.next = later
+
+    async def upgrade(self, after_s: float, later: LaterLimits) -> None:
+        """Controllers are replaced one after the other by ones of the current version.
+
+        One that ends before its turn comes back as it was. Once all are new, services are
+        submitted, and the key-value store lowers its limits.
+        """
+        await curio.sleep(after_s)
+        for name in self.rng.sample(self.controller_names, len(self.controller_names)):
+            self.versions.pop(name, None)
+            await self.restart_controllers([name])
+            self.note(f"{name} upgraded")
+            await curio.sleep(self.rng.uniform(1.0, 8.0))
+        self.users.service_share = SERVICE_SHARE_AFTER_UPGRADE
+        await curio.sleep(self.rng.uniform(0.0, 5.0))
+        self.note("limits lowered")
+        self.store.lower(later)
+
+    async def run_day(
+        self,
+        jobs: int,
+        trouble_s: float,
+        calm_s: float,
+        kinds: list[str],
+        later: LaterLimits | None = None,
+    ) -> None:
+        """A day: jobs come while things fail, then a calm time to finish in.
+
+        With `later`, the production version serves at its beginning, and is upgraded.
+        """
+        if later is not None:
+            self.install_production(later)
+        await self._start_deployment()
+        steps = await curio.spawn(self.run_steps, daemon=True)
+        unknown_jobs = await curio.spawn(self.users.poll_unknown_jobs, daemon=True)
+        faults = await curio.spawn(self.faults.run, kinds, daemon=True) if kinds else None
+        if later is not None:
+            await curio.spawn(self.upgrade, 0.2 * trouble_s, later, daemon=True)
+        users = await self._submit_jobs(jobs, trouble_s)
+        if faults is not None:
+            await faults.cancel()
+        self.note("calm")
+        self.rules.calm_since = self.clock.now + SETTLING_S
+        await self._wait_for_users(users, calm_s)
+        for task in (steps, unknown_jobs, *users):
+            await task.cancel()
+        self.rules.check_starvation()
+        for name in list(self.controllers):
+            await stop_controller(self, name)
+
+    async def _start_deployment(self) -> None:
+        """Start the controllers, and machines for four ninths of the capacity."""
+        for name in self.controller_names:
+            await start_controller(self, name)
+        for number in range(self.cloud.capacity * 4 // 9):
+            await self.cloud.add("ab"[number % 2], False)
+
+    async def _submit_jobs(self, jobs: int, over_s: float) -> list[Any]:
+        users = []
+        for number in range(jobs):
+            users.append(await curio.spawn(self.users.follow_job, number, daemon=True))
+            await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
+        return users
+
+    async def _wait_for_users(self, users: list[Any], max_s: float) -> None:
+        end = self.clock.now + max_s
+        while self.clock.now < end and not all(user.terminated for user in users):
+            await curio.sleep(1.0)
--- /dev/null
+++ b/tests/simulation/faults.py
@@ -0,0 +1,46 @@
+"""Faults of all kinds, drawn one after another and overlapping."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
+
+import curio
+
+from tests.simulation import controller_faults, machine_faults, network_faults, service_faults
+from tests.simulation.fault import Fault
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+FaultFunction = Callable[["Simulation", Fault], Awaitable[None]]
+
+#: Every kind of fault, by the name that the lists of a day use.
+FAULTS: dict[str, FaultFunction] = {
+    **controller_faults.FAULTS,
+    **network_faults.FAULTS,
+    **service_faults.FAULTS,
+    **machine_faults.FAULTS,
+}
+
+
+class FaultInjector:
+    """Draws faults and lets them happen."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+
+    async def run(self, kinds: list[str]) -> None:
+        """Let faults of the given kinds happen, without end."""
+        rng = self._simulation.rng
+        while True:
+            await curio.sleep(rng.uniform(2.0, 10.0))
+            await curio.spawn(self.inject, rng.choice(kinds), daemon=True)
+
+    async def inject(self, kind: str) -> None:
+        """Let one fault happen; it is over when this returns, or ends by itself later."""
+        simulation = self._simulation
+        simulation.note(f"trouble: {kind}")
+        duration_s = simulation.rng.uniform(3.0, 20.0)
+        controller = simulation.rng.choice(simulation.controller_names)
+        await FAULTS[kind](simulation, Fault(duration_s, controller))
--- /dev/null
+++ b/tests/simulation/machine_faults.py
@@ -0,0 +1,108 @@
+"""Faults of machines and of the tasks on them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from tests.fakes.worker import FakeWorker
+from tests.simulation.fault import Fault
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+
+def _draw_workers(simulation: Simulation) -> list[FakeWorker]:
+    """One or two workers that are up."""
+    workers = simulation.running_workers()
+    return simulation.rng.sample(workers, min(len(workers), simulation.rng.choice([1, 2])))
+
+
+def _draw_third_of_workers(simulation: Simulation) -> list[FakeWorker]:
+    workers = simulation.running_workers()
+    return simulation.rng.sample(workers, len(workers) // 3)
+
+
+async def hang(simulation: Simulation, fault: Fault) -> None:
+    """Machines stand still."""
+    for worker in _draw_workers(simulation):
+        worker.hanging_until = simulation.clock.now + fault.duration_s
+
+
+async def lose_answers(simulation: Simulation, fault: Fault) -> None:
+    """Machines send heartbeats, and no answer or command reaches them."""
+    for worker in _draw_workers(simulation):
+        worker.deaf_until = simulation.clock.now + 2 * fault.duration_s
+
+
+async def lose_heartbeats(simulation: Simulation, fault: Fault) -> None:
+    """Machines reach no controller; direct commands reach them."""
+    for worker in _draw_workers(simulation):
+        worker.mute_until = simulation.clock.now + fault.duration_s
+
+
+async def restart_worker(simulation: Simulation, fault: Fault) -> None:
+    """Machines lose all tasks and begin a new session."""
+    for worker in _draw_workers(simulation):
+        worker.new_session()
+
+
+async def give_notice(simulation: Simulation, fault: Fault) -> None:
+    """Machines are told that they will be taken within seconds."""
+    for worker in _draw_workers(simulation):
+        worker.gone_at = simulation.clock.now + simulation.rng.uniform(2.0, 10.0)
+
+
+async def take_machine(simulation: Simulation, fault: Fault) -> None:
+    """The cloud takes machines without notice."""
+    for worker in _draw_workers(simulation):
+        simulation.cloud.take(worker)
+
+
+async def fail_all_tasks(simulation: Simulation, fault: Fault) -> None:
+    """Machines fail every task from now on."""
+    for worker in _draw_workers(simulation):
+        worker.sick = True
+
+
+async def hang_third(simulation: Simulation, fault: Fault) -> None:
+    """A third of the machines stands still."""
+    for worker in _draw_third_of_workers(simulation):
+        worker.hanging_until = simulation.clock.now + fault.duration_s
+
+
+async def kill_third(simulation: Simulation, fault: Fault) -> None:
+    """A third of the machines dies."""
+    for worker in _draw_third_of_workers(simulation):
+        worker.die()
+
+
+async def lose_answers_to_zone(simulation: Simulation, fault: Fault) -> None:
+    """No answer or command reaches the machines of a zone."""
+    zone = simulation.rng.choice("ab")
+    for worker in simulation.cloud.workers.values():
+        if worker.zone == zone:
+            worker.deaf_until = simulation.clock.now + fault.duration_s
+
+
+async def end_replicas(simulation: Simulation, fault: Fault) -> None:
+    """Some replicas end by themselves, with whatever cause."""
+    for worker in simulation.cloud.workers.values():
+        for task in worker.tasks.values():
+            if task.spec.get("shape") == "daemon" and task.state == "running":
+                if simulation.rng.random() < 0.3:
+                    worker._end(task, simulation.rng.choice(["done", "error"]))
+
+
+FAULTS = {
+    "hang": hang,
+    "deaf": lose_answers,
+    "mute": lose_heartbeats,
+    "blink": restart_worker,
+    "notice": give_notice,
+    "taken": take_machine,
+    "sick": fail_all_tasks,
+    "mass_hang": hang_third,
+    "mass_die": kill_third,
+    "deaf_zone": lose_answers_to_zone,
+    "replicas_end": end_replicas,
+}
--- /dev/null
+++ b/tests/simulation/network_faults.py
@@ -0,0 +1,137 @@
+"""Faults of the network: partitions, losses and late copies."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import curio
+
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.simulation.fault import Fault
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+Pairs = list[tuple[str, str]]
+
+
+async def _partition(simulation: Simulation, fault: Fault, pairs: Pairs) -> None:
+    """Cut connections, and perhaps deliver late what was sent meanwhile."""
+    simulation.network.holding = simulation.rng.random() < 0.5
+    cuts = {frozenset(pair) for pair in pairs}
+    simulation.network.cuts |= cuts
+    await curio.sleep(fault.duration_s)
+    simulation.network.cuts -= cuts
+
+
+def _all_but_workers(simulation: Simulation, name: str) -> Pairs:
+    """A controller's connections to the other controllers and to the key-value store."""
+    others = (*simulation.controller_names, FakeKeyValueStore.HOST)
+    return [(name, other) for other in others if other != name]
+
+
+async def partition_zones(simulation: Simulation, fault: Fault) -> None:
+    """Nothing passes between the zones."""
+    await _partition(simulation, fault, [("a", "b")])
+
+
+async def isolate_controller(simulation: Simulation, fault: Fault) -> None:
+    """One controller reaches nobody."""
+    name = fault.controller
+    hosts = (*simulation.controller_names, "user", FakeKeyValueStore.HOST, FakeCloud.HOST)
+    pairs = [(name, zone) for zone in ("a", "b")]
+    pairs += [(name, host) for host in hosts if host != name]
+    await _partition(simulation, fault, pairs)
+
+
+async def cut_controller_off_store(simulation: Simulation, fault: Fault) -> None:
+    """One controller does not reach the key-value store."""
+    await _partition(simulation, fault, [(fault.controller, FakeKeyValueStore.HOST)])
+
+
+async def leave_controller_its_workers(simulation: Simulation, fault: Fault) -> None:
+    """One controller reaches workers, users and the cloud only."""
+    await _partition(simulation, fault, _all_but_workers(simulation, fault.controller))
+
+
+async def leave_leader_its_workers(simulation: Simulation, fault: Fault) -> None:
+    """The leader reaches workers, users and the cloud only."""
+    pairs = [pair for name in simulation.leaders() for pair in _all_but_workers(simulation, name)]
+    await _partition(simulation, fault, pairs)
+
+
+async def cut_leader_off_zone(simulation: Simulation, fault: Fault) -> None:
+    """The leader reaches nothing in one zone."""
+    await _partition(simulation, fault, [(name, "b") for name in simulation.leaders()])
+
+
+async def cut_machines_off(simulation: Simulation, fault: Fault) -> None:
+    """Two machines reach no controller."""
+    workers = list(simulation.cloud.workers.values())[:2]
+    pairs = [(worker.host, name) for worker in workers for name in simulation.controller_names]
+    await _partition(simulation, fault, pairs)
+
+
+async def lose_one_direction(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store hears some controller, or it the store, and not both."""
+    rng = simulation.rng
+    name = rng.choice([*simulation.leaders(), fault.controller])
+    lost = {(name, FakeKeyValueStore.HOST)}
+    if rng.random() < 0.5:
+        lost = {(FakeKeyValueStore.HOST, name)}
+    simulation.network.lost |= lost
+    await curio.sleep(2 * fault.duration_s)
+    simulation.network.lost -= lost
+
+
+async def lose_requests(simulation: Simulation, fault: Fault) -> None:
+    """Requests and answers are lost now and then."""
+    simulation.network.loss = 0.1
+    await curio.sleep(fault.duration_s)
+    simulation.network.loss = 0.0
+
+
+async def copy_requests(simulation: Simulation, fault: Fault) -> None:
+    """Heartbeats and submissions arrive once more, late."""
+    simulation.network.copies = 0.3
+    await curio.sleep(fault.duration_s)
+    simulation.network.copies = 0.0
+
+
+async def delay_writes(simulation: Simulation, fault: Fault) -> None:
+    """Transactions get no answer, and are carried out late."""
+    simulation.network.late_writes = 0.2
+    await curio.sleep(fault.duration_s)
+    simulation.network.late_writes = 0.0
+
+
+async def delay_cloud_orders(simulation: Simulation, fault: Fault) -> None:
+    """Orders to the cloud get no answer, and are carried out late."""
+    simulation.network.held_orders = 0.4
+    await curio.sleep(fault.duration_s)
+    simulation.network.held_orders = 0.0
+
+
+async def cut_peer_links(simulation: Simulation, fault: Fault) -> None:
+    """Controllers do not reach each other; all else works."""
+    simulation.peers_unreachable = True
+    await curio.sleep(fault.duration_s)
+    simulation.peers_unreachable = False
+
+
+FAULTS = {
+    "zones_cut": partition_zones,
+    "node_cut": isolate_controller,
+    "node_off_state": cut_controller_off_store,
+    "node_off_all_but_workers": leave_controller_its_workers,
+    "leader_off_all_but_workers": leave_leader_its_workers,
+    "leader_off_zone": cut_leader_off_zone,
+    "machine_cut": cut_machines_off,
+    "state_one_way": lose_one_direction,
+    "loss": lose_requests,
+    "late_copies": copy_requests,
+    "late_writes": delay_writes,
+    "cloud_held": delay_cloud_orders,
+    "peers_refuse": cut_peer_links,
+}
--- /dev/null
+++ b/tests/simulation/service_faults.py
@@ -0,0 +1,82 @@
+"""Faults of the key-value store and of the cloud, and unusual users."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import curio
+
+from tests.simulation.fault import Fault
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+
+async def store_down(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store refuses everybody."""
+    simulation.store.set_down(True)
+    await curio.sleep(fault.duration_s)
+    simulation.store.set_down(False)
+
+
+async def store_refuses_controller(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store refuses one controller."""
+    simulation.store.refused.add(fault.controller)
+    await curio.sleep(fault.duration_s)
+    simulation.store.refused.discard(fault.controller)
+
+
+async def store_refuses_leader(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store refuses whoever leads."""
+    simulation.store.refused |= set(simulation.leaders())
+    await curio.sleep(fault.duration_s)
+    simulation.store.refused.clear()
+
+
+async def store_refuses_leader_then_all(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store refuses the leader, and then everybody for over a cancellation."""
+    refused = set(simulation.leaders())
+    simulation.store.refused |= refused
+    await curio.sleep(simulation.rng.uniform(0.2, 2.0))
+    simulation.store.set_down(True)
+    simulation.store.refused -= refused
+    await curio.sleep(1.2 * simulation.settings.cluster.workers.cancel_s)
+    simulation.store.set_down(False)
+
+
+async def store_slow(simulation: Simulation, fault: Fault) -> None:
+    """The key-value store answers late."""
+    simulation.store.slow_s = 0.4
+    await curio.sleep(fault.duration_s)
+    simulation.store.slow_s = 0.0
+
+
+async def cloud_down(simulation: Simulation, fault: Fault) -> None:
+    """The cloud refuses everybody."""
+    simulation.cloud.down = True
+    await curio.sleep(fault.duration_s)
+    simulation.cloud.down = False
+
+
+async def unusual_requests(simulation: Simulation, fault: Fault) -> None:
+    """Users send requests that make no sense."""
+    await simulation.users.send_unusual_requests(fault.duration_s)
+
+
+async def cancel_ending_jobs(simulation: Simulation, fault: Fault) -> None:
+    """Users cancel jobs as they end."""
+    simulation.users.cancel_at_end_share = 0.3
+    await curio.sleep(fault.duration_s)
+    simulation.users.cancel_at_end_share = 0.0
+
+
+FAULTS = {
+    "state_down": store_down,
+    "state_refused": store_refuses_controller,
+    "leader_refused": store_refuses_leader,
+    "refused_then_down": store_refuses_leader_then_all,
+    "state_slow": store_slow,
+    "cloud_down": cloud_down,
+    "odd_requests": unusual_requests,
+    "cancel_at_end": cancel_ending_jobs,
+}
--- /dev/null
+++ b/tests/simulation/tasks.py
@@ -0,0 +1,87 @@
+"""How tasks run on the simulated machines: gangs start and end together."""
+
+from __future__ import annotations
+
+import math
+from typing import TYPE_CHECKING
+
+from tests.fakes.worker import FakeTask, FakeWorker
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+
+class TaskExecution:
+    """Starts and results of all tasks."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+        self.starts = 0
+        self.first_start_at: dict[str, float] = {}  # by job
+        self.completed: set[tuple[str, int]] = set()  # tasks that are done, by job and index
+        self.job_run_s: dict[str, float] = {}
+        self.task_run_s: dict[tuple[str, int], float] = {}  # tasks that run for another time
+
+    def record_start(self, task: FakeTask) -> None:
+        """A task has its image."""
+        self.starts += 1
+        self.first_start_at.setdefault(task.job, self._simulation.clock.now)
+
+    def run_time_s(self, task: FakeTask) -> float:
+        """How long a task runs, once it runs; a replica does not end."""
+        own = self.task_run_s.get((task.job, task.index))
+        if own is not None:
+            return own
+        if task.spec["shape"] == "daemon":
+            return math.inf
+        return self.job_run_s[task.job]
+
+    def gang_members(self, task: FakeTask) -> list[tuple[FakeWorker, FakeTask]]:
+        """The tasks of a task's gang that are of the same attempt, and where they are."""
+        return [
+            (worker, member)
+            for worker in self._simulation.cloud.workers.values()
+            for member in worker.tasks.values()
+            if member.job == task.job and member.attempt == task.attempt
+        ]
+
+    def start_gang_if_complete(self, worker: FakeWorker, task: FakeTask) -> None:
+        """A gang runs once all its tasks are there."""
+        max_wait_s = self._simulation.settings.cluster.workers.gang_wait_s
+        gathered = [each for _, each in self.gang_members(task) if each.state == "gathering"]
+        if len({each.index for each in gathered}) == task.spec["frames"]:
+            for owner, member in self.gang_members(task):
+                if member.state == "gathering":
+                    member.state = "running"
+                    member.left = self.run_time_s(task)
+                    owner.changed = True
+        elif self._simulation.clock.now - task.gathered_at > max_wait_s:
+            worker._end(task, "incomplete")
+
+    def complete(self, worker: FakeWorker, task: FakeTask) -> None:
+        """A task has run for its time."""
+        self._end_completed(worker, task)
+        self._simulation.users.on_task_completed(task)
+
+    def job_is_complete(self, task: FakeTask) -> bool:
+        """Whether all tasks of a task's job are done."""
+        return all((task.job, index) in self.completed for index in range(task.spec["frames"]))
+
+    def _end_completed(self, worker: FakeWorker, task: FakeTask) -> None:
+        if task.spec["shape"] == "daemon":
+            worker._end(task, "done")
+        elif task.spec["shape"] == "gang":
+            self._end_gang(worker, task)
+        else:
+            self.completed.add((task.job, task.index))
+            worker._end(task, "done")
+
+    def _end_gang(self, worker: FakeWorker, task: FakeTask) -> None:
+        """All tasks of a gang are done at once, or none is."""
+        running = [each for each in self.gang_members(task) if each[1].state == "running"]
+        if len(running) != task.spec["frames"]:
+            worker._end(task, "peers")
+            return
+        for owner, member in running:
+            self.completed.add((member.job, member.index))
+            owner._end(member, "done")
--- /dev/null
+++ b/tests/simulation/users.py
@@ -0,0 +1,249 @@
+"""The users: they submit jobs, poll and cancel them, and send requests that make no sense."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import curio
+
+from tests.fakes.worker import FakeTask
+from topazhold.io.http import NoAnswer, NotSent
+from topazhold.wire.codec import unpack
+
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+SUBMIT_TIMEOUT_S = 5.0
+POLL_TIMEOUT_S = 2.0
+#: Numbers of jobs that nobody submits, and of those that no machine can run.
+UNKNOWN_JOB_NUMBER = 900_000
+UNUSUAL_JOB_NUMBER = 700_000
+#: GPUs of a task that fits on no machine.
+TOO_MANY_GPUS = 5.0
+REQUIRED_FIELDS = ["crew", "frames", "cards", "seal_s", "drones"]
+FIELDS_LEFT_OUT_OF_REPEATS = ["crew", "frames", "cards"]
+UNUSUAL_REQUESTS = ["repeat", "odd_repeat", "cancel_done", "huge", "lacking"]
+
+
+class Users:
+    """Everything that users ask for, and what they do with the answers."""
+
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
+        self._rng = simulation.rng
+        self.specs: dict[str, dict[str, Any]] = {}
+        self.submitted_at: dict[str, float] = {}
+        self.polled: set[str] = set()  # jobs whose users still ask
+        self.service_share = 0.0  # of the jobs
+        self.cancel_at_end_share = 0.0  # of the jobs that end
+        self.cancelled_at_end = 0
+        self.unusual_answers: dict[str, set[int]] = {}  # statuses, by kind of request
+        self._ending_jobs: list[str] = []
+
+    # -- jobs --------------------------------------------------------------------
+
+    def draw_spec(self, number: int) -> dict[str, Any]:
+        """A gang or an array, as a submission's body."""
+        rng = self._rng
+        gang = rng.random() < 0.4
+        tasks = rng.choice([1, 2, 3, 4]) if gang else rng.choice([1, 3, 6, 12])
+        gpus = rng.choice([1.0, 2.0])
+        return {
+            "id": f"wk-{number:06d}",
+            "lane": rng.choice(["train", "fill"]),
+            "crew": rng.choice(["red", "blue"]),
+            "shape": "gang" if gang else "batch",
+            "urgency": rng.choice(["urgent", "normal", "best_effort"]),
+            "frames": tasks,
+            "vcpus": 4.0,
+            "cards": gpus,
+            "ram_gb": 8.0,
+            "comb": f"img-{rng.randrange(4)}",
+            "image_gb": rng.uniform(1.0, 6.0),
+            "breeds": rng.choice([None, ["b1", "b9"]]),
+            "apiary": rng.choice([None, None, None, "a", "b"]),
+            "same_place": rng.random() < 0.4,
+            "scatter": False,
+            "drones": rng.random() < 0.5,
+            "forage_s": 8.0,
+            "cap_s": rng.choice([0.0, 5.0]),
+            "seal_s": 1.0,
+            "bloom_s": None,
+        }
+
+    def draw_service_fields(self) -> dict[str, Any]:
+        """What a service has instead of an array's or a gang's fields."""
+        return {
+            "lane": "serve",
+            "shape": "daemon",
+            "urgency": "critical",
+            "frames": self._rng.choice([2, 3, 4]),
+            "vcpus": 1.0,
+            "cards": self._rng.choice([0.0, 0.0, 1.0]),
+            "ram_gb": 2.0,
+            "image_gb": 1.0,
+            "apiary": None,
+            "same_place": False,
+            "drones": False,
+            "forage_s": 0.0,
+            "cap_s": 0.0,
+            "seal_s": 0.0,
+        }
+
+    def _draw_job(self, number: int) -> tuple[dict[str, Any], float | None]:
+        """A job that its user now submits, and when it will be cancelled."""
+        rng, now = self._rng, self._simulation.clock.now
+        spec = self.draw_spec(number)
+        if not spec["same_place"] and spec["apiary"] is None and rng.random() < 0.5:
+            spec["scatter"] = True
+        service = self.service_share > 0 and rng.random() < self.service_share
+        if service:
+            spec.update(self.draw_service_fields())
+        if rng.random() < 0.05:
+            spec["lane"] = "broken"
+        job = spec["id"]
+        self.specs[job] = spec
+        self.submitted_at[job] = now
+        self.polled.add(job)
+        long_run = rng.random() < 0.1
+        self._simulation.tasks.job_run_s[job] = 45.0 if long_run else rng.uniform(2.0, 15.0)
+        cancel_at = now + rng.uniform(1.0, 30.0) if rng.random() < 0.25 else None
+        if spec["lane"] == "broken":
+            cancel_at = now + 25.0
+        elif service:
+            cancel_at = now + rng.uniform(20.0, 120.0)
+        return spec, cancel_at
+
+    # -- requests ----------------------------------------------------------------
+
+    async def request(self, method: str, path: str, body: Any, timeout_s: float) -> tuple[int, Any]:
+        """Ask one of the controllers that are up; no answer is status 0."""
+        simulation = self._simulation
+        up = [name for name in simulation.controller_names if name in simulation.controllers]
+        if not up:
+            await curio.sleep(0.5)
+            return 0, None
+        name = self._rng.choice(up)
+        try:
+            status, data = await simulation.network.ask("user", name, method, path, body, timeout_s)
+        except (NotSent, NoAnswer):
+            return 0, None
+        if method == "POST":
+            # A repeat of a request that was carried out, up to a lease and more later.
+            await simulation.network.copy("user", up, method, path, body)
+        return status, unpack(data) if data else None
+
+    async def _submit(self, spec: dict[str, Any]) -> int:
+        status, body = await self.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
+        self._simulation.rules.check_answer(spec["id"], status, body, True)
+        return status
+
+    async def _poll(self, job: str) -> None:
+        status, body = await self.request("GET", f"/api/jobs/{job}", None, POLL_TIMEOUT_S)
+        self._simulation.rules.check_answer(job, status, body, False)
+
+    async def _cancel(self, job: str) -> None:
+        status, body = await self.request("POST", f"/api/jobs/{job}/cancel", {}, SUBMIT_TIMEOUT_S)
+        self._simulation.rules.check_answer(job, status, body, False)
+
+    async def _repeat(self, spec: dict[str, Any]) -> None:
+        """Submit an accepted job again."""
+        status, body = await self.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
+        self._simulation.rules.check_answer(spec["id"], status, body, False)
+
+    # -- what users do -----------------------------------------------------------
+
+    async def follow_job(self, number: int) -> None:
+        """Submit a job until it is accepted, poll it, perhaps cancel it."""
+        rules, rng = self._simulation.rules, self._rng
+        spec, cancel_at = self._draw_job(number)
+        job = spec["id"]
+        accepted = False
+        while not rules.end_is_reported(job):
+            if not accepted:
+                accepted = await self._submit(spec) in (200, 201)
+                await curio.sleep(rng.uniform(0.5, 1.5))
+                continue
+            if cancel_at is not None and self._simulation.clock.now > cancel_at:
+                rules.cancel_requested.add(job)
+                await self._cancel(job)
+            elif rng.random() < 0.05:
+                await self._repeat(spec)
+            else:
+                await self._poll(job)
+            await curio.sleep(rng.uniform(0.5, 3.0))
+        self.polled.discard(job)
+        for _ in range(3):  # a final answer stays
+            await curio.sleep(rng.uniform(1.0, 20.0))
+            await self._poll(job)
+
+    def on_task_completed(self, task: FakeTask) -> None:
+        """Some users cancel their jobs at the very moment at which they end."""
+        if self.cancel_at_end_share and self._rng.random() < self.cancel_at_end_share:
+            if self._simulation.tasks.job_is_complete(task):
+                self._ending_jobs.append(task.job)
+
+    async def cancel_ending_jobs(self) -> None:
+        """Cancel the jobs that have ended in this step."""
+        while self._ending_jobs:
+            job = self._ending_jobs.pop()
+            self._simulation.rules.cancel_requested.add(job)
+            self.cancelled_at_end += 1
+            await curio.spawn(self._cancel_soon, job, daemon=True)
+
+    async def _cancel_soon(self, job: str) -> None:
+        await curio.sleep(self._rng.choice([0.0, 0.1, 0.5, 1.0]))
+        await self._cancel(job)
+
+    async def poll_unknown_jobs(self) -> None:
+        """Ask about jobs that nobody submitted."""
+        while True:
+            await curio.sleep(3.0)
+            await self._poll(f"wk-{UNKNOWN_JOB_NUMBER + self._rng.randrange(1000)}")
+
+    async def send_unusual_requests(self, for_s: float) -> None:
+        """Repeats of unfinished jobs, cancels of jobs that are done, jobs that can't be."""
+        end = self._simulation.clock.now + for_s
+        number = UNUSUAL_JOB_NUMBER
+        while self._simulation.clock.now < end:
+            await curio.sleep(self._rng.uniform(0.2, 1.0))
+            number += 1
+            known = sorted(self._simulation.rules.reported_stages)
+            kind = self._rng.choice(UNUSUAL_REQUESTS)
+            if kind in ("huge", "lacking"):
+                status = await self._submit_impossible(kind, number)
+            elif known:
+                status = await self._ask_unusually(kind, self._rng.choice(known))
+            else:
+                continue
+            if status is not None:
+                self.unusual_answers.setdefault(kind, set()).add(status)
+
+    async def _submit_impossible(self, kind: str, number: int) -> int:
+        """A job that fits on no machine, or one that lacks a field."""
+        spec = self.draw_spec(number)
+        if kind == "huge":
+            spec["cards"] = TOO_MANY_GPUS
+        else:
+            del spec[self._rng.choice(REQUIRED_FIELDS)]
+        status, _ = await self.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
+        if status in (200, 201):
+            self._simulation.record_violation("invented", f"{kind} job {spec['id']} accepted")
+        return status
+
+    async def _ask_unusually(self, kind: str, job: str) -> int | None:
+        """A repeat, one with a field left out, or a cancel of a job that is done.
+
+        None if the job is not done and its cancel would not be unusual.
+        """
+        rules = self._simulation.rules
+        cancel = kind == "cancel_done"
+        if cancel and rules.reported_stages[job] != "done":
+            return None
+        path = f"/api/jobs/{job}/cancel" if cancel else "/api/jobs"
+        spec = {} if cancel else dict(self.specs[job])
+        if kind == "odd_repeat":
+            spec.pop(self._rng.choice(FIELDS_LEFT_OUT_OF_REPEATS))
+        status, body = await self.request("POST", path, spec, SUBMIT_TIMEOUT_S)
+        rules.check_answer(job, status, body, not cancel)
+        return status
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.random_days import play
-from tests.world import LARGEST
+from tests.simulation.rules import LARGEST_GANG_TASKS
 from topazhold.control import users as users_module
 from topazhold.core import array_placing, placing, quota, records, recovery
 from topazhold.core.jobs import Job
@@ -102,7 +102,7 @@
 
 
 def starve_the_largest(patch: pytest.MonkeyPatch) -> None:
-    starve(patch, lambda job: job.gang and job.spec.tasks == LARGEST)
+    starve(patch, lambda job: job.gang and job.spec.tasks == LARGEST_GANG_TASKS)
 
 
 def leave_some_waiting(patch: pytest.MonkeyPatch) -> None:
@@ -153,8 +153,8 @@
 ) -> None:
     patch(monkeypatch)
     for seed in range(101, 109):
-        world = play(seed, kinds, monkeypatch, jobs=25, trouble_s=50.0, calm_s=40.0)
-        if rule in world.broken:
+        simulation = play(seed, kinds, monkeypatch, jobs=25, trouble_s=50.0, calm_s=40.0)
+        if rule in simulation.violations:
             return
     pytest.fail(f"the checker missed a variant that breaks {rule}")
 
@@ -168,8 +168,8 @@
     patch(monkeypatch)
     for seed in (101, 102):
         with monkeypatch.context() as of_day:
-            world = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
-        assert rule in world.broken, f"seed {seed}"
+            simulation = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
+        assert rule in simulation.violations, f"seed {seed}"
 
 
 def test_checker_catches_a_job_that_nobody_answers_for(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -181,10 +181,13 @@
     days = 0
     for seed in range(101, 107):
         with monkeypatch.context() as of_day:
-            world = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
-        if any(job.endswith("7") for job in world.told.keys() - world.cancel_asked):
+            simulation = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
+        if any(
+            job.endswith("7")
+            for job in simulation.rules.reported_stages.keys() - simulation.rules.cancel_requested
+        ):
             days += 1
-            assert "forgotten" in world.broken, f"seed {seed}"
+            assert "forgotten" in simulation.violations, f"seed {seed}"
         if days == 2:
             return
     pytest.fail("too few days had a job that is not answered for")
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -48,22 +48,22 @@
     for name in scene.others(confirmer):
         await scene.end(name)
     await curio.sleep(1.0)
-    for name in scene.names:
-        if name not in scene.nodes:
+    for name in scene.controller_names:
+        if name not in scene.controllers:
             await start_controller(scene, name)
 
 
 async def all_restart(scene: Scene, leader: str, confirmer: str) -> None:
     """Nobody is left who could know: then nobody may keep a worker."""
-    for name in list(scene.nodes):
+    for name in list(scene.controllers):
         await scene.end(name)
     await curio.sleep(1.0)
-    for name in scene.names:
+    for name in scene.controller_names:
         await start_controller(scene, name)
 
 
 async def confirmer_restarts_alone(scene: Scene, leader: str, confirmer: str) -> None:
-    scene.peers_refuse = True
+    scene.peers_unreachable = True
     await scene.end(confirmer)
     await curio.sleep(0.5)
     await start_controller(scene, confirmer)
@@ -88,17 +88,17 @@
         await curio.sleep(3 * scene.workers.report_s)
         if before is not None:
             before(scene)
-        scene.state.refused.add(leader)
-        scene.peers_refuse = not links
+        scene.store.refused.add(leader)
+        scene.peers_unreachable = not links
         await curio.sleep(0.3)
         for job in jobs:
             assert await scene.cancel(job, confirmer) == 200
         assert scene.leader() == leader, "the old leader leads still"
-        scene.state.set_down(True)
-        scene.state.refused.clear()
+        scene.store.set_down(True)
+        scene.store.refused.clear()
         await twist(scene, leader, confirmer)
         await curio.sleep(scene.workers.cancel_s + scene.workers.lease_s)
-        assert scene.state.down and len(scene.cancelled_at) == len(jobs)
+        assert scene.store.down and len(scene.rules.cancel_confirmed_at) == len(jobs)
 
     return play_scene(act, monkeypatch, site, seed)
 
@@ -141,13 +141,13 @@
         await scene.end(leader)
         await curio.sleep(1.1 * scene.workers.cancel_s)
         assert not scene.busy_workers()
-        scene.state.set_down(False)
+        scene.store.set_down(False)
         new = await scene.new_leader(leader)
-        terms.append(scene.nodes[new].leading.term)
-        named = [m for m in scene.nodes[new].leading.scheduler.machines.values() if m.runs]
+        terms.append(scene.controllers[new].leading.term)
+        named = [m for m in scene.controllers[new].leading.scheduler.machines.values() if m.runs]
         assert len(named) > 3, "as far as she knows the tasks may be there"
         await curio.sleep(4 * scene.workers.report_s)
-        scene.state.set_down(True)
+        scene.store.set_down(True)
 
     monkeypatch.setattr(Scheduler, "release", noted)
     assert_rules(gap(over, monkeypatch, site))
@@ -211,7 +211,7 @@
         assert old is not None
         confirmer = scene.others(old)[0]
         jobs = await scene.jobs_running(4, confirmer)
-        scene.state.refused.add(old)
+        scene.store.refused.add(old)
         await curio.sleep(1.0)
         for job in jobs:
             assert await scene.cancel(job, confirmer) == 200
@@ -220,19 +220,19 @@
         def new() -> bool:
             elected[:] = [
                 name
-                for name, node in scene.nodes.items()
+                for name, node in scene.controllers.items()
                 if name != old and node.leading is not None
             ]
             return bool(elected)
 
         while not new():
             await curio.sleep(0.001)
-        scene.state.set_down(True)
-        scene.state.refused.clear()
-        leading = scene.nodes[elected[0]].leading
+        scene.store.set_down(True)
+        scene.store.refused.clear()
+        leading = scene.controllers[elected[0]].leading
         assert not leading.loaded
         await curio.sleep(scene.workers.cancel_s + scene.workers.lease_s)
-        assert scene.nodes[elected[0]].leading is leading and not leading.loaded
+        assert scene.controllers[elected[0]].leading is leading and not leading.loaded
 
     scene = play_scene(act, monkeypatch, site)
     assert_rules(scene)
@@ -254,7 +254,7 @@
                 for worker in scene.cloud.workers.values():
                     worker.hanging_until = scene.clock.now + 1.0
             job = await scene.submit(confirmer)
-            scheduler = scene.nodes[leader].leading.scheduler
+            scheduler = scene.controllers[leader].leading.scheduler
             want = scene.rng.choice(states)
 
             def reached(job: str = job, scheduler: Any = scheduler, want: str = want) -> bool:
@@ -264,12 +264,12 @@
                 )
 
             await scene.until(reached)
-            scene.state.refused.add(leader)
+            scene.store.refused.add(leader)
             assert await scene.cancel(job, confirmer) == 200
-            scene.state.set_down(True)
+            scene.store.set_down(True)
             await curio.sleep(0.6 * scene.workers.cancel_s)
-            scene.state.set_down(False)
-            scene.state.refused.clear()
+            scene.store.set_down(False)
+            scene.store.refused.clear()
             await curio.sleep(2 * scene.workers.report_s)
             found = scene.leader()
             assert found is not None
@@ -328,7 +328,7 @@
     one that knows of the cancellation it is killed also in a broken variant."""
     for seed in range(1, 9):
         with monkeypatch.context() as of_scene:
-            if "ran_cancelled" in gap(twist, of_scene, "hive", seed, links=links).broken:
+            if "ran_cancelled" in gap(twist, of_scene, "hive", seed, links=links).violations:
                 return True
     return False
 
@@ -336,7 +336,7 @@
 def test_checker_catches_answers_without_kills(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those who keep workers without a scheduler, the leader that led among them ended."""
     no_enforcer(monkeypatch)
-    assert gap(leader_ends, monkeypatch, "hive").broken == []
+    assert gap(leader_ends, monkeypatch, "hive").violations == []
     monkeypatch.setattr(
         Node, "_answer_kept", lambda self, rep, term: Answer(200, Commands(term, []))
     )
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -15,9 +15,9 @@
 from tests.fakes.controllers import create_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.random_days import play
+from tests.simulation.deployment import CONTROLLER_NAMES, Simulation
 from tests.test_service_days import LATER
 from tests.versions import CURRENT, Version, deliver_peer_message, member, production
-from tests.world import NAMES, World
 from topazhold.control.node import Node
 from topazhold.core import holds, leadership, records
 from topazhold.core.jobs import PART, Job
@@ -136,9 +136,9 @@
     known: list[Any] = []
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, 1)
-        world.versions = {NAMES[0]: version}
-        node = create_controller(world, NAMES[0], {"yes": True})
+        simulation = Simulation(clock, 1)
+        simulation.versions = {CONTROLLER_NAMES[0]: version}
+        node = create_controller(simulation, CONTROLLER_NAMES[0], {"yes": True})
         for message in messages:
             await deliver_peer_message(node, tuple(message))
             known.append(controller_meaning(node))
@@ -305,10 +305,10 @@
     change(monkeypatch)
     for seed in (51, 52, 55):
         with monkeypatch.context() as of_day:
-            world = play(
+            simulation = play(
                 seed, ["crash_leader"], of_day, jobs=25, trouble_s=60.0, calm_s=60.0, later=LATER
             )
-        if world.broken:
+        if simulation.violations:
             return
     pytest.fail("the mixed days missed it")
 
@@ -317,9 +317,9 @@
     """Production ignores what it does not know, so what it needs must not be in a new key."""
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, 73)
-        await world.play(20, 40.0, 60.0, ["crash_leader"])
-        found = {key.partition("/")[0] for key in world.state.data}
+        simulation = Simulation(clock, 73)
+        await simulation.run_day(20, 40.0, 60.0, ["crash_leader"])
+        found = {key.partition("/")[0] for key in simulation.store.data}
         assert found <= {kind.partition("/")[0] for kind in STORED | NEW_STORED} | {"part"}
         await curio.sleep(0)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -34,7 +34,7 @@
 
 def freeze(scene: Scene) -> Callable[[str], None]:
     def act(source: str) -> None:
-        scene.frozen[source] = scene.clock.now + PAUSE_S
+        scene.paused_until[source] = scene.clock.now + PAUSE_S
 
     return act
 
@@ -43,14 +43,14 @@
     """The state service is out from this point on, for longer than any lease of a controller."""
 
     def act(source: str) -> None:
-        scene.state.set_down(True)
+        scene.store.set_down(True)
 
     return act
 
 
 async def begin(scene: Scene) -> str:
     await scene.begin(machines=4)
-    await scene.jobs_running(2, scene.names[0], gpus=1.0)
+    await scene.jobs_running(2, scene.controller_names[0], gpus=1.0)
     leader = scene.leader()
     assert leader is not None
     return leader
@@ -58,7 +58,7 @@
 
 async def order(scene: Scene, leader: str, kind: str) -> None:
     """Let the leader decide on a return or a rental."""
-    scheduler = scene.nodes[leader].leading.scheduler
+    scheduler = scene.controllers[leader].leading.scheduler
     if kind == "return":
         busy = {worker.name for worker in scene.busy_workers()}
         idle = sorted(name for name in scheduler.machines if name not in busy)
@@ -76,7 +76,7 @@
     leader = scene.leader()
     assert leader is not None
     await scene.until(lambda: not open_records(scene), 240.0)
-    known = scene.nodes[leader].leading.scheduler.machines
+    known = scene.controllers[leader].leading.scheduler.machines
     await scene.until(lambda: scene.cloud.workers.keys() <= known.keys(), 60.0)
 
 
@@ -85,7 +85,7 @@
     names = set(scene.cloud.workers)
     return [
         key
-        for key, (data, _, _) in scene.state.data.items()
+        for key, (data, _, _) in scene.store.data.items()
         if key.startswith(RENTAL_PREFIX) or names & set(data.get("machines", ()) if data else ())
         if key.startswith(DUTY_PREFIX)
     ]
@@ -99,7 +99,7 @@
 ) -> None:
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        trap = Trap(scene.net.hosts, point, kind, freeze(scene), HELD_S)
+        trap = Trap(scene.network.hosts, point, kind, freeze(scene), HELD_S)
         await order(scene, leader, kind)
         await scene.until(lambda: trap.source is not None)
         assert trap.source == leader
@@ -123,11 +123,11 @@
 ) -> None:
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        trap = Trap(scene.net.hosts, point, kind, state_fails(scene), HELD_S)
+        trap = Trap(scene.network.hosts, point, kind, state_fails(scene), HELD_S)
         await order(scene, leader, kind)
         await scene.until(lambda: trap.source is not None)
         await curio.sleep(PAUSE_S)
-        scene.state.set_down(False)
+        scene.store.set_down(False)
         await settle(scene)
 
     assert_rules(play_scene(act, monkeypatch))
@@ -139,14 +139,14 @@
 ) -> None:
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        trap = Trap(scene.net.hosts, point, "return", freeze(scene), HELD_S)
+        trap = Trap(scene.network.hosts, point, "return", freeze(scene), HELD_S)
         await order(scene, leader, "return")
         await scene.until(lambda: trap.source is not None)
-        for name in list(scene.nodes):
+        for name in list(scene.controllers):
             await scene.end(name)
-        scene.frozen.clear()
+        scene.paused_until.clear()
         await curio.sleep(1.0)
-        for name in scene.names:  # the same node may lead again, under another term
+        for name in scene.controller_names:  # the same node may lead again, under another term
             await start_controller(scene, name)
         await settle(scene)
 
@@ -158,14 +158,14 @@
 
     async def act(scene: Scene) -> None:
         await begin(scene)
-        scene.net.held_orders, scene.net.late_writes, scene.net.loss = 0.4, 0.3, 0.1
+        scene.network.held_orders, scene.network.late_writes, scene.network.loss = 0.4, 0.3, 0.1
         coming = await curio.spawn(scene.users_come, 24, 48.0, daemon=True)
         for number in range(8):
             await curio.sleep(6.0)
             scene.cloud.down = number % 3 == 2
         await coming.join()
         scene.cloud.down = False
-        scene.net.held_orders = scene.net.late_writes = scene.net.loss = 0.0
+        scene.network.held_orders = scene.network.late_writes = scene.network.loss = 0.0
         await settle(scene)
         assert len(scene.cloud.orders.executed) > 3
 
@@ -178,7 +178,7 @@
 
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        cloud = scene.net.hosts[FakeCloud.HOST]
+        cloud = scene.network.hosts[FakeCloud.HOST]
         asked: list[str] = []
 
         async def refuse(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -187,7 +187,7 @@
                 return status, {"error": "trouble"}
             return await cloud(source, method, path, body)
 
-        scene.net.hosts[FakeCloud.HOST] = refuse
+        scene.network.hosts[FakeCloud.HOST] = refuse
         await order(scene, leader, "rental")
         await scene.until(lambda: len(asked) == 3)
         repeated = len(set(asked)) < 3
@@ -209,17 +209,17 @@
         worker.hanging_until = scene.clock.now + 500.0
         assert await scene.cancel(job, via) == 200
         await curio.sleep(0.5)
-        scene.state.set_down(True)
+        scene.store.set_down(True)
         await scene.until(lambda: worker.gone)
         await curio.sleep(1.0)
         assert scene.cloud.orders.forced == [worker.name]
-        for node in scene.nodes.values():
+        for node in scene.controllers.values():
             assert worker.name in node.released.names()
         await curio.sleep(20.0)
-        scene.state.set_down(False)
+        scene.store.set_down(False)
         await scene.end(leader)
         new = await scene.new_leader(leader)
-        assert worker.name not in scene.nodes[new].leading.scheduler.machines
+        assert worker.name not in scene.controllers[new].leading.scheduler.machines
         await settle(scene)
 
     assert_rules(play_scene(act, monkeypatch))
@@ -236,12 +236,12 @@
         await scene.until(
             lambda: any(
                 key.startswith(written) and idle.name in data["boxes"]
-                for key, (data, _, _) in scene.state.data.items()
+                for key, (data, _, _) in scene.store.data.items()
             )
         )
-        scene.frozen[leader] = scene.clock.now + PAUSE_S
+        scene.paused_until[leader] = scene.clock.now + PAUSE_S
         new = await scene.new_leader(leader)
-        scheduler = scene.nodes[new].leading.scheduler
+        scheduler = scene.controllers[new].leading.scheduler
         scheduler.release(scheduler.machines[idle.name], "chosen", scene.clock.now)
         await scene.until(lambda: idle.gone)
         await settle(scene)
@@ -255,11 +255,11 @@
         taken: list[str] = []
 
         def take(source: str) -> None:
-            for name in scene.nodes[leader].leading.scheduler.releases:
+            for name in scene.controllers[leader].leading.scheduler.releases:
                 taken.append(name)
                 scene.cloud.take(scene.cloud.workers[name])
 
-        Trap(scene.net.hosts, "after_record", "return", take, HELD_S)
+        Trap(scene.network.hosts, "after_record", "return", take, HELD_S)
         await order(scene, leader, "return")
         await scene.until(lambda: bool(taken))
         await settle(scene)
@@ -275,11 +275,11 @@
 
     async def act(scene: Scene) -> None:
         leader = await begin(scene)
-        trap = Trap(scene.net.hosts, "after_record", "return", freeze(scene), HELD_S)
+        trap = Trap(scene.network.hosts, "after_record", "return", freeze(scene), HELD_S)
         scene.cloud.down = True  # the successor can't complete it yet
         await order(scene, leader, "return")
         await scene.until(lambda: trap.source is not None)
-        (name,) = scene.nodes[leader].leading.scheduler.releases
+        (name,) = scene.controllers[leader].leading.scheduler.releases
         new = await scene.new_leader(leader)
         await scene.submit(new, 10.0, tasks=8, gpus=1.0, shape="gang")
         await curio.sleep(20.0)
@@ -300,28 +300,28 @@
     async def act(scene: Scene) -> None:
         scene.cloud.orders.judges = False  # production records nothing
         leader = await begin(scene)
-        trap = Trap(scene.net.hosts, "after_record", "return", freeze(scene), HELD_S)
+        trap = Trap(scene.network.hosts, "after_record", "return", freeze(scene), HELD_S)
         await order(scene, leader, "return")
         await scene.until(lambda: trap.source is not None)
-        (name,) = scene.nodes[leader].leading.scheduler.releases
-        for node in list(scene.nodes):
+        (name,) = scene.controllers[leader].leading.scheduler.releases
+        for node in list(scene.controllers):
             await scene.end(node)
-        scene.frozen.clear()
-        scene.versions = dict.fromkeys(scene.names, production())
-        for node in scene.names:
+        scene.paused_until.clear()
+        scene.versions = dict.fromkeys(scene.controller_names, production())
+        for node in scene.controller_names:
             await start_controller(scene, node)
         await scene.until(lambda: scene.leader() is not None)
-        await scene.submit(scene.names[0], 500.0, tasks=16, gpus=1.0)  # on all machines
+        await scene.submit(scene.controller_names[0], 500.0, tasks=16, gpus=1.0)  # on all machines
         worker = scene.cloud.workers[name]
         await scene.until(lambda: any(t.state == "running" for t in worker.tasks.values()))
-        for node in scene.names:
+        for node in scene.controller_names:
             await scene.end(node)
             del scene.versions[node]
             await scene.back(node)
         await scene.until(lambda: scene.leader() is not None)
         await curio.sleep(30.0)
         assert any(t.state == "running" for t in scene.cloud.workers[name].tasks.values())
-        await scene.until(lambda: not any(k.startswith(RETURN_PREFIX) for k in scene.state.data))
+        await scene.until(lambda: not any(k.startswith(RETURN_PREFIX) for k in scene.store.data))
 
     assert_rules(play_scene(act, monkeypatch))
 
@@ -337,12 +337,12 @@
 
     async def act(scene: Scene) -> None:
         for key, value in odd.items():
-            scene.state.data[key] = (value, 5, None)
+            scene.store.data[key] = (value, 5, None)
         leader = await begin(scene)
         await order(scene, leader, "return")
         await curio.sleep(5.0)
         assert scene.cloud.orders.executed
-        assert odd.keys() <= scene.state.data.keys()
+        assert odd.keys() <= scene.store.data.keys()
 
     assert_rules(play_scene(act, monkeypatch))
     for key in odd:
--- a/tests/test_duties_records.py
+++ b/tests/test_duties_records.py
@@ -14,8 +14,9 @@
 from click.testing import CliRunner
 
 from tests.fakes.key_value_store import FakeKeyValueStore
-from tests.loopback import NAMES, ROOT, LoopbackWorld, free_port, serve
+from tests.loopback import ROOT, LoopbackSimulation, free_port, serve
 from tests.random_days import play
+from tests.simulation.deployment import CONTROLLER_NAMES
 from topazhold.cli import main
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.duties.inspection import DUTIES
@@ -49,8 +50,8 @@
 
 
 def test_all_that_is_stored_fits_the_published_schemas(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = play(30, ["cloud_held", "crash_leader"], monkeypatch, trouble_s=40.0, calm_s=60.0)
-    stored = [(key, data) for _, key, data in world.state.changes if data is not None]
+    simulation = play(30, ["cloud_held", "crash_leader"], monkeypatch, trouble_s=40.0, calm_s=60.0)
+    stored = [(key, data) for _, key, data in simulation.store.changes if data is not None]
     checked = 0
     for prefix in RECORD_TYPES:
         for key, data in stored:
@@ -76,8 +77,8 @@
                 read_record(key, odd)
 
 
-def ask(world: LoopbackWorld, *options: str) -> subprocess.Popen[str]:
-    config = str(world.config(NAMES[0]))
+def ask(simulation: LoopbackSimulation, *options: str) -> subprocess.Popen[str]:
+    config = str(simulation.config(CONTROLLER_NAMES[0]))
     command = [sys.executable, "run.py", "duties", "--config", config, *options]
     pipe = subprocess.PIPE
     return subprocess.Popen(command, cwd=ROOT, stdout=pipe, stderr=pipe, text=True)
@@ -87,21 +88,23 @@
     answers: list[str] = []
 
     async def scene() -> None:
-        world = LoopbackWorld(1, tmp_path, "")
-        port = world.ports[NAMES[0]]["state"]
-        serving = await curio.spawn(serve, port, lambda: world.state.handle, NAMES[0])
-        world.state.data[LEADER_KEY] = ({"node": "hive-2", "crown": 4}, 7, None)
+        simulation = LoopbackSimulation(1, tmp_path, "")
+        port = simulation.ports[CONTROLLER_NAMES[0]]["state"]
+        serving = await curio.spawn(
+            serve, port, lambda: simulation.store.handle, CONTROLLER_NAMES[0]
+        )
+        simulation.store.data[LEADER_KEY] = ({"node": "hive-2", "crown": 4}, 7, None)
         for number, (prefix, sample) in enumerate(SAMPLES.items()):
-            world.state.data[prefix + KEY_END] = ({**HEADER, **sample}, 8 + number, None)
-        world.state.data[f"{RETURN_PREFIX}odd"] = ({"machines": 1}, 20, None)
-        before = dict(world.state.data)
+            simulation.store.data[prefix + KEY_END] = ({**HEADER, **sample}, 8 + number, None)
+        simulation.store.data[f"{RETURN_PREFIX}odd"] = ({"machines": 1}, 20, None)
+        before = dict(simulation.store.data)
         for options in ((), ("--json",)):
-            process = ask(world, *options)
+            process = ask(simulation, *options)
             while process.poll() is None:
                 await curio.sleep(0.05)
             assert process.returncode == 0, process.communicate()
             answers.append(process.communicate()[0])
-        assert world.state.data == before, "it changes nothing"
+        assert simulation.store.data == before, "it changes nothing"
         await serving.cancel()
 
     curio.run(scene)
@@ -117,10 +120,12 @@
 
 
 def test_command_without_state_service_or_settings(tmp_path: Path) -> None:
-    world = LoopbackWorld(1, tmp_path, "")
-    assert FakeKeyValueStore.HOST in world.net.hosts  # made, but not served
-    world.ports[NAMES[0]]["state"] = free_port()
-    result = CliRunner().invoke(main, ["duties", "--config", str(world.config(NAMES[0]))])
+    simulation = LoopbackSimulation(1, tmp_path, "")
+    assert FakeKeyValueStore.HOST in simulation.network.hosts  # made, but not served
+    simulation.ports[CONTROLLER_NAMES[0]]["state"] = free_port()
+    result = CliRunner().invoke(
+        main, ["duties", "--config", str(simulation.config(CONTROLLER_NAMES[0]))]
+    )
     assert result.exit_code == 3 and len(result.stderr.strip().splitlines()) == 1
     assert "state service" in result.stderr
     result = CliRunner().invoke(main, ["duties", "--config", str(tmp_path / "none.toml")])
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -16,7 +16,7 @@
 
 
 def limits(scene: Scene, gpus: float) -> None:
-    for settings in scene.node_settings.values():
+    for settings in scene.controller_settings.values():
         for team in settings.cluster.teams:
             team.gpus_max = gpus
 
@@ -25,10 +25,14 @@
 def test_more_work_than_room_over_slow_links(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(scene: Scene) -> None:
         scene.cloud.capacity = 4
-        scene.net.delay_s = 0.4
+        scene.network.delay_s = 0.4
         await scene.begin(machines=4)
         await scene.users_come(30, 15.0)
-        waiting = [scene.specs[job] for job in scene.told if job not in scene.began_at]
+        waiting = [
+            scene.users.specs[job]
+            for job in scene.rules.reported_stages
+            if job not in scene.tasks.first_start_at
+        ]
         asked = sum(spec["frames"] * spec["cards"] for spec in waiting)
         assert asked > 16.0, "more than all machines have"
         assert len({spec["urgency"] for spec in waiting}) > 1, "urgent and not"
@@ -66,7 +70,7 @@
 
         await scene.until(placed_again, 60.0)
         status, answer = await scene.request(new, "POST", "/v1/report", held)
-        assert scene.nodes[new].leading.term > held["crown"], "from before her time"
+        assert scene.controllers[new].leading.term > held["crown"], "from before her time"
         launches = [
             command for command in (answer or {}).get("calls", []) if command["call"] == "launch"
         ]
@@ -94,7 +98,7 @@
         await scene.request(new, "POST", "/v1/report", held)
         run = [
             run
-            for run in scene.nodes[new].leading.scheduler.jobs[job].runs.values()
+            for run in scene.controllers[new].leading.scheduler.jobs[job].runs.values()
             if run.machine == first.name
         ]
         assert len(run) == 1 and run[0].present, "it still counts as possibly running"
@@ -116,13 +120,13 @@
         await scene.end(two)
         await scene.back(two, 0.05)
         three = await scene.new_leader(None)
-        term = scene.nodes[three].leading.term
-        for name in list(scene.nodes):
+        term = scene.controllers[three].leading.term
+        for name in list(scene.controllers):
             await scene.end(name)
         await scene.back(three, 0.4)
         again = await scene.new_leader(None)
-        assert again == three and scene.nodes[again].leading.term > term
-        for name in scene.names:
+        assert again == three and scene.controllers[again].leading.term > term
+        for name in scene.controller_names:
             await scene.back(name, 0.5)
         await coming.join()
         await scene.all_over()
@@ -145,7 +149,7 @@
         waiting = [await scene.submit(old, team="red", run_s=10.0) for _ in range(3)]
         cut = scene.busy_workers()[:2]
         for worker in cut:
-            scene.cut_off(worker.host, scene.names)
+            scene.cut_off(worker.host, scene.controller_names)
         await scene.end(old)
         new = await scene.new_leader(old)
         used = sum(task.spec["cards"] for w in scene.busy_workers() for task in w.present())
@@ -153,9 +157,9 @@
         for job in jobs[:2]:
             assert await scene.cancel(job, new) == 200
         await curio.sleep(0.5 * scene.workers.lease_s)
-        scene.net.cuts.clear()
+        scene.network.cuts.clear()
         await scene.back(old)
-        await scene.until(lambda: all(job in scene.began_at for job in waiting), 150.0)
+        await scene.until(lambda: all(job in scene.tasks.first_start_at for job in waiting), 150.0)
 
     scene = play_scene(act, monkeypatch, seed=seed)
     assert_rules(scene)
@@ -175,25 +179,25 @@
             tasks = 2 + number % 2
             name = f"wk-{scene.numbers + 1:06d}"
             for index in range(tasks):
-                scene.task_s[(name, index)] = 4.0 + 22.0 * index
+                scene.tasks.task_run_s[(name, index)] = 4.0 + 22.0 * index
             jobs.append(await scene.submit(leader, run_s=1.0, tasks=tasks, gpus=2.0))
             assert jobs[-1] == name
         terms = set()
         for _ in range(3):
-            done = len(scene.results)
-            await scene.until(lambda done=done: len(scene.results) > done, 80.0)  # type: ignore[misc]
+            done = len(scene.tasks.completed)
+            await scene.until(lambda done=done: len(scene.tasks.completed) > done, 80.0)  # type: ignore[misc]
             ended = scene.leader()
             assert ended is not None
-            terms.add(scene.nodes[ended].leading.term)
+            terms.add(scene.controllers[ended].leading.term)
             await scene.end(ended)
             await scene.back(ended, 1.0)
             await scene.new_leader(None)
         assert len(terms) == 3
         for job in jobs:
-            while scene.told[job] != "done":
-                await scene.poll(job, scene.rng.choice(list(scene.nodes)))
+            while scene.rules.reported_stages[job] != "done":
+                await scene.poll(job, scene.rng.choice(list(scene.controllers)))
                 await curio.sleep(1.0)
-                assert scene.clock.now - scene.submitted_at[job] < 200.0
+                assert scene.clock.now - scene.users.submitted_at[job] < 200.0
 
     assert_rules(play_scene(act, monkeypatch, seed=seed))
 
@@ -209,16 +213,16 @@
         terms = set()
         for number in range(11):
             leader = await scene.new_leader(None)
-            terms.add(scene.nodes[leader].leading.term)
+            terms.add(scene.controllers[leader].leading.term)
             await curio.sleep(scene.rng.uniform(0.5, 6.0))
             if number in (3, 7):
-                scene.state.set_down(True)
-            if leader in scene.nodes:
+                scene.store.set_down(True)
+            if leader in scene.controllers:
                 await scene.end(leader)
             await scene.back(leader, scene.rng.choice([0.05, 0.5, 3.0]))
-            if scene.state.down:
+            if scene.store.down:
                 await curio.sleep(6.0)
-                scene.state.set_down(False)
+                scene.store.set_down(False)
         assert len(terms) >= 10 and scene.clock.now - began < 120.0
         await coming.join()
         await scene.all_over()
@@ -253,7 +257,7 @@
 ) -> None:
     async def act(scene: Scene) -> None:
         await scene.begin()
-        scene.net.late_writes = 0.25
+        scene.network.late_writes = 0.25
         coming = await curio.spawn(scene.users_come, 30, 40.0, daemon=True)
         await curio.sleep(15.0)
         leader = scene.leader()
@@ -261,8 +265,8 @@
             await scene.end(leader)
             await scene.back(leader, 0.5)
         await coming.join()
-        scene.net.late_writes = 0.0
-        assert scene.net.overtaken > 20, "newer ones came before"
+        scene.network.late_writes = 0.0
+        assert scene.network.overtaken > 20, "newer ones came before"
         await scene.all_over()
 
     assert_rules(play_scene(act, monkeypatch, seed=seed))
@@ -278,7 +282,7 @@
         await curio.sleep(15.0)
         sessions = {w.name: w.session for w in scene.cloud.workers.values() if w.up}
         assert scene.busy_workers()
-        for name in list(scene.nodes):
+        for name in list(scene.controllers):
             await scene.end(name)
         await curio.sleep(1.3 * scene.workers.lease_s)
         assert all(
@@ -286,7 +290,7 @@
             for worker in scene.cloud.workers.values()
             if worker.name in sessions
         ), "every lease has ended"
-        for name in scene.names:
+        for name in scene.controller_names:
             await scene.back(name)
         await coming.join()
         await scene.all_over()
@@ -306,15 +310,15 @@
         assert old is not None
         await scene.jobs_running(3, old, run_s=60.0, gpus=2.0)
         cut, unhearing = scene.busy_workers()[:2]
-        scene.net.holding = True
-        scene.cut_off(cut.host, scene.names)
+        scene.network.holding = True
+        scene.cut_off(cut.host, scene.controller_names)
         unhearing.deaf_until = scene.clock.now + 2.5 * scene.workers.lease_s
         await scene.end(old)
         new = await scene.new_leader(old)
         await curio.sleep(1.0)
-        assert cut.present() and unhearing.term < scene.nodes[new].leading.term
+        assert cut.present() and unhearing.term < scene.controllers[new].leading.term
         await scene.users_come(10, 1.2 * scene.workers.lease_s)
-        scene.net.cuts.clear()
+        scene.network.cuts.clear()
         await scene.back(old)
         await curio.sleep(2 * scene.workers.lease_s)
         await scene.all_over()
@@ -336,27 +340,27 @@
         for _ in range(10):
             job = await scene.submit(leader, run_s=2.0, tasks=2, gpus=1.0, image_gb=0.1)
             tasks = {(job, 0), (job, 1)}
-            await scene.until(lambda tasks=tasks: tasks <= scene.results, 60.0)  # type: ignore[misc]
+            await scene.until(lambda tasks=tasks: tasks <= scene.tasks.completed, 60.0)  # type: ignore[misc]
             # The worker reports at once; a moment later the job is moved.
             await curio.sleep(scene.rng.uniform(0.0, 1.2))
             meet = [
-                await curio.spawn(scene.cancel, job, scene.rng.choice(scene.names)),
-                await curio.spawn(scene.poll, job, scene.rng.choice(scene.names)),
+                await curio.spawn(scene.cancel, job, scene.rng.choice(scene.controller_names)),
+                await curio.spawn(scene.poll, job, scene.rng.choice(scene.controller_names)),
                 await curio.spawn(
                     scene.request,
-                    scene.rng.choice(scene.names),
+                    scene.rng.choice(scene.controller_names),
                     "POST",
                     "/api/jobs",
-                    scene.specs[job],
+                    scene.users.specs[job],
                 ),
             ]
             for task in meet:
                 await task.join()
-            status, body = await scene.poll(job, scene.rng.choice(scene.names))
+            status, body = await scene.poll(job, scene.rng.choice(scene.controller_names))
             assert status == 200
             outcomes.append(body["stage"])
-            status, body = await scene.request(leader, "POST", "/api/jobs", scene.specs[job])
-            scene.hear(job, status, body, True)
+            status, body = await scene.request(leader, "POST", "/api/jobs", scene.users.specs[job])
+            scene.rules.check_answer(job, status, body, True)
             assert (status, body["stage"]) == (200, outcomes[-1])
             await curio.sleep(2.0)
 
@@ -371,11 +375,11 @@
 
         async def act(scene: Scene) -> None:
             await scene.begin()
-            scene.cancel_at_end = 1.0
+            scene.users.cancel_at_end_share = 1.0
             await scene.users_come(25, 10.0)
             await scene.all_over()
-            assert scene.cancelled_at_end > 10
-            outcomes.update(scene.told.values())
+            assert scene.users.cancelled_at_end > 10
+            outcomes.update(scene.rules.reported_stages.values())
 
         assert_rules(play_scene(act, monkeypatch, seed=seed))
     assert outcomes == {"done", "aborted"}
@@ -402,14 +406,14 @@
         sessions = {worker.name: worker.session for worker in inside}
         assert len(inside) > 2, "too many to be taken for lone silent machines"
         for other in ["a", *OUTSIDE]:
-            scene.net.cuts.add(frozenset(("b", other)))
+            scene.network.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
         assert await scene.cancel(jobs[0], leader) == 200
         await curio.sleep(1.4 * scene.workers.lease_s)
         kept = [w for w in inside if not w.gone and w.session == sessions[w.name]]
         assert kept, "longer than a lease, and not all was lost"
         await curio.sleep(scene.workers.cancel_s - scene.workers.lease_s)
-        scene.net.cuts.clear()
+        scene.network.cuts.clear()
         await scene.users_come(8, 10.0)
         await scene.all_over()
 
@@ -428,7 +432,7 @@
             await scene.submit(leader, shape="gang", checkpoint_s=5.0, **bound),
             await scene.submit(leader, zone="a", **{**bound, "same_place": False}),
         ]
-        await scene.until(lambda: all(job in scene.began_at for job in jobs), 60.0)
+        await scene.until(lambda: all(job in scene.tasks.first_start_at for job in jobs), 60.0)
         lost = 0
         for _ in range(3):
             await curio.sleep(6.0)
@@ -444,10 +448,10 @@
         await scene.users_come(6, 5.0)
         await scene.all_over()
         for job in jobs:
-            while scene.told[job] != "done":
-                await scene.poll(job, scene.rng.choice(scene.names))
+            while scene.rules.reported_stages[job] != "done":
+                await scene.poll(job, scene.rng.choice(scene.controller_names))
                 await curio.sleep(1.0)
-                assert scene.clock.now - scene.submitted_at[job] < 400.0
+                assert scene.clock.now - scene.users.submitted_at[job] < 400.0
 
     assert_rules(play_scene(act, monkeypatch, seed=seed))
 
@@ -461,19 +465,22 @@
         await scene.begin()
         coming = await curio.spawn(scene.users_come, 30, 40.0, daemon=True)
         await curio.sleep(8.0)
-        scene.state.slow_s = 0.4
+        scene.store.slow_s = 0.4
         await curio.sleep(8.0)
         leader = scene.leader()
         assert leader is not None
-        scene.state.refused.add(leader)
+        scene.store.refused.add(leader)
         await curio.sleep(scene.rng.uniform(0.5, 4.0))
-        scene.state.set_down(True)
-        scene.state.refused.clear()
-        cancelled = len(scene.cancelled_at)
+        scene.store.set_down(True)
+        scene.store.refused.clear()
+        confirmed = scene.rules.cancel_confirmed_at
+        cancelled = len(confirmed)
         await curio.sleep(1.2 * scene.workers.cancel_s)
-        assert len(scene.cancelled_at) == cancelled, "nothing is confirmed in an outage"
-        scene.state.set_down(False)
-        scene.state.slow_s = 0.0
+        assert len(scene.rules.cancel_confirmed_at) == cancelled, (
+            "nothing is confirmed in an outage"
+        )
+        scene.store.set_down(False)
+        scene.store.slow_s = 0.0
         await coming.join()
         await scene.all_over()
 
@@ -501,8 +508,8 @@
                 ]
                 for rep in scene.rng.sample(past, min(2, len(past))):
                     old += rep["flight"] < worker.session
-                    name = scene.rng.choice(list(scene.nodes))
-                    await scene.net.hosts[name](worker.host, "POST", "/v1/report", rep)
+                    name = scene.rng.choice(list(scene.controllers))
+                    await scene.network.hosts[name](worker.host, "POST", "/v1/report", rep)
         assert old > 5, "some were from earlier sessions"
         await coming.join()
         await scene.all_over()
@@ -548,7 +555,7 @@
         jobs = await scene.jobs_running(4, old, gpus=2.0)
         busy = scene.busy_workers()
         at = scene.clock.now
-        scene.cut_off(old, [*scene.names, FakeKeyValueStore.HOST])
+        scene.cut_off(old, [*scene.controller_names, FakeKeyValueStore.HOST])
         new = await scene.new_leader(old)
         served = [w for w in busy if w.answered_by.get(old, 0.0) > at]
         assert served, "workers still report to the old one"
@@ -559,7 +566,7 @@
             status, body = await scene.poll(job, old)
             assert status != 200 or body["stage"] == "aborted", "the old one knows nothing new"
         await curio.sleep(scene.workers.cancel_s)
-        scene.net.cuts.clear()
+        scene.network.cuts.clear()
         await scene.users_come(5, 5.0)
         await scene.all_over()
 
@@ -575,8 +582,8 @@
     async def act(scene: Scene) -> None:
         await scene.begin()
         coming = await curio.spawn(scene.users_come, 20, 40.0, daemon=True)
-        await scene.odd_requests(80.0)
-        assert scene.odd_answers == {
+        await scene.users.send_unusual_requests(80.0)
+        assert scene.users.unusual_answers == {
             "repeat": {200},
             "odd_repeat": {200},
             "cancel_done": {200},
@@ -601,10 +608,10 @@
         leader = scene.leader()
         assert leader is not None
         job = await scene.submit(leader, run_s=1.0, tasks=1)
-        while scene.told[job] != "done":
+        while scene.rules.reported_stages[job] != "done":
             await scene.poll(job, leader)
             await curio.sleep(0.5)
-        for name in scene.names:
+        for name in scene.controller_names:
             status, body = await scene.request(name, "POST", f"/api/jobs/{job}/cancel", {})
             assert (status, body["stage"]) == (200, "done")
 
@@ -619,14 +626,14 @@
 
     async def act(scene: Scene) -> None:
         await scene.begin()
-        await scene.jobs_running(1, scene.names[0])
+        await scene.jobs_running(1, scene.controller_names[0])
         leader = scene.leader()
         assert leader is not None
-        scene.net.lost.add((FakeKeyValueStore.HOST, leader))
-        new = await scene.new_leader(leader, 10 * scene.nodes[leader].grant_s)
+        scene.network.lost.add((FakeKeyValueStore.HOST, leader))
+        new = await scene.new_leader(leader, 10 * scene.controllers[leader].grant_s)
         await scene.jobs_running(1, new)
-        scene.net.lost.clear()
-        await scene.until(lambda: scene.nodes[leader].leading is None)
+        scene.network.lost.clear()
+        await scene.until(lambda: scene.controllers[leader].leading is None)
         await curio.sleep(scene.workers.lease_s)
         assert scene.leader() == new
 
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -45,21 +45,21 @@
 
 @pytest.mark.parametrize(("seed", "kinds"), DAYS)
 def test_rules_hold(seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    world = play(seed, kinds, monkeypatch)
-    story = "\n".join(world.notes[-60:])
-    assert world.broken == [], f"seed {seed}\n{story}"
-    assert world.starts > 20, f"seed {seed}: hardly anything ran"
-    assert world.unfinished() == [], f"seed {seed}\n{story}"
+    simulation = play(seed, kinds, monkeypatch)
+    story = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], f"seed {seed}\n{story}"
+    assert simulation.starts > 20, f"seed {seed}: hardly anything ran"
+    assert simulation.unfinished() == [], f"seed {seed}\n{story}"
 
 
 def test_rules_hold_in_a_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Large enough to pass what stood for smaller fleets: 40 names and 60 gangs told, 48
     holds, 16 commands, 100 names unheard or released, 64 guards."""
     kinds = ["mass_hang", "mass_die", "crash_all", "freeze_leader", "zones_cut", "peers_refuse"]
-    world = play(
+    simulation = play(
         21, kinds, monkeypatch, jobs=300, trouble_s=15.0, calm_s=150.0, capacity=270, limit=20.0
     )
-    story = "\n".join(world.notes[-60:])
-    assert world.broken == [], story
-    assert world.starts > 300
-    assert world.unfinished() == [], story
+    story = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], story
+    assert simulation.starts > 300
+    assert simulation.unfinished() == [], story
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.random_days import ALL, CONTROLLERS, MACHINES, MANY, NETWORK, OUTSIDE, play
-from tests.world import World
+from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
 #: What the state service allows after it has lowered its limits.
@@ -33,11 +33,11 @@
 ]
 
 
-def assert_rules(world: World) -> None:
-    story = "\n".join(world.notes[-60:])
-    assert world.broken == [], story
-    assert world.starts > 20, "hardly anything ran"
-    assert world.unfinished() == [], story
+def assert_rules(simulation: Simulation) -> None:
+    story = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], story
+    assert simulation.starts > 20, "hardly anything ran"
+    assert simulation.unfinished() == [], story
 
 
 @pytest.mark.parametrize(("seed", "kinds"), SERVICE_DAYS)
@@ -52,8 +52,8 @@
     seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Production and current controllers lead in turn, on each other's data."""
-    world = play(seed, kinds, monkeypatch, trouble_s=90.0, jobs=45, later=LATER)
-    assert_rules(world)
-    assert world.versions == {}, "not all were upgraded"
-    assert world.state.txn_ops == LATER.txn_ops
-    assert world.state.refused_sizes == [], "too large for the lowered limits"
+    simulation = play(seed, kinds, monkeypatch, trouble_s=90.0, jobs=45, later=LATER)
+    assert_rules(simulation)
+    assert simulation.versions == {}, "not all were upgraded"
+    assert simulation.store.txn_ops == LATER.txn_ops
+    assert simulation.store.refused_sizes == [], "too large for the lowered limits"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -338,11 +338,11 @@
         assert leader is not None
         job = (await scene.jobs_running(1, leader, **SERVICE))[0]
         starts = scene.starts
-        scene.state.set_down(True)
+        scene.store.set_down(True)
         for _ in range(int(2 * scene.workers.lease_s)):
             await curio.sleep(1.0)
             assert running_replicas(scene, job) == 3
-        scene.state.set_down(False)
+        scene.store.set_down(False)
         await curio.sleep(5.0)
         assert running_replicas(scene, job) == 3 and scene.starts == starts
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -13,27 +13,27 @@
 from tests.fakes.controllers import start_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.job_specs import submission_fields
-from tests.world import NAMES, World
+from tests.simulation.deployment import CONTROLLER_NAMES, Simulation
 from topazhold.control.takeover import load_parts
 from topazhold.io.http import Request
 from topazhold.wire.codec import pack
 
-Scene = Callable[[World, Any], Awaitable[None]]
+Scene = Callable[[Simulation, Any], Awaitable[None]]
 
 
-def scene(monkeypatch: pytest.MonkeyPatch, act: Scene, grace_s: float = 2.0) -> World:
-    """One controller, a store and a cloud; `act` gets the world and the node."""
-    worlds: list[World] = []
+def scene(monkeypatch: pytest.MonkeyPatch, act: Scene, grace_s: float = 2.0) -> Simulation:
+    """One controller, a store and a cloud; `act` gets the simulation and the controller."""
+    simulations: list[Simulation] = []
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, 1)
-        worlds.append(world)
-        await start_controller(world, NAMES[0])
+        simulation = Simulation(clock, 1)
+        simulations.append(simulation)
+        await start_controller(simulation, CONTROLLER_NAMES[0])
         await curio.sleep(grace_s)
-        await act(world, world.nodes[NAMES[0]])
+        await act(simulation, simulation.controllers[CONTROLLER_NAMES[0]])
 
     run_virtual(main, monkeypatch)
-    return worlds[0]
+    return simulations[0]
 
 
 async def submit(node: Any, **changes: Any) -> Any:
@@ -47,7 +47,7 @@
 
 
 def test_statuses(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == 201
         again = await submit(node)
         assert again.status == 200 and again.body["stage"] == "pending"
@@ -75,7 +75,7 @@
 
 
 def test_a_repeat_is_known_whatever_its_body_would_get(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == 201
         for changes in ({"crew": "green"}, {"frames": 0}, {"vcpus": 99.0}, {"shape": None}):
             assert (await submit(node, **changes)).status == 200
@@ -90,17 +90,17 @@
 
 
 def test_types_not_known_yet(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node)
         assert answer.status == 503 and answer.retry_after >= 1.0
         assert (await submit(node, tasks=0)).status == 400
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, 1)
-        world.cloud.down = True
-        await start_controller(world, NAMES[0])
+        simulation = Simulation(clock, 1)
+        simulation.cloud.down = True
+        await start_controller(simulation, CONTROLLER_NAMES[0])
         await curio.sleep(2.0)
-        await act(world, world.nodes[NAMES[0]])
+        await act(simulation, simulation.controllers[CONTROLLER_NAMES[0]])
 
     run_virtual(main, monkeypatch)
 
@@ -108,16 +108,16 @@
 def test_outage_is_answered_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """What can't be taken is refused at once, with a time to come back."""
 
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == 201
-        world.state.set_down(True)
+        simulation.store.set_down(True)
         await curio.sleep(1.0)
-        before = world.clock.now
+        before = simulation.clock.now
         answer = await submit(node, id="wk-7")
         assert answer.status == 503 and answer.retry_after is not None
         assert (await ask(node, "GET", "/api/jobs/wk-000001")).status == 503
-        assert world.clock.now - before < 0.5
-        world.state.set_down(False)
+        assert simulation.clock.now - before < 0.5
+        simulation.store.set_down(False)
         await curio.sleep(1.0)
         assert (await submit(node, id="wk-7")).status == 201
 
@@ -128,7 +128,7 @@
     """Reports are answered and decisions made while submissions are turned away."""
     statuses: list[int] = []
 
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         async def one(number: int) -> None:
             answer = await submit(node, id=f"wk-{number}", tasks=1)
             statuses.append(answer.status)
@@ -147,9 +147,9 @@
             "crown": node.leadership.term,
             "frames": [],
         }
-        before = world.clock.now
+        before = simulation.clock.now
         answer = await ask(node, "POST", "/v1/report", pack(report))
-        assert answer.status == 200 and world.clock.now - before < 0.5
+        assert answer.status == 200 and simulation.clock.now - before < 0.5
         for user in users:
             await user.join()
         assert node.users._busy == 0
@@ -159,7 +159,7 @@
 
 
 def test_largest_job_fits(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node, shape="batch", tasks=100_000, gpus=0.5, cpus=1.0)
         assert answer.status == 201
         await curio.sleep(3.0)
@@ -167,11 +167,11 @@
         for index in range(0, 100_000, 3):
             job.mark_done(index)
         for _ in range(6):
-            await node.leading.saving.save(job, world.clock.now)
+            await node.leading.saving.save(job, simulation.clock.now)
         assert not job.unsaved
         await load_parts(node.leading.context, job)
         fresh = type(job)(job.spec, 0.0, 0.0, "")
-        fresh.load_part(0, world.state.data["live/wk-000001"][0]["done"])
+        fresh.load_part(0, simulation.store.data["live/wk-000001"][0]["done"])
         await load_parts(node.leading.context, fresh)
         assert fresh.done == job.done
 
@@ -179,7 +179,7 @@
 
 
 def test_a_service_runs_until_it_is_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(world: World, node: Any) -> None:
+    async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node, shape="daemon")).status == 201
         await curio.sleep(1.0)
         job = node.leading.scheduler.jobs["wk-000001"]
@@ -196,13 +196,18 @@
     """It kept each new leader from taking over, and every job from running."""
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, 1)
-        world.state.data["live/wk-000077"] = ("nonsense", 5, None)
-        world.state.data["live/wk-000078"] = ({"spec": {"id": "wk-000078"}, "at": "x"}, 6, None)
-        world.state.data["on/0001"] = ({"boxes": {"host-000099": [1]}}, 7, None)
-        await start_controller(world, NAMES[0])
+        simulation = Simulation(clock, 1)
+        stored = simulation.store.data
+        stored["live/wk-000077"] = ("nonsense", 5, None)
+        stored["live/wk-000078"] = (
+            {"spec": {"id": "wk-000078"}, "at": "x"},
+            6,
+            None,
+        )
+        stored["on/0001"] = ({"boxes": {"host-000099": [1]}}, 7, None)
+        await start_controller(simulation, CONTROLLER_NAMES[0])
         await curio.sleep(2.0)
-        node = world.nodes[NAMES[0]]
+        node = simulation.controllers[CONTROLLER_NAMES[0]]
         assert node.leading is not None and node.leading.loaded
         assert (await submit(node)).status == 201
         for odd in ("wk-000077", "wk-000078"):
