--- a/tests/cloud_history.py
+++ b/tests/cloud_operation_history.py
@@ -27,7 +27,7 @@
         return self.source != self.holder
 
 
-class CloudHistory:
+class CloudOperationHistory:
     """Judges every order that has an effect; `judges` is off where old versions lead."""
 
     def __init__(self, simulation: Any) -> None:
--- a/tests/corpus.py
+++ b/tests/compatibility_corpus.py
@@ -1,8 +1,8 @@
 """Values and messages as the production version writes them, kept as data.
 
-`python -m tests.corpus` plays two days of the production version alone and writes a few of each
-kind of value and message to `tests/data/production_corpus.json`. It is run again when
-`production` in the deploy file moves on.
+`python -m tests.compatibility_corpus` plays two days of the production version alone and writes
+a few of each kind of value and message to `tests/data/production_corpus.json`. It is run again
+when `production` in the deploy file moves on.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 Corpus = dict[str, dict[str, list[Any]]]
 
 
-class Collector:
+class CorpusCollector:
     """The longest values and messages of each kind."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
     return "sum/*" if key == "sum/*" else first
 
 
-async def collect(simulation: Simulation, collector: Collector) -> None:
+async def collect(simulation: Simulation, collector: CorpusCollector) -> None:
     """Look at all that is stored and sent, again and again."""
     while True:
         await curio.sleep(LOOK_S)
@@ -69,7 +69,7 @@
     seed: int,
     kinds: list[str],
     monkeypatch: pytest.MonkeyPatch,
-    collector: Collector,
+    collector: CorpusCollector,
     production: bool,
 ) -> None:
     """Play a day of one version alone; collect what it stores and sends."""
@@ -91,7 +91,7 @@
 
 def main() -> None:
     """Write the corpus anew."""
-    collector = Collector()
+    collector = CorpusCollector()
     for seed, kinds in DAYS:
         with pytest.MonkeyPatch.context() as patch:
             collect_day(seed, kinds, patch, collector, production=True)
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from tests.cloud_history import CloudHistory
+from tests.cloud_operation_history import CloudOperationHistory
 from tests.fakes.worker import FakeWorker
 
 
@@ -24,7 +24,7 @@
         self.asks: dict[str, list[str]] = {}
         self.number = 0
         self.history: list[tuple[float, list[dict[str, Any]]]] = []
-        self.orders = CloudHistory(simulation)
+        self.orders = CloudOperationHistory(simulation)
         self.down = False
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
--- a/tests/traps.py
+++ b/tests/fault_injection.py
@@ -12,7 +12,7 @@
 from topazhold.duties.records import RENTAL_PREFIX, RETURN_PREFIX
 from topazhold.io.http import NoAnswer
 
-#: What happened last before the trap is sprung: the record arrives (and is refused), the
+#: What happened last before the trigger fires: the record arrives (and is refused), the
 #: record is written, the order arrives (and is held by the network), the order is carried out.
 POINTS = ["before_record", "after_record", "before_answer", "after_answer"]
 #: Where orders go, and under which prefix they are recorded.
@@ -22,8 +22,8 @@
 }
 
 
-class Trap:
-    """Stands in front of the state service and the cloud until the first order comes."""
+class OperationTrigger:
+    """Stands in front of the key-value store and the cloud until the first order comes."""
 
     def __init__(
         self,
@@ -36,36 +36,36 @@
         self._point, self._act, self._held_s = point, act, held_s
         self._path, self._prefix = KINDS[kind]
         self.source: str | None = None  # whose order it was
-        self._state = hosts[FakeKeyValueStore.HOST]
+        self._store = hosts[FakeKeyValueStore.HOST]
         self._cloud = hosts[FakeCloud.HOST]
-        hosts[FakeKeyValueStore.HOST] = self._on_state
+        hosts[FakeKeyValueStore.HOST] = self._on_store
         hosts[FakeCloud.HOST] = self._on_cloud
 
-    def _spring(self, source: str, point: str) -> bool:
+    def _fire(self, source: str, point: str) -> bool:
         if self.source is not None or point != self._point:
             return False
         self.source = source
         self._act(source)
         return True
 
-    async def _on_state(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+    async def _on_store(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         puts = body["then"] if path == "/multi" else []
         ours = any(str(change.get("put", "")).startswith(self._prefix) for change in puts)
-        if ours and self._spring(source, "before_record"):
+        if ours and self._fire(source, "before_record"):
             return 503, {}
-        answer: tuple[int, Any] = await self._state(source, method, path, body)
+        answer: tuple[int, Any] = await self._store(source, method, path, body)
         if ours and answer[0] == 200:
-            self._spring(source, "after_record")
+            self._fire(source, "after_record")
         return answer
 
     async def _on_cloud(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         ours = method == "POST" and path == self._path
-        if ours and self._spring(source, "before_answer"):
+        if ours and self._fire(source, "before_answer"):
             await curio.spawn(self._carry_out_late, source, method, path, body, daemon=True)
             raise NoAnswer("held by the network")
         answer: tuple[int, Any] = await self._cloud(source, method, path, body)
         if ours:
-            self._spring(source, "after_answer")
+            self._fire(source, "after_answer")
         return answer
 
     async def _carry_out_late(self, *request: Any) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,7 +1,7 @@
 """The real controllers as processes on 127.0.0.1, with the fakes behind sockets.
 
 Every controller has ports of its own for the state service and the cloud, so that the fakes
-know who asks. Times are real; scenes wait for events.
+know who asks. Times are real; scenarios wait for events.
 """
 
 from __future__ import annotations
@@ -180,7 +180,7 @@
         )
         return path
 
-    def start(self, name: str) -> None:
+    def start_process(self, name: str) -> None:
         """Start a controller process."""
         command = [sys.executable, "run.py", "--config", str(self.config(name))]
         command += ["--operator", str(self.folder / "operator.textproto")]
@@ -190,7 +190,7 @@
     def pause(self, name: str) -> None:
         os.kill(self.controllers[name].pid, signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         os.kill(self.controllers[name].pid, signal.SIGCONT)
 
     def end_all(self) -> None:
@@ -201,9 +201,9 @@
     def log_of(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    # -- a scene -----------------------------------------------------------------
+    # -- a scenario -----------------------------------------------------------------
 
-    async def begin(self, machines: int) -> None:
+    async def start(self, machines: int) -> None:
         """Start everything, and wait for a leader."""
         for name, ports in self.ports.items():
             for host in (FakeKeyValueStore.HOST, FakeCloud.HOST):
@@ -214,13 +214,13 @@
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
         for name in self.controller_names:
-            self.start(name)
-        await self.until(lambda: self.leader() is not None)
+            self.start_process(name)
+        await self.wait_until(lambda: self.leader() is not None)
 
     def _current(self, host: str) -> Callable[[], Any]:
         return lambda: self.network.hosts[host]
 
-    async def until(
+    async def wait_until(
         self, true: Callable[[], Any], what: str = "it", most_s: float = PATIENCE_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
@@ -236,7 +236,7 @@
     seed: int = 1,
     operator: str = "record_orders: true\n",
 ) -> LoopbackSimulation:
-    """Run a scene with real processes; they are ended whatever happens."""
+    """Run a scenario with real processes; they are ended whatever happens."""
     simulations: list[LoopbackSimulation] = []
 
     async def main() -> None:
--- a/tests/pause_scenes.py
+++ b/tests/pause_scenarios.py
@@ -7,8 +7,8 @@
 
 import curio
 
+from tests.fault_injection import OperationTrigger
 from tests.loopback import LEASE_S, LoopbackSimulation, play
-from tests.traps import Trap
 
 #: An order that the network holds is carried out so long after it was sent, and the stopped
 #: process goes on so long after its successor was elected.
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class PauseOutcome:
-    """What one scene has shown."""
+    """What one scenario has shown."""
 
     orders: int  # that came to the cloud
     executed: int  # of which something came
@@ -44,17 +44,19 @@
             stopped_at.append(simulation.clock.now)
 
         # Of four machines some stay idle and are returned; two are too few for three users.
-        trap = Trap(simulation.network.hosts, point, kind, stop, HELD_S)
-        await simulation.begin(machines=4 if kind == "return" else 2)
+        trigger = OperationTrigger(simulation.network.hosts, point, kind, stop, HELD_S)
+        await simulation.start(machines=4 if kind == "return" else 2)
         for number in range(3):
             await curio.spawn(simulation.users.follow_job, number, daemon=True)
-        await simulation.until(lambda: trap.source is not None, f"a {kind}")
-        former = trap.source
+        await simulation.wait_until(lambda: trigger.source is not None, f"a {kind}")
+        former = trigger.source
         assert former is not None
-        await simulation.until(lambda: simulation.leader() not in (None, former), "a successor")
+        await simulation.wait_until(
+            lambda: simulation.leader() not in (None, former), "a successor"
+        )
         elected_at.append(simulation.elected[-1][0])
         await curio.sleep(REPLACED_S)
-        simulation.go_on(former)
+        simulation.resume(former)
         await curio.sleep(max(WATCHED_S, HELD_S if point == "before_answer" else 0.0, LEASE_S))
 
     simulation = play(act, folder, seed, operator)
--- a/tests/scenes.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenes: a few controllers, machines and jobs, with troubles set up by hand."""
+"""Scenarios: a few controllers, machines and jobs, with faults set up by hand."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 IN_FLIGHT_S = 0.05
 
 
-class Scene(Simulation):
-    """A simulation without users or troubles of its own; `play` does what a test asks."""
+class Scenario(Simulation):
+    """A simulation without users or faults of its own; the test says what happens."""
 
     def __init__(self, clock: VirtualTime, seed: int, site: str) -> None:
         super().__init__(clock, seed, capacity=8)
@@ -34,9 +34,9 @@
             workers = settings.cluster.workers
             workers.report_s, workers.lease_s, workers.cancel_s = SITES[site]
             settings.cluster.teams[0].gpus_max = settings.cluster.teams[1].gpus_max = 100.0
-        self.workers = self.settings.cluster.workers
-        self.numbers = 0
-        self.gone_at: dict[str, float] = {}  # cancelled jobs, by when the last task was gone
+        self.worker_settings = self.settings.cluster.workers
+        self.job_number = 0
+        self.tasks_gone_at: dict[str, float] = {}  # cancelled jobs, by when the last task was gone
         self.started_late: list[str] = []  # tasks that started after a confirmation
         self.launched_late: list[str] = []  # whose launch can't have left before it
         self.background_users: list[Any] = []
@@ -62,27 +62,28 @@
         }
         for job in self.rules.cancel_confirmed_at:
             if job in there:
-                self.gone_at.pop(job, None)
+                self.tasks_gone_at.pop(job, None)
             else:
-                self.gone_at.setdefault(job, self.clock.now)
+                self.tasks_gone_at.setdefault(job, self.clock.now)
 
-    def took_s(self) -> float:
+    def longest_removal_s(self) -> float:
         """How long after its confirmation the latest job's last task was gone."""
         return max(
-            self.gone_at.get(job, LONG_S) - at for job, at in self.rules.cancel_confirmed_at.items()
+            self.tasks_gone_at.get(job, LONG_S) - at
+            for job, at in self.rules.cancel_confirmed_at.items()
         )
 
     # -- what a test does -----------------------------------------------------
 
-    async def begin(self, machines: int = 6) -> None:
+    async def start(self, machines: int = 6) -> None:
         for name in self.controller_names:
             await start_controller(self, name)
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
         await curio.spawn(self.run_steps, daemon=True)
-        await self.until(lambda: self.leader() is not None)
+        await self.wait_until(lambda: self.leader() is not None)
 
-    async def until(self, true: Callable[[], Any], most_s: float = 60.0) -> None:
+    async def wait_until(self, true: Callable[[], Any], most_s: float = 60.0) -> None:
         """Wait until something is so; an assertion fails if it never is."""
         end = self.clock.now + most_s
         while not true():
@@ -98,19 +99,23 @@
         ]
         return max(leading)[1] if leading else None
 
-    def others(self, name: str | None) -> list[str]:
+    def other_controllers(self, name: str | None) -> list[str]:
         return [
             other for other in self.controller_names if other != name and other in self.controllers
         ]
 
+    def any_controller(self) -> str:
+        """A controller drawn from all, whether it is up or not."""
+        return self.rng.choice(self.controller_names)
+
     def present_jobs(self) -> set[str]:
         return {task.job for worker in self.cloud.workers.values() for task in worker.present()}
 
     async def submit(self, via: str, run_s: float = LONG_S, **changes: Any) -> str:
         """A job that is accepted by this controller."""
-        self.numbers += 1
+        self.job_number += 1
         spec = {
-            **self.users.draw_spec(self.numbers),
+            **self.users.draw_spec(self.job_number),
             "lane": "fill",
             "shape": "batch",
             "frames": 3,
@@ -135,7 +140,7 @@
         assert status == 201, status
         return job
 
-    async def jobs_running(self, count: int, via: str, **changes: Any) -> list[str]:
+    async def submit_running_jobs(self, count: int, via: str, **changes: Any) -> list[str]:
         """So many jobs, all their tasks on machines."""
         jobs = [await self.submit(via, **changes) for _ in range(count)]
         tasks = sum(self.users.specs[job]["frames"] for job in jobs)
@@ -149,7 +154,7 @@
             ]
             return stages.count("running") == tasks
 
-        await self.until(on, 120.0)
+        await self.wait_until(on, 120.0)
         return jobs
 
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -172,17 +177,17 @@
         self.rules.check_answer(job, status, body, False, sent)
         return status, body
 
-    async def end(self, name: str) -> None:
+    async def stop(self, name: str) -> None:
         await stop_controller(self, name)
 
-    async def back(self, name: str, after_s: float = 0.0) -> None:
+    async def start_again(self, name: str, after_s: float = 0.0) -> None:
         await curio.sleep(after_s)
         if name not in self.controllers:
             await start_controller(self, name)
 
-    async def new_leader(self, old: str | None, most_s: float = 30.0) -> str:
+    async def wait_for_new_leader(self, old: str | None, most_s: float = 30.0) -> str:
         """Wait until another one leads than `old`."""
-        await self.until(lambda: self.leader() not in (None, old), most_s)
+        await self.wait_until(lambda: self.leader() not in (None, old), most_s)
         found = self.leader()
         assert found is not None
         return found
@@ -195,41 +200,43 @@
 
     # -- users in the background --------------------------------------------------
 
-    async def users_come(self, jobs: int, over_s: float) -> None:
+    async def run_users(self, jobs: int, over_s: float) -> None:
         """Users submit, ask and cancel for some time, and go on until all is over."""
         for number in range(jobs):
             user = await curio.spawn(self.users.follow_job, 500000 + number, daemon=True)
             self.background_users.append(user)
             await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
 
-    async def all_over(self, most_s: float = 500.0) -> None:
-        """The troubles are over: every job ends, and none is left waiting."""
+    async def wait_for_all_users(self, most_s: float = 500.0) -> None:
+        """The faults are over: every job ends, and none is left waiting."""
         self.rules.calm_since = self.clock.now + SETTLING_S
-        await self.until(lambda: all(user.terminated for user in self.background_users), most_s)
+        await self.wait_until(
+            lambda: all(user.terminated for user in self.background_users), most_s
+        )
         assert not self.users.polled
         self.rules.check_starvation()
 
 
-def play_scene(
-    act: Callable[[Scene], Awaitable[None]],
+def run_scenario(
+    act: Callable[[Scenario], Awaitable[None]],
     monkeypatch: pytest.MonkeyPatch,
     site: str = "hive",
     seed: int = 1,
-) -> Scene:
+) -> Scenario:
     """Play what `act` does; whoever calls checks the rules."""
-    scenes: list[Scene] = []
+    scenarios: list[Scenario] = []
 
     async def main(clock: VirtualTime) -> None:
-        scene = Scene(clock, seed, site)
-        scenes.append(scene)
-        await act(scene)
+        scenario = Scenario(clock, seed, site)
+        scenarios.append(scenario)
+        await act(scenario)
         await curio.sleep(2 * CHECK_INTERVAL_S)
-        for name in list(scene.controllers):
-            await stop_controller(scene, name)
+        for name in list(scenario.controllers):
+            await stop_controller(scenario, name)
 
     run_virtual(main, monkeypatch)
-    return scenes[0]
+    return scenarios[0]
 
 
-def assert_rules(scene: Scene) -> None:
-    assert scene.violations == [], "\n".join(scene.notes[-40:])
+def assert_no_violations(scenario: Scenario) -> None:
+    assert scenario.violations == [], "\n".join(scenario.notes[-40:])
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -16,7 +16,7 @@
 from tests.fakes.controllers import make_settings, start_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.fakes.worker import FakeWorker
-from tests.scenes import SITES, Scene, assert_rules, play_scene
+from tests.scenarios import SITES, Scenario, assert_no_violations, run_scenario
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.leading import Leading
@@ -27,46 +27,46 @@
 from topazhold.io.http import Answer
 from topazhold.wire.messages import Commands, Report, TaskReport
 
-Twist = Callable[[Scene, str, str], Awaitable[None]]
+Twist = Callable[[Scenario, str, str], Awaitable[None]]
 
 
-async def nothing(scene: Scene, leader: str, confirmer: str) -> None:
+async def nothing(scenario: Scenario, leader: str, confirmer: str) -> None:
     """No further trouble."""
 
 
-async def confirmer_ends(scene: Scene, leader: str, confirmer: str) -> None:
-    await scene.end(confirmer)
+async def confirmer_ends(scenario: Scenario, leader: str, confirmer: str) -> None:
+    await scenario.stop(confirmer)
 
 
-async def leader_ends(scene: Scene, leader: str, confirmer: str) -> None:
+async def leader_ends(scenario: Scenario, leader: str, confirmer: str) -> None:
     """Workers go to the followers, which keep them."""
-    await scene.end(leader)
+    await scenario.stop(leader)
 
 
-async def all_but_confirmer_restart(scene: Scene, leader: str, confirmer: str) -> None:
+async def all_but_confirmer_restart(scenario: Scenario, leader: str, confirmer: str) -> None:
     """Controllers that came up in the outage, with nothing but what a peer tells them."""
-    for name in scene.others(confirmer):
-        await scene.end(name)
+    for name in scenario.other_controllers(confirmer):
+        await scenario.stop(name)
     await curio.sleep(1.0)
-    for name in scene.controller_names:
-        if name not in scene.controllers:
-            await start_controller(scene, name)
+    for name in scenario.controller_names:
+        if name not in scenario.controllers:
+            await start_controller(scenario, name)
 
 
-async def all_restart(scene: Scene, leader: str, confirmer: str) -> None:
+async def all_restart(scenario: Scenario, leader: str, confirmer: str) -> None:
     """Nobody is left who could know: then nobody may keep a worker."""
-    for name in list(scene.controllers):
-        await scene.end(name)
+    for name in list(scenario.controllers):
+        await scenario.stop(name)
     await curio.sleep(1.0)
-    for name in scene.controller_names:
-        await start_controller(scene, name)
+    for name in scenario.controller_names:
+        await start_controller(scenario, name)
 
 
-async def confirmer_restarts_alone(scene: Scene, leader: str, confirmer: str) -> None:
-    scene.peers_unreachable = True
-    await scene.end(confirmer)
+async def confirmer_restarts_alone(scenario: Scenario, leader: str, confirmer: str) -> None:
+    scenario.peers_unreachable = True
+    await scenario.stop(confirmer)
     await curio.sleep(0.5)
-    await start_controller(scene, confirmer)
+    await start_controller(scenario, confirmer)
 
 
 def gap(
@@ -74,33 +74,33 @@
     monkeypatch: pytest.MonkeyPatch,
     site: str,
     seed: int = 1,
-    before: Callable[[Scene], None] | None = None,
+    before: Callable[[Scenario], None] | None = None,
     links: bool = True,
-) -> Scene:
+) -> Scenario:
     """The gap: refused alone, cancelled, out for all; `before` is set up with the refusal."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        confirmer = scene.others(leader)[0]
-        jobs = await scene.jobs_running(4, confirmer, gpus=2.0)
-        await curio.sleep(3 * scene.workers.report_s)
+        confirmer = scenario.other_controllers(leader)[0]
+        jobs = await scenario.submit_running_jobs(4, confirmer, gpus=2.0)
+        await curio.sleep(3 * scenario.worker_settings.report_s)
         if before is not None:
-            before(scene)
-        scene.store.refused.add(leader)
-        scene.peers_unreachable = not links
+            before(scenario)
+        scenario.store.refused.add(leader)
+        scenario.peers_unreachable = not links
         await curio.sleep(0.3)
         for job in jobs:
-            assert await scene.cancel(job, confirmer) == 200
-        assert scene.leader() == leader, "the old leader leads still"
-        scene.store.set_down(True)
-        scene.store.refused.clear()
-        await twist(scene, leader, confirmer)
-        await curio.sleep(scene.workers.cancel_s + scene.workers.lease_s)
-        assert scene.store.down and len(scene.rules.cancel_confirmed_at) == len(jobs)
+            assert await scenario.cancel(job, confirmer) == 200
+        assert scenario.leader() == leader, "the old leader leads still"
+        scenario.store.set_down(True)
+        scenario.store.refused.clear()
+        await twist(scenario, leader, confirmer)
+        await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
+        assert scenario.store.down and len(scenario.rules.cancel_confirmed_at) == len(jobs)
 
-    return play_scene(act, monkeypatch, site, seed)
+    return run_scenario(act, monkeypatch, site, seed)
 
 
 @pytest.mark.parametrize("site", SITES)
@@ -116,9 +116,9 @@
     ],
 )
 def test_gap(twist: Twist, site: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    scene = gap(twist, monkeypatch, site)
-    assert_rules(scene)
-    assert scene.took_s() < 0.9 * scene.workers.cancel_s
+    scenario = gap(twist, monkeypatch, site)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.9 * scenario.worker_settings.cancel_s
 
 
 @pytest.mark.parametrize("site", SITES)
@@ -128,38 +128,38 @@
     """The intents still name the tasks that were killed in the outage."""
     reasons: list[tuple[int, str]] = []  # by term: the ended process is only cut off here
     terms: list[int] = []
-    scenes: list[Scene] = []
+    scenarios: list[Scenario] = []
     release = Scheduler.release
 
     def noted(self: Scheduler, machine: Any, why: str, now: float) -> None:
-        if scenes and machine.name in scenes[0].cloud.workers:  # others are gone in fact
+        if scenarios and machine.name in scenarios[0].cloud.workers:  # others are gone in fact
             reasons.append((self.term, why))
         release(self, machine, why, now)
 
-    async def over(scene: Scene, leader: str, confirmer: str) -> None:
-        scenes.append(scene)
-        await scene.end(leader)
-        await curio.sleep(1.1 * scene.workers.cancel_s)
-        assert not scene.busy_workers()
-        scene.store.set_down(False)
-        new = await scene.new_leader(leader)
-        terms.append(scene.controllers[new].leading.term)
-        named = [m for m in scene.controllers[new].leading.scheduler.machines.values() if m.runs]
+    async def over(scenario: Scenario, leader: str, confirmer: str) -> None:
+        scenarios.append(scenario)
+        await scenario.stop(leader)
+        await curio.sleep(1.1 * scenario.worker_settings.cancel_s)
+        assert not scenario.busy_workers()
+        scenario.store.set_down(False)
+        new = await scenario.wait_for_new_leader(leader)
+        terms.append(scenario.controllers[new].leading.term)
+        named = [m for m in scenario.controllers[new].leading.scheduler.machines.values() if m.runs]
         assert len(named) > 3, "as far as she knows the tasks may be there"
-        await curio.sleep(4 * scene.workers.report_s)
-        scene.store.set_down(True)
+        await curio.sleep(4 * scenario.worker_settings.report_s)
+        scenario.store.set_down(True)
 
     monkeypatch.setattr(Scheduler, "release", noted)
-    assert_rules(gap(over, monkeypatch, site))
+    assert_no_violations(gap(over, monkeypatch, site))
     assert [w for term, w in reasons if term in terms and w.startswith("can't stop")] == []
 
 
 @pytest.mark.parametrize("site", SITES)
 def test_gap_without_links(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """No controller hears another: the confirmer sees to it itself."""
-    scene = gap(nothing, monkeypatch, site, links=False)
-    assert_rules(scene)
-    assert scene.took_s() < 0.7 * scene.workers.cancel_s
+    scenario = gap(nothing, monkeypatch, site, links=False)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.7 * scenario.worker_settings.cancel_s
 
 
 def deaf(worker: FakeWorker, until: float) -> None:
@@ -187,16 +187,16 @@
 
     healthy: list[FakeWorker] = []
 
-    def before(scene: Scene) -> None:
-        busy = [worker for worker in scene.cloud.workers.values() if worker.present()]
+    def before(scenario: Scenario) -> None:
+        busy = [worker for worker in scenario.cloud.workers.values() if worker.present()]
         assert len(busy) > 3
         healthy[:] = busy[2:]
         for worker in busy[:2]:
-            trouble(worker, scene.clock.now + 4 * scene.workers.cancel_s)
+            trouble(worker, scenario.clock.now + 4 * scenario.worker_settings.cancel_s)
 
-    scene = gap(nothing, monkeypatch, site, before=before, links=links)
-    assert_rules(scene)
-    assert scene.took_s() < 0.8 * scene.workers.cancel_s
+    scenario = gap(nothing, monkeypatch, site, before=before, links=links)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
     gone = [worker.name for worker in healthy if worker.gone]
     assert gone == [], "machines that show their tasks gone are not released"
 
@@ -205,57 +205,57 @@
 def test_gap_with_a_leader_that_could_not_load(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """Its token voids the old leader's commands, so it has to kill without a scheduler."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        confirmer = scene.others(old)[0]
-        jobs = await scene.jobs_running(4, confirmer)
-        scene.store.refused.add(old)
+        confirmer = scenario.other_controllers(old)[0]
+        jobs = await scenario.submit_running_jobs(4, confirmer)
+        scenario.store.refused.add(old)
         await curio.sleep(1.0)
         for job in jobs:
-            assert await scene.cancel(job, confirmer) == 200
+            assert await scenario.cancel(job, confirmer) == 200
         elected: list[str] = []
 
         def new() -> bool:
             elected[:] = [
                 name
-                for name, node in scene.controllers.items()
+                for name, node in scenario.controllers.items()
                 if name != old and node.leading is not None
             ]
             return bool(elected)
 
         while not new():
             await curio.sleep(0.001)
-        scene.store.set_down(True)
-        scene.store.refused.clear()
-        leading = scene.controllers[elected[0]].leading
+        scenario.store.set_down(True)
+        scenario.store.refused.clear()
+        leading = scenario.controllers[elected[0]].leading
         assert not leading.loaded
-        await curio.sleep(scene.workers.cancel_s + scene.workers.lease_s)
-        assert scene.controllers[elected[0]].leading is leading and not leading.loaded
+        await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
+        assert scenario.controllers[elected[0]].leading is leading and not leading.loaded
 
-    scene = play_scene(act, monkeypatch, site)
-    assert_rules(scene)
-    assert scene.took_s() < 0.5 * scene.workers.cancel_s
+    scenario = run_scenario(act, monkeypatch, site)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.5 * scenario.worker_settings.cancel_s
 
 
-def launch_in_flight(monkeypatch: pytest.MonkeyPatch, seed: int, states: list[str]) -> Scene:
+def launch_in_flight(monkeypatch: pytest.MonkeyPatch, seed: int, states: list[str]) -> Scenario:
     """Jobs cancelled as soon as one of their tasks is in one of these states."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        confirmer = scene.others(leader)[0]
+        confirmer = scenario.other_controllers(leader)[0]
         for _ in range(4):
             if states == ["written"]:
                 # No report comes that the launch could go out with, for a moment.
-                await curio.sleep(2 * scene.workers.report_s)
-                for worker in scene.cloud.workers.values():
-                    worker.hanging_until = scene.clock.now + 1.0
-            job = await scene.submit(confirmer)
-            scheduler = scene.controllers[leader].leading.scheduler
-            want = scene.rng.choice(states)
+                await curio.sleep(2 * scenario.worker_settings.report_s)
+                for worker in scenario.cloud.workers.values():
+                    worker.hanging_until = scenario.clock.now + 1.0
+            job = await scenario.submit(confirmer)
+            scheduler = scenario.controllers[leader].leading.scheduler
+            want = scenario.rng.choice(states)
 
             def reached(job: str = job, scheduler: Any = scheduler, want: str = want) -> bool:
                 known = scheduler.jobs.get(job)
@@ -263,20 +263,20 @@
                     run.state.value in (want, "pulling") for run in known.runs.values()
                 )
 
-            await scene.until(reached)
-            scene.store.refused.add(leader)
-            assert await scene.cancel(job, confirmer) == 200
-            scene.store.set_down(True)
-            await curio.sleep(0.6 * scene.workers.cancel_s)
-            scene.store.set_down(False)
-            scene.store.refused.clear()
-            await curio.sleep(2 * scene.workers.report_s)
-            found = scene.leader()
+            await scenario.wait_until(reached)
+            scenario.store.refused.add(leader)
+            assert await scenario.cancel(job, confirmer) == 200
+            scenario.store.set_down(True)
+            await curio.sleep(0.6 * scenario.worker_settings.cancel_s)
+            scenario.store.set_down(False)
+            scenario.store.refused.clear()
+            await curio.sleep(2 * scenario.worker_settings.report_s)
+            found = scenario.leader()
             assert found is not None
             leader = found
-            confirmer = scene.others(leader)[0]
+            confirmer = scenario.other_controllers(leader)[0]
 
-    return play_scene(act, monkeypatch, seed=seed)
+    return run_scenario(act, monkeypatch, seed=seed)
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
@@ -285,11 +285,11 @@
     seed: int, states: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Cancelled between intent and launch, or while the launch is on its way."""
-    scene = launch_in_flight(monkeypatch, seed, states)
-    assert_rules(scene)
+    scenario = launch_in_flight(monkeypatch, seed, states)
+    assert_no_violations(scenario)
     # A launch that had left already may start its task before the kill is there.
-    assert scene.took_s() < 3 * scene.workers.report_s
-    assert scene.launched_late == []
+    assert scenario.longest_removal_s() < 3 * scenario.worker_settings.report_s
+    assert scenario.launched_late == []
 
 
 def test_scene_catches_launches_that_are_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -304,7 +304,7 @@
     assert any(late)
 
 
-# -- broken variants: each mechanism is needed by one of the scenes -------------
+# -- broken variants: each mechanism is needed by one of the scenarios -------------
 
 
 def no_enforcer(patch: pytest.MonkeyPatch) -> None:
@@ -327,8 +327,8 @@
     """Whether a cancelled task runs on. Which controller a worker is with is drawn, and with
     one that knows of the cancellation it is killed also in a broken variant."""
     for seed in range(1, 9):
-        with monkeypatch.context() as of_scene:
-            if "ran_cancelled" in gap(twist, of_scene, "hive", seed, links=links).violations:
+        with monkeypatch.context() as of_scenario:
+            if "ran_cancelled" in gap(twist, of_scenario, "hive", seed, links=links).violations:
                 return True
     return False
 
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
+from tests.compatibility_corpus import DAYS, FILE, Corpus, CorpusCollector, collect_day
 from tests.conftest import make_spec
-from tests.corpus import DAYS, FILE, Collector, Corpus, collect_day
 from tests.fakes.controllers import create_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.random_days import play
@@ -153,7 +153,7 @@
 
 
 def current_corpus(monkeypatch: pytest.MonkeyPatch) -> Corpus:
-    collector = Collector()
+    collector = CorpusCollector()
     for seed, kinds in DAYS:
         with monkeypatch.context() as patch:
             collect_day(seed, kinds, patch, collector, production=False)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,8 +10,8 @@
 
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.controllers import start_controller
-from tests.scenes import Scene, assert_rules, play_scene
-from tests.traps import POINTS, Trap
+from tests.fault_injection import POINTS, OperationTrigger
+from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.versions import production
 from topazhold.core.renting import Ask
 from topazhold.duties.book import MOST_KEPT, OrderBook
@@ -32,60 +32,67 @@
 HELD_S = 120.0
 
 
-def freeze(scene: Scene) -> Callable[[str], None]:
+def freeze(scenario: Scenario) -> Callable[[str], None]:
     def act(source: str) -> None:
-        scene.paused_until[source] = scene.clock.now + PAUSE_S
+        scenario.paused_until[source] = scenario.clock.now + PAUSE_S
 
     return act
 
 
-def state_fails(scene: Scene) -> Callable[[str], None]:
+def trigger_on(
+    scenario: Scenario, point: str, kind: str, act: Callable[[str], None]
+) -> OperationTrigger:
+    """Let `act` happen to the sender of the first operation of a kind, at a point of it."""
+    return OperationTrigger(scenario.network.hosts, point, kind, act, HELD_S)
+
+
+def state_fails(scenario: Scenario) -> Callable[[str], None]:
     """The state service is out from this point on, for longer than any lease of a controller."""
 
     def act(source: str) -> None:
-        scene.store.set_down(True)
+        scenario.store.set_down(True)
 
     return act
 
 
-async def begin(scene: Scene) -> str:
-    await scene.begin(machines=4)
-    await scene.jobs_running(2, scene.controller_names[0], gpus=1.0)
-    leader = scene.leader()
+async def begin(scenario: Scenario) -> str:
+    await scenario.start(machines=4)
+    await scenario.submit_running_jobs(2, scenario.controller_names[0], gpus=1.0)
+    leader = scenario.leader()
     assert leader is not None
     return leader
 
 
-async def order(scene: Scene, leader: str, kind: str) -> None:
+async def order(scenario: Scenario, leader: str, kind: str) -> None:
     """Let the leader decide on a return or a rental."""
-    scheduler = scene.controllers[leader].leading.scheduler
+    scheduler = scenario.controllers[leader].leading.scheduler
     if kind == "return":
-        busy = {worker.name for worker in scene.busy_workers()}
+        busy = {worker.name for worker in scenario.busy_workers()}
         idle = sorted(name for name in scheduler.machines if name not in busy)
         chosen = scheduler.machines[idle[0] if idle else min(scheduler.machines)]
-        scheduler.release(chosen, "chosen", scene.clock.now)
+        scheduler.release(chosen, "chosen", scenario.clock.now)
     else:
-        via = scene.others(leader)[0]
-        await scene.submit(via, 20.0, tasks=12, gpus=4.0, cpus=4.0)
+        via = scenario.other_controllers(leader)[0]
+        await scenario.submit(via, 20.0, tasks=12, gpus=4.0, cpus=4.0)
 
 
-async def settle(scene: Scene) -> None:
+async def settle(scenario: Scenario) -> None:
     """Every order ends, its record with it, and no controller is wrong about a machine."""
     await curio.sleep(HELD_S + 10.0)
-    await scene.until(lambda: scene.leader() is not None)
-    leader = scene.leader()
+    await scenario.wait_until(lambda: scenario.leader() is not None)
+    leader = scenario.leader()
     assert leader is not None
-    await scene.until(lambda: not open_records(scene), 240.0)
-    known = scene.controllers[leader].leading.scheduler.machines
-    await scene.until(lambda: scene.cloud.workers.keys() <= known.keys(), 60.0)
+    await scenario.wait_until(lambda: not open_records(scenario), 240.0)
+    known = scenario.controllers[leader].leading.scheduler.machines
+    await scenario.wait_until(lambda: scenario.cloud.workers.keys() <= known.keys(), 60.0)
 
 
-def open_records(scene: Scene) -> list[str]:
+def open_records(scenario: Scenario) -> list[str]:
     """Records of orders that are not just kept for late lists."""
-    names = set(scene.cloud.workers)
+    names = set(scenario.cloud.workers)
     return [
         key
-        for key, (data, _, _) in scene.store.data.items()
+        for key, (data, _, _) in scenario.store.data.items()
         if key.startswith(RENTAL_PREFIX) or names & set(data.get("machines", ()) if data else ())
         if key.startswith(DUTY_PREFIX)
     ]
@@ -97,23 +104,23 @@
 def test_paused_holder_goes_on_after_its_successors(
     point: str, kind: str, successors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        trap = Trap(scene.network.hosts, point, kind, freeze(scene), HELD_S)
-        await order(scene, leader, kind)
-        await scene.until(lambda: trap.source is not None)
-        assert trap.source == leader
-        new = await scene.new_leader(leader)
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        trigger = trigger_on(scenario, point, kind, freeze(scenario))
+        await order(scenario, leader, kind)
+        await scenario.wait_until(lambda: trigger.source is not None)
+        assert trigger.source == leader
+        new = await scenario.wait_for_new_leader(leader)
         if successors == 2:
-            await scene.end(new)
-            await scene.back(new, 1.0)
-            await scene.until(lambda: scene.leader() not in (None, leader), 30.0)
-        before = scene.clock.now
-        await settle(scene)
-        late = [done for done in scene.cloud.orders.executed if done.at > before and done.stale]
+            await scenario.stop(new)
+            await scenario.start_again(new, 1.0)
+            await scenario.wait_until(lambda: scenario.leader() not in (None, leader), 30.0)
+        before = scenario.clock.now
+        await settle(scenario)
+        late = [done for done in scenario.cloud.orders.executed if done.at > before and done.stale]
         assert late == [], "an order of a former holder had an effect"
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("kind", ["return", "rental"])
@@ -121,64 +128,68 @@
 def test_state_service_fails_at_each_point(
     point: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        trap = Trap(scene.network.hosts, point, kind, state_fails(scene), HELD_S)
-        await order(scene, leader, kind)
-        await scene.until(lambda: trap.source is not None)
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        trigger = trigger_on(scenario, point, kind, state_fails(scenario))
+        await order(scenario, leader, kind)
+        await scenario.wait_until(lambda: trigger.source is not None)
         await curio.sleep(PAUSE_S)
-        scene.store.set_down(False)
-        await settle(scene)
+        scenario.store.set_down(False)
+        await settle(scenario)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("point", POINTS)
 def test_all_controllers_end_with_an_order_open(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        trap = Trap(scene.network.hosts, point, "return", freeze(scene), HELD_S)
-        await order(scene, leader, "return")
-        await scene.until(lambda: trap.source is not None)
-        for name in list(scene.controllers):
-            await scene.end(name)
-        scene.paused_until.clear()
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        trigger = trigger_on(scenario, point, "return", freeze(scenario))
+        await order(scenario, leader, "return")
+        await scenario.wait_until(lambda: trigger.source is not None)
+        for name in list(scenario.controllers):
+            await scenario.stop(name)
+        scenario.paused_until.clear()
         await curio.sleep(1.0)
-        for name in scene.controller_names:  # the same node may lead again, under another term
-            await start_controller(scene, name)
-        await settle(scene)
+        for name in scenario.controller_names:  # the same node may lead again, under another term
+            await start_controller(scenario, name)
+        await settle(scenario)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_lost_answers_and_late_transactions(monkeypatch: pytest.MonkeyPatch) -> None:
     """Of many orders none is decided twice, whatever is lost, late or refused."""
 
-    async def act(scene: Scene) -> None:
-        await begin(scene)
-        scene.network.held_orders, scene.network.late_writes, scene.network.loss = 0.4, 0.3, 0.1
-        coming = await curio.spawn(scene.users_come, 24, 48.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await begin(scenario)
+        scenario.network.held_orders, scenario.network.late_writes, scenario.network.loss = (
+            0.4,
+            0.3,
+            0.1,
+        )
+        coming = await curio.spawn(scenario.run_users, 24, 48.0, daemon=True)
         for number in range(8):
             await curio.sleep(6.0)
-            scene.cloud.down = number % 3 == 2
+            scenario.cloud.down = number % 3 == 2
         await coming.join()
-        scene.cloud.down = False
-        scene.network.held_orders = scene.network.late_writes = scene.network.loss = 0.0
-        await settle(scene)
-        assert len(scene.cloud.orders.executed) > 3
+        scenario.cloud.down = False
+        scenario.network.held_orders = scenario.network.late_writes = scenario.network.loss = 0.0
+        await settle(scenario)
+        assert len(scenario.cloud.orders.executed) > 3
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("status", [400, 429, 503])
 def test_cloud_refuses_then_gives_a_part(status: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """A request is repeated under its name; what is refused for good is given up."""
 
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        cloud = scene.network.hosts[FakeCloud.HOST]
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        cloud = scenario.network.hosts[FakeCloud.HOST]
         asked: list[str] = []
 
         async def refuse(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -187,85 +198,85 @@
                 return status, {"error": "trouble"}
             return await cloud(source, method, path, body)
 
-        scene.network.hosts[FakeCloud.HOST] = refuse
-        await order(scene, leader, "rental")
-        await scene.until(lambda: len(asked) == 3)
+        scenario.network.hosts[FakeCloud.HOST] = refuse
+        await order(scenario, leader, "rental")
+        await scenario.wait_until(lambda: len(asked) == 3)
         repeated = len(set(asked)) < 3
         assert repeated == (status != 400)
-        await scene.until(lambda: scene.cloud.asks and len(scene.cloud.workers) == 8)
-        await settle(scene)
+        await scenario.wait_until(lambda: scenario.cloud.asks and len(scenario.cloud.workers) == 8)
+        await settle(scenario)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_forced_return_is_made_known(monkeypatch: pytest.MonkeyPatch) -> None:
     """In an outage a machine with a cancelled task goes without a record; all learn of it."""
 
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        via = scene.others(leader)[0]
-        (job,) = await scene.jobs_running(1, via, tasks=1, gpus=1.0)
-        (worker,) = [w for w in scene.cloud.workers.values() if job in w.hosted]
-        worker.hanging_until = scene.clock.now + 500.0
-        assert await scene.cancel(job, via) == 200
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        via = scenario.other_controllers(leader)[0]
+        (job,) = await scenario.submit_running_jobs(1, via, tasks=1, gpus=1.0)
+        (worker,) = [w for w in scenario.cloud.workers.values() if job in w.hosted]
+        worker.hanging_until = scenario.clock.now + 500.0
+        assert await scenario.cancel(job, via) == 200
         await curio.sleep(0.5)
-        scene.store.set_down(True)
-        await scene.until(lambda: worker.gone)
+        scenario.store.set_down(True)
+        await scenario.wait_until(lambda: worker.gone)
         await curio.sleep(1.0)
-        assert scene.cloud.orders.forced == [worker.name]
-        for node in scene.controllers.values():
+        assert scenario.cloud.orders.forced == [worker.name]
+        for node in scenario.controllers.values():
             assert worker.name in node.released.names()
         await curio.sleep(20.0)
-        scene.store.set_down(False)
-        await scene.end(leader)
-        new = await scene.new_leader(leader)
-        assert worker.name not in scene.controllers[new].leading.scheduler.machines
-        await settle(scene)
+        scenario.store.set_down(False)
+        await scenario.stop(leader)
+        new = await scenario.wait_for_new_leader(leader)
+        assert worker.name not in scenario.controllers[new].leading.scheduler.machines
+        await settle(scenario)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_return_of_a_machine_with_a_launch_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its intents are written; the holder stops before it answers, the next returns it."""
 
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        idle = next(w for w in scene.cloud.workers.values() if not w.present())
-        await scene.submit(scene.others(leader)[0], 10.0, tasks=4, gpus=4.0)
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        idle = next(w for w in scenario.cloud.workers.values() if not w.present())
+        await scenario.submit(scenario.other_controllers(leader)[0], 10.0, tasks=4, gpus=4.0)
         written = "on/"
-        await scene.until(
+        await scenario.wait_until(
             lambda: any(
                 key.startswith(written) and idle.name in data["boxes"]
-                for key, (data, _, _) in scene.store.data.items()
+                for key, (data, _, _) in scenario.store.data.items()
             )
         )
-        scene.paused_until[leader] = scene.clock.now + PAUSE_S
-        new = await scene.new_leader(leader)
-        scheduler = scene.controllers[new].leading.scheduler
-        scheduler.release(scheduler.machines[idle.name], "chosen", scene.clock.now)
-        await scene.until(lambda: idle.gone)
-        await settle(scene)
+        scenario.paused_until[leader] = scenario.clock.now + PAUSE_S
+        new = await scenario.wait_for_new_leader(leader)
+        scheduler = scenario.controllers[new].leading.scheduler
+        scheduler.release(scheduler.machines[idle.name], "chosen", scenario.clock.now)
+        await scenario.wait_until(lambda: idle.gone)
+        await settle(scenario)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_spot_machine_is_taken_while_its_return_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
         taken: list[str] = []
 
         def take(source: str) -> None:
-            for name in scene.controllers[leader].leading.scheduler.releases:
+            for name in scenario.controllers[leader].leading.scheduler.releases:
                 taken.append(name)
-                scene.cloud.take(scene.cloud.workers[name])
+                scenario.cloud.take(scenario.cloud.workers[name])
 
-        Trap(scene.network.hosts, "after_record", "return", take, HELD_S)
-        await order(scene, leader, "return")
-        await scene.until(lambda: bool(taken))
-        await settle(scene)
-        assert scene.leader() == leader
+        trigger_on(scenario, "after_record", "return", take)
+        await order(scenario, leader, "return")
+        await scenario.wait_until(lambda: bool(taken))
+        await settle(scenario)
+        assert scenario.leader() == leader
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_successor_places_nothing_on_a_machine_of_an_open_return(
@@ -273,23 +284,23 @@
 ) -> None:
     """The machine still reports, is booked for a gang, and has a launch on its way."""
 
-    async def act(scene: Scene) -> None:
-        leader = await begin(scene)
-        trap = Trap(scene.network.hosts, "after_record", "return", freeze(scene), HELD_S)
-        scene.cloud.down = True  # the successor can't complete it yet
-        await order(scene, leader, "return")
-        await scene.until(lambda: trap.source is not None)
-        (name,) = scene.controllers[leader].leading.scheduler.releases
-        new = await scene.new_leader(leader)
-        await scene.submit(new, 10.0, tasks=8, gpus=1.0, shape="gang")
+    async def act(scenario: Scenario) -> None:
+        leader = await begin(scenario)
+        trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
+        scenario.cloud.down = True  # the successor can't complete it yet
+        await order(scenario, leader, "return")
+        await scenario.wait_until(lambda: trigger.source is not None)
+        (name,) = scenario.controllers[leader].leading.scheduler.releases
+        new = await scenario.wait_for_new_leader(leader)
+        await scenario.submit(new, 10.0, tasks=8, gpus=1.0, shape="gang")
         await curio.sleep(20.0)
-        worker = scene.cloud.workers[name]
+        worker = scenario.cloud.workers[name]
         assert not worker.tasks and worker.up, "it reports, and gets nothing"
-        scene.cloud.down = False
-        await settle(scene)
-        assert name not in scene.cloud.workers
+        scenario.cloud.down = False
+        await settle(scenario)
+        assert name not in scenario.cloud.workers
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_return_that_a_leader_of_the_old_version_did_not_know_is_dropped(
@@ -297,33 +308,37 @@
 ) -> None:
     """An old leader ignores the record and uses the machine; the next new one leaves it."""
 
-    async def act(scene: Scene) -> None:
-        scene.cloud.orders.judges = False  # production records nothing
-        leader = await begin(scene)
-        trap = Trap(scene.network.hosts, "after_record", "return", freeze(scene), HELD_S)
-        await order(scene, leader, "return")
-        await scene.until(lambda: trap.source is not None)
-        (name,) = scene.controllers[leader].leading.scheduler.releases
-        for node in list(scene.controllers):
-            await scene.end(node)
-        scene.paused_until.clear()
-        scene.versions = dict.fromkeys(scene.controller_names, production())
-        for node in scene.controller_names:
-            await start_controller(scene, node)
-        await scene.until(lambda: scene.leader() is not None)
-        await scene.submit(scene.controller_names[0], 500.0, tasks=16, gpus=1.0)  # on all machines
-        worker = scene.cloud.workers[name]
-        await scene.until(lambda: any(t.state == "running" for t in worker.tasks.values()))
-        for node in scene.controller_names:
-            await scene.end(node)
-            del scene.versions[node]
-            await scene.back(node)
-        await scene.until(lambda: scene.leader() is not None)
+    async def act(scenario: Scenario) -> None:
+        scenario.cloud.orders.judges = False  # production records nothing
+        leader = await begin(scenario)
+        trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
+        await order(scenario, leader, "return")
+        await scenario.wait_until(lambda: trigger.source is not None)
+        (name,) = scenario.controllers[leader].leading.scheduler.releases
+        for node in list(scenario.controllers):
+            await scenario.stop(node)
+        scenario.paused_until.clear()
+        scenario.versions = dict.fromkeys(scenario.controller_names, production())
+        for node in scenario.controller_names:
+            await start_controller(scenario, node)
+        await scenario.wait_until(lambda: scenario.leader() is not None)
+        await scenario.submit(
+            scenario.controller_names[0], 500.0, tasks=16, gpus=1.0
+        )  # on all machines
+        worker = scenario.cloud.workers[name]
+        await scenario.wait_until(lambda: any(t.state == "running" for t in worker.tasks.values()))
+        for node in scenario.controller_names:
+            await scenario.stop(node)
+            del scenario.versions[node]
+            await scenario.start_again(node)
+        await scenario.wait_until(lambda: scenario.leader() is not None)
         await curio.sleep(30.0)
-        assert any(t.state == "running" for t in scene.cloud.workers[name].tasks.values())
-        await scene.until(lambda: not any(k.startswith(RETURN_PREFIX) for k in scene.store.data))
+        assert any(t.state == "running" for t in scenario.cloud.workers[name].tasks.values())
+        await scenario.wait_until(
+            lambda: not any(k.startswith(RETURN_PREFIX) for k in scenario.store.data)
+        )
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_odd_records_are_left_and_the_rest_goes_on(
@@ -335,16 +350,16 @@
         f"{DUTY_PREFIX}unheard/of": {"by": "x"},
     }
 
-    async def act(scene: Scene) -> None:
+    async def act(scenario: Scenario) -> None:
         for key, value in odd.items():
-            scene.store.data[key] = (value, 5, None)
-        leader = await begin(scene)
-        await order(scene, leader, "return")
+            scenario.store.data[key] = (value, 5, None)
+        leader = await begin(scenario)
+        await order(scenario, leader, "return")
         await curio.sleep(5.0)
-        assert scene.cloud.orders.executed
-        assert odd.keys() <= scene.store.data.keys()
+        assert scenario.cloud.orders.executed
+        assert odd.keys() <= scenario.store.data.keys()
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
     for key in odd:
         assert f"{key} unreadable" in caplog.text
 
--- a/tests/test_duties_records.py
+++ b/tests/test_duties_records.py
@@ -87,7 +87,7 @@
 def test_command_shows_holder_and_orders(tmp_path: Path) -> None:
     answers: list[str] = []
 
-    async def scene() -> None:
+    async def scenario() -> None:
         simulation = LoopbackSimulation(1, tmp_path, "")
         port = simulation.ports[CONTROLLER_NAMES[0]]["state"]
         serving = await curio.spawn(
@@ -107,7 +107,7 @@
         assert simulation.store.data == before, "it changes nothing"
         await serving.cancel()
 
-    curio.run(scene)
+    curio.run(scenario)
     text, data = answers[0], json.loads(answers[1])
     assert text.count("hive-2, term 4") == len(DUTIES) and "host-1 (idle)" in text
     assert {order["kind"] for order in data["orders"]} == {
--- a/tests/test_loopback_duties.py
+++ b/tests/test_loopback_duties.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.pause_scenes import play_pause
+from tests.pause_scenarios import play_pause
 
 
 @pytest.mark.parametrize(
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -10,128 +10,130 @@
 
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.key_value_store import FakeKeyValueStore
-from tests.scenes import Scene, assert_rules, play_scene
+from tests.scenarios import Scenario, assert_no_violations, run_scenario
 
 OUTSIDE = [FakeKeyValueStore.HOST, FakeCloud.HOST, "user"]
 
 
-def limits(scene: Scene, gpus: float) -> None:
-    for settings in scene.controller_settings.values():
+def limits(scenario: Scenario, gpus: float) -> None:
+    for settings in scenario.controller_settings.values():
         for team in settings.cluster.teams:
             team.gpus_max = gpus
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_more_work_than_room_over_slow_links(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        scene.cloud.capacity = 4
-        scene.network.delay_s = 0.4
-        await scene.begin(machines=4)
-        await scene.users_come(30, 15.0)
+    async def act(scenario: Scenario) -> None:
+        scenario.cloud.capacity = 4
+        scenario.network.delay_s = 0.4
+        await scenario.start(machines=4)
+        await scenario.run_users(30, 15.0)
         waiting = [
-            scene.users.specs[job]
-            for job in scene.rules.reported_stages
-            if job not in scene.tasks.first_start_at
+            scenario.users.specs[job]
+            for job in scenario.rules.reported_stages
+            if job not in scenario.tasks.first_start_at
         ]
         asked = sum(spec["frames"] * spec["cards"] for spec in waiting)
         assert asked > 16.0, "more than all machines have"
         assert len({spec["urgency"] for spec in waiting}) > 1, "urgent and not"
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 def test_report_held_back_until_a_new_leader_has_acted(monkeypatch: pytest.MonkeyPatch) -> None:
     """It shows a task that the new leader has placed elsewhere since."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        (job,) = await scene.jobs_running(1, old, tasks=2, gpus=4.0)
-        first = scene.busy_workers()[0]
+        (job,) = await scenario.submit_running_jobs(1, old, tasks=2, gpus=4.0)
+        first = scenario.busy_workers()[0]
         held = first.past_reports[-1]
         assert any(task_name["frame"].startswith(job) for task_name in held["frames"])
-        await scene.end(old)
+        await scenario.stop(old)
         first.new_session()
-        first.mute_until = scene.clock.now + 60.0
+        first.mute_until = scenario.clock.now + 60.0
         first.node = 0
-        new = await scene.new_leader(old)
+        new = await scenario.wait_for_new_leader(old)
         # The worker's next session proves its task gone; a direct answer tells of it.
         lost = {task_name["frame"] for task_name in held["frames"]}
 
         def placed_again() -> bool:
             return any(
                 task.task_name in lost
-                for worker in scene.busy_workers()
+                for worker in scenario.busy_workers()
                 if worker is not first
                 for task in worker.present()
             )
 
-        await scene.until(placed_again, 60.0)
-        status, answer = await scene.request(new, "POST", "/v1/report", held)
-        assert scene.controllers[new].leading.term > held["crown"], "from before her time"
+        await scenario.wait_until(placed_again, 60.0)
+        status, answer = await scenario.request(new, "POST", "/v1/report", held)
+        assert scenario.controllers[new].leading.term > held["crown"], "from before her time"
         launches = [
             command for command in (answer or {}).get("calls", []) if command["call"] == "launch"
         ]
         assert status in (200, 421) and launches == []
         await curio.sleep(30.0)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_first_word_of_a_machine_is_an_old_report(monkeypatch: pytest.MonkeyPatch) -> None:
     """The new leader hears nothing else of it, so the report must prove nothing."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        (job,) = await scene.jobs_running(1, old, tasks=2, gpus=4.0)
-        first = scene.busy_workers()[0]
+        (job,) = await scenario.submit_running_jobs(1, old, tasks=2, gpus=4.0)
+        first = scenario.busy_workers()[0]
         held = first.past_reports[0]
         assert held["frames"] == [], "it shows the machine empty"
-        first.mute_until = first.deaf_until = scene.clock.now + 0.6 * scene.workers.lease_s
-        await scene.end(old)
-        new = await scene.new_leader(old)
+        first.mute_until = first.deaf_until = (
+            scenario.clock.now + 0.6 * scenario.worker_settings.lease_s
+        )
+        await scenario.stop(old)
+        new = await scenario.wait_for_new_leader(old)
         held = {**held, "tally": 10_000}  # the newest that it hears, and yet from before it
-        await scene.request(new, "POST", "/v1/report", held)
+        await scenario.request(new, "POST", "/v1/report", held)
         run = [
             run
-            for run in scene.controllers[new].leading.scheduler.jobs[job].runs.values()
+            for run in scenario.controllers[new].leading.scheduler.jobs[job].runs.values()
             if run.machine == first.name
         ]
         assert len(run) == 1 and run[0].present, "it still counts as possibly running"
         await curio.sleep(20.0)
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_hand_over_and_back_all_end_and_one_returns(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 25, 20.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 25, 20.0, daemon=True)
         await curio.sleep(8.0)
-        one = scene.leader()
+        one = scenario.leader()
         assert one is not None
-        await scene.end(one)
-        await scene.back(one, 0.3)
-        two = await scene.new_leader(None)
-        await scene.end(two)
-        await scene.back(two, 0.05)
-        three = await scene.new_leader(None)
-        term = scene.controllers[three].leading.term
-        for name in list(scene.controllers):
-            await scene.end(name)
-        await scene.back(three, 0.4)
-        again = await scene.new_leader(None)
-        assert again == three and scene.controllers[again].leading.term > term
-        for name in scene.controller_names:
-            await scene.back(name, 0.5)
+        await scenario.stop(one)
+        await scenario.start_again(one, 0.3)
+        two = await scenario.wait_for_new_leader(None)
+        await scenario.stop(two)
+        await scenario.start_again(two, 0.05)
+        three = await scenario.wait_for_new_leader(None)
+        term = scenario.controllers[three].leading.term
+        for name in list(scenario.controllers):
+            await scenario.stop(name)
+        await scenario.start_again(three, 0.4)
+        again = await scenario.wait_for_new_leader(None)
+        assert again == three and scenario.controllers[again].leading.term > term
+        for name in scenario.controller_names:
+            await scenario.start_again(name, 0.5)
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -140,162 +142,164 @@
 ) -> None:
     """Some of its machines can't be asked, and a job of it is cancelled in that spell."""
 
-    async def act(scene: Scene) -> None:
-        limits(scene, 12.0)
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        limits(scenario, 12.0)
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        jobs = await scene.jobs_running(4, old, team="red", gpus=1.0, checkpoint_s=0.0)
-        waiting = [await scene.submit(old, team="red", run_s=10.0) for _ in range(3)]
-        cut = scene.busy_workers()[:2]
+        jobs = await scenario.submit_running_jobs(4, old, team="red", gpus=1.0, checkpoint_s=0.0)
+        waiting = [await scenario.submit(old, team="red", run_s=10.0) for _ in range(3)]
+        cut = scenario.busy_workers()[:2]
         for worker in cut:
-            scene.cut_off(worker.host, scene.controller_names)
-        await scene.end(old)
-        new = await scene.new_leader(old)
-        used = sum(task.spec["cards"] for w in scene.busy_workers() for task in w.present())
+            scenario.cut_off(worker.host, scenario.controller_names)
+        await scenario.stop(old)
+        new = await scenario.wait_for_new_leader(old)
+        used = sum(task.spec["cards"] for w in scenario.busy_workers() for task in w.present())
         assert used == 12.0 and any(worker.present() for worker in cut), "at its limit"
         for job in jobs[:2]:
-            assert await scene.cancel(job, new) == 200
-        await curio.sleep(0.5 * scene.workers.lease_s)
-        scene.network.cuts.clear()
-        await scene.back(old)
-        await scene.until(lambda: all(job in scene.tasks.first_start_at for job in waiting), 150.0)
+            assert await scenario.cancel(job, new) == 200
+        await curio.sleep(0.5 * scenario.worker_settings.lease_s)
+        scenario.network.cuts.clear()
+        await scenario.start_again(old)
+        await scenario.wait_until(
+            lambda: all(job in scenario.tasks.first_start_at for job in waiting), 150.0
+        )
 
-    scene = play_scene(act, monkeypatch, seed=seed)
-    assert_rules(scene)
+    scenario = run_scenario(act, monkeypatch, seed=seed)
+    assert_no_violations(scenario)
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_tasks_end_far_apart_across_changes_of_leader(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
         jobs = []
         for number in range(3):
-            scene.numbers += 1
+            scenario.job_number += 1
             tasks = 2 + number % 2
-            name = f"wk-{scene.numbers + 1:06d}"
+            name = f"wk-{scenario.job_number + 1:06d}"
             for index in range(tasks):
-                scene.tasks.task_run_s[(name, index)] = 4.0 + 22.0 * index
-            jobs.append(await scene.submit(leader, run_s=1.0, tasks=tasks, gpus=2.0))
+                scenario.tasks.task_run_s[(name, index)] = 4.0 + 22.0 * index
+            jobs.append(await scenario.submit(leader, run_s=1.0, tasks=tasks, gpus=2.0))
             assert jobs[-1] == name
         terms = set()
         for _ in range(3):
-            done = len(scene.tasks.completed)
-            await scene.until(lambda done=done: len(scene.tasks.completed) > done, 80.0)  # type: ignore[misc]
-            ended = scene.leader()
+            done = len(scenario.tasks.completed)
+            await scenario.wait_until(lambda done=done: len(scenario.tasks.completed) > done, 80.0)  # type: ignore[misc]
+            ended = scenario.leader()
             assert ended is not None
-            terms.add(scene.controllers[ended].leading.term)
-            await scene.end(ended)
-            await scene.back(ended, 1.0)
-            await scene.new_leader(None)
+            terms.add(scenario.controllers[ended].leading.term)
+            await scenario.stop(ended)
+            await scenario.start_again(ended, 1.0)
+            await scenario.wait_for_new_leader(None)
         assert len(terms) == 3
         for job in jobs:
-            while scene.rules.reported_stages[job] != "done":
-                await scene.poll(job, scene.rng.choice(list(scene.controllers)))
+            while scenario.rules.reported_stages[job] != "done":
+                await scenario.poll(job, scenario.rng.choice(list(scenario.controllers)))
                 await curio.sleep(1.0)
-                assert scene.clock.now - scene.users.submitted_at[job] < 200.0
+                assert scenario.clock.now - scenario.users.submitted_at[job] < 200.0
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_ten_leaders_in_two_minutes(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Also inside an outage of the state service."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 40, 90.0, daemon=True)
-        began = scene.clock.now
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 40, 90.0, daemon=True)
+        began = scenario.clock.now
         terms = set()
         for number in range(11):
-            leader = await scene.new_leader(None)
-            terms.add(scene.controllers[leader].leading.term)
-            await curio.sleep(scene.rng.uniform(0.5, 6.0))
+            leader = await scenario.wait_for_new_leader(None)
+            terms.add(scenario.controllers[leader].leading.term)
+            await curio.sleep(scenario.rng.uniform(0.5, 6.0))
             if number in (3, 7):
-                scene.store.set_down(True)
-            if leader in scene.controllers:
-                await scene.end(leader)
-            await scene.back(leader, scene.rng.choice([0.05, 0.5, 3.0]))
-            if scene.store.down:
+                scenario.store.set_down(True)
+            if leader in scenario.controllers:
+                await scenario.stop(leader)
+            await scenario.start_again(leader, scenario.rng.choice([0.05, 0.5, 3.0]))
+            if scenario.store.down:
                 await curio.sleep(6.0)
-                scene.store.set_down(False)
-        assert len(terms) >= 10 and scene.clock.now - began < 120.0
+                scenario.store.set_down(False)
+        assert len(terms) >= 10 and scenario.clock.now - began < 120.0
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 def test_command_held_up_while_its_machine_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        jobs = await scene.jobs_running(3, leader, gpus=2.0)
-        hung = scene.busy_workers()[:3]
+        jobs = await scenario.submit_running_jobs(3, leader, gpus=2.0)
+        hung = scenario.busy_workers()[:3]
         for worker in hung:
-            worker.hanging_until = scene.clock.now + 0.6 * scene.workers.lease_s
+            worker.hanging_until = scenario.clock.now + 0.6 * scenario.worker_settings.lease_s
         for job in jobs:
-            assert await scene.cancel(job, leader) == 200
-        await scene.users_come(10, 5.0)
-        await curio.sleep(scene.workers.lease_s)
+            assert await scenario.cancel(job, leader) == 200
+        await scenario.run_users(10, 5.0)
+        await curio.sleep(scenario.worker_settings.lease_s)
         assert any(worker.late_commands for worker in hung), "carried out when it went on"
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    scene = play_scene(act, monkeypatch)
-    assert_rules(scene)
-    assert scene.took_s() < 0.6 * scene.workers.cancel_s
+    scenario = run_scenario(act, monkeypatch)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.6 * scenario.worker_settings.cancel_s
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_transactions_carried_out_after_newer_ones(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        scene.network.late_writes = 0.25
-        coming = await curio.spawn(scene.users_come, 30, 40.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        scenario.network.late_writes = 0.25
+        coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(15.0)
-        leader = scene.leader()
+        leader = scenario.leader()
         if leader is not None:
-            await scene.end(leader)
-            await scene.back(leader, 0.5)
+            await scenario.stop(leader)
+            await scenario.start_again(leader, 0.5)
         await coming.join()
-        scene.network.late_writes = 0.0
-        assert scene.network.overtaken > 20, "newer ones came before"
-        await scene.all_over()
+        scenario.network.late_writes = 0.0
+        assert scenario.network.overtaken > 20, "newer ones came before"
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 @pytest.mark.parametrize("site", ["hive", "maps"])
 def test_all_controllers_away_for_longer_than_a_lease(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 20, 20.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 20, 20.0, daemon=True)
         await curio.sleep(15.0)
-        sessions = {w.name: w.session for w in scene.cloud.workers.values() if w.up}
-        assert scene.busy_workers()
-        for name in list(scene.controllers):
-            await scene.end(name)
-        await curio.sleep(1.3 * scene.workers.lease_s)
+        sessions = {w.name: w.session for w in scenario.cloud.workers.values() if w.up}
+        assert scenario.busy_workers()
+        for name in list(scenario.controllers):
+            await scenario.stop(name)
+        await curio.sleep(1.3 * scenario.worker_settings.lease_s)
         assert all(
             worker.session > sessions[worker.name]
-            for worker in scene.cloud.workers.values()
+            for worker in scenario.cloud.workers.values()
             if worker.name in sessions
         ), "every lease has ended"
-        for name in scene.controller_names:
-            await scene.back(name)
+        for name in scenario.controller_names:
+            await scenario.start_again(name)
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, site))
+    assert_no_violations(run_scenario(act, monkeypatch, site))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -304,26 +308,26 @@
 ) -> None:
     """One can't be reached, one does not hear the new leader's answers; long tasks on both."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        await scene.jobs_running(3, old, run_s=60.0, gpus=2.0)
-        cut, unhearing = scene.busy_workers()[:2]
-        scene.network.holding = True
-        scene.cut_off(cut.host, scene.controller_names)
-        unhearing.deaf_until = scene.clock.now + 2.5 * scene.workers.lease_s
-        await scene.end(old)
-        new = await scene.new_leader(old)
+        await scenario.submit_running_jobs(3, old, run_s=60.0, gpus=2.0)
+        cut, unhearing = scenario.busy_workers()[:2]
+        scenario.network.holding = True
+        scenario.cut_off(cut.host, scenario.controller_names)
+        unhearing.deaf_until = scenario.clock.now + 2.5 * scenario.worker_settings.lease_s
+        await scenario.stop(old)
+        new = await scenario.wait_for_new_leader(old)
         await curio.sleep(1.0)
-        assert cut.present() and unhearing.term < scene.controllers[new].leading.term
-        await scene.users_come(10, 1.2 * scene.workers.lease_s)
-        scene.network.cuts.clear()
-        await scene.back(old)
-        await curio.sleep(2 * scene.workers.lease_s)
-        await scene.all_over()
+        assert cut.present() and unhearing.term < scenario.controllers[new].leading.term
+        await scenario.run_users(10, 1.2 * scenario.worker_settings.lease_s)
+        scenario.network.cuts.clear()
+        await scenario.start_again(old)
+        await curio.sleep(2 * scenario.worker_settings.lease_s)
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -333,38 +337,40 @@
     """A cancellation, a question and a repeat at the same moment, at different controllers."""
     outcomes: list[str] = []
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
         for _ in range(10):
-            job = await scene.submit(leader, run_s=2.0, tasks=2, gpus=1.0, image_gb=0.1)
+            job = await scenario.submit(leader, run_s=2.0, tasks=2, gpus=1.0, image_gb=0.1)
             tasks = {(job, 0), (job, 1)}
-            await scene.until(lambda tasks=tasks: tasks <= scene.tasks.completed, 60.0)  # type: ignore[misc]
+            await scenario.wait_until(lambda tasks=tasks: tasks <= scenario.tasks.completed, 60.0)  # type: ignore[misc]
             # The worker reports at once; a moment later the job is moved.
-            await curio.sleep(scene.rng.uniform(0.0, 1.2))
+            await curio.sleep(scenario.rng.uniform(0.0, 1.2))
             meet = [
-                await curio.spawn(scene.cancel, job, scene.rng.choice(scene.controller_names)),
-                await curio.spawn(scene.poll, job, scene.rng.choice(scene.controller_names)),
+                await curio.spawn(scenario.cancel, job, scenario.any_controller()),
+                await curio.spawn(scenario.poll, job, scenario.any_controller()),
                 await curio.spawn(
-                    scene.request,
-                    scene.rng.choice(scene.controller_names),
+                    scenario.request,
+                    scenario.any_controller(),
                     "POST",
                     "/api/jobs",
-                    scene.users.specs[job],
+                    scenario.users.specs[job],
                 ),
             ]
             for task in meet:
                 await task.join()
-            status, body = await scene.poll(job, scene.rng.choice(scene.controller_names))
+            status, body = await scenario.poll(job, scenario.any_controller())
             assert status == 200
             outcomes.append(body["stage"])
-            status, body = await scene.request(leader, "POST", "/api/jobs", scene.users.specs[job])
-            scene.rules.check_answer(job, status, body, True)
+            status, body = await scenario.request(
+                leader, "POST", "/api/jobs", scenario.users.specs[job]
+            )
+            scenario.rules.check_answer(job, status, body, True)
             assert (status, body["stage"]) == (200, outcomes[-1])
             await curio.sleep(2.0)
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
     assert set(outcomes) <= {"done", "aborted"} and "done" in outcomes
 
 
@@ -373,15 +379,15 @@
     outcomes = set()
     for seed in range(4):
 
-        async def act(scene: Scene) -> None:
-            await scene.begin()
-            scene.users.cancel_at_end_share = 1.0
-            await scene.users_come(25, 10.0)
-            await scene.all_over()
-            assert scene.users.cancelled_at_end > 10
-            outcomes.update(scene.rules.reported_stages.values())
+        async def act(scenario: Scenario) -> None:
+            await scenario.start()
+            scenario.users.cancel_at_end_share = 1.0
+            await scenario.run_users(25, 10.0)
+            await scenario.wait_for_all_users()
+            assert scenario.users.cancelled_at_end > 10
+            outcomes.update(scenario.rules.reported_stages.values())
 
-        assert_rules(play_scene(act, monkeypatch, seed=seed))
+        assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
     assert outcomes == {"done", "aborted"}
 
 
@@ -391,69 +397,71 @@
 ) -> None:
     """Its controller keeps its busy workers; jobs cancelled meanwhile are ended all the same."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         if leader == "hive-1":  # the only controller of zone b
-            await scene.end(leader)
-            await scene.back(leader, 0.5)
-            leader = await scene.new_leader(leader)
+            await scenario.stop(leader)
+            await scenario.start_again(leader, 0.5)
+            leader = await scenario.wait_for_new_leader(leader)
         assert leader is not None
-        await curio.sleep(3 * scene.workers.report_s)
-        jobs = await scene.jobs_running(2, leader, gpus=4.0, tasks=2, zone="b")
-        await scene.jobs_running(1, leader, gpus=4.0, tasks=1, zone="a")
-        inside = [worker for worker in scene.busy_workers() if worker.zone == "b"]
+        await curio.sleep(3 * scenario.worker_settings.report_s)
+        jobs = await scenario.submit_running_jobs(2, leader, gpus=4.0, tasks=2, zone="b")
+        await scenario.submit_running_jobs(1, leader, gpus=4.0, tasks=1, zone="a")
+        inside = [worker for worker in scenario.busy_workers() if worker.zone == "b"]
         sessions = {worker.name: worker.session for worker in inside}
         assert len(inside) > 2, "too many to be taken for lone silent machines"
         for other in ["a", *OUTSIDE]:
-            scene.network.cuts.add(frozenset(("b", other)))
+            scenario.network.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
-        assert await scene.cancel(jobs[0], leader) == 200
-        await curio.sleep(1.4 * scene.workers.lease_s)
+        assert await scenario.cancel(jobs[0], leader) == 200
+        await curio.sleep(1.4 * scenario.worker_settings.lease_s)
         kept = [w for w in inside if not w.gone and w.session == sessions[w.name]]
         assert kept, "longer than a lease, and not all was lost"
-        await curio.sleep(scene.workers.cancel_s - scene.workers.lease_s)
-        scene.network.cuts.clear()
-        await scene.users_come(8, 10.0)
-        await scene.all_over()
+        await curio.sleep(scenario.worker_settings.cancel_s - scenario.worker_settings.lease_s)
+        scenario.network.cuts.clear()
+        await scenario.run_users(8, 10.0)
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, site))
+    assert_no_violations(run_scenario(act, monkeypatch, site))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_jobs_bound_to_one_zone_lose_machines(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
         bound: dict[str, Any] = {"same_place": True, "cards": 2.0, "frames": 4, "run_s": 25.0}
         jobs = [
-            await scene.submit(leader, **bound),
-            await scene.submit(leader, shape="gang", checkpoint_s=5.0, **bound),
-            await scene.submit(leader, zone="a", **{**bound, "same_place": False}),
+            await scenario.submit(leader, **bound),
+            await scenario.submit(leader, shape="gang", checkpoint_s=5.0, **bound),
+            await scenario.submit(leader, zone="a", **{**bound, "same_place": False}),
         ]
-        await scene.until(lambda: all(job in scene.tasks.first_start_at for job in jobs), 60.0)
+        await scenario.wait_until(
+            lambda: all(job in scenario.tasks.first_start_at for job in jobs), 60.0
+        )
         lost = 0
         for _ in range(3):
             await curio.sleep(6.0)
-            hit = [worker for worker in scene.busy_workers() if worker.zone == "a"]
-            hit = hit or scene.busy_workers()
+            hit = [worker for worker in scenario.busy_workers() if worker.zone == "a"]
+            hit = hit or scenario.busy_workers()
             for worker in hit[:1]:
                 lost += len(worker.present())
-                if scene.rng.random() < 0.5:
-                    scene.cloud.take(worker)
+                if scenario.rng.random() < 0.5:
+                    scenario.cloud.take(worker)
                 else:
                     worker.new_session()
         assert lost > 0
-        await scene.users_come(6, 5.0)
-        await scene.all_over()
+        await scenario.run_users(6, 5.0)
+        await scenario.wait_for_all_users()
         for job in jobs:
-            while scene.rules.reported_stages[job] != "done":
-                await scene.poll(job, scene.rng.choice(scene.controller_names))
+            while scenario.rules.reported_stages[job] != "done":
+                await scenario.poll(job, scenario.any_controller())
                 await curio.sleep(1.0)
-                assert scene.clock.now - scene.users.submitted_at[job] < 400.0
+                assert scenario.clock.now - scenario.users.submitted_at[job] < 400.0
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 @pytest.mark.parametrize("site", ["hive", "maps"])
@@ -461,84 +469,84 @@
 def test_slow_state_service_refuses_the_leader_and_then_everybody(
     seed: int, site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 30, 40.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(8.0)
-        scene.store.slow_s = 0.4
+        scenario.store.slow_s = 0.4
         await curio.sleep(8.0)
-        leader = scene.leader()
+        leader = scenario.leader()
         assert leader is not None
-        scene.store.refused.add(leader)
-        await curio.sleep(scene.rng.uniform(0.5, 4.0))
-        scene.store.set_down(True)
-        scene.store.refused.clear()
-        confirmed = scene.rules.cancel_confirmed_at
+        scenario.store.refused.add(leader)
+        await curio.sleep(scenario.rng.uniform(0.5, 4.0))
+        scenario.store.set_down(True)
+        scenario.store.refused.clear()
+        confirmed = scenario.rules.cancel_confirmed_at
         cancelled = len(confirmed)
-        await curio.sleep(1.2 * scene.workers.cancel_s)
-        assert len(scene.rules.cancel_confirmed_at) == cancelled, (
+        await curio.sleep(1.2 * scenario.worker_settings.cancel_s)
+        assert len(scenario.rules.cancel_confirmed_at) == cancelled, (
             "nothing is confirmed in an outage"
         )
-        scene.store.set_down(False)
-        scene.store.slow_s = 0.0
+        scenario.store.set_down(False)
+        scenario.store.slow_s = 0.0
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, site, seed))
+    assert_no_violations(run_scenario(act, monkeypatch, site, seed))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_old_reports_arrive_after_newer_ones(seed: int, monkeypatch: pytest.MonkeyPatch) -> None:
     """Also of earlier sessions and attempts, at the leader and at others."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 25, 25.0, daemon=True)
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 25, 25.0, daemon=True)
         old = 0
         for second in range(40):
             await curio.sleep(1.0)
-            workers = list(scene.cloud.workers.values())
+            workers = list(scenario.cloud.workers.values())
             if second % 8 == 4:  # drawn, there were sometimes none
-                scene.rng.choice(workers).new_session()
+                scenario.rng.choice(workers).new_session()
             for worker in workers:
                 past = [
                     rep
                     for rep in worker.past_reports[:-1]
                     if (rep["flight"], rep["tally"]) < (worker.session, worker.sequence)
                 ]
-                for rep in scene.rng.sample(past, min(2, len(past))):
+                for rep in scenario.rng.sample(past, min(2, len(past))):
                     old += rep["flight"] < worker.session
-                    name = scene.rng.choice(list(scene.controllers))
-                    await scene.network.hosts[name](worker.host, "POST", "/v1/report", rep)
+                    name = scenario.rng.choice(list(scenario.controllers))
+                    await scenario.network.hosts[name](worker.host, "POST", "/v1/report", rep)
         assert old > 5, "some were from earlier sessions"
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
 
 
 @pytest.mark.parametrize("site", ["hive", "maps"])
 def test_workers_reach_no_controller_but_hear_direct_commands(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        jobs = await scene.jobs_running(3, leader, gpus=2.0)
-        muted = scene.busy_workers()[:3]
+        jobs = await scenario.submit_running_jobs(3, leader, gpus=2.0)
+        muted = scenario.busy_workers()[:3]
         for worker in muted:
-            worker.mute_until = scene.clock.now + 1.5 * scene.workers.lease_s
+            worker.mute_until = scenario.clock.now + 1.5 * scenario.worker_settings.lease_s
         await curio.sleep(1.0)
         for job in jobs[:2]:
-            assert await scene.cancel(job, scene.others(leader)[0]) == 200
-        await scene.users_come(8, 1.5 * scene.workers.lease_s)
-        await scene.cancel(jobs[2], leader)
-        await scene.all_over()
+            assert await scenario.cancel(job, scenario.other_controllers(leader)[0]) == 200
+        await scenario.run_users(8, 1.5 * scenario.worker_settings.lease_s)
+        await scenario.cancel(jobs[2], leader)
+        await scenario.wait_for_all_users()
 
-    scene = play_scene(act, monkeypatch, site)
-    assert_rules(scene)
-    assert scene.took_s() < 3 * scene.workers.report_s
+    scenario = run_scenario(act, monkeypatch, site)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 3 * scenario.worker_settings.report_s
 
 
 @pytest.mark.parametrize("site", ["hive", "maps"])
@@ -548,74 +556,74 @@
 ) -> None:
     """Jobs are cancelled through the new leader; some of their machines hang then."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        old = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        old = scenario.leader()
         assert old is not None
-        jobs = await scene.jobs_running(4, old, gpus=2.0)
-        busy = scene.busy_workers()
-        at = scene.clock.now
-        scene.cut_off(old, [*scene.controller_names, FakeKeyValueStore.HOST])
-        new = await scene.new_leader(old)
+        jobs = await scenario.submit_running_jobs(4, old, gpus=2.0)
+        busy = scenario.busy_workers()
+        at = scenario.clock.now
+        scenario.cut_off(old, [*scenario.controller_names, FakeKeyValueStore.HOST])
+        new = await scenario.wait_for_new_leader(old)
         served = [w for w in busy if w.answered_by.get(old, 0.0) > at]
         assert served, "workers still report to the old one"
         for worker in busy[:hung]:
-            worker.hanging_until = scene.clock.now + scene.workers.cancel_s
+            worker.hanging_until = scenario.clock.now + scenario.worker_settings.cancel_s
         for job in jobs:
-            assert await scene.cancel(job, new) == 200
-            status, body = await scene.poll(job, old)
+            assert await scenario.cancel(job, new) == 200
+            status, body = await scenario.poll(job, old)
             assert status != 200 or body["stage"] == "aborted", "the old one knows nothing new"
-        await curio.sleep(scene.workers.cancel_s)
-        scene.network.cuts.clear()
-        await scene.users_come(5, 5.0)
-        await scene.all_over()
+        await curio.sleep(scenario.worker_settings.cancel_s)
+        scenario.network.cuts.clear()
+        await scenario.run_users(5, 5.0)
+        await scenario.wait_for_all_users()
 
-    scene = play_scene(act, monkeypatch, site)
-    assert_rules(scene)
-    assert scene.took_s() < 0.8 * scene.workers.cancel_s
-    assert scene.started_late == []
+    scenario = run_scenario(act, monkeypatch, site)
+    assert_no_violations(scenario)
+    assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
+    assert scenario.started_late == []
 
 
 def test_odd_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     """Repeats of unfinished jobs, cancels of done ones, jobs that fit nothing or lack a field."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        coming = await curio.spawn(scene.users_come, 20, 40.0, daemon=True)
-        await scene.users.send_unusual_requests(80.0)
-        assert scene.users.unusual_answers == {
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        coming = await curio.spawn(scenario.run_users, 20, 40.0, daemon=True)
+        await scenario.users.send_unusual_requests(80.0)
+        assert scenario.users.unusual_answers == {
             "repeat": {200},
             "odd_repeat": {200},
             "cancel_done": {200},
             "huge": {422},
             "lacking": {400},
         }
-        leader = scene.leader()
+        leader = scenario.leader()
         assert leader is not None
         for path in ("/api/jobs/wk-999999", "/api/jobs/wk-999999/cancel"):
             method = "POST" if path.endswith("cancel") else "GET"
-            assert (await scene.request(leader, method, path, {}))[0] == 404
+            assert (await scenario.request(leader, method, path, {}))[0] == 404
         await coming.join()
-        await scene.all_over()
+        await scenario.wait_for_all_users()
 
-    scene = play_scene(act, monkeypatch)
-    assert_rules(scene)
+    scenario = run_scenario(act, monkeypatch)
+    assert_no_violations(scenario)
 
 
 def test_cancel_of_a_job_that_is_done_says_done(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        job = await scene.submit(leader, run_s=1.0, tasks=1)
-        while scene.rules.reported_stages[job] != "done":
-            await scene.poll(job, leader)
+        job = await scenario.submit(leader, run_s=1.0, tasks=1)
+        while scenario.rules.reported_stages[job] != "done":
+            await scenario.poll(job, leader)
             await curio.sleep(0.5)
-        for name in scene.controller_names:
-            status, body = await scene.request(name, "POST", f"/api/jobs/{job}/cancel", {})
+        for name in scenario.controller_names:
+            status, body = await scenario.request(name, "POST", f"/api/jobs/{job}/cancel", {})
             assert (status, body["stage"]) == (200, "done")
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -624,17 +632,17 @@
 ) -> None:
     """Its renewals arrived, no answer did: it decided nothing, and nobody else could lead."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        await scene.jobs_running(1, scene.controller_names[0])
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        await scenario.submit_running_jobs(1, scenario.controller_names[0])
+        leader = scenario.leader()
         assert leader is not None
-        scene.network.lost.add((FakeKeyValueStore.HOST, leader))
-        new = await scene.new_leader(leader, 10 * scene.controllers[leader].grant_s)
-        await scene.jobs_running(1, new)
-        scene.network.lost.clear()
-        await scene.until(lambda: scene.controllers[leader].leading is None)
-        await curio.sleep(scene.workers.lease_s)
-        assert scene.leader() == new
-
-    assert_rules(play_scene(act, monkeypatch, seed=seed))
+        scenario.network.lost.add((FakeKeyValueStore.HOST, leader))
+        new = await scenario.wait_for_new_leader(leader, 10 * scenario.controllers[leader].grant_s)
+        await scenario.submit_running_jobs(1, new)
+        scenario.network.lost.clear()
+        await scenario.wait_until(lambda: scenario.controllers[leader].leading is None)
+        await curio.sleep(scenario.worker_settings.lease_s)
+        assert scenario.leader() == new
+
+    assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -33,7 +33,7 @@
 ]
 
 
-def assert_rules(simulation: Simulation) -> None:
+def assert_no_violations(simulation: Simulation) -> None:
     story = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], story
     assert simulation.starts > 20, "hardly anything ran"
@@ -44,7 +44,7 @@
 def test_rules_hold_with_services(
     seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    assert_rules(play(seed, kinds, monkeypatch, services=0.4))
+    assert_no_violations(play(seed, kinds, monkeypatch, services=0.4))
 
 
 @pytest.mark.parametrize(("seed", "kinds"), UPGRADE_DAYS)
@@ -53,7 +53,7 @@
 ) -> None:
     """Production and current controllers lead in turn, on each other's data."""
     simulation = play(seed, kinds, monkeypatch, trouble_s=90.0, jobs=45, later=LATER)
-    assert_rules(simulation)
+    assert_no_violations(simulation)
     assert simulation.versions == {}, "not all were upgraded"
     assert simulation.store.txn_ops == LATER.txn_ops
     assert simulation.store.refused_sizes == [], "too large for the lowered limits"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.conftest import Bench, make_spec
-from tests.scenes import Scene, assert_rules, play_scene
+from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from topazhold.core.jobs import Job, JobState, Run, RunState
 from topazhold.core.machines import MachineState
 from topazhold.wire.messages import JobSpec
@@ -287,10 +287,10 @@
 }
 
 
-def running_replicas(scene: Scene, job: str) -> int:
+def running_replicas(scenario: Scenario, job: str) -> int:
     return sum(
         task.state == "running"
-        for worker in scene.cloud.workers.values()
+        for worker in scenario.cloud.workers.values()
         for task in worker.tasks.values()
         if task.job == job
     )
@@ -301,66 +301,66 @@
 ) -> None:
     """A replica ends, the leader with it, and the job is cancelled before the next one acts."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        via = scene.others(leader)[0]
-        kept = (await scene.jobs_running(1, via, **SERVICE))[0]
-        gone = (await scene.jobs_running(1, via, **SERVICE))[0]
-        for worker in scene.cloud.workers.values():
+        via = scenario.other_controllers(leader)[0]
+        kept = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
+        gone = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
+        for worker in scenario.cloud.workers.values():
             for task in list(worker.tasks.values()):
                 if task.index == 0 and task.state == "running":
                     worker._end(task, "error")
-        await scene.end(leader)
-        assert await scene.cancel(gone, via) == 200
-        await scene.new_leader(leader)
-        await scene.until(lambda: running_replicas(scene, kept) == 3)
-        await scene.until(lambda: gone not in scene.present_jobs())
+        await scenario.stop(leader)
+        assert await scenario.cancel(gone, via) == 200
+        await scenario.wait_for_new_leader(leader)
+        await scenario.wait_until(lambda: running_replicas(scenario, kept) == 3)
+        await scenario.wait_until(lambda: gone not in scenario.present_jobs())
         # An answer may lag by 3 s (PROTOCOL); asked at that very moment, it had to be luck.
-        asked_at = scene.clock.now
-        status, body = await scene.poll(kept, via)
+        asked_at = scenario.clock.now
+        status, body = await scenario.poll(kept, via)
         while (status, body["stage"]) != (200, "running"):
-            assert scene.clock.now - asked_at < 3.0, (status, body)
+            assert scenario.clock.now - asked_at < 3.0, (status, body)
             await curio.sleep(0.1)
-            status, body = await scene.poll(kept, via)
-        assert scene.started_late == [] and scene.launched_late == []
+            status, body = await scenario.poll(kept, via)
+        assert scenario.started_late == [] and scenario.launched_late == []
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_replicas_outlast_an_outage_of_the_state_service(monkeypatch: pytest.MonkeyPatch) -> None:
     """Workers are still answered, for longer than their lease; no replica is started twice."""
 
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        job = (await scene.jobs_running(1, leader, **SERVICE))[0]
-        starts = scene.starts
-        scene.store.set_down(True)
-        for _ in range(int(2 * scene.workers.lease_s)):
+        job = (await scenario.submit_running_jobs(1, leader, **SERVICE))[0]
+        starts = scenario.starts
+        scenario.store.set_down(True)
+        for _ in range(int(2 * scenario.worker_settings.lease_s)):
             await curio.sleep(1.0)
-            assert running_replicas(scene, job) == 3
-        scene.store.set_down(False)
+            assert running_replicas(scenario, job) == 3
+        scenario.store.set_down(False)
         await curio.sleep(5.0)
-        assert running_replicas(scene, job) == 3 and scene.starts == starts
+        assert running_replicas(scenario, job) == 3 and scenario.starts == starts
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
 
 
 def test_many_services_cancelled_at_once_as_a_machine_dies(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def act(scene: Scene) -> None:
-        await scene.begin()
-        leader = scene.leader()
+    async def act(scenario: Scenario) -> None:
+        await scenario.start()
+        leader = scenario.leader()
         assert leader is not None
-        jobs = await scene.jobs_running(6, leader, **SERVICE)
-        scene.busy_workers()[0].die()
+        jobs = await scenario.submit_running_jobs(6, leader, **SERVICE)
+        scenario.busy_workers()[0].die()
         for job in jobs:
-            assert await scene.cancel(job, leader) == 200
-        await scene.until(lambda: not scene.present_jobs() & set(jobs), 60.0)
-        assert scene.started_late == []
+            assert await scenario.cancel(job, leader) == 200
+        await scenario.wait_until(lambda: not scenario.present_jobs() & set(jobs), 60.0)
+        assert scenario.started_late == []
 
-    assert_rules(play_scene(act, monkeypatch))
+    assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -18,10 +18,12 @@
 from topazhold.io.http import Request
 from topazhold.wire.codec import pack
 
-Scene = Callable[[Simulation, Any], Awaitable[None]]
+ControllerTest = Callable[[Simulation, Any], Awaitable[None]]
 
 
-def scene(monkeypatch: pytest.MonkeyPatch, act: Scene, grace_s: float = 2.0) -> Simulation:
+def run_with_controller(
+    monkeypatch: pytest.MonkeyPatch, act: ControllerTest, grace_s: float = 2.0
+) -> Simulation:
     """One controller, a store and a cloud; `act` gets the simulation and the controller."""
     simulations: list[Simulation] = []
 
@@ -71,7 +73,7 @@
         assert (await ask(node, "POST", "/v1/report", b"?")).status == 400
         assert (await ask(node, "GET", "/healthz")).status == 200
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
 
 
 def test_a_repeat_is_known_whatever_its_body_would_get(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -86,7 +88,7 @@
         node.users._final.clear()
         assert (await ask(node, "GET", "/api/jobs/wk-000001")).body["stage"] == "aborted"
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
 
 
 def test_types_not_known_yet(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -121,7 +123,7 @@
         await curio.sleep(1.0)
         assert (await submit(node, id="wk-7")).status == 201
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
 
 
 def test_overload_refuses_submissions_first(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -154,7 +156,7 @@
             await user.join()
         assert node.users._busy == 0
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
     assert statuses.count(503) > 300 and 10 < statuses.count(201) < 200
 
 
@@ -175,7 +177,7 @@
         await load_parts(node.leading.context, fresh)
         assert fresh.done == job.done
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
 
 
 def test_a_service_runs_until_it_is_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -189,7 +191,7 @@
         await curio.sleep(1.0)
         assert "wk-000001" not in node.leading.scheduler.jobs
 
-    scene(monkeypatch, act)
+    run_with_controller(monkeypatch, act)
 
 
 def test_an_odd_record_hides_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tools/pauses.py
+++ b/tools/pauses.py
@@ -13,8 +13,8 @@
 
 import click
 
-from tests.pause_scenes import PauseOutcome, play_pause
-from tests.traps import KINDS, POINTS
+from tests.fault_injection import KINDS, POINTS
+from tests.pause_scenarios import PauseOutcome, play_pause
 
 HEADINGS = "| order | stopped at | scenes | orders | executed | stale | stale with effect |"
 HEADINGS += " two decisions | rules broken | without holder, median and worst s | failed |"
