--- a/tests/job_specs.py
+++ b/tests/job_specs.py
@@ -1,4 +1,4 @@
-"""Jobs as tests describe them."""
+"""Jobs, and the machine type that they run on, as tests describe them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.messages import JobSpec, MachineType
 
 #: The protocol's names of a job's fields.
 _BODY_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
@@ -15,3 +15,31 @@
 def submission_fields(fields: dict[str, Any]) -> dict[str, Any]:
     """A job's fields as a submission's body names them."""
     return {_BODY_NAMES.get(name, name): value for name, value in fields.items()}
+
+
+def make_spec(number: int = 1, **changes: Any) -> JobSpec:
+    """A gang of two tasks on two GPUs each, but for what is changed."""
+    fields: dict[str, Any] = {
+        "id": f"wk-{number:06d}",
+        "job_class": "train",
+        "team": "red",
+        "shape": "gang",
+        "urgency": "normal",
+        "tasks": 2,
+        "cpus": 4.0,
+        "gpus": 2.0,
+        "memory_gb": 8.0,
+        "image": "img-0",
+        "image_gb": 4.0,
+        "same_place": True,
+        "scatter": False,
+        "spot": False,
+        "estimated_run_s": 20.0,
+        "checkpoint_s": 5.0,
+        "save_s": 1.0,
+    }
+    fields.update(changes)
+    return JobSpec(**fields)
+
+
+MACHINE_TYPE = MachineType("b1", 16.0, 4.0, 64.0, 10.0, 30.0, ["a", "b"], 100.0, 2.0, 4.0)
--- /dev/null
+++ b/tests/scheduler_harness.py
@@ -0,0 +1,114 @@
+"""A scheduler without anything around it, driven step by step."""
+
+from __future__ import annotations
+
+from random import Random
+
+from tests.fakes.controllers import make_settings
+from tests.job_specs import MACHINE_TYPE
+from topazhold.core.holds import Hold, HoldTable
+from topazhold.core.jobs import Job, Run
+from topazhold.core.preemption import turn
+from topazhold.core.scheduler import Scheduler
+from topazhold.settings import Operator
+from topazhold.wire.messages import Command, JobSpec, Report, TaskReport
+
+
+class SchedulerHarness:
+    """A scheduler with ready machines, driven by hand."""
+
+    def __init__(self, machines: int = 4, term: int = 5) -> None:
+        self.now = 100.0
+        settings = make_settings("hive-0", "a", [])
+        self.hold_table = HoldTable("hive-0")
+        self.scheduler = Scheduler(settings, Operator(), term, self.hold_table, Random(1), self.now)
+        self.scheduler.machine_types = {"b1": MACHINE_TYPE}
+        self.sequences: dict[str, int] = {}
+        self.tasks: dict[str, dict[tuple[str, int], TaskReport]] = {}
+        for number in range(machines):
+            self.heartbeat(f"host-{number}", zone="ab"[number % 2])
+
+    def add_job(self, spec: JobSpec) -> Job:
+        """A job is accepted now."""
+        job = Job(spec, self.now, self.now + 1e9, "hive-0")
+        self.scheduler.add_job(job)
+        return job
+
+    def reserve(self, job: Job, slots: dict[str, int], serial: int = 1) -> Hold:
+        """Reserve places for a gang on machines, with so many tasks on each."""
+        hold = Hold(job.id, slots, job.need, 0.0, serial, 1e9, True, turn(job))
+        self.hold_table.holds.setdefault("hive-0", {})[job.id] = hold
+        return hold
+
+    def plan_and_commit(self) -> list[Run]:
+        """Plan, and write the intents of what was planned."""
+        runs = self.scheduler.plan(self.now)
+        self.scheduler.intents_written(runs, self.now)
+        return runs
+
+    def heartbeat(
+        self,
+        name: str,
+        zone: str = "a",
+        term: int | None = None,
+        session: int = 1,
+        notice_s: float | None = None,
+        carry_out: bool = True,
+    ) -> list[Command]:
+        """A worker's heartbeat with the tasks that it has; the commands that it gets."""
+        report = self.next_report(name, zone, term, session, notice_s)
+        machine = self.scheduler.report(report, False, self.now)
+        if machine is None:
+            return []
+        commands = self.scheduler.answer(machine, report, self.now)
+        if carry_out:
+            self._carry_out(name, commands)
+        return commands
+
+    def next_report(
+        self,
+        name: str,
+        zone: str = "a",
+        term: int | None = None,
+        session: int = 1,
+        notice_s: float | None = None,
+    ) -> Report:
+        """What a worker reports next."""
+        self.sequences[name] = self.sequences.get(name, 0) + 1
+        machine = self.scheduler.machines.get(name)
+        return Report(
+            name,
+            f"{name}:9",
+            "b1",
+            machine.zone if machine else zone,
+            False,
+            session,
+            self.sequences[name],
+            self.scheduler.term if term is None else term,
+            list(self.tasks.setdefault(name, {}).values()),
+            notice_s,
+        )
+
+    def _carry_out(self, name: str, commands: list[Command]) -> None:
+        """The worker launches and clears tasks; kills show only once a test says so."""
+        tasks = self.tasks[name]
+        for command in commands:
+            key = (command.task_name, command.attempt)
+            if command.kind == "launch":
+                tasks[key] = TaskReport(command.task_name, command.attempt, "pulling")
+            elif command.kind == "clear":
+                tasks.pop(key, None)
+
+    def set_task_states(
+        self, name: str, stage: str, cause: str | None = None, kept: bool = False
+    ) -> None:
+        """All tasks on a machine enter a stage."""
+        for task in self.tasks[name].values():
+            task.state, task.cause, task.kept = stage, cause, kept
+
+    def all_heartbeats(self) -> list[Command]:
+        """Every worker sends a heartbeat; the commands to all."""
+        commands = []
+        for name in list(self.scheduler.machines):
+            commands += self.heartbeat(name)
+        return commands
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.conftest import make_spec
 from tests.fakes.controllers import make_settings
+from tests.job_specs import make_spec
 from topazhold.control.booking import Booking, View, Wanted, searches_beside
 from topazhold.control.election import GRANT_BOUNDS, lease_time_s
 from topazhold.core.holds import Hold, HoldTable
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -11,9 +11,9 @@
 import pytest
 
 from tests.compatibility_corpus import DAYS, FILE, Corpus, CorpusCollector, collect_day
-from tests.conftest import make_spec
 from tests.fakes.controllers import create_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import make_spec
 from tests.random_days import play
 from tests.simulation.deployment import CONTROLLER_NAMES, Simulation
 from tests.test_service_days import LATER
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from tests.conftest import MACHINE_TYPE, Bench, make_spec
+from tests.job_specs import MACHINE_TYPE, make_spec
+from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.scheduler import Scheduler
 
 
@@ -34,27 +35,27 @@
 ) -> None:
     """A summary a second made every offer anew: an eighth of a leader's time with 168 machines."""
     for machines in (6, 60):
-        bench = Bench(machines)
-        scheduler = bench.scheduler
+        harness = SchedulerHarness(machines)
+        scheduler = harness.scheduler
         made = Calls(monkeypatch, "_offer")
 
-        def look(bench: Bench = bench) -> None:
+        def look(harness: SchedulerHarness = harness) -> None:
             for zone in "ab":
-                bench.scheduler.offers(zone, bench.now)
+                harness.scheduler.offers(zone, harness.now)
 
         look()
         assert made.taken() == machines
-        bench.now += scheduler.report_s
-        bench.all_report()
+        harness.now += scheduler.report_s
+        harness.all_heartbeats()
         look()
         assert made.taken() == 0, "nothing has changed"
-        bench.job(make_spec(1, shape="batch", tasks=1, gpus=1.0))
-        assert len(bench.plan()) == 1
-        bench.now += 0.5 * scheduler.report_s
+        harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1.0))
+        assert len(harness.plan_and_commit()) == 1
+        harness.now += 0.5 * scheduler.report_s
         look()
         assert made.taken() == 1, "one machine has got a task"
-        bench.now += 0.5 * scheduler.summary_s
-        bench.all_report()
+        harness.now += 0.5 * scheduler.summary_s
+        harness.all_heartbeats()
         look()
         assert made.taken() == machines, "what ends soon has come nearer"
         monkeypatch.undo()
@@ -64,12 +65,12 @@
     """Each pressing gang looked at every machine, once a second."""
     looks = []
     for gangs in (1, 12):
-        bench = Bench(machines=4)
+        harness = SchedulerHarness(machines=4)
         for number in range(gangs):
-            gang = bench.job(make_spec(number, tasks=2, gpus=1.0))
+            gang = harness.add_job(make_spec(number, tasks=2, gpus=1.0))
             gang.pressing = True
         counted = Calls(monkeypatch, "_free_slots")
-        bench.scheduler._wish_for_zones({}, [MACHINE_TYPE], bench.now)
+        harness.scheduler._wish_for_zones({}, [MACHINE_TYPE], harness.now)
         looks.append(counted.taken())
         monkeypatch.undo()
     assert looks == [1, 1]
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -8,9 +8,10 @@
 import curio
 import pytest
 
-from tests.conftest import MACHINE_TYPE, Bench, make_spec
 from tests.fakes.controllers import make_settings
 from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import MACHINE_TYPE, make_spec
+from tests.scheduler_harness import SchedulerHarness
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
@@ -34,13 +35,13 @@
     return run
 
 
-def test_living_and_cancelled_are_commanded_first(bench: Bench) -> None:
-    scheduler = bench.scheduler
-    bench.now += 3 * scheduler.report_s
-    bench.report("host-2", zone="a")
-    bench.report("host-3", zone="b")
-    cancelled_run(scheduler, 7, "host-3", bench.now)
-    order = scheduler.command_order(["host-0", "host-1", "host-2", "host-3"], bench.now)
+def test_living_and_cancelled_are_commanded_first(harness: SchedulerHarness) -> None:
+    scheduler = harness.scheduler
+    harness.now += 3 * scheduler.report_s
+    harness.heartbeat("host-2", zone="a")
+    harness.heartbeat("host-3", zone="b")
+    cancelled_run(scheduler, 7, "host-3", harness.now)
+    order = scheduler.command_order(["host-0", "host-1", "host-2", "host-3"], harness.now)
     assert [machine.name for machine in order] == ["host-3", "host-2", "host-0", "host-1"]
 
 
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -2,33 +2,34 @@
 
 from __future__ import annotations
 
-from tests.conftest import Bench, make_spec
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
 from topazhold.core import records, recovery
 from topazhold.core.intent_shards import MAX_MACHINES, IntentShards
 from topazhold.core.jobs import Job, Run
 from topazhold.wire.codec import json_size
 
 
-def fleet(count: int) -> Bench:
-    bench = Bench(machines=0)
+def fleet(count: int) -> SchedulerHarness:
+    harness = SchedulerHarness(machines=0)
     for number in range(count):
-        bench.report(f"host-{number:03d}", zone="ab"[number % 2])
-    return bench
+        harness.heartbeat(f"host-{number:03d}", zone="ab"[number % 2])
+    return harness
 
 
-def fill(bench: Bench, tasks: int) -> None:
+def fill(harness: SchedulerHarness, tasks: int) -> None:
     """So many tasks on every machine, of jobs with the longest names."""
-    for place, machine in enumerate(bench.scheduler.machines.values()):
+    for place, machine in enumerate(harness.scheduler.machines.values()):
         for number in range(tasks):
             spec = make_spec(shape="batch", tasks=1, id=f"wk-{10**17 + 100 * place + number}")
-            job = bench.job(spec)
-            bench.scheduler._attach(Run(job, 0, 2**60, machine.name, bench.now))
+            job = harness.add_job(spec)
+            harness.scheduler._attach(Run(job, 0, 2**60, machine.name, harness.now))
 
 
 def test_machines_of_a_zone_share_shards() -> None:
-    bench = fleet(40)
+    harness = fleet(40)
     shards = IntentShards(7000)
-    machines = bench.scheduler.machines
+    machines = harness.scheduler.machines
     used = {shards.of(machine, machines).name for machine in machines.values()}
     assert len(used) == 2 * -(-20 // MAX_MACHINES)
     for name in used:
@@ -37,10 +38,10 @@
 
 
 def test_full_shard_gives_machines_away_and_every_value_fits() -> None:
-    bench = fleet(32)
-    fill(bench, 16)
+    harness = fleet(32)
+    fill(harness, 16)
     shards = IntentShards(7000)
-    machines = bench.scheduler.machines
+    machines = harness.scheduler.machines
     used = {shards.of(machine, machines) for machine in machines.values()}
     values = shards.values(used, machines, "t")
     named: list[str] = []
@@ -54,12 +55,12 @@
 
 def test_take_over_begun_anew_keeps_one_shard_a_name() -> None:
     """Two of one name overwrote each other: a task ran twice after the next take-over."""
-    bench = fleet(4)
+    harness = fleet(4)
     first = IntentShards(7000)
     first.found("0001", 5, ["host-000"])
     again = IntentShards(7000)
     again.found("0001", 7, ["host-000"])
-    shard = again.of(bench.scheduler.machines["host-000"], bench.scheduler.machines)
+    shard = again.of(harness.scheduler.machines["host-000"], harness.scheduler.machines)
     again.marked("0001", 9)
     assert shard.revision == 9
     assert again._new().name == "0002"
@@ -67,12 +68,12 @@
 
 def test_machine_on_two_shards_keeps_both_intents() -> None:
     """A machine that changed its shard may stand in the old value too: both are believed."""
-    bench = Bench(machines=0, term=8)
+    harness = SchedulerHarness(machines=0, term=8)
     spec = make_spec(shape="batch", tasks=2)
-    job = Job(spec, bench.now, 1e9, "hive-0")
+    job = Job(spec, harness.now, 1e9, "hive-0")
     old, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 0, 7]]]}})
     new, _ = records.read_on({"boxes": {"host-0": [1, "a", False, "b1", [[spec.id, 1, 8]]]}})
-    recovery.take_over(bench.scheduler, [job], new + old, bench.now)
+    recovery.take_over(harness.scheduler, [job], new + old, harness.now)
     assert sorted(job.runs) == [0, 1]
 
 
@@ -84,10 +85,10 @@
 
 def test_intents_of_machines_that_changed_shards_are_never_nowhere() -> None:
     """The transaction with both shards failed, and the next one named the old one alone."""
-    bench = fleet(32)
-    fill(bench, 16)
+    harness = fleet(32)
+    fill(harness, 16)
     shards = IntentShards(7000)
-    machines = bench.scheduler.machines
+    machines = harness.scheduler.machines
     first = shards.of(machines["host-000"], machines)
     for machine in machines.values():
         shards.of(machine, machines)
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -7,16 +7,17 @@
 
 import pytest
 
-from tests.conftest import Bench, make_spec
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.jobs import JobState, Run
 from topazhold.core.scheduler import Scheduler
 
 
-def stops(bench: Bench) -> list[tuple[str, int, float | None]]:
+def stops(harness: SchedulerHarness) -> list[tuple[str, int, float | None]]:
     """All tasks on machines, with the grace of those that were told to stop."""
     return sorted(
         (run.task_name, run.attempt, run.stop_grace)
-        for machine in bench.scheduler.machines.values()
+        for machine in harness.scheduler.machines.values()
         for run in machine.runs.values()
     )
 
@@ -26,7 +27,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
-        self.bench = Bench(machines=6)
+        self.harness = SchedulerHarness(machines=6)
         self.serial = 0
         self.number = 0
         self.silent: str | None = None  # a machine that does not report by itself
@@ -43,24 +44,24 @@
             urgency=rng.choice(("urgent", "normal", "best_effort")),
             same_place=False,
         )
-        job = self.bench.job(spec)
+        job = self.harness.add_job(spec)
         if job.gang:
             self.hold_table(job.id)
 
     def hold_table(self, job_id: str) -> None:
         """A hold, as its controller would write it."""
-        scheduler = self.bench.scheduler
+        scheduler = self.harness.scheduler
         job = scheduler.jobs[job_id]
         self.serial += 1
         slots: dict[str, int] = {}
         for _ in range(job.spec.tasks):
             name = self.rng.choice(list(scheduler.machines))
             slots[name] = slots.get(name, 0) + 1
-        self.bench.hold(job, slots, self.serial)
+        self.harness.reserve(job, slots, self.serial)
         scheduler.changes += 1  # as the watch of the holds tells
 
     def book_again(self) -> None:
-        scheduler = self.bench.scheduler
+        scheduler = self.harness.scheduler
         gangs = [
             job.id for job in scheduler.jobs.values() if job.gang and scheduler.needs_hold(job)
         ]
@@ -69,45 +70,45 @@
 
     def progress(self) -> None:
         """A worker's tasks move on, and it reports."""
-        name = self.rng.choice(list(self.bench.scheduler.machines))
-        for task_name in self.bench.tasks[name].values():
+        name = self.rng.choice(list(self.harness.scheduler.machines))
+        for task_name in self.harness.tasks[name].values():
             if self.rng.random() < 0.6:
                 task_name.state, task_name.cause = {
                     "pulling": ("gathering", None),
                     "gathering": ("running", None),
                     "running": self.rng.choice((("running", None), ("ended", "done"))),
                 }.get(task_name.state, (task_name.state, task_name.cause))
-        self.bench.report(name)
+        self.harness.heartbeat(name)
 
     def report(self) -> None:
-        self.bench.report(self.rng.choice(list(self.bench.scheduler.machines)))
+        self.harness.heartbeat(self.rng.choice(list(self.harness.scheduler.machines)))
 
     def new_session(self) -> None:
-        name = self.rng.choice(list(self.bench.scheduler.machines))
-        self.bench.tasks[name].clear()
-        session = self.bench.scheduler.machines[name].session + 1
-        self.bench.report(name, session=session)
+        name = self.rng.choice(list(self.harness.scheduler.machines))
+        self.harness.tasks[name].clear()
+        session = self.harness.scheduler.machines[name].session + 1
+        self.harness.heartbeat(name, session=session)
 
     def newcomer(self) -> None:
         """A machine reports for the first time."""
-        count = len(self.bench.scheduler.machines)
+        count = len(self.harness.scheduler.machines)
         if count < 12:
-            self.bench.report(f"host-{count}", zone=self.rng.choice("ab"))
+            self.harness.heartbeat(f"host-{count}", zone=self.rng.choice("ab"))
 
     def comes_back(self) -> None:
         """A machine that was silent for a while reports, another one falls silent."""
         if self.silent is not None:
-            self.bench.report(self.silent)
-        self.silent = self.rng.choice(list(self.bench.scheduler.machines))
+            self.harness.heartbeat(self.silent)
+        self.silent = self.rng.choice(list(self.harness.scheduler.machines))
 
     def cancel(self) -> None:
-        live = [j.id for j in self.bench.scheduler.jobs.values() if j.state is JobState.LIVE]
+        live = [j.id for j in self.harness.scheduler.jobs.values() if j.state is JobState.LIVE]
         if live:
-            now = self.bench.now
-            self.bench.scheduler.job_over(self.rng.choice(live), False, now, now)
+            now = self.harness.now
+            self.harness.scheduler.job_over(self.rng.choice(live), False, now, now)
 
     def tick(self) -> None:
-        self.bench.scheduler.tick(self.bench.now)
+        self.harness.scheduler.tick(self.harness.now)
 
     def event(self) -> str:
         often = ("new_job", "book_again", "progress", "progress", "report", "report", "tick")
@@ -118,15 +119,15 @@
 
     def settle(self) -> None:
         """Plan until nothing more is found at this time."""
-        while self.bench.plan():
+        while self.harness.plan_and_commit():
             pass
 
     def later(self) -> None:
         """A part of a report period, within which every machine reports."""
-        self.bench.now += self.rng.uniform(0.05, 1.0) * self.bench.scheduler.report_s
-        for name in list(self.bench.scheduler.machines):
+        self.harness.now += self.rng.uniform(0.05, 1.0) * self.harness.scheduler.report_s
+        for name in list(self.harness.scheduler.machines):
             if name != self.silent:
-                self.bench.report(name)
+                self.harness.heartbeat(name)
         self.tick()
 
 
@@ -140,15 +141,15 @@
         if day.rng.random() < 0.4:
             day.later()
         day.settle()
-        counted, before = day.bench.scheduler.changes, stops(day.bench)
+        counted, before = day.harness.scheduler.changes, stops(day.harness)
         kind = day.event()
-        if day.bench.scheduler.changes != counted:
+        if day.harness.scheduler.changes != counted:
             planned += 1
             continue
         skipped += 1
-        assert stops(day.bench) == before, kind
-        assert day.bench.scheduler.plan(day.bench.now) == [], f"{kind} was not counted"
-        assert stops(day.bench) == before, f"{kind} was not counted"
+        assert stops(day.harness) == before, kind
+        assert day.harness.scheduler.plan(day.harness.now) == [], f"{kind} was not counted"
+        assert stops(day.harness) == before, f"{kind} was not counted"
     assert skipped > 100 and planned > 50
     assert day.serial > 10, "hardly a gang was booked"
 
@@ -156,32 +157,32 @@
 def test_reports_that_say_nothing_new_are_not_counted() -> None:
     """However many machines report, an unchanged fleet gives no reason to plan."""
     for machines in (6, 60):
-        bench = Bench(machines)
-        bench.job(make_spec(1, shape="batch", tasks=2, gpus=4.0))
-        planned: list[Run] = bench.plan()
+        harness = SchedulerHarness(machines)
+        harness.add_job(make_spec(1, shape="batch", tasks=2, gpus=4.0))
+        planned: list[Run] = harness.plan_and_commit()
         assert len(planned) == 2
         for stage in ("pulling", "running"):
-            bench.all_report()
+            harness.all_heartbeats()
             for run in planned:
-                bench.state(run.machine, stage)
-        bench.all_report()
-        counted = bench.scheduler.changes
+                harness.set_task_states(run.machine, stage)
+        harness.all_heartbeats()
+        counted = harness.scheduler.changes
         for _ in range(5):
-            bench.now += bench.scheduler.report_s
-            bench.all_report()
-        assert bench.scheduler.changes == counted
+            harness.now += harness.scheduler.report_s
+            harness.all_heartbeats()
+        assert harness.scheduler.changes == counted
 
 
 def test_machines_that_come_back_or_are_about_to_leave_are_counted() -> None:
     """Seen to fail without the look at what a report changes of its machine."""
-    bench = Bench(machines=2)
-    counted = bench.scheduler.changes
-    bench.now += 4 * bench.scheduler.report_s
-    bench.report("host-0")
-    assert bench.scheduler.changes > counted, "it was silent, and takes work again"
-    counted = bench.scheduler.changes
-    bench.report("host-0", notice_s=20.0)
-    assert bench.scheduler.changes > counted, "it takes no more work"
+    harness = SchedulerHarness(machines=2)
+    counted = harness.scheduler.changes
+    harness.now += 4 * harness.scheduler.report_s
+    harness.heartbeat("host-0")
+    assert harness.scheduler.changes > counted, "it was silent, and takes work again"
+    counted = harness.scheduler.changes
+    harness.heartbeat("host-0", notice_s=20.0)
+    assert harness.scheduler.changes > counted, "it takes no more work"
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -221,7 +222,7 @@
                 if day.rng.random() < 0.4:
                     day.later()
                 day.settle()
-                story.append((day.event(), stops(day.bench)))
+                story.append((day.event(), stops(day.harness)))
             return story, looks
 
     remembered, few = play(forgets=False)
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.conftest import MACHINE_TYPE
+from tests.job_specs import MACHINE_TYPE
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.renting import Ask, Fleet, Refusals, Wish, rent
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from tests.conftest import make_spec
+from tests.job_specs import make_spec
 from topazhold.core import search
 from topazhold.core.holds import HeldRooms, Hold, HoldTable, Turn, pack_value
 from topazhold.core.search import Offer, SearchRules
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -7,8 +7,9 @@
 import curio
 import pytest
 
-from tests.conftest import Bench, make_spec
+from tests.job_specs import make_spec
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
+from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.jobs import Job, JobState, Run, RunState
 from topazhold.core.machines import MachineState
 from topazhold.wire.messages import JobSpec
@@ -30,19 +31,19 @@
     return make_spec(number, **{**fields, **changes})
 
 
-def run_all(bench: Bench) -> None:
+def run_all(harness: SchedulerHarness) -> None:
     """Let everything that is planned come to run."""
-    bench.plan()
-    bench.all_report()
-    for name, tasks in bench.tasks.items():
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    for name, tasks in harness.tasks.items():
         if any(task.state != "ended" for task in tasks.values()):
-            bench.state(name, "running")
-    bench.all_report()
+            harness.set_task_states(name, "running")
+    harness.all_heartbeats()
 
 
-def running_service(bench: Bench, **changes: Any) -> Job:
-    job = bench.job(service_spec(**changes))
-    run_all(bench)
+def running_service(harness: SchedulerHarness, **changes: Any) -> Job:
+    job = harness.add_job(service_spec(**changes))
+    run_all(harness)
     assert job.running_count() == job.spec.tasks
     return job
 
@@ -51,25 +52,27 @@
     return job.runs[index]
 
 
-def test_replicas_go_to_different_machines_and_zones(bench: Bench) -> None:
+def test_replicas_go_to_different_machines_and_zones(harness: SchedulerHarness) -> None:
     """One loss must not take two of them."""
-    job = running_service(bench, tasks=4)
+    job = running_service(harness, tasks=4)
     machines = [run.machine for run in job.runs.values()]
     assert len(set(machines)) == 4
-    assert sorted(job.zones_used(bench.scheduler.zone_of).values()) == [2, 2]
+    assert sorted(job.zones_used(harness.scheduler.zone_of).values()) == [2, 2]
 
 
 @pytest.mark.parametrize("cause", ["done", "error", "stopped"])
-def test_replica_that_ends_runs_again_and_the_job_is_never_done(bench: Bench, cause: str) -> None:
-    job = running_service(bench)
+def test_replica_that_ends_runs_again_and_the_job_is_never_done(
+    harness: SchedulerHarness, cause: str
+) -> None:
+    job = running_service(harness)
     first = run_of(job)
-    bench.now += 60.0
-    bench.all_report()
-    bench.state(first.machine, "ended", cause)
-    bench.report(first.machine)
+    harness.now += 60.0
+    harness.all_heartbeats()
+    harness.set_task_states(first.machine, "ended", cause)
+    harness.heartbeat(first.machine)
     assert job.waiting_count == 1 and not job.complete
-    assert bench.scheduler.finished == [] and job.done_count == 0
-    run_all(bench)
+    assert harness.scheduler.finished == [] and job.done_count == 0
+    run_all(harness)
     again = run_of(job, first.index)
     assert again.attempt > first.attempt and job.running_count() == 2
 
@@ -84,192 +87,194 @@
     assert job.done_count == 0 and not job.complete
 
 
-def test_replacement_waits_for_the_proof(bench: Bench) -> None:
+def test_replacement_waits_for_the_proof(harness: SchedulerHarness) -> None:
     """A silent machine may still run its replica; a newer session shows that it is gone."""
-    job = running_service(bench)
+    job = running_service(harness)
     lost = run_of(job).machine
-    others = [name for name in bench.scheduler.machines if name != lost]
+    others = [name for name in harness.scheduler.machines if name != lost]
     for _ in range(8):
-        bench.now += 1.0
+        harness.now += 1.0
         for name in others:
-            bench.report(name)
-        bench.scheduler.tick(bench.now)
-        assert bench.plan() == []
-    bench.tasks[lost].clear()
-    bench.report(lost, session=2)
-    assert [run.index for run in bench.plan()] == [0]
+            harness.heartbeat(name)
+        harness.scheduler.tick(harness.now)
+        assert harness.plan_and_commit() == []
+    harness.tasks[lost].clear()
+    harness.heartbeat(lost, session=2)
+    assert [run.index for run in harness.plan_and_commit()] == [0]
 
 
-def test_machine_with_replicas_is_released_once_its_lease_is_over(bench: Bench) -> None:
+def test_machine_with_replicas_is_released_once_its_lease_is_over(
+    harness: SchedulerHarness,
+) -> None:
     """A service is down until the release proves its replica gone; other work can wait for
     the machine to come back."""
-    job = running_service(bench)
+    job = running_service(harness)
     lost = run_of(job).machine
-    bench.now += 1.1 * bench.scheduler.lease_s
-    for name in bench.scheduler.machines:
+    harness.now += 1.1 * harness.scheduler.lease_s
+    for name in harness.scheduler.machines:
         if name != lost:
-            bench.report(name)
-    bench.scheduler.tick(bench.now)
-    assert bench.scheduler.machines[lost].state is MachineState.RELEASING
-    bench.scheduler.machine_gone(lost, bench.now)
-    assert [run.index for run in bench.plan()] == [0]
+            harness.heartbeat(name)
+    harness.scheduler.tick(harness.now)
+    assert harness.scheduler.machines[lost].state is MachineState.RELEASING
+    harness.scheduler.machine_gone(lost, harness.now)
+    assert [run.index for run in harness.plan_and_commit()] == [0]
 
 
 def test_machines_of_a_zone_that_is_cut_are_kept_with_their_replicas() -> None:
     """They may run on there: a controller in the zone answers its workers."""
-    bench = Bench(machines=8)
-    job = running_service(bench)
-    zone = bench.scheduler.zone_of[run_of(job).machine]
-    bench.now += 1.1 * bench.scheduler.lease_s
-    for name, machine in bench.scheduler.machines.items():
+    harness = SchedulerHarness(machines=8)
+    job = running_service(harness)
+    zone = harness.scheduler.zone_of[run_of(job).machine]
+    harness.now += 1.1 * harness.scheduler.lease_s
+    for name, machine in harness.scheduler.machines.items():
         if machine.zone != zone:
-            bench.report(name)
-    bench.scheduler.tick(bench.now)
-    states = {machine.state for machine in bench.scheduler.machines.values()}
+            harness.heartbeat(name)
+    harness.scheduler.tick(harness.now)
+    states = {machine.state for machine in harness.scheduler.machines.values()}
     assert MachineState.RELEASING not in states
 
 
-def test_launch_that_could_not_leave_goes_elsewhere(bench: Bench) -> None:
+def test_launch_that_could_not_leave_goes_elsewhere(harness: SchedulerHarness) -> None:
     """The machine fell silent before it could take its launch: nothing is there to be proven.
     The replica waited for the machine's release, well over a lease."""
-    job = bench.job(service_spec(tasks=1))
-    (run,) = bench.plan()
+    job = harness.add_job(service_spec(tasks=1))
+    (run,) = harness.plan_and_commit()
     assert run.state is RunState.WRITTEN
-    bench.now += 3.0
-    for name in bench.scheduler.machines:
+    harness.now += 3.0
+    for name in harness.scheduler.machines:
         if name != run.machine:
-            bench.report(name)
-    bench.scheduler.tick(bench.now)
-    (again,) = bench.plan()
+            harness.heartbeat(name)
+    harness.scheduler.tick(harness.now)
+    (again,) = harness.plan_and_commit()
     assert again.machine != run.machine and job.runs[0] is again
-    assert bench.report(run.machine) == [], "the old plan must not be carried out any more"
+    assert harness.heartbeat(run.machine) == [], "the old plan must not be carried out any more"
 
 
-def test_scatter_counts_the_replicas_that_are_there(bench: Bench) -> None:
+def test_scatter_counts_the_replicas_that_are_there(harness: SchedulerHarness) -> None:
     """At most half may be in one zone, also for a replacement."""
-    job = running_service(bench, tasks=2, scatter=True)
+    job = running_service(harness, tasks=2, scatter=True)
     lost = run_of(job)
-    zone = bench.scheduler.zone_of[lost.machine]
-    bench.state(lost.machine, "ended", "error")
-    bench.report(lost.machine)
-    for name, machine in bench.scheduler.machines.items():
+    zone = harness.scheduler.zone_of[lost.machine]
+    harness.set_task_states(lost.machine, "ended", "error")
+    harness.heartbeat(lost.machine)
+    for name, machine in harness.scheduler.machines.items():
         if machine.zone == zone:
-            bench.report(name, notice_s=100.0)
-    assert bench.plan() == [], "the other zone has its share"
+            harness.heartbeat(name, notice_s=100.0)
+    assert harness.plan_and_commit() == [], "the other zone has its share"
 
 
-def test_replica_leaves_a_machine_that_will_be_taken(bench: Bench) -> None:
+def test_replica_leaves_a_machine_that_will_be_taken(harness: SchedulerHarness) -> None:
     """At once if it has another place: the gap is the same later, and longer once it is taken."""
-    job = running_service(bench)
+    job = running_service(harness)
     lost = run_of(job).machine
-    bench.report(lost, notice_s=20.0)
-    bench.scheduler.tick(bench.now)
+    harness.heartbeat(lost, notice_s=20.0)
+    harness.scheduler.tick(harness.now)
     assert run_of(job).stopping
-    bench.state(lost, "ended", "stopped")
-    bench.report(lost, notice_s=20.0)
-    (run,) = bench.plan()
+    harness.set_task_states(lost, "ended", "stopped")
+    harness.heartbeat(lost, notice_s=20.0)
+    (run,) = harness.plan_and_commit()
     assert run.machine != lost
 
 
 def test_replica_without_another_place_stays_till_the_last_moment() -> None:
-    bench = Bench(machines=1)
-    job = running_service(bench, tasks=1)
+    harness = SchedulerHarness(machines=1)
+    job = running_service(harness, tasks=1)
     lost = run_of(job).machine
-    bench.report(lost, notice_s=20.0)
-    bench.scheduler.tick(bench.now)
+    harness.heartbeat(lost, notice_s=20.0)
+    harness.scheduler.tick(harness.now)
     assert not run_of(job).stopping
-    bench.now += 19.0
-    bench.report(lost, notice_s=1.0)
-    bench.scheduler.tick(bench.now)
+    harness.now += 19.0
+    harness.heartbeat(lost, notice_s=1.0)
+    harness.scheduler.tick(harness.now)
     assert run_of(job).stopping
 
 
-def test_replica_goes_beside_a_gangs_task_and_in_nobodys_way(bench: Bench) -> None:
+def test_replica_goes_beside_a_gangs_task_and_in_nobodys_way(harness: SchedulerHarness) -> None:
     """A machine takes one of ten CPUs, and a replica of six beside it; not two replicas."""
-    gang = bench.job(make_spec(7, tasks=1, cpus=10.0, gpus=4.0))
-    bench.hold(gang, {"host-2": 1})
-    bench.plan()
-    bench.all_report()
-    job = bench.job(service_spec(tasks=1, cpus=6.0))
-    (run,) = bench.plan()
+    gang = harness.add_job(make_spec(7, tasks=1, cpus=10.0, gpus=4.0))
+    harness.reserve(gang, {"host-2": 1})
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    job = harness.add_job(service_spec(tasks=1, cpus=6.0))
+    (run,) = harness.plan_and_commit()
     assert run.machine == "host-2", "the empty machines could be given back"
     hindrances = {
-        name: bench.scheduler._hindrance(machine, job.need)
-        for name, machine in bench.scheduler.machines.items()
+        name: harness.scheduler._hindrance(machine, job.need)
+        for name, machine in harness.scheduler.machines.items()
     }
     assert hindrances == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
 
 
 def test_room_is_made_for_a_replica_at_once() -> None:
-    bench = Bench(machines=1)
-    filler = bench.job(make_spec(5, shape="batch", tasks=4, gpus=1.0, urgency="best_effort"))
-    run_all(bench)
-    job = bench.job(service_spec(tasks=1))
-    assert bench.plan() == []
+    harness = SchedulerHarness(machines=1)
+    filler = harness.add_job(make_spec(5, shape="batch", tasks=4, gpus=1.0, urgency="best_effort"))
+    run_all(harness)
+    job = harness.add_job(service_spec(tasks=1))
+    assert harness.plan_and_commit() == []
     assert [run.stopping for run in filler.runs.values()].count(True) == 1
     assert job.waiting_count == 1
 
 
 def test_service_that_borrows_nothing_is_not_stopped_for_a_guarantee() -> None:
     """Its team's other work is beyond the guarantee of GPUs; the replicas take none."""
-    bench = Bench(machines=1)
-    job = running_service(bench, tasks=1, cpus=16.0)
-    bench.job(make_spec(5, shape="batch", tasks=5, team="red", gpus=2.0))
-    bench.job(make_spec(6, shape="batch", tasks=1, team="blue", gpus=1.0))
+    harness = SchedulerHarness(machines=1)
+    job = running_service(harness, tasks=1, cpus=16.0)
+    harness.add_job(make_spec(5, shape="batch", tasks=5, team="red", gpus=2.0))
+    harness.add_job(make_spec(6, shape="batch", tasks=1, team="blue", gpus=1.0))
     for _ in range(6):
-        bench.now += 1.0
-        bench.all_report()
-        bench.plan()
-        bench.scheduler.tick(bench.now)
+        harness.now += 1.0
+        harness.all_heartbeats()
+        harness.plan_and_commit()
+        harness.scheduler.tick(harness.now)
     assert job.within and not run_of(job).stopping
 
 
 def test_replica_that_fails_everywhere_waits_longer_each_time_but_not_for_ever() -> None:
-    bench = Bench(machines=6)
-    job = bench.job(service_spec(tasks=1))
+    harness = SchedulerHarness(machines=6)
+    job = harness.add_job(service_spec(tasks=1))
     pauses = []
     for _ in range(12):
-        while not bench.plan():
-            bench.now += 0.5
-            bench.all_report()
+        while not harness.plan_and_commit():
+            harness.now += 0.5
+            harness.all_heartbeats()
         run = run_of(job)
-        bench.all_report()
-        bench.state(run.machine, "ended", "error")
-        bench.report(run.machine)
-        pauses.append(max(0.0, job.not_before - bench.now))
+        harness.all_heartbeats()
+        harness.set_task_states(run.machine, "ended", "error")
+        harness.heartbeat(run.machine)
+        pauses.append(max(0.0, job.not_before - harness.now))
         assert run.state is RunState.GONE
     assert pauses[0] == 0.0 and max(pauses) > 0.0
-    assert max(pauses) <= 2**5 * bench.scheduler.lease_s
-    healthy = [m for m in bench.scheduler.machines.values() if m.state is MachineState.READY]
+    assert max(pauses) <= 2**5 * harness.scheduler.lease_s
+    healthy = [m for m in harness.scheduler.machines.values() if m.state is MachineState.READY]
     assert len(healthy) >= 4, "the job must not take the machines with it"
 
 
-def test_failures_of_one_replica_are_held_against_the_machine(bench: Bench) -> None:
+def test_failures_of_one_replica_are_held_against_the_machine(harness: SchedulerHarness) -> None:
     """The others run: it is the machine that fails what it starts."""
-    job = running_service(bench, tasks=2)
+    job = running_service(harness, tasks=2)
     lost = run_of(job)
-    bench.state(lost.machine, "ended", "error")
-    bench.report(lost.machine)
-    assert bench.scheduler.machines[lost.machine].error_jobs == {job.id}
-    (again,) = bench.plan()
+    harness.set_task_states(lost.machine, "ended", "error")
+    harness.heartbeat(lost.machine)
+    assert harness.scheduler.machines[lost.machine].error_jobs == {job.id}
+    (again,) = harness.plan_and_commit()
     assert again.machine != lost.machine
 
 
 def test_machines_are_rented_for_a_service() -> None:
-    bench = Bench(machines=0)
-    bench.job(service_spec(tasks=2, scatter=True))
-    asks = bench.scheduler.rent(bench.now)
+    harness = SchedulerHarness(machines=0)
+    harness.add_job(service_spec(tasks=2, scatter=True))
+    asks = harness.scheduler.rent(harness.now)
     assert {ask.zone for ask in asks} == {"a", "b"}
 
 
-def test_no_replacement_after_a_cancellation(bench: Bench) -> None:
+def test_no_replacement_after_a_cancellation(harness: SchedulerHarness) -> None:
     """A replica ends at the very moment at which its job is cancelled."""
-    job = running_service(bench)
+    job = running_service(harness)
     lost = run_of(job)
-    bench.state(lost.machine, "ended", "error")
-    bench.scheduler.job_over(job.id, False, bench.now, bench.now)
-    bench.report(lost.machine)
-    assert bench.plan() == [] and job.state is JobState.ABORTED
+    harness.set_task_states(lost.machine, "ended", "error")
+    harness.scheduler.job_over(job.id, False, harness.now, harness.now)
+    harness.heartbeat(lost.machine)
+    assert harness.plan_and_commit() == [] and job.state is JobState.ABORTED
     assert all(run.stopping for run in job.runs.values())
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -10,9 +10,10 @@
 import pytest
 from click.testing import CliRunner
 
-from tests.conftest import MACHINE_TYPE, Bench, make_spec
 from tests.fakes.controllers import make_settings
 from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import MACHINE_TYPE, make_spec
+from tests.scheduler_harness import SchedulerHarness
 from tests.test_intent_shards import fill, fleet
 from tests.test_settings import GOOD
 from topazhold import settings as conf
@@ -80,7 +81,7 @@
 # -- intents that an earlier version left under larger limits -----------------------
 
 
-def shards_of_larger_limits(bench: Bench, machines: list[str]) -> IntentShards:
+def shards_of_larger_limits(harness: SchedulerHarness, machines: list[str]) -> IntentShards:
     """One stored value with all these machines, as the larger limit allowed it."""
     shards = IntentShards(SMALL)
     shards.found("0001", 7, machines)
@@ -88,10 +89,10 @@
 
 
 def test_large_shard_is_split_and_no_intent_is_ever_nowhere() -> None:
-    bench = fleet(16)
-    fill(bench, 4)
-    machines = bench.scheduler.machines
-    shards = shards_of_larger_limits(bench, list(machines))
+    harness = fleet(16)
+    fill(harness, 4)
+    machines = harness.scheduler.machines
+    shards = shards_of_larger_limits(harness, list(machines))
     touched = shards.of(machines["host-000"], machines)
     values = shards.values({touched}, machines, "t")
     assert len(values) > 2
@@ -102,14 +103,14 @@
 
 def test_machine_that_alone_is_too_large_stays_where_it_is_stored() -> None:
     """Moved to a value of its own it would be in none: the state service takes no such value."""
-    bench = fleet(6)
-    fill(bench, 4)
-    machines = bench.scheduler.machines
+    harness = fleet(6)
+    fill(harness, 4)
+    machines = harness.scheduler.machines
     spec = make_spec(700, shape="batch", tasks=60)
-    job = bench.job(spec)
+    job = harness.add_job(spec)
     for index in range(60):
-        bench.scheduler._attach(Run(job, index, 2**40, "host-002", bench.now))
-    shards = shards_of_larger_limits(bench, list(machines))
+        harness.scheduler._attach(Run(job, index, 2**40, "host-002", harness.now))
+    shards = shards_of_larger_limits(harness, list(machines))
     values = shards.values({shards.of(machines["host-000"], machines)}, machines, "t")
     assert all(json_size(value) <= SMALL for _, value in values.values())
     named = [name for _, value in values.values() for name in value["boxes"]]
@@ -158,16 +159,16 @@
 ) -> None:
     """Its shard was too large and gave machines away. Written before the new ones, and these
     refused, their intents stood in no value."""
-    bench = fleet(16)
-    fill(bench, 4)
-    machines = bench.scheduler.machines
+    harness = fleet(16)
+    fill(harness, 4)
+    machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
     store.stored["on/0001"] = records.on_value(machines.values(), "old")
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
-        context = TermContext(settings, store, bench.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
+        context = TermContext(settings, store, harness.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
         context.shards.found("0001", 7, list(machines))
         shard = context.shards.gone("host-015")
         assert shard is not None
@@ -187,19 +188,19 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One more task there needs more new values than one transaction takes."""
-    bench = fleet(16)
-    fill(bench, 16)
-    machines = bench.scheduler.machines
+    harness = fleet(16)
+    fill(harness, 16)
+    machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
     store.stored["on/0001"] = records.on_value(machines.values(), "old")
-    job = bench.job(make_spec(900, shape="batch", tasks=1))
-    run = Run(job, 0, 3, "host-000", bench.now)
-    bench.scheduler._attach(run)
+    job = harness.add_job(make_spec(900, shape="batch", tasks=1))
+    run = Run(job, 0, 3, "host-000", harness.now)
+    harness.scheduler._attach(run)
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
-        context = TermContext(settings, store, bench.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
+        context = TermContext(settings, store, harness.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
         context.shards.found("0001", 7, list(machines))
         await Intents(context).write([run])
 
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -8,9 +8,9 @@
 import curio
 import pytest
 
-from tests.conftest import MACHINE_TYPE, make_spec
 from tests.fakes.controllers import make_settings
 from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import MACHINE_TYPE, make_spec
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import HoldTable
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -9,10 +9,9 @@
 import msgspec
 import pytest
 
-from tests.conftest import make_spec
 from tests.fakes.controllers import start_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
-from tests.job_specs import submission_fields
+from tests.job_specs import make_spec, submission_fields
 from tests.simulation.deployment import CONTROLLER_NAMES, Simulation
 from topazhold.control.takeover import load_parts
 from topazhold.io.http import Request
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.conftest import make_spec
+from tests.job_specs import make_spec
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.wire import messages as wire
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -21,8 +21,8 @@
 import cbor2
 import msgspec
 
-from tests.conftest import MACHINE_TYPE, make_spec
 from tests.fakes.controllers import make_settings
+from tests.job_specs import MACHINE_TYPE, make_spec
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.holds import Hold, HoldTable
