--- /dev/null
+++ b/tests/test_scheduler_launches.py
@@ -0,0 +1,133 @@
+"""The leader launches tasks only from written intents, and repeats what was lost."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+from topazhold.core.jobs import GangState, Job, RunState
+from topazhold.wire.messages import Report
+
+
+def launched(commands: list) -> list[str]:
+    return [command.task_name for command in commands if command.kind == "launch"]
+
+
+def test_task_is_launched_only_after_its_intent_is_written(harness: SchedulerHarness) -> None:
+    job = harness.add_job(make_spec())
+    harness.reserve(job, {"host-0": 1, "host-2": 1})
+    runs = harness.scheduler.plan(harness.now)
+    assert len(runs) == 2
+    assert launched(harness.all_heartbeats()) == []
+    harness.scheduler.intents_written(runs, harness.now)
+    assert sorted(launched(harness.all_heartbeats())) == ["wk-000001/0", "wk-000001/1"]
+
+
+def test_lost_launch_is_repeated_on_the_same_machine(harness: SchedulerHarness) -> None:
+    """The answer with the launch was dropped: the next report lacks the task."""
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    assert launched(harness.heartbeat(run.machine, carry_out=False)) == ["wk-000001/0"]
+    assert launched(harness.heartbeat(run.machine)) == ["wk-000001/0"]
+    assert run.state is RunState.ORDERED
+    harness.heartbeat(run.machine)
+    assert run.state is RunState.PULLING
+
+
+def test_answer_to_a_direct_command_does_not_prove_a_task_absent(harness: SchedulerHarness) -> None:
+    """A direct command's answer may overtake the launch that is under way."""
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine, carry_out=False)
+    harness.sequences[run.machine] += 1
+    rep = Report(run.machine, "x:1", "b1", "a", False, 1, harness.sequences[run.machine], 5, [])
+    harness.scheduler.report(rep, True, harness.now)
+    assert run.state is RunState.ORDERED
+
+
+def test_gang_keeps_its_reservation_when_intents_cannot_be_written(
+    harness: SchedulerHarness,
+) -> None:
+    """It starts with the same reservation once they can be written."""
+    job = harness.add_job(make_spec())
+    harness.reserve(job, {"host-0": 1, "host-2": 1})
+    harness.scheduler.intents_failed(harness.scheduler.plan(harness.now), harness.now)
+    assert job.gang_state is GangState.WAITING
+    assert harness.scheduler.usage.used("red") == (0.0, 0.0)
+    assert len(harness.plan_and_commit()) == 2
+
+
+def test_done_task_is_cleared_only_once_it_is_saved(harness: SchedulerHarness) -> None:
+    """Until then the worker's word is the only record of it."""
+    job = harness.add_job(make_spec(shape="batch", tasks=8, gpus=1.0, cpus=1.0))
+    name = harness.plan_and_commit()[0].machine
+    harness.all_heartbeats()
+    harness.set_task_states(name, "ended", "done")
+    assert harness.heartbeat(name) == [] and harness.scheduler.machines[name].wake_tasks == []
+    job.unsaved.clear()
+    kept = len(harness.tasks[name])
+    commands = harness.heartbeat(name)
+    assert {command.kind for command in commands} <= {"clear"}
+    assert len(commands) + len(harness.scheduler.machines[name].wake_tasks) == kept
+
+
+def test_worker_with_a_waiting_launch_is_made_to_report_at_once(harness: SchedulerHarness) -> None:
+    """A direct clear changes the worker's tasks, so that it reports at once."""
+    harness.add_job(make_spec(1, shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.set_task_states(run.machine, "ended", "error")
+    harness.heartbeat(run.machine)
+    harness.now += 0.5
+    for name in harness.scheduler.machines:
+        harness.heartbeat(name)
+    harness.now += 0.5
+    harness.add_job(make_spec(2, shape="batch", tasks=40, gpus=0.0, cpus=1.0, same_place=False))
+    harness.plan_and_commit()
+    assert run.machine in harness.scheduler.to_command
+    commands = harness.scheduler.direct_commands(harness.scheduler.machines[run.machine])
+    assert [(command.kind, command.task_name) for command in commands] == [("clear", "wk-000001/0")]
+
+
+def test_done_marks_of_a_hundred_thousand_tasks_are_read_back(harness: SchedulerHarness) -> None:
+    job = harness.add_job(make_spec(shape="batch", tasks=100_000, gpus=0.0, cpus=1.0))
+    assert len(harness.plan_and_commit()) > 0
+    for index in range(0, 100_000, 2):
+        job.mark_done(index)
+    again = Job(job.spec, 0.0, 0.0, "")
+    for part in range(25):
+        text = job.part_text(part)
+        assert len(text) < 1024
+        if text:
+            again.load_part(part, text)
+    assert again.done == job.done and again.done_count == 50_000
+
+
+def test_launch_that_was_not_sent_leaves_a_draining_machine(harness: SchedulerHarness) -> None:
+    """The task is placed elsewhere instead of waiting for the machine."""
+    job = harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.scheduler.machines[run.machine].drain("sick", harness.now)
+    harness.scheduler.tick(harness.now)
+    assert job.waiting_count == 1
+    assert [new.machine != run.machine for new in harness.plan_and_commit()] == [True]
+
+
+def test_task_is_launched_only_in_the_session_that_its_intent_names(
+    harness: SchedulerHarness,
+) -> None:
+    """So a newer session proves that a task of an older intent is gone."""
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    run.session = 9
+    assert launched(harness.heartbeat(run.machine)) == []
+
+
+def test_leader_whose_lease_may_have_expired_launches_nothing(harness: SchedulerHarness) -> None:
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.sequences[run.machine] += 1
+    rep = Report(run.machine, "x:1", "b1", "a", False, 1, harness.sequences[run.machine], 5, [])
+    machine = harness.scheduler.report(rep, False, harness.now)
+    assert machine is not None
+    assert harness.scheduler.answer(machine, rep, harness.now, launches=False) == []
+    assert launched(harness.scheduler.answer(machine, rep, harness.now)) == ["wk-000001/0"]
--- /dev/null
+++ b/tests/test_scheduler_machine_failures.py
@@ -0,0 +1,185 @@
+"""Machines that fall silent, are cut off, fail, or are taken away."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+from topazhold.core import recovery
+from topazhold.core.jobs import Job, RunState
+from topazhold.core.machines import MachineState
+from topazhold.core.records import Intents
+from topazhold.wire.messages import ListedMachine
+
+
+def silent_group(share: float) -> tuple[SchedulerHarness, int]:
+    """A zone of forty machines, a share of which falls silent at once."""
+    harness = SchedulerHarness(machines=0)
+    for number in range(40):
+        harness.heartbeat(f"host-{number:02d}")
+    silent = int(40 * share)
+    while harness.now < 100.0 + 1.5 * harness.scheduler.lease_s:
+        harness.now += 1.0
+        for number in range(silent, 40):
+            harness.heartbeat(f"host-{number:02d}")
+        harness.scheduler.tick(harness.now)
+    return harness, silent
+
+
+def test_tasks_of_a_gone_machine_free_their_teams_quota(harness: SchedulerHarness) -> None:
+    """Runs of a gone machine must not count against their team any more."""
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    assert harness.scheduler.usage.used("red") == (4.0, 2.0)
+    harness.scheduler.machine_gone(run.machine, harness.now)
+    assert harness.scheduler.usage.used("red") == (0.0, 0.0)
+
+
+def test_silent_machines_tasks_are_placed_again_only_after_its_release(
+    harness: SchedulerHarness,
+) -> None:
+    job = harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.now += 500.0
+    for name in harness.scheduler.machines:
+        if name != run.machine:
+            harness.heartbeat(name)
+    harness.scheduler.tick(harness.now)
+    assert harness.plan_and_commit() == []
+    assert run.machine in harness.scheduler.releases
+    harness.scheduler.machine_gone(run.machine, harness.now)
+    assert [new.index for new in harness.plan_and_commit()] == [0]
+    assert job.runs[0].machine != run.machine
+
+
+def test_machines_of_a_zone_that_is_cut_off_are_not_released(harness: SchedulerHarness) -> None:
+    """Many machines silent at once are a cut, which proves nothing."""
+    harness = SchedulerHarness(machines=8)
+    harness.now += 30.0
+    for name, machine in harness.scheduler.machines.items():
+        if machine.zone == "b":
+            harness.heartbeat(name)
+    harness.scheduler.tick(harness.now)
+    assert harness.scheduler.releases == {}
+
+
+def test_silent_machine_with_a_cancelled_task_is_released(harness: SchedulerHarness) -> None:
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.scheduler.job_over("wk-000001", False, harness.now, harness.now)
+    harness.now += harness.scheduler.cancel_s * 0.7
+    harness.scheduler.tick(harness.now)
+    assert run.machine in harness.scheduler.releases
+
+
+def test_machine_that_fails_several_jobs_drains_and_one_bad_job_drains_none(
+    harness: SchedulerHarness,
+) -> None:
+    scheduler = harness.scheduler
+    machine = scheduler.machines["host-0"]
+    for number in (1, 2):
+        scheduler._failed(machine, harness.add_job(make_spec(number)), harness.now)
+    assert machine.state is MachineState.DRAINING
+    bad = harness.add_job(make_spec(7))
+    for name in ("host-1", "host-2", "host-3"):
+        scheduler._failed(scheduler.machines[name], bad, harness.now)
+    assert bad.not_before > harness.now
+    for name in ("host-1", "host-2", "host-3"):
+        assert scheduler.machines[name].state is MachineState.READY
+        assert not scheduler.machines[name].error_jobs
+
+
+def test_machine_under_notice_drains_and_its_tasks_save(harness: SchedulerHarness) -> None:
+    job = harness.add_job(make_spec(shape="batch", tasks=1, estimated_run_s=300.0))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.set_task_states(run.machine, "running")
+    harness.heartbeat(run.machine, notice_s=20.0)
+    harness.scheduler.tick(harness.now)
+    assert run.stop_grace is not None and run.stop_grace >= job.spec.save_s
+    assert harness.scheduler.machines[run.machine].state is MachineState.DRAINING
+
+
+def test_late_heartbeat_and_late_machine_list_change_nothing(harness: SchedulerHarness) -> None:
+    job = harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.heartbeat(run.machine)
+    assert run.state is RunState.PULLING
+    harness.sequences[run.machine] -= 2
+    tasks = harness.tasks[run.machine]
+    harness.tasks[run.machine] = {}
+    assert harness.heartbeat(run.machine) == []
+    assert job.runs[0] is run
+    harness.tasks[run.machine] = tasks
+    harness.scheduler.machine_gone("host-3", harness.now)
+
+    harness.scheduler.listed(
+        [ListedMachine("host-3", "b1", "b", "running")], harness.now, harness.now
+    )
+    assert "host-3" not in harness.scheduler.machines
+
+
+def test_zone_that_comes_back_is_neither_deaf_nor_released() -> None:
+    """After a partition of minutes a zone's first heartbeats name the old term; some
+    machines are a moment later than others."""
+    harness = SchedulerHarness(machines=0, term=8)
+    names = [f"host-{number}" for number in range(8)]
+    intents = [
+        Intents(name, 1, "a", False, "b1", [("wk-000001", number, 77)])
+        for number, name in enumerate(names)
+    ]
+    job = Job(make_spec(shape="batch", tasks=8), harness.now, 1e9, "hive-0")
+    recovery.take_over(harness.scheduler, [job], intents, harness.now)
+    for _ in range(40):
+        harness.now += 1.0
+        harness.scheduler.tick(harness.now)
+    for name in names[:6]:
+        harness.heartbeat(name, term=7)
+        assert not harness.scheduler.machines[name].deaf
+    for _ in range(8):
+        harness.now += 1.0
+        for name in names[:6]:
+            harness.heartbeat(name)
+        harness.scheduler.tick(harness.now)
+    assert harness.scheduler.releases == {}
+    for _ in range(8):  # who stays away alone is given up in the end
+        harness.now += 1.0
+        for name in names[:6]:
+            harness.heartbeat(name)
+        harness.scheduler.tick(harness.now)
+    assert set(harness.scheduler.releases) == set(names[6:])
+
+
+def test_group_that_hangs_is_not_released_before_it_can_be_back() -> None:
+    """A third of a zone may hang for longer than a lease and come back."""
+    harness, silent = silent_group(0.3)
+    assert not harness.scheduler.releases
+    missed = [
+        m for m in harness.scheduler.machines.values() if harness.scheduler._missed(m, harness.now)
+    ]
+    assert len(missed) == silent, "made up for, in case they are dead"
+    for number in range(silent - 1):
+        harness.heartbeat(f"host-{number:02d}", session=2)
+    harness.now += 1.0
+    harness.scheduler.tick(harness.now)
+    assert list(harness.scheduler.releases) == [f"host-{silent - 1:02d}"], "the lone one goes"
+
+
+def test_group_that_stays_silent_is_released() -> None:
+    harness, silent = silent_group(0.3)
+    for _ in range(8):
+        harness.now += 1.0
+        for number in range(silent, 40):
+            harness.heartbeat(f"host-{number:02d}")
+        harness.scheduler.tick(harness.now)
+    assert len(harness.scheduler.releases) == silent
+
+
+def test_machines_of_a_zone_that_is_cut_off_are_not_replaced_either() -> None:
+    harness, _ = silent_group(0.6)
+    assert not harness.scheduler.releases
+    assert not any(
+        harness.scheduler._missed(m, harness.now) for m in harness.scheduler.machines.values()
+    )
--- /dev/null
+++ b/tests/test_scheduler_offers.py
@@ -0,0 +1,61 @@
+"""Which machines the leader offers to the controllers that search places for gangs."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+from topazhold.core.jobs import Run, RunState
+
+
+def test_offers_are_as_many_as_the_largest_gang_needs() -> None:
+    """Of twenty machines hardly sixteen are empty where GPUs come free one by one."""
+    harness = SchedulerHarness(machines=0)
+    for number in range(60):
+        harness.heartbeat(f"host-{number}")
+    assert len(harness.scheduler.offers("a", harness.now)) == 20
+    gang = harness.add_job(make_spec(tasks=16, gpus=1.0))
+    assert harness.scheduler.largest_gang(harness.now) is gang
+    assert len(harness.scheduler.offers("a", harness.now, gang)) == 32
+
+
+def test_fully_reserved_machines_do_not_crowd_out_other_offers() -> None:
+    """Else no gang sees any machine but those that others have reserved."""
+    harness = SchedulerHarness(machines=0)
+    for number in range(60):
+        harness.heartbeat(f"host-{number:02d}")
+    first = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
+    for number, name in enumerate(first):
+        harness.reserve(harness.add_job(make_spec(number, tasks=1, gpus=4.0)), {name: 1})
+    names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
+    assert len(set(names) - set(first)) == 20
+    assert set(first) <= set(names), "work whose turn comes before may take them all the same"
+
+
+def test_offers_name_empty_machines_for_a_gang_that_needs_them() -> None:
+    harness = SchedulerHarness(machines=0)
+    for number in range(50):
+        harness.heartbeat(f"host-{number:02d}")
+    for machine in list(harness.scheduler.machines.values())[:45]:
+        job = harness.add_job(
+            make_spec(100 + len(harness.scheduler.jobs), shape="batch", tasks=1, gpus=1.0)
+        )
+        run = Run(job, 0, 1, machine.name, harness.now)
+        run.state = RunState.RUNNING
+        harness.scheduler._attach(run)
+    gang = harness.add_job(make_spec(tasks=5, gpus=4.0, cpus=16.0))
+    whole = {f"host-{number:02d}" for number in range(45, 50)}
+    assert whole <= {offer.name for offer in harness.scheduler.offers("a", harness.now, gang)}
+
+
+def test_offers_name_reserved_machines_in_any_case() -> None:
+    """Else a reserved group can't be judged, and is given up for one that frees later."""
+    harness = SchedulerHarness(machines=0)
+    for number in range(30):
+        harness.heartbeat(f"host-{number:02d}")
+    job = harness.add_job(make_spec(tasks=1))
+    last = harness.scheduler.offers("a", harness.now)[-1].name
+    others = {offer.name for offer in harness.scheduler.offers("a", harness.now)}
+    hidden = next(name for name in harness.scheduler.machines if name not in others)
+    harness.reserve(job, {hidden: 1})
+    names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
+    assert names[19] == last and names[20:] == [hidden]
--- /dev/null
+++ b/tests/test_scheduler_priorities.py
@@ -0,0 +1,155 @@
+"""Quotas, preemption and ageing: whose turn it is."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+from topazhold.core import preemption
+
+
+def test_quota_counts_a_task_from_its_intent_on(harness: SchedulerHarness) -> None:
+    harness = SchedulerHarness(machines=8)
+    harness.add_job(make_spec(team="blue", shape="batch", tasks=20, gpus=1.0, cpus=1.0))
+    assert len(harness.plan_and_commit()) == 12  # blue's limit
+    harness.all_heartbeats()
+    assert harness.plan_and_commit() == []
+
+
+def test_gang_preempts_lower_work_of_its_team_at_the_limit() -> None:
+    harness = SchedulerHarness(machines=8)
+    harness.add_job(
+        make_spec(1, team="blue", shape="batch", tasks=12, gpus=1.0, urgency="best_effort")
+    )
+    assert len(harness.plan_and_commit()) == 12
+    harness.all_heartbeats()
+    gang = harness.add_job(make_spec(2, team="blue", gpus=2.0))
+    free = [
+        name
+        for name, machine in harness.scheduler.machines.items()
+        if machine.zone == "a" and machine.empty
+    ] + [
+        name
+        for name, machine in harness.scheduler.machines.items()
+        if machine.zone == "a" and not machine.empty and machine.free()[1] >= 2
+    ]
+    harness.reserve(gang, dict.fromkeys(free[:2], 1))
+    harness.plan_and_commit()
+    stopping = [run for run in harness.scheduler.jobs["wk-000001"].runs.values() if run.stopping]
+    assert len(stopping) == 4
+
+
+def test_urgent_gang_preempts_lower_work_and_an_equal_one_does_not() -> None:
+    harness = SchedulerHarness(machines=2)
+    low = harness.add_job(
+        make_spec(
+            1,
+            shape="batch",
+            tasks=2,
+            gpus=4.0,
+            same_place=False,
+            team="blue",
+            urgency="best_effort",
+        )
+    )
+    assert len(harness.plan_and_commit()) == 2
+    harness.all_heartbeats()
+    equal = harness.add_job(make_spec(2, tasks=1, gpus=4.0, urgency="best_effort", team="blue"))
+    harness.reserve(equal, {"host-0": 1})
+    harness.plan_and_commit()
+    assert not any(run.stopping for run in low.runs.values())
+    urgent = harness.add_job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
+    harness.reserve(urgent, {"host-0": 1})
+    harness.plan_and_commit()
+    assert [run.machine for run in low.runs.values() if run.stopping] == ["host-0"]
+
+
+def test_reservations_of_lower_gangs_do_not_bind_higher_work() -> None:
+    """Guest gangs that book everything must not starve work that goes first."""
+    harness = SchedulerHarness(machines=2)
+    for number in (1, 2):
+        guest = harness.add_job(
+            make_spec(number, tasks=1, gpus=4.0, team="blue", urgency="best_effort")
+        )
+        harness.reserve(guest, {f"host-{number - 1}": 1})
+    harness.scheduler.refresh_guarantees()
+    harness.scheduler.jobs["wk-000002"].within = False
+    first = harness.add_job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
+    harness.reserve(first, {"host-1": 1})
+    runs = harness.plan_and_commit()
+    assert ("wk-000003", "host-1") in {(run.job.id, run.machine) for run in runs}
+    assert ("wk-000002", "host-1") not in {(run.job.id, run.machine) for run in runs}
+
+
+def test_wrong_estimates_are_corrected_within_bounds(harness: SchedulerHarness) -> None:
+    estimates = harness.scheduler.estimates
+    for _ in range(200):
+        estimates.learn("train", 10.0, 1000.0)
+    assert 2.5 < estimates.correction("train") <= 3.0
+    assert estimates.correction("other") == 1.0
+
+
+def test_no_two_jobs_may_preempt_each_other() -> None:
+    """Not even urgent work beyond a guarantee and low work within one."""
+    harness = SchedulerHarness(machines=2)
+    urgent = harness.add_job(make_spec(1, urgency="urgent", team="blue"))
+    low = harness.add_job(make_spec(2, urgency="best_effort", team="red"))
+    urgent.within, low.within = False, True
+    for job in (urgent, low):
+        harness.scheduler.usage.add(job, 20)
+    may = preemption.may_stop
+    assert may(low, urgent, harness.scheduler.usage)
+    assert not may(urgent, low, harness.scheduler.usage)
+
+
+def test_gang_that_has_waited_long_goes_before_work_within_guarantees() -> None:
+    """Else arrays within guarantees fill each machine before a large gang has them all."""
+    harness = SchedulerHarness(machines=2)
+    filler = harness.add_job(
+        make_spec(
+            1,
+            shape="batch",
+            tasks=4,
+            gpus=2.0,
+            urgency="best_effort",
+            team="red",
+            same_place=False,
+        )
+    )
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    harness.set_task_states("host-0", "running")
+    harness.all_heartbeats()
+    gang = harness.add_job(make_spec(2, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
+    other = harness.add_job(make_spec(3, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
+    harness.scheduler.refresh_guarantees()
+    assert filler.within and gang.within and not other.within
+    assert preemption.rank(other) > preemption.rank(filler)
+    assert not preemption.may_stop(other, filler, harness.scheduler.usage)
+    harness.now += harness.scheduler.patience_s(other) + 1.0
+    harness.scheduler.tick(harness.now)
+    assert other.pressing and preemption.may_stop(other, filler, harness.scheduler.usage)
+    assert not preemption.may_stop(filler, other, harness.scheduler.usage), "never both ways"
+
+
+def test_urgent_and_large_gangs_age_sooner(harness: SchedulerHarness) -> None:
+    """The largest must begin within the longest wait, however many small ones come."""
+    jobs = [
+        harness.add_job(make_spec(number, tasks=tasks, urgency=urgency))
+        for number, (tasks, urgency) in enumerate(
+            [(16, "urgent"), (1, "urgent"), (8, "normal"), (1, "normal")], start=1
+        )
+    ]
+    patience = [harness.scheduler.patience_s(job) for job in jobs]
+    assert patience == sorted(patience) and patience[-1] < 240.0
+    assert patience[0] < 0.1 * 240.0 and patience[2] < 0.3 * 240.0
+
+
+def test_class_that_is_to_start_sooner_goes_first(harness: SchedulerHarness) -> None:
+    harness.scheduler.aimed_waits = {"quick": (10.0, 50.0), "train": (60.0, 180.0)}
+    slow = harness.add_job(make_spec(1, tasks=1))
+    harness.now += 5.0
+    quick = harness.add_job(make_spec(2, tasks=1, job_class="quick"))
+    assert preemption.turn(quick) < preemption.turn(slow)
+    harness.now += harness.scheduler.patience_s(slow)
+    harness.scheduler.tick(harness.now)
+    assert preemption.turn(slow) < preemption.turn(quick), "until it presses"
--- /dev/null
+++ b/tests/test_scheduler_scale_out.py
@@ -0,0 +1,73 @@
+"""Machines are rented in the zone where work lacks room."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+
+
+def test_machine_is_rented_for_a_gang_of_one_zone_though_free_ones_are_elsewhere(
+    harness: SchedulerHarness,
+) -> None:
+    """A machine is free in each zone beside work that runs on for hours, and the machines
+    that others use do not count as room."""
+    for zone in "ab":
+        long_run = harness.add_job(
+            make_spec(ord(zone), shape="batch", tasks=1, gpus=4.0, zone=zone)
+        )
+        assert long_run is not None
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    gang = harness.add_job(make_spec(7, tasks=2, gpus=4.0, spot=False))
+    assert harness.plan_and_commit() == []
+    harness.scheduler.last_arrival = -1e9  # no headroom while nothing comes
+    assert harness.scheduler.rent(harness.now) == [], "not at once: others may be done soon"
+    harness.now += harness.scheduler.patience_s(gang) + 1.0
+    harness.all_heartbeats()
+    harness.scheduler.tick(harness.now)
+    harness.scheduler.last_arrival = -1e9
+    asks = harness.scheduler.rent(harness.now)
+    assert [ask.count for ask in asks] == [1]
+
+
+def test_machine_is_rented_in_the_full_zone_for_a_gang_of_two_zones() -> None:
+    """Long work fills one zone; the other one has more than enough room."""
+    harness = SchedulerHarness(machines=4)
+    long = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
+    harness.reserve(long, {"host-1": 1, "host-3": 1})
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    harness.add_job(make_spec(6, tasks=2, gpus=4.0, same_place=False, scatter=True))
+    harness.now += 300.0
+    harness.all_heartbeats()
+    harness.scheduler.tick(harness.now)
+    harness.scheduler.last_arrival = -1e9
+    asks = harness.scheduler.rent(harness.now)
+    assert [(ask.zone, ask.count) for ask in asks] == [("b", 1)]
+
+
+def test_machine_is_rented_in_the_full_zone_for_a_service_of_two_zones() -> None:
+    harness = SchedulerHarness(machines=4)
+    long = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
+    harness.reserve(long, {"host-1": 1, "host-3": 1})
+    harness.plan_and_commit()
+    harness.all_heartbeats()
+    spec = make_spec(
+        6,
+        shape="daemon",
+        tasks=2,
+        gpus=4.0,
+        same_place=False,
+        scatter=True,
+        estimated_run_s=0.0,
+        checkpoint_s=0.0,
+    )
+    service = harness.add_job(spec)
+    harness.plan_and_commit()
+    assert service.waiting_count == 1, "at most one replica may be in a zone"
+    harness.now += 300.0
+    harness.all_heartbeats()
+    harness.scheduler.tick(harness.now)
+    harness.scheduler.last_arrival = -1e9
+    asks = harness.scheduler.rent(harness.now)
+    assert [(ask.zone, ask.count) for ask in asks] == [("b", 1)]
--- /dev/null
+++ b/tests/test_scheduler_unreachable_machines.py
@@ -0,0 +1,74 @@
+"""Machines whose heartbeats arrive while nothing reaches them."""
+
+from __future__ import annotations
+
+from tests.job_specs import make_spec
+from tests.scheduler_harness import SchedulerHarness
+from topazhold.core.jobs import GangState, RunState
+from topazhold.core.renting import counted
+
+
+def test_machine_whose_launches_never_arrive_is_unreachable_for_commands(
+    harness: SchedulerHarness,
+) -> None:
+    """Its heartbeats look well, so nothing else keeps gangs off it."""
+    job = harness.add_job(make_spec())
+    harness.reserve(job, {"host-0": 1, "host-2": 1})
+    harness.plan_and_commit()
+    for _ in range(3):
+        harness.heartbeat("host-0", carry_out=False)
+        harness.heartbeat("host-2")
+    machine = harness.scheduler.machines["host-0"]
+    assert machine.deaf and not harness.scheduler.usable(machine, harness.now)
+    assert not machine.runs, "no limit is kept for it"
+    assert not counted(machine)
+    harness.scheduler.tick(harness.now)
+    assert job.gang_state is not GangState.STARTING
+    harness.all_heartbeats()
+    harness.set_task_states("host-2", "ended", "stopped")
+    harness.heartbeat("host-2")
+    harness.scheduler.tick(harness.now)
+    harness.reserve(job, {"host-0": 1, "host-2": 1}, serial=2)
+    assert harness.plan_and_commit() == [] and harness.scheduler.rejected[job.id] == 2
+
+
+def test_lease_that_expires_though_answered_shows_that_commands_do_not_arrive(
+    harness: SchedulerHarness,
+) -> None:
+    harness.add_job(make_spec(shape="batch", tasks=1))
+    (run,) = harness.plan_and_commit()
+    harness.heartbeat(run.machine)
+    harness.heartbeat(run.machine)
+    assert run.state is RunState.PULLING
+    harness.tasks[run.machine] = {}
+    harness.now += 0.5
+    harness.heartbeat(run.machine, session=2)
+    machine = harness.scheduler.machines[run.machine]
+    assert machine.deaf and run.state is RunState.GONE
+    again = harness.plan_and_commit()
+    assert again and again[0].machine != run.machine, "placed again, elsewhere"
+    for _ in range(14):  # a session that outlasts its lease has heard answers
+        harness.now += 1.0
+        harness.heartbeat(run.machine, session=2)
+    assert not machine.deaf
+
+
+def test_lone_machine_without_commands_is_released_and_a_zone_of_them_is_not() -> None:
+    harness = SchedulerHarness(machines=8)
+    for name in ("host-0", "host-1", "host-3", "host-5", "host-7"):
+        harness.scheduler.machines[name].turn_deaf(harness.now)
+    for _ in range(25):
+        harness.now += 1.0
+        for name in harness.scheduler.machines:
+            harness.sequences[name] += 1
+            harness.scheduler.machines[name].heard_at = harness.now
+        harness.scheduler.tick(harness.now)
+    assert set(harness.scheduler.releases) == {"host-0"}
+
+
+def test_machine_that_hung_for_over_a_lease_is_still_reachable_for_commands(
+    harness: SchedulerHarness,
+) -> None:
+    harness.now += 30.0
+    harness.heartbeat("host-0", session=2)
+    assert not harness.scheduler.machines["host-0"].deaf
