--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -32,7 +32,7 @@
         self.number += 1
         worker = FakeWorker(self.simulation, name, zone, spot, self.rng)
         self.workers[name] = worker
-        self.simulation.network.places[worker.host] = zone
+        self.simulation.network.zones[worker.host] = zone
         if boots:
             self.simulation.network.hosts[worker.host] = worker.handle
             await curio.spawn(worker.run, daemon=True)
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -95,7 +95,7 @@
     simulation.processes[name] = (task, alive)
     simulation.network.hosts[host] = handle
     simulation.network.hosts[name] = handle
-    simulation.network.places[name] = simulation.zones[name]
+    simulation.network.zones[name] = simulation.zones[name]
 
 
 async def stop_controller(simulation: Any, name: str) -> None:
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 from random import Random
 from typing import Any
 
@@ -14,6 +15,45 @@
 
 Handler = Callable[[str, str, str, Any], Awaitable[tuple[int, Any]]]
 
+#: How late a copy of a request may arrive, and a transaction without an answer be carried out.
+LATE_COPY_S = (1.0, 40.0)
+LATE_WRITE_S = (2.0, 12.0)
+#: Paths of the key-value store's transactions and of the cloud's operations.
+TRANSACTIONS_PATH = "/multi"
+CLOUD_OPERATIONS_PATH = "/machines"
+
+
+@dataclass(frozen=True)
+class Request:
+    """A request on its way to a host."""
+
+    handler: Handler
+    source: str
+    target: str
+    method: str
+    path: str
+    body: bytes
+    timeout_s: float
+
+    @property
+    def is_transaction(self) -> bool:
+        """Whether it goes to the key-value store to change something."""
+        return self.path == TRANSACTIONS_PATH
+
+    @property
+    def is_cloud_operation(self) -> bool:
+        """Whether it tells the cloud to rent or to release machines."""
+        return self.method == "POST" and self.path.startswith(CLOUD_OPERATIONS_PATH)
+
+    async def carry_out(self) -> tuple[int, Any]:
+        """Hand it to its host."""
+        return await self.handler(self.source, self.method, self.path, read_body(self.body))
+
+    async def fail(self) -> None:
+        """Nothing comes back."""
+        await curio.sleep(self.timeout_s)
+        raise NoAnswer(self.target)
+
 
 class Network:
     """Delivers requests between named hosts, late, twice or not at all."""
@@ -21,79 +61,61 @@
     def __init__(self, rng: Random) -> None:
         self.rng = rng
         self.hosts: dict[str, Handler] = {}
+        self.zones: dict[str, str] = {}  # by host, for cuts between zones
         self.cuts: set[frozenset[str]] = set()
-        self.lost: set[tuple[str, str]] = set()  # (from, to): what goes that way is lost
-        self.holding = False  # cuts keep requests and deliver them late
-        self.loss = 0.0
+        self.lost_directions: set[tuple[str, str]] = set()  # (from, to)
+        self.delivers_cut_late = False  # cuts keep requests and deliver them late
+        self.loss_share = 0.0
         self.delay_s = 0.0  # a request takes up to so much longer
-        self.copies = 0.0  # share of workers' reports that arrive once more, late
-        self.places: dict[str, str] = {}  # host -> zone, for cuts between zones
-        self.held_orders = 0.0  # share of orders to the cloud that are carried out much later
-        self.late_writes = 0.0  # share of transactions without an answer, carried out late
-        self.overtaken = 0  # late transactions carried out after a newer one of their sender
-        self.late_applied = 0  # of those, the ones that changed something
-        self._written: dict[str, int] = {}  # sender -> transactions carried out in time
-
-    def cut(self, one: str, other: str) -> bool:
-        for a in {one, self.places.get(one, one)}:
-            for b in {other, self.places.get(other, other)}:
-                if a != b and frozenset((a, b)) in self.cuts:
-                    return True
-        return False
+        self.copy_share = 0.0  # share of workers' reports that arrive once more, late
+        self.late_operation_share = 0.0  # of operations of the cloud, without an answer
+        self.late_write_share = 0.0  # of transactions, without an answer
+        self.overtaken_writes = 0  # late ones carried out after a newer one of their sender
+        self._writes: dict[str, int] = {}  # transactions carried out in time, by sender
+
+    def is_cut(self, one: str, other: str) -> bool:
+        """Whether nothing passes between two hosts, by themselves or by their zones."""
+        return any(
+            a != b and frozenset((a, b)) in self.cuts
+            for a in self._names(one)
+            for b in self._names(other)
+        )
 
     def loses(self, source: str, target: str) -> bool:
         """Whether what goes from one host to another is lost, the other way round or not."""
-        ends = {source, self.places.get(source, source)}, {target, self.places.get(target, target)}
-        return any((a, b) in self.lost for a in ends[0] for b in ends[1])
+        return any(
+            (a, b) in self.lost_directions for a in self._names(source) for b in self._names(target)
+        )
+
+    def _names(self, host: str) -> set[str]:
+        """A host's name and its zone's."""
+        return {host, self.zones.get(host, host)}
 
     async def ask(
         self, source: str, target: str, method: str, path: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
+        """Send a request and wait for the answer; NotSent or NoAnswer if there is none."""
         body = pack(message) if message is not None else b""
         await curio.sleep(self.rng.uniform(0.001, 0.01 + self.delay_s))
         handler = self.hosts.get(target)
         if handler is None:
             raise NotSent(target)
-        if self.cut(source, target):
-            if self.holding and self.rng.random() < 0.5:
-                await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
-                await curio.sleep(timeout_s)
-                raise NoAnswer(target)
-            if not self.holding:
-                raise NotSent(target)
-            await curio.sleep(timeout_s)
-            raise NotSent(target)
+        request = Request(handler, source, target, method, path, body, timeout_s)
+        if self.is_cut(source, target):
+            await self._fail_at_cut(request)
         if self.loses(source, target):
-            await curio.sleep(timeout_s)
-            raise NoAnswer(target)
-        if path == "/multi":
-            if self.rng.random() < self.late_writes:
-                await curio.spawn(self._late_write, handler, source, path, body, daemon=True)
-                await curio.sleep(timeout_s)
-                raise NoAnswer(target)
-            self._written[source] = self._written.get(source, 0) + 1
-        if method == "POST" and path.startswith("/machines"):
-            if self.rng.random() < self.held_orders:
-                await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
-                await curio.sleep(timeout_s)
-                raise NoAnswer(target)
-        lost = self.rng.random()
-        if lost < self.loss:
+            await request.fail()
+        await self._hold_back(request)
+        luck = self.rng.random()
+        if luck < self.loss_share:
             if self.rng.random() < 0.5:
-                await curio.spawn(self._late, handler, source, method, path, body, daemon=True)
-            await curio.sleep(timeout_s)
-            raise NoAnswer(target)
-        try:
-            status, answer = await curio.timeout_after(
-                timeout_s, handler, source, method, path, read_body(body)
-            )
-        except curio.TaskTimeout:
-            raise NoAnswer(target) from None
+                await self._deliver_later(request)
+            await request.fail()
+        status, answer = await self._deliver(request)
         await curio.sleep(self.rng.uniform(0.001, 0.01))
         if self.loses(target, source):
-            await curio.sleep(timeout_s)
-            raise NoAnswer(target)
-        if lost < 2 * self.loss or self.hosts.get(target) is not handler:
+            await request.fail()
+        if luck < 2 * self.loss_share or self.hosts.get(target) is not handler:
             await curio.sleep(timeout_s * 0.5)
             raise NoAnswer(target)
         return status, pack(answer) if answer is not None else b""
@@ -102,53 +124,84 @@
         self, source: str, targets: list[str], method: str, path: str, message: Any
     ) -> None:
         """Perhaps a copy that arrives seconds to well over a lease later, anywhere."""
-        if self.rng.random() < self.copies:
-            handler = self.hosts.get(self.rng.choice(targets))
+        if self.rng.random() < self.copy_share:
+            target = self.rng.choice(targets)
+            handler = self.hosts.get(target)
             if handler is not None:
-                await curio.spawn(
-                    self._late, handler, source, method, path, pack(message), daemon=True
+                await self._deliver_later(
+                    Request(handler, source, target, method, path, pack(message), 0.0)
                 )
 
-    async def _late_write(self, handler: Handler, source: str, path: str, body: bytes) -> None:
-        """A transaction that is carried out 2 to 12 s later, often after newer ones."""
-        before = self._written.get(source, 0)
-        await curio.sleep(self.rng.uniform(2.0, 12.0))
-        status, _ = await handler(source, "POST", path, read_body(body))
-        if self._written.get(source, 0) > before:
-            self.overtaken += 1
-            self.late_applied += status == 200
-
-    async def _late(
-        self, handler: Handler, source: str, method: str, path: str, body: bytes
-    ) -> None:
+    async def _fail_at_cut(self, request: Request) -> None:
+        """It comes to a cut: refused at once, or kept, and perhaps delivered late."""
+        if not self.delivers_cut_late:
+            raise NotSent(request.target)
+        if self.rng.random() < 0.5:
+            await self._deliver_later(request)
+            await request.fail()
+        await curio.sleep(request.timeout_s)
+        raise NotSent(request.target)
+
+    async def _hold_back(self, request: Request) -> None:
+        """A share of transactions and of operations of the cloud is carried out late."""
+        if request.is_transaction:
+            if self.rng.random() < self.late_write_share:
+                await curio.spawn(self._write_late, request, daemon=True)
+                await request.fail()
+            self._writes[request.source] = self._writes.get(request.source, 0) + 1
+        if request.is_cloud_operation and self.rng.random() < self.late_operation_share:
+            await self._deliver_later(request)
+            await request.fail()
+
+    async def _deliver(self, request: Request) -> tuple[int, Any]:
+        try:
+            answer: tuple[int, Any] = await curio.timeout_after(
+                request.timeout_s, request.carry_out
+            )
+        except curio.TaskTimeout:
+            raise NoAnswer(request.target) from None
+        return answer
+
+    async def _deliver_later(self, request: Request) -> None:
+        await curio.spawn(self._deliver_late, request, daemon=True)
+
+    async def _deliver_late(self, request: Request) -> None:
         """A copy that arrives when its sender has long given up."""
-        await curio.sleep(self.rng.uniform(1.0, 40.0))
+        await curio.sleep(self.rng.uniform(*LATE_COPY_S))
         try:
-            await handler(source, method, path, read_body(body))
+            await request.carry_out()
         except NotSent:
             pass
 
+    async def _write_late(self, request: Request) -> None:
+        """A transaction that is carried out seconds later, often after newer ones."""
+        before = self._writes.get(request.source, 0)
+        await curio.sleep(self.rng.uniform(*LATE_WRITE_S))
+        await request.carry_out()
+        self.overtaken_writes += self._writes.get(request.source, 0) > before
+
 
 def read_body(body: bytes) -> Any:
+    """What a body says; None if it is empty."""
     return unpack(body) if body else None
 
 
 class FakeClient:
-    """Stands in for the pooled HTTP client."""
+    """A controller's pooled HTTP client, which sends through the network."""
 
     def __init__(
         self,
-        net: Network,
+        network: Network,
         source: str,
         address: tuple[str, int],
         alive: Callable[[], bool],
-        thawed: Callable[[str], Awaitable[None]],
+        wait_while_paused: Callable[[str], Awaitable[None]],
         version: Version,
     ) -> None:
         self._not_sent = version.load("io.http", "NotSent")
         self._no_answer = version.load("io.http", "NoAnswer")
-        self._thawed = thawed
-        self._net = net
+        self._wait_while_paused = wait_while_paused
+        self._network = network
         self._source = source
         self._target = f"{address[0]}:{address[1]}"
         self._alive = alive
@@ -156,13 +209,14 @@
     async def ask(
         self, method: str, target: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
+        """Send a request; errors are those of the controller's version."""
         if not self._alive():
             await curio.sleep(1e9)
-        # What a frozen controller was about to send leaves once it goes on, and what
+        # What a paused controller was about to send leaves once it goes on, and what
         # came in between is read only then.
-        await self._thawed(self._source)
+        await self._wait_while_paused(self._source)
         try:
-            return await self._net.ask(
+            return await self._network.ask(
                 self._source, self._target, method, target, message, timeout_s
             )
         except NotSent as exc:
@@ -170,7 +224,7 @@
         except NoAnswer as exc:
             raise self._no_answer(str(exc)) from None
         finally:
-            await self._thawed(self._source)
+            await self._wait_while_paused(self._source)
 
     async def close(self) -> None:
-        pass
+        """Nothing is open."""
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -25,20 +25,20 @@
         await curio.spawn(self._deliver, frame, daemon=True)
 
     async def _deliver(self, frame: bytes) -> None:
-        net = self._simulation.network
-        await curio.sleep(net.rng.uniform(0.001, 0.01))
+        network = self._simulation.network
+        await curio.sleep(network.rng.uniform(0.001, 0.01))
         await self._simulation.wait_while_paused(self._source)
         await self._simulation.wait_while_paused(self._target)
-        node = self._simulation.controllers.get(self._target)
-        cut = self._simulation.peers_unreachable or net.cut(self._source, self._target)
-        cut = cut or net.loses(self._source, self._target)
-        if node is None or cut or net.rng.random() < net.loss:
+        controller = self._simulation.controllers.get(self._target)
+        cut = self._simulation.peers_unreachable or network.is_cut(self._source, self._target)
+        cut = cut or network.loses(self._source, self._target)
+        if controller is None or cut or network.rng.random() < network.loss_share:
             return
         message = tuple(unpack(frame[4:]))
         self._simulation.peer_messages.setdefault(message[0], []).append(message)
         del self._simulation.peer_messages[message[0]][:-KEPT_MESSAGES]
         try:
-            await deliver_peer_message(node, message)
+            await deliver_peer_message(controller, message)
         except (ValueError, TypeError, IndexError, KeyError) as exc:
             # The real listener drops it; between versions that must not happen.
             self._simulation.record_violation(
--- a/tests/simulation/network_faults.py
+++ b/tests/simulation/network_faults.py
@@ -18,7 +18,7 @@
 
 async def _partition(simulation: Simulation, fault: Fault, pairs: Pairs) -> None:
     """Cut connections, and perhaps deliver late what was sent meanwhile."""
-    simulation.network.holding = simulation.rng.random() < 0.5
+    simulation.network.delivers_cut_late = simulation.rng.random() < 0.5
     cuts = {frozenset(pair) for pair in pairs}
     simulation.network.cuts |= cuts
     await curio.sleep(fault.duration_s)
@@ -80,37 +80,37 @@
     lost = {(name, FakeKeyValueStore.HOST)}
     if rng.random() < 0.5:
         lost = {(FakeKeyValueStore.HOST, name)}
-    simulation.network.lost |= lost
+    simulation.network.lost_directions |= lost
     await curio.sleep(2 * fault.duration_s)
-    simulation.network.lost -= lost
+    simulation.network.lost_directions -= lost
 
 
 async def lose_requests(simulation: Simulation, fault: Fault) -> None:
     """Requests and answers are lost now and then."""
-    simulation.network.loss = 0.1
+    simulation.network.loss_share = 0.1
     await curio.sleep(fault.duration_s)
-    simulation.network.loss = 0.0
+    simulation.network.loss_share = 0.0
 
 
 async def copy_requests(simulation: Simulation, fault: Fault) -> None:
     """Heartbeats and submissions arrive once more, late."""
-    simulation.network.copies = 0.3
+    simulation.network.copy_share = 0.3
     await curio.sleep(fault.duration_s)
-    simulation.network.copies = 0.0
+    simulation.network.copy_share = 0.0
 
 
 async def delay_writes(simulation: Simulation, fault: Fault) -> None:
     """Transactions get no answer, and are carried out late."""
-    simulation.network.late_writes = 0.2
+    simulation.network.late_write_share = 0.2
     await curio.sleep(fault.duration_s)
-    simulation.network.late_writes = 0.0
+    simulation.network.late_write_share = 0.0
 
 
 async def delay_cloud_orders(simulation: Simulation, fault: Fault) -> None:
     """Orders to the cloud get no answer, and are carried out late."""
-    simulation.network.held_orders = 0.4
+    simulation.network.late_operation_share = 0.4
     await curio.sleep(fault.duration_s)
-    simulation.network.held_orders = 0.0
+    simulation.network.late_operation_share = 0.0
 
 
 async def cut_peer_links(simulation: Simulation, fault: Fault) -> None:
--- a/tests/test_compound_failures_elections.py
+++ b/tests/test_compound_failures_elections.py
@@ -185,7 +185,7 @@
         assert old is not None
         await scenario.submit_running_jobs(3, old, run_s=60.0, gpus=2.0)
         cut, unhearing = scenario.busy_workers()[:2]
-        scenario.network.holding = True
+        scenario.network.delivers_cut_late = True
         scenario.cut_off(cut.host, scenario.controller_names)
         unhearing.deaf_until = scenario.clock.now + 2.5 * scenario.worker_settings.lease_s
         await scenario.stop(old)
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -109,7 +109,7 @@
 ) -> None:
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        scenario.network.late_writes = 0.25
+        scenario.network.late_write_share = 0.25
         coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(15.0)
         leader = scenario.leader()
@@ -117,8 +117,8 @@
             await scenario.stop(leader)
             await scenario.start_again(leader, 0.5)
         await coming.join()
-        scenario.network.late_writes = 0.0
-        assert scenario.network.overtaken > 20, "newer ones came before"
+        scenario.network.late_write_share = 0.0
+        assert scenario.network.overtaken_writes > 20, "newer ones came before"
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -188,10 +188,10 @@
         await scenario.submit_running_jobs(1, scenario.controller_names[0])
         leader = scenario.leader()
         assert leader is not None
-        scenario.network.lost.add((FakeKeyValueStore.HOST, leader))
+        scenario.network.lost_directions.add((FakeKeyValueStore.HOST, leader))
         new = await scenario.wait_for_new_leader(leader, 10 * scenario.controllers[leader].grant_s)
         await scenario.submit_running_jobs(1, new)
-        scenario.network.lost.clear()
+        scenario.network.lost_directions.clear()
         await scenario.wait_until(lambda: scenario.controllers[leader].leading is None)
         await curio.sleep(scenario.worker_settings.lease_s)
         assert scenario.leader() == new
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -165,18 +165,16 @@
 
     async def act(scenario: Scenario) -> None:
         await begin(scenario)
-        scenario.network.held_orders, scenario.network.late_writes, scenario.network.loss = (
-            0.4,
-            0.3,
-            0.1,
-        )
+        network = scenario.network
+        network.late_operation_share, network.late_write_share = 0.4, 0.3
+        network.loss_share = 0.1
         coming = await curio.spawn(scenario.run_users, 24, 48.0, daemon=True)
         for number in range(8):
             await curio.sleep(6.0)
             scenario.cloud.down = number % 3 == 2
         await coming.join()
         scenario.cloud.down = False
-        scenario.network.held_orders = scenario.network.late_writes = scenario.network.loss = 0.0
+        network.late_operation_share = network.late_write_share = network.loss_share = 0.0
         await settle(scenario)
         assert len(scenario.cloud.orders.executed) > 3
 
