--- a/tests/corpus.py
+++ b/tests/compatibility_corpus.py
@@ -1,8 +1,8 @@
 """Values and messages as the production version writes them, kept as data.
 
-`python -m tests.corpus` plays two days of the production version alone and writes a few of each
-kind of value and message to `tests/data/production_corpus.json`. It is run again when
-`production` in the deploy file moves on.
+`python -m tests.compatibility_corpus` plays two days of the production version alone and writes
+a few of each kind of value and message to `tests/data/production_corpus.json`. It is run again
+when `production` in the deploy file moves on.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import curio
 import pytest
 
-from tests.standins import VirtualTime, run_virtual
-from tests.world import World
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
 FILE = Path(__file__).resolve().parent / "data" / "production_corpus.json"
@@ -26,7 +26,7 @@
 Corpus = dict[str, dict[str, list[Any]]]
 
 
-class Collector:
+class CorpusCollector:
     """The longest values and messages of each kind."""
 
     def __init__(self) -> None:
@@ -53,13 +53,13 @@
     return "sum/*" if key == "sum/*" else first
 
 
-async def collect(world: World, collector: Collector) -> None:
+async def collect(simulation: Simulation, collector: CorpusCollector) -> None:
     """Look at all that is stored and sent, again and again."""
     while True:
         await curio.sleep(LOOK_S)
-        for key, (data, _, _) in world.state.data.items():
+        for key, (data, _, _) in simulation.store.data.items():
             collector.add("stored", kind_of(key), [key, data])
-        for tag, messages in world.peer_messages.items():
+        for tag, messages in simulation.peer_messages.items():
             for message in messages:
                 collector.add("messages", tag, list(message))
             messages.clear()
@@ -69,17 +69,17 @@
     seed: int,
     kinds: list[str],
     monkeypatch: pytest.MonkeyPatch,
-    collector: Collector,
+    collector: CorpusCollector,
     production: bool,
 ) -> None:
     """Play a day of one version alone; collect what it stores and sends."""
 
     async def main(clock: VirtualTime) -> None:
-        world = World(clock, seed)
+        simulation = Simulation(clock, seed)
         if production:
-            world.run_production(LaterLimits())
-        looking = await curio.spawn(collect, world, collector, daemon=True)
-        await world.play(30, 60.0, 60.0, kinds)
+            simulation.install_production(LaterLimits())
+        looking = await curio.spawn(collect, simulation, collector, daemon=True)
+        await simulation.run_day(30, 60.0, 60.0, kinds)
         await looking.cancel()
 
     run_virtual(main, monkeypatch)
@@ -91,7 +91,7 @@
 
 def main() -> None:
     """Write the corpus anew."""
-    collector = Collector()
+    collector = CorpusCollector()
     for seed, kinds in DAYS:
         with pytest.MonkeyPatch.context() as patch:
             collect_day(seed, kinds, patch, collector, production=True)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,7 +1,7 @@
-"""The real controllers as processes on 127.0.0.1, with the stand-ins behind sockets.
+"""The real controllers as processes on 127.0.0.1, with the fakes behind sockets.
 
-Every controller has ports of its own for the state service and the cloud, so that the stand-ins
-know who asks. Times are real; scenes wait for events.
+Every controller has ports of its own for the state service and the cloud, so that the fakes
+know who asks. Times are real; scenarios wait for events.
 """
 
 from __future__ import annotations
@@ -18,8 +18,11 @@
 
 import curio
 
-from tests.standins import CloudService, Net, StateService, VirtualTime
-from tests.world import NAMES, ZONES, World
+from tests.fakes.cloud import FakeCloud
+from tests.fakes.key_value_store import FakeKeyValueStore
+from tests.fakes.network import Network
+from tests.fakes.virtual_time import VirtualTime
+from tests.simulation.deployment import CONTROLLER_NAMES, ZONES, Simulation
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.io.client import Client
 from topazhold.io.http import NoResponseError, Request, RequestNotSentError, Response
@@ -64,7 +67,7 @@
 
 
 class SteadyTime(VirtualTime):
-    """The machine's steady clock, where the stand-ins expect a clock of their own."""
+    """The machine's steady clock, where the fakes expect a clock of their own."""
 
     def __init__(self) -> None:
         pass
@@ -80,7 +83,7 @@
         return int(sock.getsockname()[1])
 
 
-class SocketNet(Net):
+class SocketNet(Network):
     """Requests to controllers go over TCP."""
 
     def __init__(self, rng: Any, ports: dict[str, dict[str, int]]) -> None:
@@ -93,7 +96,7 @@
         return await self._clients[target].ask(method, path, message, timeout_s)
 
 
-class SocketCloud(CloudService):
+class SocketCloud(FakeCloud):
     """Each worker listens on a port of its own."""
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
@@ -106,7 +109,7 @@
 
 
 async def serve(port: int, handler: Callable[[], Any], source: str) -> None:
-    """Put a socket in front of a stand-in."""
+    """Put a socket in front of a fake."""
 
     async def handle(request: Request) -> Response:
         path = request.path + (f"?{request.query}" if request.query else "")
@@ -121,21 +124,21 @@
     await Server(handle, 500, idle_s=60.0).run((LOOPBACK, port))
 
 
-class LoopbackWorld(World):
+class LoopbackSimulation(Simulation):
     """Three controllers of the real program, and everything around them."""
 
     def __init__(self, seed: int, folder: Path, operator: str, capacity: int = 9) -> None:
         self.ports = {
             name: {use: free_port() for use in ("public", "peers", "state", "cloud")}
-            for name in NAMES
+            for name in CONTROLLER_NAMES
         }
         super().__init__(SteadyTime(), seed, capacity)
-        self.net = SocketNet(self.rng, self.ports)
+        self.network = SocketNet(self.rng, self.ports)
         self.cloud = SocketCloud(self, self.rng, capacity)
-        self.state.on_change = self._changed
-        self.net.hosts[StateService.HOST] = self.state.handle
-        self.net.hosts[CloudService.HOST] = self.cloud.handle
-        self.settings: Settings = self.node_settings[NAMES[0]]
+        self.store.on_change = self._changed
+        self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
+        self.network.hosts[FakeCloud.HOST] = self.cloud.handle
+        self.settings: Settings = self.controller_settings[CONTROLLER_NAMES[0]]
         self.settings.cluster.workers.heartbeat_interval_s = REPORT_S
         self.settings.cluster.workers.lease_s = LEASE_S
         self.settings.cluster.workers.cancel_s = CANCEL_S
@@ -151,7 +154,7 @@
 
     def leader(self) -> str | None:
         """Who holds the leadership key."""
-        value = self.state.data.get(LEADER_KEY)
+        value = self.store.data.get(LEADER_KEY)
         return value[0]["node"] if value is not None else None
 
     # -- processes -------------------------------------------------------------
@@ -161,7 +164,7 @@
         path = self.folder / f"{name}.toml"
         seeds = "".join(
             SEED.format(name=other, zone=ZONES[other], peers=self.ports[other]["peers"])
-            for other in NAMES
+            for other in CONTROLLER_NAMES
             if other != name
         )
         path.write_text(
@@ -177,47 +180,47 @@
         )
         return path
 
-    def start(self, name: str) -> None:
+    def start_process(self, name: str) -> None:
         """Start a controller process."""
         command = [sys.executable, "run.py", "--config", str(self.config(name))]
         command += ["--operator", str(self.folder / "operator.textproto")]
         with (self.folder / f"{name}.log").open("ab") as log:
-            self.nodes[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
+            self.controllers[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
 
     def pause(self, name: str) -> None:
-        os.kill(self.nodes[name].pid, signal.SIGSTOP)
+        os.kill(self.controllers[name].pid, signal.SIGSTOP)
 
-    def go_on(self, name: str) -> None:
-        os.kill(self.nodes[name].pid, signal.SIGCONT)
+    def resume(self, name: str) -> None:
+        os.kill(self.controllers[name].pid, signal.SIGCONT)
 
     def end_all(self) -> None:
-        for process in self.nodes.values():
+        for process in self.controllers.values():
             process.kill()
             process.wait()
 
     def log_of(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    # -- a scene -----------------------------------------------------------------
+    # -- a scenario -----------------------------------------------------------------
 
-    async def begin(self, machines: int) -> None:
+    async def start(self, machines: int) -> None:
         """Start everything, and wait for a leader."""
         for name, ports in self.ports.items():
-            for host in (StateService.HOST, CloudService.HOST):
-                port = ports["state" if host == StateService.HOST else "cloud"]
+            for host in (FakeKeyValueStore.HOST, FakeCloud.HOST):
+                port = ports["state" if host == FakeKeyValueStore.HOST else "cloud"]
                 handler = self._current(host)
                 await curio.spawn(serve, port, handler, name, daemon=True)
-        await curio.spawn(self.steps, daemon=True)
+        await curio.spawn(self.run_steps, daemon=True)
         for number in range(machines):
             await self.cloud.add("ab"[number % 2], False)
-        for name in self.names:
-            self.start(name)
-        await self.until(lambda: self.leader() is not None)
+        for name in self.controller_names:
+            self.start_process(name)
+        await self.wait_until(lambda: self.leader() is not None)
 
     def _current(self, host: str) -> Callable[[], Any]:
-        return lambda: self.net.hosts[host]
+        return lambda: self.network.hosts[host]
 
-    async def until(
+    async def wait_until(
         self, true: Callable[[], Any], what: str = "it", timeout_s: float = PATIENCE_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
@@ -228,22 +231,22 @@
 
 
 def play(
-    act: Callable[[LoopbackWorld], Awaitable[None]],
+    act: Callable[[LoopbackSimulation], Awaitable[None]],
     folder: Path,
     seed: int = 1,
     operator: str = "record_orders: true\n",
-) -> LoopbackWorld:
-    """Run a scene with real processes; they are ended whatever happens."""
-    worlds: list[LoopbackWorld] = []
+) -> LoopbackSimulation:
+    """Run a scenario with real processes; they are ended whatever happens."""
+    simulations: list[LoopbackSimulation] = []
 
     async def main() -> None:
-        world = LoopbackWorld(seed, folder, operator)
-        worlds.append(world)
+        simulation = LoopbackSimulation(seed, folder, operator)
+        simulations.append(simulation)
         try:
-            await act(world)
+            await act(simulation)
         finally:
-            world.end_all()
+            simulation.end_all()
             await curio.sleep(0.2)  # the last connections end before the kernel does
 
     curio.run(main)
-    return worlds[0]
+    return simulations[0]
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from tests.conftest import make_spec
-from tests.standins import settings_for
+from tests.fakes.controllers import make_settings
+from tests.job_specs import make_spec
 from topazhold.control.election import CONTROLLER_LEASE_BOUNDS, lease_time_s
 from topazhold.control.gang_reservations import (
     ClusterView,
@@ -46,7 +46,7 @@
 
 
 def gang_reservations(clock: Clock) -> GangReservations:
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     found = GangReservations(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
     found.pending[job.id] = PendingGang(job.spec, queue_key(job), 0.0)
@@ -166,7 +166,7 @@
         clock[0] += 0.06
 
     monkeypatch.setattr(GangReservations, "_search", search)
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     found = GangReservations(
         settings, Operator(), None, ReservationTable("hive-0"), Random(1), max_round_s=0.1
     )  # type: ignore[arg-type]
@@ -184,7 +184,7 @@
 
 def test_a_lease_outlasts_more_work_where_the_processor_is_slower() -> None:
     """At 1.5 s on 6.5% of a core a leader lost its lease every few seconds."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     lasts = []
     for share in (2.0, 0.43, 0.065, 0.0):
         settings.cluster.limits.cpu_share = share
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -8,8 +8,9 @@
 import curio
 import pytest
 
-from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import VirtualTime, run_virtual, settings_for
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.job_specs import MACHINE_TYPE, make_spec
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import AttemptState, Job, TaskAttempt
@@ -46,7 +47,7 @@
     monkeypatch: pytest.MonkeyPatch, machines: int, jobs: int
 ) -> tuple[RecordingStore, Any]:
     """A plan of so many one-task jobs over so many machines, written."""
-    settings = settings_for("hive-0", "a", [])
+    settings = make_settings("hive-0", "a", [])
     store = RecordingStore(settings.cluster.state.txn_ops)
     scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
     scheduler.machine_types = {"b1": MACHINE_TYPE}
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -2,30 +2,9 @@
 
 from __future__ import annotations
 
-from typing import Any
-
 import pytest
 
-from tests.standins import VirtualTime, run_virtual
-from tests.world import World
-from topazhold.settings import LaterLimits
-
-CONTROLLERS = ["crash", "crash", "crash_leader", "crash_all", "roll", "crash_election"]
-NETWORK = [
-    "zones_cut",
-    "node_cut",
-    "node_off_state",
-    "machine_cut",
-    "leader_off_zone",
-    "loss",
-    "node_off_all_but_workers",
-    "leader_off_all_but_workers",
-    "late_copies",
-]
-OUTSIDE = ["state_down", "state_refused", "leader_refused", "cloud_down"]
-MACHINES = ["hang", "hang", "notice", "taken", "sick", "deaf", "deaf_zone", "blink"]
-MANY = ["mass_hang", "mass_die", "freeze", "freeze_leader", "peers_refuse", "state_slow"]
-ALL = CONTROLLERS + NETWORK + OUTSIDE + MACHINES
+from tests.random_days import ALL, CONTROLLERS, MACHINES, MANY, NETWORK, OUTSIDE, play
 
 DAYS = [
     (1, []),
@@ -64,51 +43,23 @@
 ]
 
 
-def play(
-    seed: int,
-    kinds: list[str],
-    monkeypatch: Any,
-    jobs: int = 30,
-    trouble_s: float = 60.0,
-    calm_s: float = 400.0,
-    capacity: int = 9,
-    limit: float = 1.0,
-    services: float = 0.0,
-    later: LaterLimits | None = None,
-) -> World:
-    worlds: list[World] = []
-
-    async def main(clock: VirtualTime) -> None:
-        world = World(clock, seed, capacity)
-        for settings in world.node_settings.values():
-            for team in settings.cluster.teams:
-                team.gpus *= limit
-                team.gpus_max *= limit
-        worlds.append(world)
-        world.services = services
-        await world.play(jobs, trouble_s, calm_s, kinds, later)
-
-    run_virtual(main, monkeypatch)
-    return worlds[0]
-
-
 @pytest.mark.parametrize(("seed", "kinds"), DAYS)
 def test_rules_hold(seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
-    world = play(seed, kinds, monkeypatch)
-    story = "\n".join(world.notes[-60:])
-    assert world.broken == [], f"seed {seed}\n{story}"
-    assert world.starts > 20, f"seed {seed}: hardly anything ran"
-    assert world.unfinished() == [], f"seed {seed}\n{story}"
+    simulation = play(seed, kinds, monkeypatch)
+    story = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], f"seed {seed}\n{story}"
+    assert simulation.starts > 20, f"seed {seed}: hardly anything ran"
+    assert simulation.unfinished() == [], f"seed {seed}\n{story}"
 
 
 def test_rules_hold_in_a_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
     """Large enough to pass what stood for smaller fleets: 40 names and 60 gangs told, 48
     holds, 16 commands, 100 names unheard or released, 64 guards."""
     kinds = ["mass_hang", "mass_die", "crash_all", "freeze_leader", "zones_cut", "peers_refuse"]
-    world = play(
+    simulation = play(
         21, kinds, monkeypatch, jobs=300, trouble_s=15.0, calm_s=150.0, capacity=270, limit=20.0
     )
-    story = "\n".join(world.notes[-60:])
-    assert world.broken == [], story
-    assert world.starts > 300
-    assert world.unfinished() == [], story
+    story = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], story
+    assert simulation.starts > 300
+    assert simulation.unfinished() == [], story
--- a/tests/test_renting.py
+++ b/tests/test_renting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.conftest import MACHINE_TYPE
+from tests.job_specs import MACHINE_TYPE
 from topazhold.core.autoscaling import (
     CapacityBackoff,
     CapacityDemand,
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -21,8 +21,8 @@
 import cbor2
 import msgspec
 
-from tests.conftest import MACHINE_TYPE, make_spec
-from tests.standins import settings_for
+from tests.fakes.controllers import make_settings
+from tests.job_specs import MACHINE_TYPE, make_spec
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import Job, TaskAttempt
@@ -50,7 +50,7 @@
     def __init__(self, machines: int, tasks: int, gangs: int, arrays: int) -> None:
         self.now = 1000.0
         self.rng = Random(1)
-        self.settings = settings_for("node-0", "a", [])
+        self.settings = make_settings("node-0", "a", [])
         for team in self.settings.cluster.teams:
             team.gpus = team.gpus_max = 1e6
         self.reservation_table = ReservationTable("node-0")
