--- a/tools/costs.py
+++ b/tools/costs.py
@@ -181,7 +181,7 @@
         "decode": lambda: read(body, Heartbeat),
         "report": lambda: fleet.hear(report),
         "tick": lambda: fleet.scheduler.tick(fleet.now),
-        "rent": lambda: fleet.scheduler.rent(fleet.now),
+        "scale_out": lambda: fleet.scheduler.scale_out(fleet.now),
         "summary": summary_of(fleet),
         "search": search_of(fleet),
         "plan": lambda: fleet.scheduler.plan(fleet.now),
