--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -10,9 +10,22 @@
 from tests.test_random_days import play
 from tests.world import LARGEST
 from topazhold.control import users as users_module
-from topazhold.core import array_placement, failover, gang_placement, quota, records
+from topazhold.core import (
+    array_placement,
+    binding_reservations,
+    failover,
+    quota,
+    records,
+    replica_placement,
+)
+from topazhold.core.binding_reservations import BindingReservations
+from topazhold.core.eviction import Eviction
+from topazhold.core.failure_detection import FailureDetection
+from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import Job
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_reconciliation import TaskReconciliation
+from topazhold.core.worker_commands import WorkerCommands
 from topazhold.io.http import Response
 from topazhold.wire import messages as wire
 
@@ -22,18 +35,19 @@
 def forget_intents(patch: pytest.MonkeyPatch) -> None:
     """A new leader that does not believe in its predecessor's intents."""
     patch.setattr(failover, "_adopt", lambda *args: None)
-    patch.setattr(Scheduler, "_on_orphan", lambda *args: None)
+    patch.setattr(TaskReconciliation, "_on_orphan", lambda *args: None)
 
 
 def trust_silence(patch: pytest.MonkeyPatch) -> None:
     """Tasks of a silent machine are placed again without proof."""
 
-    def watch(self: Scheduler, machine: Any, now: float) -> None:
-        if self.silence_s(machine, now) > 2 * self.heartbeat_interval_s:
+    def watch(self: FailureDetection, machine: Any, now: float) -> None:
+        cluster = self._cluster
+        if cluster.silence_s(machine, now) > 2 * cluster.heartbeat_interval_s:
             for run in list(machine.attempts.values()):
-                self._remove_attempt(run, now)
+                cluster.remove_attempt(run, now)
 
-    patch.setattr(Scheduler, "_watch", watch)
+    patch.setattr(FailureDetection, "watch", watch)
 
 
 def no_limit(patch: pytest.MonkeyPatch) -> None:
@@ -41,16 +55,17 @@
 
 
 def any_place(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(gang_placement, "allowed", lambda *args: True)
+    patch.setattr(binding_reservations, "allowed", lambda *args: True)
     patch.setattr(array_placement, "allowed", lambda *args: True)
-    patch.setattr(Scheduler, "_reservation_fault", lambda *args: None)
-    patch.setattr(Scheduler, "_array_zone", lambda *args: None)
+    patch.setattr(BindingReservations, "_reservation_fault", lambda *args: None)
+    patch.setattr(array_placement, "zone_of_group", lambda *args: None)
+    patch.setattr(replica_placement, "zone_of_group", lambda *args: None)
 
 
 def no_kills(patch: pytest.MonkeyPatch) -> None:
     """Cancelled jobs run on."""
-    patch.setattr(Scheduler, "kills", lambda self, machine: [])
-    patch.setattr(Scheduler, "_stop_ended_job", lambda self, job, now: None)
+    patch.setattr(WorkerCommands, "kills", lambda self, machine: [])
+    patch.setattr(Eviction, "stop_ended_job", lambda self, job, now: None)
 
 
 def forget_over(patch: pytest.MonkeyPatch) -> None:
@@ -85,10 +100,10 @@
 
 
 def starve(patch: pytest.MonkeyPatch, left_out: Callable[[Job], bool]) -> None:
-    waiting = Scheduler._waiting_jobs
+    waiting = JobQueue.waiting_jobs
     patch.setattr(
-        Scheduler,
-        "_waiting_jobs",
+        JobQueue,
+        "waiting_jobs",
         lambda self, now: [job for job in waiting(self, now) if not left_out(job)],
     )
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -20,8 +20,8 @@
 from topazhold.control.controller import Controller
 from topazhold.control.leader_term import LeaderTerm
 from topazhold.core.cancellations import MAX_SENT, Cancellations
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.placement_hints import PlacementHints
-from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Response
 from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
 
@@ -127,9 +127,9 @@
     reasons: list[tuple[int, str]] = []  # by term: the ended process is only cut off here
     terms: list[int] = []
     scenes: list[Scene] = []
-    release = Scheduler.release
+    release = ClusterState.release
 
-    def noted(self: Scheduler, machine: Any, reason: str, now: float) -> None:
+    def noted(self: ClusterState, machine: Any, reason: str, now: float) -> None:
         if scenes and machine.name in scenes[0].cloud.workers:  # others are gone in fact
             reasons.append((self.term, reason))
         release(self, machine, reason, now)
@@ -147,7 +147,7 @@
         await curio.sleep(4 * scene.workers.heartbeat_interval_s)
         scene.state.set_down(True)
 
-    monkeypatch.setattr(Scheduler, "release", noted)
+    monkeypatch.setattr(ClusterState, "release", noted)
     assert_rules(gap(over, monkeypatch, site))
     assert [w for term, w in reasons if term in terms and w.startswith("can't stop")] == []
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -7,21 +7,22 @@
 import pytest
 
 from tests.conftest import MACHINE_TYPE, Bench, make_spec
-from topazhold.core.scheduler import Scheduler
+from topazhold.core.resource_offers import ResourceOffers
+from topazhold.core.zone_demand import ZoneDemand
 
 
 class Calls:
     """Counts the calls of a method."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, name: str) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, part: type, name: str) -> None:
         self.count = 0
-        method = getattr(Scheduler, name)
+        method = getattr(part, name)
 
         def counted(*args: Any, **kwargs: Any) -> Any:
             self.count += 1
             return method(*args, **kwargs)
 
-        patch.setattr(Scheduler, name, counted)
+        patch.setattr(part, name, counted)
 
     def taken(self) -> int:
         """The calls since the last question."""
@@ -36,7 +37,7 @@
     for machines in (6, 60):
         bench = Bench(machines)
         scheduler = bench.scheduler
-        made = Calls(monkeypatch, "_offer")
+        made = Calls(monkeypatch, ResourceOffers, "_offer")
 
         def look(bench: Bench = bench) -> None:
             for zone in "ab":
@@ -68,8 +69,8 @@
         for number in range(gangs):
             gang = bench.job(make_spec(number, tasks=2, gpus=1.0))
             gang.is_aged = True
-        counted = Calls(monkeypatch, "_free_slots")
-        bench.scheduler._demand_for_zones({}, [MACHINE_TYPE], bench.now)
+        counted = Calls(monkeypatch, ZoneDemand, "_free_slots")
+        bench.scheduler.parts.zone_demand.add_to({}, [MACHINE_TYPE], bench.now)
         looks.append(counted.taken())
         monkeypatch.undo()
     assert looks == [1, 1]
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -22,7 +22,7 @@
         for number in range(tasks):
             spec = make_spec(shape="batch", tasks=1, id=f"wk-{10**17 + 100 * place + number}")
             job = bench.job(spec)
-            bench.scheduler._attach(TaskAttempt(job, 0, 2**60, machine.name, bench.now))
+            bench.scheduler.cluster.attach(TaskAttempt(job, 0, 2**60, machine.name, bench.now))
 
 
 def test_machines_of_a_zone_share_shards() -> None:
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -8,8 +8,10 @@
 import pytest
 
 from tests.conftest import Bench, make_spec
+from topazhold.core.binding_reservations import BindingReservations
+from topazhold.core.fleet_survey import FleetSurvey
 from topazhold.core.jobs import JobState, TaskAttempt
-from topazhold.core.scheduler import Scheduler
+from topazhold.core.scheduling_round import SchedulingRounds
 
 
 def stops(bench: Bench) -> list[tuple[str, int, float | None]]:
@@ -200,23 +202,24 @@
         looks = 0
         with monkeypatch.context() as patch:
             if forgets:
-                patch.setattr(Scheduler, "_check_due", lambda *args: True)
-            fault = Scheduler._reservation_fault
+                patch.setattr(BindingReservations, "_check_due", lambda *args: True)
+            fault = BindingReservations._reservation_fault
 
-            def counted(self: Scheduler, *args: Any) -> str | None:
+            def counted(self: BindingReservations, *args: Any) -> str | None:
                 nonlocal looks
                 looks += 1
                 return fault(self, *args)
 
-            patch.setattr(Scheduler, "_reservation_fault", counted)
-            survey = Scheduler._begin_round
+            patch.setattr(BindingReservations, "_reservation_fault", counted)
+            survey = SchedulingRounds._survey
 
-            def forget(self: Scheduler, *args: Any) -> None:
-                survey(self, *args)
-                self._full = Forgetful()
+            def forget(self: SchedulingRounds, *args: Any) -> FleetSurvey:
+                found = survey(self, *args)
+                found.full_kinds = Forgetful()
+                return found
 
             if forgets:
-                patch.setattr(Scheduler, "_begin_round", forget)
+                patch.setattr(SchedulingRounds, "_survey", forget)
             day = Day(seed)
             story: list[object] = []
             for _ in range(300):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -284,11 +284,15 @@
     scheduler = bench.scheduler
     machine = scheduler.machines["host-0"]
     for number in (1, 2):
-        scheduler._on_attempt_failed(machine, bench.job(make_spec(number)), bench.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(
+            machine, bench.job(make_spec(number)), bench.now
+        )
     assert machine.state is MachineState.DRAINING
     bad = bench.job(make_spec(7))
     for name in ("host-1", "host-2", "host-3"):
-        scheduler._on_attempt_failed(scheduler.machines[name], bad, bench.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(
+            scheduler.machines[name], bad, bench.now
+        )
     assert bad.not_before > bench.now
     for name in ("host-1", "host-2", "host-3"):
         assert scheduler.machines[name].state is MachineState.READY
@@ -593,7 +597,7 @@
         )
         attempt = TaskAttempt(job, 0, 1, machine.name, bench.now)
         attempt.state = AttemptState.RUNNING
-        bench.scheduler._attach(attempt)
+        bench.scheduler.cluster.attach(attempt)
     gang = bench.job(make_spec(tasks=5, gpus=4.0, cpus=16.0))
     whole = {f"host-{number:02d}" for number in range(45, 50)}
     assert whole <= {offer.name for offer in bench.scheduler.offers("a", bench.now, gang)}
@@ -700,7 +704,9 @@
     bench, silent = silent_group(0.3)
     assert not bench.scheduler.releases
     missed = [
-        m for m in bench.scheduler.machines.values() if bench.scheduler._is_missing(m, bench.now)
+        m
+        for m in bench.scheduler.machines.values()
+        if bench.scheduler.parts.failure_detection.is_missing(m, bench.now)
     ]
     assert len(missed) == silent, "made up for, in case they are dead"
     for number in range(silent - 1):
@@ -724,7 +730,8 @@
     bench, _ = silent_group(0.6)
     assert not bench.scheduler.releases
     assert not any(
-        bench.scheduler._is_missing(m, bench.now) for m in bench.scheduler.machines.values()
+        bench.scheduler.parts.failure_detection.is_missing(m, bench.now)
+        for m in bench.scheduler.machines.values()
     )
 
 
@@ -737,7 +744,7 @@
     other = bench.job(make_spec(9, tasks=1, shape="batch", gpus=4.0, estimated_run_s=3.0))
     attempt = TaskAttempt(other, 0, 1, "host-1", bench.now)
     attempt.state, attempt.running_since = AttemptState.RUNNING, bench.now
-    bench.scheduler._attach(attempt)
+    bench.scheduler.cluster.attach(attempt)
     gang = bench.job(make_spec(1, tasks=2, gpus=4.0))
     bench.reservation(gang, {"host-0": 1, "host-1": 1})
     array = bench.job(make_spec(2, shape="batch", tasks=1, gpus=1.0, urgency="best_effort"))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -9,6 +9,7 @@
 
 from tests.conftest import Bench, make_spec
 from tests.scenes import Scene, assert_rules, play_scene
+from topazhold.core.fleet_survey import OtherWork
 from topazhold.core.jobs import AttemptState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.wire.messages import JobSpec
@@ -193,8 +194,9 @@
     job = bench.job(service_spec(tasks=1, cpus=6.0))
     (attempt,) = bench.plan()
     assert attempt.machine == "host-2", "the empty machines could be given back"
+    other_work = OtherWork(bench.scheduler.jobs.values())
     hindrances = {
-        name: bench.scheduler._hindrance(machine, job.need)
+        name: other_work.hindered_share(machine, job.need)
         for name, machine in bench.scheduler.machines.items()
     }
     assert hindrances == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -112,7 +112,7 @@
     spec = make_spec(700, shape="batch", tasks=60)
     job = bench.job(spec)
     for index in range(60):
-        bench.scheduler._attach(TaskAttempt(job, index, 2**40, "host-002", bench.now))
+        bench.scheduler.cluster.attach(TaskAttempt(job, index, 2**40, "host-002", bench.now))
     shards = shards_of_larger_limits(bench, list(machines))
     values = shards.values({shards.of(machines["host-000"], machines)}, machines, "t")
     assert all(json_size(value) <= SMALL for _, value in values.values())
@@ -198,7 +198,7 @@
     store.stored["on/0001"] = records.on_value(machines.values(), "old")
     job = bench.job(make_spec(900, shape="batch", tasks=1))
     attempt = TaskAttempt(job, 0, 3, "host-000", bench.now)
-    bench.scheduler._attach(attempt)
+    bench.scheduler.cluster.attach(attempt)
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -207,7 +207,7 @@
             answer = await ask(node, "GET", f"/api/jobs/{odd}")
             assert answer.status == 200 and answer.body["stage"] == "pending"
         assert sorted(node.leader_term.scheduler.jobs) == ["wk-000001"]
-        assert "host-000099" in node.leader_term.scheduler._removed_machines, (
+        assert node.leader_term.scheduler.cluster.is_removed("host-000099"), (
             "only a release proves what is on it"
         )
 
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -95,7 +95,7 @@
                 attempt = TaskAttempt(job, index, self.number, report.machine, self.now)
                 attempt.written(self.now)
                 attempt.order(1, self.now)
-                self.scheduler._attach(attempt)
+                self.scheduler.cluster.attach(attempt)
                 report.tasks.append(
                     TaskStatus(attempt.task_name, attempt.attempt_number, "running")
                 )
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -2,109 +2,166 @@
 
 from __future__ import annotations
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Iterator, Mapping
+from typing import NamedTuple
 
 from topazhold.core import preemption
-from topazhold.core.cluster_state import NO_RESOURCES
-from topazhold.core.heartbeat_reconciliation import BAD_JOB_MACHINES
-from topazhold.core.jobs import Job, Resources, TaskAttempt
+from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.eviction import Eviction
+from topazhold.core.failure_attribution import BAD_JOB_MACHINES
+from topazhold.core.fleet_survey import FleetSurvey
+from topazhold.core.job_queue import JobQueue
+from topazhold.core.jobs import Job, Resources
 from topazhold.core.machines import Machine, add_resources, count_fitting
-from topazhold.core.scheduling_round import SchedulingRound
 from topazhold.core.search import allowed
+from topazhold.core.start_objectives import StartObjectives
 
 #: Tasks of an array that get room back from other teams at once.
 MAX_PREEMPTED = 16
-#: Runs planned in one round.
-MAX_PLACED_TASKS = 96
+#: An array without room gets it back from other teams every so many heartbeat intervals.
+RECLAIM_HEARTBEATS = 2
+#: What a place costs on top of the time until a task starts there, in heartbeat intervals:
+#: where the job asked for a spot machine and this is none, where the machine is empty and
+#: could be returned, and for each job that failed there.
+NOT_SPOT_HEARTBEATS = 4
+EMPTY_HEARTBEATS = 2
+ERROR_HEARTBEATS = 5
+#: In place of a zone, where tasks may go to none.
+NO_ZONE = "\0none"
 
 
-class ArrayPlacement(SchedulingRound):
-    """Plans of arrays' tasks."""
+class ArrayCandidate(NamedTuple):
+    """A machine with room for so many tasks of one job."""
 
-    def _plan_array(self, job: Job, planned: list[TaskAttempt], now: float) -> None:
+    machine: Machine
+    slots: int
+
+
+class ReclaimChoice(NamedTuple):
+    """What it costs (in seconds of work) to get room for a task on a machine."""
+
+    cost_s: float
+    name: str
+
+
+def zone_of_group(zones: Mapping[str, int], places: Iterable[ArrayCandidate]) -> str:
+    """For tasks that must share a zone: the one that they are in already, or the roomiest."""
+    if zones:
+        return next(iter(zones)) if len(zones) == 1 else NO_ZONE
+    sums: dict[str, int] = {}
+    for machine, count in places:
+        sums[machine.zone] = sums.get(machine.zone, 0) + count
+    return max(sums, key=lambda zone: (sums[zone], zone), default=NO_ZONE)
+
+
+class ArrayPlacement:
+    """Plans arrays' tasks.
+
+    Owns, by job, since when an array has found no room or was last given some back.
+    """
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        queue: JobQueue,
+        objectives: StartObjectives,
+        eviction: Eviction,
+    ) -> None:
+        self._cluster = cluster
+        self._queue = queue
+        self._objectives = objectives
+        self._eviction = eviction
+        self._heartbeat_interval_s = cluster.heartbeat_interval_s
+        self._starved_since: dict[str, float] = {}
+        cluster.when_job_forgotten(self._forget)
+
+    def _forget(self, job_id: str) -> None:
+        self._starved_since.pop(job_id, None)
+
+    def place(self, job: Job, survey: FleetSurvey) -> None:
+        """Plan as many tasks of an array as there is room for, and as its team may run."""
+        if not survey.allows_one_more(job):
+            return
+        taken = survey.reserved.taken(job.id, preemption.queue_key(job), job.spec.checkpoint_s > 0)
+        places = self._places(job, taken, survey)
+        placed_all = self._place_tasks(job, places, survey)
+        if not placed_all and job.waiting_count > 0:
+            self._reclaim(job, taken, survey)
+        else:
+            self._starved_since.pop(job.id, None)
+
+    def _place_tasks(self, job: Job, places: list[ArrayCandidate], survey: FleetSurvey) -> bool:
+        """Place tasks on the first places; whether none was left to place."""
         spec = job.spec
-        if not self.usage.allows(job, 1, self._claimed(job)):
-            return  # its team's limit, whatever room there is
-        taken = self._reserved.taken(job.id, preemption.queue_key(job), spec.checkpoint_s > 0)
-        places = self._array_places(job, taken, now)
-        zones = job.zones_used(self.zone_of) if spec.same_place or spec.scatter else {}
-        max_in_zone = (spec.tasks + 1) // 2
-        only: str | None = None
-        if spec.same_place:
-            only = self._array_zone(zones, places)
+        bound = spec.same_place or spec.scatter
+        zones = job.zones_used(self._cluster.zone_of) if bound else {}
+        only = zone_of_group(zones, places) if spec.same_place else None
         tasks = job.waiting_tasks()
-        patient = self._patient(job, now)
-        placed_all = False
+        patient = self._is_patient(job, survey.now)
         for machine, count in places:
             if only is not None and machine.zone != only:
                 continue
-            while count > 0 and len(planned) < MAX_PLACED_TASKS:
-                if not self._recordable(machine, 1):
-                    break
-                if patient and not machine.spot and self._free_plain < job.need[1]:
-                    break
-                if not self.usage.allows(job, 1, self._claimed(job)):
-                    break
-                if spec.scatter and zones.get(machine.zone, 0) >= max_in_zone:
+            for _ in range(count):
+                if not self._may_place(job, machine, zones, patient, survey):
                     break
                 index = next(tasks, None)
                 if index is None:
-                    placed_all = True
-                    break
-                attempt = self._new_attempt(job, index, machine, self._next_attempt_number(), now)
-                job.add_attempt(attempt)
-                planned.append(attempt)
+                    return True
+                survey.place(job, index, machine)
                 if not machine.spot:
-                    self._free_plain -= job.need[1]
+                    survey.take_plain_gpus(job.need)
                 zones[machine.zone] = zones.get(machine.zone, 0) + 1
-                count -= 1
-            if placed_all:
-                break
-        if not placed_all and job.waiting_count > 0:
-            self._array_is_starving(job, taken, now)
-        else:
-            self._starved_since.pop(job.id, None)
+        return False
+
+    def _may_place(
+        self,
+        job: Job,
+        machine: Machine,
+        zones: Mapping[str, int],
+        patient: bool,
+        survey: FleetSurvey,
+    ) -> bool:
+        """Whether one more task may go to a machine that has room for it."""
+        if survey.is_full or not self._cluster.recordable(machine, 1):
+            return False
+        if patient and not machine.spot and not survey.has_plain_gpus(job.need):
+            return False
+        if not survey.allows_one_more(job):
+            return False
+        max_in_zone = (job.spec.tasks + 1) // 2
+        return not (job.spec.scatter and zones.get(machine.zone, 0) >= max_in_zone)
 
-    def _patient(self, job: Job, now: float) -> bool:
-        """Whether the job may wait: no quick start is aimed at, and there is slack.
+    def _is_patient(self, job: Job, now: float) -> bool:
+        """Whether the job may wait: it has no objective for its start, and there is slack.
 
         Also within its guarantee, if it may use spot machines: ordinary ones are all
         that those have who may not.
         """
-        if not self.keeps_reserve or job.spec.job_class in self.wait_objectives:
+        if not self._objectives.keeps_reserve or self._objectives.shortest_s(job) is not None:
             return False
         if job.within_guarantee and not job.spec.spot:
             return False
-        # Its tasks seldom start all at once: half a run's time is left for that.
-        run_s = self.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
-        return now < self._due(job) - self.lease_s - 0.5 * run_s
-
-    def _array_zone(self, zones: dict[str, int], places: list[tuple[Machine, int]]) -> str:
-        """The zone that the job is in already, or the roomiest."""
-        if zones:
-            return next(iter(zones)) if len(zones) == 1 else "\0none"
-        sums: dict[str, int] = {}
-        for machine, count in places:
-            sums[machine.zone] = sums.get(machine.zone, 0) + count
-        return max(sums, key=lambda zone: (sums[zone], zone), default="\0none")
+        # Its tasks seldom start all at once: half a task's run time is left for that.
+        slack_s = self._cluster.lease_s
+        return now < self._queue.due_at(job) - slack_s - 0.5 * self._queue.run_s(job)
 
-    def _array_places(
-        self, job: Job, taken: Mapping[str, Resources], now: float
-    ) -> list[tuple[Machine, int]]:
+    def _places(
+        self, job: Job, taken: Mapping[str, Resources], survey: FleetSurvey
+    ) -> list[ArrayCandidate]:
         """Machines with room, the ones where tasks start soonest first.
 
         Where an array finds none, one of the same kind whose turn comes later finds none
-        in this round: holds keep the more from it, and room only gets less.
+        in this round: reservations keep the more from it, and room only gets less.
         """
         spec = job.spec
         urgency_level = job.urgency_level if spec.checkpoint_s > 0 else None
         types = tuple(spec.machine_types) if spec.machine_types is not None else None
         kind = (job.need, urgency_level, types, spec.zone, spec.spot)
-        if kind in self._full:
+        if kind in survey.full_kinds:
             return []
         found = []
-        for machine in self._with_capacity:
-            # Usable when the round began, and nothing is heard in between.
+        # Usable when the round began, and nothing is heard in between.
+        for machine in survey.with_capacity:
             if machine.machine_type is None:
                 continue
             if not allowed(spec, machine.machine_type.name, machine.zone, machine.spot):
@@ -114,47 +171,59 @@
             available = add_resources(machine.free(), taken.get(machine.name, NO_RESOURCES), -1.0)
             count = count_fitting(job.need, available, spec.tasks)
             if count:
-                cost = machine.fetch_s(spec.image, spec.image_gb)
-                if spec.spot and not machine.spot:
-                    cost += 4 * self.heartbeat_interval_s
-                if machine.empty:
-                    cost += 2 * self.heartbeat_interval_s  # an empty machine can be returned
-                cost += 5 * self.heartbeat_interval_s * len(machine.error_jobs)
-                found.append((cost, available[1], machine.name, machine, count))
+                key = (self._cost_s(job, machine), available[1], machine.name)
+                found.append((key, ArrayCandidate(machine, count)))
         if not found and not job.failed_on:
-            self._full.add(kind)
-        found.sort(key=lambda place: place[:3])
-        return [(place[3], place[4]) for place in found]
+            survey.full_kinds.add(kind)
+        found.sort(key=lambda place: place[0])
+        return [place for _, place in found]
+
+    def _cost_s(self, job: Job, machine: Machine) -> float:
+        """Seconds until a task would start on a machine, and what else speaks against it."""
+        spec = job.spec
+        cost_s = machine.fetch_s(spec.image, spec.image_gb)
+        if spec.spot and not machine.spot:
+            cost_s += NOT_SPOT_HEARTBEATS * self._heartbeat_interval_s
+        if machine.empty:
+            cost_s += EMPTY_HEARTBEATS * self._heartbeat_interval_s
+        return cost_s + ERROR_HEARTBEATS * self._heartbeat_interval_s * len(machine.error_jobs)
 
-    def _array_is_starving(self, job: Job, taken: Mapping[str, Resources], now: float) -> None:
+    def _reclaim(self, job: Job, taken: Mapping[str, Resources], survey: FleetSurvey) -> None:
         """Within its guarantee a job gets back what other teams have borrowed."""
-        if not job.within_guarantee or not self.usage.allows(job, 1, self._claimed(job)):
+        now = survey.now
+        if not job.within_guarantee or not survey.allows_one_more(job):
             return
         since = self._starved_since.setdefault(job.id, now)
-        if now - since < 2 * self.heartbeat_interval_s:
+        if now - since < RECLAIM_HEARTBEATS * self._heartbeat_interval_s:
             return
         self._starved_since[job.id] = now
         wanted = min(job.waiting_count, MAX_PREEMPTED)
-        choices: list[tuple[float, str]] = []
-        for machine in self.machines.values():
-            if not self.usable(machine, now) or machine.machine_type is None:
-                continue
-            if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
-                continue
-            reserved = taken.get(machine.name, NO_RESOURCES)
-            found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
-            if found:
-                cost = sum(preemption.loss(attempt, now, job.urgency_level) for attempt in found)
-                choices.append((cost, machine.name))
         # The cheapest first: a lone task of an urgent gang must not leave for one
         # of an array where other arrays' tasks could.
-        for _, name in sorted(choices):
+        for choice in sorted(self._reclaim_choices(job, taken, now)):
+            reserved = taken.get(choice.name, NO_RESOURCES)
+            machine = self._cluster.machines[choice.name]
             while wanted > 0:
-                reserved = taken.get(name, NO_RESOURCES)
-                machine = self.machines[name]
-                found = preemption.victims(machine, job.need, job, self.usage, reserved, now)
+                found = preemption.victims(
+                    machine, job.need, job, self._cluster.usage, reserved, now
+                )
                 if not found:
                     break
                 for attempt in found:
-                    self.preempt(attempt, f"guarantee of {job.spec.team}", now)
+                    self._eviction.preempt(attempt, f"guarantee of {job.spec.team}", now)
                 wanted -= 1
+
+    def _reclaim_choices(
+        self, job: Job, taken: Mapping[str, Resources], now: float
+    ) -> Iterator[ReclaimChoice]:
+        cluster = self._cluster
+        for machine in cluster.machines.values():
+            if not cluster.usable(machine, now) or machine.machine_type is None:
+                continue
+            if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                continue
+            reserved = taken.get(machine.name, NO_RESOURCES)
+            found = preemption.victims(machine, job.need, job, cluster.usage, reserved, now)
+            if found:
+                cost_s = sum(preemption.loss(attempt, now, job.urgency_level) for attempt in found)
+                yield ReclaimChoice(cost_s, machine.name)
--- /dev/null
+++ b/topazhold/core/draining.py
@@ -0,0 +1,98 @@
+"""Machines that are leaving: work moves away or is saved in time, then they are released."""
+
+from __future__ import annotations
+
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.eviction import Eviction
+from topazhold.core.jobs import AttemptState, TaskAttempt
+from topazhold.core.machines import QUARANTINED, Machine, fits
+from topazhold.core.search import allowed
+
+#: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
+LAST_MOVE_HEARTBEATS = 2.0
+
+
+class Draining:
+    """Graceful eviction from machines that take no new work. Owns no state."""
+
+    def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
+        self._cluster = cluster
+        self._eviction = eviction
+        self._heartbeat_interval_s = cluster.heartbeat_interval_s
+
+    def step(self, machine: Machine, now: float) -> None:
+        """Do what is due on a draining machine."""
+        self._remove_unsent(machine, now)
+        if machine.reason == QUARANTINED:
+            self._leave_quarantined(machine, now)
+        elif machine.gone_at is not None:
+            self._leave_before(machine, machine.gone_at - now, now)
+
+    def _remove_unsent(self, machine: Machine, now: float) -> None:
+        """A launch that has not left won't leave any more: its task would wait here for ever."""
+        for attempt in list(machine.attempts.values()):
+            if attempt.state is AttemptState.WRITTEN and not attempt.possibly_running:
+                if attempt.job.gang:
+                    self._eviction.stop_gang(attempt.job, 0.0, "machine is leaving", now)
+                else:
+                    self._cluster.remove_attempt(attempt, now)
+
+    def _leave_quarantined(self, machine: Machine, now: float) -> None:
+        if machine.empty:
+            self._cluster.release(machine, QUARANTINED, now)
+        elif all(attempt.job.service for attempt in machine.attempts.values()):
+            # Replicas never end: without a move it would be kept, and paid, for good.
+            self._move_replicas(machine, "machine is sick", now)
+
+    def _leave_before(self, machine: Machine, left_s: float, now: float) -> None:
+        """The machine will be taken in `left_s` seconds."""
+        must = left_s < LAST_MOVE_HEARTBEATS * self._heartbeat_interval_s
+        self._move_replicas(machine, "machine will be taken", now, must)
+        for attempt in list(machine.attempts.values()):
+            if attempt.stopping or attempt.job.service or attempt.state is AttemptState.INTENDED:
+                continue
+            if attempt.state is not AttemptState.RUNNING or self._would_lose(attempt, left_s, now):
+                self._eviction.preempt(attempt, "machine will be taken", now)
+        if machine.empty and left_s < 0:
+            self._cluster.release(machine, "taken", now)
+
+    def _move_replicas(self, machine: Machine, reason: str, now: float, must: bool = False) -> None:
+        """Stop replicas on a machine that is leaving, where they have another place.
+
+        `must`: also without one. That they are gone is known by then; of a machine that was
+        taken with them it would be known only after a lease.
+        """
+        for attempt in list(machine.attempts.values()):
+            if (
+                not attempt.job.service
+                or attempt.stopping
+                or attempt.state is AttemptState.INTENDED
+            ):
+                continue
+            if must or self._has_other_place(attempt, now):
+                self._eviction.preempt(attempt, reason, now)
+
+    def _has_other_place(self, attempt: TaskAttempt, now: float) -> bool:
+        """Whether some other machine has room for a replica."""
+        job = attempt.job
+        zones = job.zones_used(self._cluster.zone_of)
+        here = self._cluster.zone_of.get(attempt.machine)
+        for machine in self._cluster.machines.values():
+            if machine.name == attempt.machine or machine.machine_type is None:
+                continue
+            if not self._cluster.usable(machine, now) or not fits(job.need, machine.free()):
+                continue
+            if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                continue
+            if machine.zone == here:
+                return True
+            full = zones.get(machine.zone, 0) >= (job.spec.tasks + 1) // 2
+            if not job.spec.same_place and not (job.spec.scatter and full):
+                return True
+        return False
+
+    def _would_lose(self, attempt: TaskAttempt, left_s: float, now: float) -> bool:
+        """Whether a task on a machine with so much time left had better save now."""
+        if attempt.job.spec.checkpoint_s <= 0:
+            return False
+        return self._cluster.remaining_s(attempt, now) > left_s - self._heartbeat_interval_s
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -1,6 +1,6 @@
-"""A new leader's first view: live jobs, intents, holds.
+"""A new leader's first view: live jobs, intents, reservations.
 
-Every intent is taken as possibly running until its machine reports under the
+Every intent is taken as possibly running until its machine is heard under the
 new term or is released.
 """
 
@@ -9,6 +9,7 @@
 from collections.abc import Iterable
 
 from topazhold.core import gangs
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
@@ -24,27 +25,28 @@
 def rebuild(
     scheduler: Scheduler, jobs: Iterable[Job], intents: Iterable[Intents], now: float
 ) -> None:
-    """Build the scheduler of a new term."""
+    """Fill the scheduler of a new term with what its predecessors have written."""
+    cluster = scheduler.cluster
     for job in jobs:
-        scheduler.add_job(job)
-        if job.complete and job.state is JobState.LIVE:
-            scheduler.finished.append(job)
+        cluster.add_job(job)
+        if job.state is JobState.LIVE:
+            cluster.queue_if_complete(job)
     for each in sorted(intents, key=lambda each: each.incarnation):
-        machine = scheduler.add_machine(each.machine, each.zone, each.spot, each.machine_type, now)
+        machine = cluster.add_machine(each.machine, each.zone, each.spot, each.machine_type, now)
         machine.incarnation = each.incarnation
         if machine.state is MachineState.STARTING and each.incarnation:
             machine.hear(False, now)
             machine.last_heartbeat_at = None
         for job_id, index, attempt_number in each.attempts:
-            _adopt(scheduler, job_id, index, attempt_number, machine.name, each.incarnation, now)
-    for job in list(scheduler.jobs.values()):
+            _adopt(cluster, job_id, index, attempt_number, machine.name, each.incarnation, now)
+    for job in list(cluster.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.resume(job, now)
-        scheduler.forget_if_ended(job)
+        cluster.forget_if_ended(job)
 
 
 def _adopt(
-    scheduler: Scheduler,
+    cluster: ClusterState,
     job_id: str,
     index: int,
     attempt_number: int,
@@ -52,17 +54,17 @@
     incarnation: int,
     now: float,
 ) -> None:
-    job = scheduler.jobs.get(job_id)
+    job = cluster.jobs.get(job_id)
     if job is None or index >= job.spec.tasks or job.completed[index]:
         return
     old = job.attempts.get(index)
     if old is not None:
-        # An ended run's intent stays until its machine's next one, so a task
-        # may stand at two machines. Only the newer try can still be there:
+        # An ended attempt's intent stays until its machine's next one, so a task
+        # may stand at two machines. Only the newer attempt can still be there:
         # it was planned after the older one was proven gone.
         if old.attempt_number >= attempt_number:
             return
-        scheduler.supersede(old, now)
+        cluster.remove_attempt(old, now)
     attempt = TaskAttempt(job, index, attempt_number, machine, now)
     attempt.incarnation = incarnation
-    scheduler.adopt(attempt)
+    cluster.adopt(attempt)
--- /dev/null
+++ b/topazhold/core/failure_attribution.py
@@ -0,0 +1,75 @@
+"""Tasks that fail: whether the job is at fault or the machine, and what follows for each."""
+
+from __future__ import annotations
+
+import logging
+
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.jobs import AttemptState, Job, TaskAttempt
+from topazhold.core.machines import QUARANTINED, Machine
+from topazhold.wire import messages as wire
+
+log = logging.getLogger(__name__)
+
+#: A job that failed on so many machines is taken to be at fault itself.
+BAD_JOB_MACHINES = 3
+#: How often the pause of a job that fails everywhere doubles.
+MAX_DOUBLINGS = 5
+#: For so many leases a machine on which a replica ended by itself is remembered.
+FAILURES_LEASES = 4.0
+#: Errors of so many jobs that are not at fault quarantine a machine.
+QUARANTINE_JOBS = 2
+
+
+class FailureAttribution:
+    """Counts errors against jobs or machines.
+
+    Owns no state: a job keeps the machines on which it failed, a machine the jobs that
+    failed on it.
+    """
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self._cluster = cluster
+        self._heartbeat_interval_s = cluster.heartbeat_interval_s
+        self._lease_s = cluster.lease_s
+
+    def on_attempt_failed(self, machine: Machine, job: Job, now: float) -> None:
+        """A task of a gang or an array ended with `error`."""
+        job.failed_on[machine.name] = now
+        if len(job.failed_on) >= BAD_JOB_MACHINES:
+            # A job that fails everywhere must not take the machines with it.
+            for other in self._cluster.machines.values():
+                other.error_jobs.discard(job.id)
+            doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_DOUBLINGS)
+            job.not_before = now + self._lease_s * 2**doublings
+        else:
+            self._record_failure(machine, job, now)
+
+    def on_replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+        """A replica ended by itself: it is placed again, later each time if it keeps ending.
+
+        A job that has replicas running is not at fault itself, so its errors count against
+        the machine, and it never waits for long.
+        """
+        job = attempt.job
+        started_at = attempt.running_since
+        if attempt.cause == wire.CAUSE_DONE and started_at is not None:
+            if now - started_at > self._lease_s:
+                return
+        job.failed_on[machine.name] = now
+        for name, at in list(job.failed_on.items()):
+            if now - at > FAILURES_LEASES * self._lease_s:
+                del job.failed_on[name]
+        others_run = any(other.state is AttemptState.RUNNING for other in job.attempts.values())
+        failures = len(job.failed_on)
+        if attempt.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
+            self._record_failure(machine, job, now)
+        if failures >= BAD_JOB_MACHINES:
+            base_s = self._heartbeat_interval_s if others_run else self._lease_s
+            job.not_before = now + base_s * 2 ** min(failures - BAD_JOB_MACHINES, MAX_DOUBLINGS)
+
+    def _record_failure(self, machine: Machine, job: Job, now: float) -> None:
+        """A job that is not at fault itself failed on a machine."""
+        if machine.record_error(job.id) >= QUARANTINE_JOBS:
+            machine.drain(QUARANTINED, now)
+            log.info("machine %s quarantined: errors of %d jobs", machine.name, QUARANTINE_JOBS)
--- /dev/null
+++ b/topazhold/core/failure_detection.py
@@ -0,0 +1,196 @@
+"""Machines that are silent or that commands don't reach, and network partitions of zones."""
+
+from __future__ import annotations
+
+import logging
+import math
+from typing import NamedTuple
+
+from topazhold.core.cluster_state import UP, ClusterState
+from topazhold.core.draining import Draining
+from topazhold.core.jobs import AttemptState
+from topazhold.core.machines import Machine, MachineState
+
+log = logging.getLogger(__name__)
+
+#: A lone machine that commands don't reach is released after so many leases.
+COMMAND_UNREACHABLE_LEASES = 2.0
+#: So many machines of a zone with one trouble are taken one by one; more than this
+#: share of the zone, and it is a network partition.
+MAX_SINGLE_FAILURES = 2
+MASS_SHARE = 0.4
+#: A machine counts as silent after so many leases. A lone one is released later, one
+#: of a group later still: those that only hang are back with a new incarnation by then,
+#: long before others could be rented and booted, and meanwhile they don't count as
+#: capacity, so that dead ones are made up for.
+QUIET_LEASES = 0.6
+SILENT_LEASES = 1.25
+GROUP_LEASES = 2.0
+#: One with replicas of services is released once its worker's lease must have ended.
+SERVICE_LEASES = 1.05
+#: A machine has failed to start after so many boot times, of this length if unknown (seconds).
+FAILED_BOOTS = 4.0
+UNKNOWN_BOOT_S = 60.0
+#: So many lists in a row without a machine that starts, or has fallen silent, prove it gone.
+UNLISTED_STARTING = 3
+UNLISTED_SILENT = 2
+
+
+class ZoneCounts(NamedTuple):
+    """Machines of a zone that are up; of these, the silent and those commands don't reach."""
+
+    up: int = 0
+    silent: int = 0
+    command_unreachable: int = 0
+
+
+class FailureDetection:
+    """Decides when a machine that is not heard, or does not hear, is released.
+
+    Owns the counts of the last look at all machines, and when each zone was last seen
+    partitioned from here.
+    """
+
+    def __init__(self, cluster: ClusterState, draining: Draining) -> None:
+        self._cluster = cluster
+        self._draining = draining
+        self._heartbeat_interval_s = cluster.heartbeat_interval_s
+        self._lease_s = cluster.lease_s
+        self._counts: dict[str, ZoneCounts] = {}
+        self._counted_at = -1.0
+        self._partition_seen_at: dict[str, float] = {}
+
+    def machines_without_heartbeat(self, now: float) -> list[str]:
+        """Machines whose heartbeats have not come here for a while."""
+        limit = 2.2 * self._heartbeat_interval_s
+        since = self._cluster.since
+        return [
+            machine.name
+            for machine in self._cluster.machines.values()
+            if machine.state in UP and now - max(machine.last_own_heartbeat_at, since) > limit
+        ]
+
+    def is_partitioned_from_workers(self, now: float) -> bool:
+        """Whether others hear most of the workers, and this controller hardly any."""
+        if now - self._cluster.since < self._lease_s:
+            return False
+        heard = reached = 0
+        for machine in self._cluster.machines.values():
+            if machine.state in UP and self._cluster.silence_s(machine, now) < 0.5 * self._lease_s:
+                heard += 1
+                reached += now - machine.last_own_heartbeat_at < 0.5 * self._lease_s
+        return heard >= 2 and reached < 0.3 * heard
+
+    def needs_term_announcement(self, machine: Machine, now: float) -> bool:
+        """Whether a worker has to be told of this term directly.
+
+        It may be with a former leader who knows of no other; once it has seen
+        the new term, its answers are void and its heartbeats tell it so.
+        """
+        return (
+            machine.state is MachineState.UNSYNCED
+            and now - max(machine.last_own_heartbeat_at, self._cluster.since)
+            > 0.4 * self._heartbeat_interval_s
+        )
+
+    def is_missing(self, machine: Machine, now: float) -> bool:
+        """Whether a machine is silent for a lease, and its zone is not partitioned."""
+        return (
+            machine.state in UP
+            and self._cluster.silence_s(machine, now) > self._lease_s
+            and not math.isinf(self._silence_limit_leases(machine, now))
+        )
+
+    def watch(self, machine: Machine, now: float) -> None:
+        """What time brings about for one machine."""
+        state = machine.state
+        if state is MachineState.RELEASING:
+            self._cluster.release_again(machine)
+            return
+        if state is MachineState.STARTING:
+            self._watch_start(machine, now)
+            return
+        if state is MachineState.DRAINING:
+            self._draining.step(machine, now)
+        elif machine.attempts and not self._cluster.usable(machine, now):
+            self._place_unsent_elsewhere(machine, now)
+        if (
+            self.needs_term_announcement(machine, now)
+            and now - machine.term_announced_at > self._heartbeat_interval_s
+        ):
+            machine.term_announced_at = now
+            self._cluster.request_command(machine.name)
+        is_unreachable = machine.command_unreachable_since is not None
+        if is_unreachable and self._is_single_unreachable(machine, now):
+            self._cluster.release(machine, "deaf", now)
+            return
+        self._watch_silence(machine, now)
+
+    def _watch_start(self, machine: Machine, now: float) -> None:
+        boot_s = machine.machine_type.boot_s if machine.machine_type else UNKNOWN_BOOT_S
+        late = now - machine.rented_at > FAILED_BOOTS * boot_s
+        if late and now - self._cluster.since > self._lease_s:
+            self._cluster.release(machine, "never came up", now)
+        elif machine.missed_lists >= UNLISTED_STARTING:
+            self._cluster.release(machine, "not listed", now)
+
+    def _is_single_unreachable(self, machine: Machine, now: float) -> bool:
+        """Whether commands don't reach the machine for long, and its zone is not partitioned."""
+        since = machine.command_unreachable_since
+        if since is None or now - since <= COMMAND_UNREACHABLE_LEASES * self._lease_s:
+            return False
+        counts = self._zone_counts(machine.zone, now)
+        many = counts.command_unreachable > MAX_SINGLE_FAILURES
+        return not (many and counts.command_unreachable > MASS_SHARE * counts.up)
+
+    def _watch_silence(self, machine: Machine, now: float) -> None:
+        silence_s = self._cluster.silence_s(machine, now)
+        if silence_s > self._lease_s and machine.missed_lists >= UNLISTED_SILENT:
+            self._cluster.release(machine, "silent and not listed", now)
+        elif silence_s > SERVICE_LEASES * self._lease_s:
+            leases = self._silence_limit_leases(machine, now)
+            if any(attempt.job.service for attempt in machine.attempts.values()):
+                # Its tasks ended with the worker's lease. Other work waits for the machine
+                # to come back; a service is down until its replicas are proven gone.
+                leases = leases if math.isinf(leases) else SERVICE_LEASES
+            if silence_s > leases * self._lease_s:
+                self._cluster.release(machine, "silent", now)
+
+    def _place_unsent_elsewhere(self, machine: Machine, now: float) -> None:
+        """Place tasks elsewhere whose launches can't leave, since the worker is not heard.
+
+        No launch has left, so nothing has to be proven. Gangs have their own time limit.
+        """
+        for attempt in list(machine.attempts.values()):
+            if (
+                attempt.state is AttemptState.WRITTEN
+                and not attempt.possibly_running
+                and not attempt.job.gang
+            ):
+                log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
+                self._cluster.remove_attempt(attempt, now)
+
+    def _silence_limit_leases(self, machine: Machine, now: float) -> float:
+        """After how many leases of silence a machine is released; infinite in a partition."""
+        counts = self._zone_counts(machine.zone, now)
+        if counts.silent > MAX_SINGLE_FAILURES and counts.silent > MASS_SHARE * counts.up:
+            self._partition_seen_at[machine.zone] = now
+        # When a partition ends they come back one by one, and the last ones look like
+        # lone silent machines.
+        if now - self._partition_seen_at.get(machine.zone, -1e9) < SILENT_LEASES * self._lease_s:
+            return math.inf
+        return GROUP_LEASES if counts.silent > MAX_SINGLE_FAILURES else SILENT_LEASES
+
+    def _zone_counts(self, zone: str, now: float) -> ZoneCounts:
+        """The counts of a zone, made once per look at all machines."""
+        if self._counted_at != now:
+            self._counted_at = now
+            self._counts = {}
+            for machine in self._cluster.machines.values():
+                if machine.state in UP:
+                    up, silent, command_unreachable = self._counts.get(machine.zone, (0, 0, 0))
+                    quiet = self._cluster.silence_s(machine, now) > QUIET_LEASES * self._lease_s
+                    self._counts[machine.zone] = ZoneCounts(
+                        up + 1, silent + quiet, command_unreachable + machine.command_unreachable
+                    )
+        return self._counts.get(zone, ZoneCounts())
--- /dev/null
+++ b/topazhold/core/fleet_scaling.py
@@ -0,0 +1,74 @@
+"""Scale-out requests and scale-in of idle machines, from what the jobs need by now."""
+
+from __future__ import annotations
+
+from topazhold.core import autoscaling
+from topazhold.core.binding_reservations import BindingReservations
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.failure_detection import FailureDetection
+from topazhold.core.zone_demand import ZoneDemand
+from topazhold.wire.messages import MachineType
+
+
+class FleetScaling:
+    """Compares the demand for machines with the fleet.
+
+    Owns `capacity_backoff`: where the cloud had nothing to give, and until when not to ask again.
+    """
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        reservations: BindingReservations,
+        failures: FailureDetection,
+        zone_demand: ZoneDemand,
+        policy: autoscaling.ScalingPolicy,
+    ) -> None:
+        self._cluster = cluster
+        self._reservations = reservations
+        self._failures = failures
+        self._zone_demand = zone_demand
+        self._policy = policy
+        self.capacity_backoff = autoscaling.CapacityBackoff()
+
+    def scale_out(self, now: float) -> list[autoscaling.ScaleOutRequest]:
+        """Scale-out requests; idle machines that are not wanted go to `releases`."""
+        cluster = self._cluster
+        machine_types = list(cluster.machine_types.values())
+        cluster.refresh_guarantees()
+        slowest_s = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
+        growing = now - cluster.last_arrival < max(slowest_s, cluster.lease_s)
+        found = self._capacity_demands(machine_types, growing, now)
+        reserved = self._reservations.reserved_machines()
+        requests: list[autoscaling.ScaleOutRequest] = []
+        for machine_type in machine_types:
+            # What has been silent for a lease is made up for, whether it comes back
+            # or not; in a partition nothing is.
+            fleet = autoscaling.Fleet(
+                machine_type,
+                [m for m in cluster.machines.values() if not self._failures.is_missing(m, now)],
+            )
+            requests += autoscaling.scale_out(
+                found, machine_type, fleet, self.capacity_backoff, now
+            )
+            for machine in autoscaling.scale_in(
+                found, machine_type, fleet, self._policy, growing, now
+            ):
+                if machine.name not in reserved:
+                    cluster.release(machine, "idle", now)
+        return requests
+
+    def _capacity_demands(
+        self, machine_types: list[MachineType], growing: bool, now: float
+    ) -> autoscaling.CapacityDemands:
+        cluster = self._cluster
+        found = autoscaling.capacity_demands(
+            cluster.jobs.values(),
+            machine_types,
+            cluster.usage.teams,
+            cluster.zone_of,
+            self._policy,
+            growing,
+        )
+        self._zone_demand.add_to(found, machine_types, now)
+        return found
--- /dev/null
+++ b/topazhold/core/fleet_survey.py
@@ -0,0 +1,160 @@
+"""What a scheduling round knows of the whole fleet."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import NamedTuple
+
+from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
+from topazhold.core.machines import Machine, add_resources, count_fitting, fits
+from topazhold.core.reservations import ReservedResources
+
+#: Attempts planned in one round.
+MAX_PLACED_TASKS = 96
+#: Kinds of other work that are looked at to tell whether a replica is in their way.
+MAX_KINDS = 24
+
+
+class TeamClaim(NamedTuple):
+    """What gangs whose machines are free are to have of their team's limit."""
+
+    cpus: float = 0.0
+    gpus: float = 0.0
+
+
+NO_CLAIM = TeamClaim()
+
+
+class OtherWork:
+    """Sizes of the tasks of unfinished jobs other than services, and what replicas cost them.
+
+    Owns the memo of shares by what services take of a machine of one type.
+    """
+
+    def __init__(self, jobs: Iterable[Job]) -> None:
+        sizes = {job.need for job in jobs if job.state is JobState.LIVE and not job.service}
+        largest_first = sorted(sizes, key=lambda need: (need[1], need[0], need[2]), reverse=True)
+        self._kinds = largest_first[:MAX_KINDS]
+        self._shares: dict[object, float] = {}
+
+    def hindered_share(self, machine: Machine, need: Resources) -> float:
+        """Of the kinds of other work, the share of which the machine would take fewer tasks
+        beside one more replica of this size."""
+        assert machine.machine_type is not None
+        services = NO_RESOURCES
+        for attempt in machine.attempts.values():
+            if attempt.job.service:
+                services = add_resources(services, attempt.job.need)
+        key = (machine.machine_type.name, round(services[0], 3), round(services[2], 3), need)
+        found = self._shares.get(key)
+        if found is None:
+            before = add_resources(machine.total, services, -1.0)
+            found = self._shares[key] = self._lost_share(before, add_resources(before, need, -1.0))
+        return found
+
+    def _lost_share(self, before: Resources, after: Resources) -> float:
+        kinds = self._kinds
+        lost = [
+            kind
+            for kind in kinds
+            if count_fitting(kind, after, MAX_PLACED_TASKS)
+            < count_fitting(kind, before, MAX_PLACED_TASKS)
+        ]
+        return len(lost) / len(kinds) if kinds else 0.0
+
+
+class FleetSurvey:
+    """The fleet as one round sees it: surveyed at its start, kept up as tasks are placed.
+
+    What many jobs ask for is added up once per round, so that its cost does not grow with
+    jobs times machines times reservations. Owns `planned` (the round's attempts), `with_capacity`
+    (usable machines with room for some waiting task), `reserved` (what reservations keep),
+    `full_kinds` (kinds of arrays that found no room), the teams' claims, the GPUs that are
+    free beyond the reserve, and the sizes of other work.
+    """
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        reserved: ReservedResources,
+        least: Resources,
+        reserve_share: float,
+        now: float,
+    ) -> None:
+        self.now = now
+        self.planned: list[TaskAttempt] = []
+        self.reserved = reserved
+        self.with_capacity: list[Machine] = []
+        self.full_kinds: set[object] = set()
+        self._cluster = cluster
+        self._claims: dict[str, TeamClaim] = {}
+        self._other_work: OtherWork | None = None
+        free = total = 0.0
+        for machine in cluster.machines.values():
+            if cluster.usable(machine, now):
+                available = machine.free()
+                if not machine.spot:
+                    free += available[1]
+                    total += machine.total[1]
+                if fits(least, available):
+                    self.with_capacity.append(machine)
+        # Classes that are to start within seconds can't wait for others to save and leave;
+        # so work that can wait does not fill the last ordinary machines.
+        self._free_plain_gpus = free - reserve_share * total
+
+    @property
+    def is_full(self) -> bool:
+        """Whether the round may plan no more."""
+        return len(self.planned) >= MAX_PLACED_TASKS
+
+    # -- claims on teams' limits ---------------------------------------------
+
+    def claim(self, job: Job) -> None:
+        """Keep what a gang needs of its team's limit from jobs whose turn comes later.
+
+        Without it a team's arrays take up its limit task by task, and a gang
+        that needs more at once waits until they are all done.
+        """
+        cpus, gpus = self.claimed(job)
+        size = job.spec.tasks
+        self._claims[job.spec.team] = TeamClaim(
+            cpus + job.need[0] * size, gpus + job.need[1] * size
+        )
+
+    def claimed(self, job: Job) -> TeamClaim:
+        """What gangs of the job's team have claimed so far."""
+        return self._claims.get(job.spec.team, NO_CLAIM)
+
+    def allows_one_more(self, job: Job) -> bool:
+        """Whether one more task of the job stays within its team's limit."""
+        return self._cluster.usage.allows(job, 1, self.claimed(job))
+
+    # -- what is placed --------------------------------------------------------
+
+    def place(self, job: Job, index: int, machine: Machine) -> None:
+        """Plan an attempt of one task of an array or a service."""
+        cluster = self._cluster
+        attempt = cluster.new_attempt(job, index, machine, cluster.next_attempt_number(), self.now)
+        job.add_attempt(attempt)
+        self.planned.append(attempt)
+
+    def on_gang_placed(self, job: Job, attempts: list[TaskAttempt]) -> None:
+        """A gang starts: its reservation keeps nothing any more."""
+        self.reserved.release(job.id)
+        self.full_kinds.clear()
+        self.planned += attempts
+
+    def has_plain_gpus(self, need: Resources) -> bool:
+        """Whether a task leaves the reserve of ordinary machines untouched."""
+        return self._free_plain_gpus >= need[1]
+
+    def take_plain_gpus(self, need: Resources) -> None:
+        """A task was placed on an ordinary machine."""
+        self._free_plain_gpus -= need[1]
+
+    def other_work(self) -> OtherWork:
+        """The sizes of other work, looked at once per round."""
+        if self._other_work is None:
+            self._other_work = OtherWork(self._cluster.jobs.values())
+        return self._other_work
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -6,7 +6,7 @@
 
 
 class GangClock:
-    """Time limits, as ratios to the workers' settings."""
+    """Time limits of a gang's start in seconds, as ratios to the workers' settings."""
 
     def __init__(self, heartbeat_interval_s: float, gang_wait_s: float) -> None:
         self.start_s = 1.5 * heartbeat_interval_s  # from the last image to all running
@@ -23,19 +23,19 @@
 
 
 def stop(job: Job, grace_s: float, now: float) -> list[TaskAttempt]:
-    """Tell all tasks at once; the runs that this newly tells are returned.
+    """Stop all tasks at once; the attempts that this newly stops are returned.
 
     A stop reaches a gang in order only if every task is told within
     `gang_peer_s` of the first, so none is ever stopped alone.
     """
-    told = []
+    newly_stopped = []
     for attempt in job.attempts.values():
         if attempt.present:
             if not attempt.stopping or (attempt.stop_grace or 0.0) > grace_s:
-                told.append(attempt)
+                newly_stopped.append(attempt)
             attempt.stop(grace_s, now)
     job.enter_gang_state(GangState.STOPPING, now)
-    return told
+    return newly_stopped
 
 
 def step(job: Job, clock: GangClock, now: float) -> str | None:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -1,4 +1,4 @@
-"""Machines: what they hold, what room they have, what is known of them."""
+"""Machines: what they run, what capacity they have, what is known of them."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
 SLACK = 1e-6
-
-
 #: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
 QUARANTINED = "sick"
 
 
 class MachineState(Enum):
-    STARTING = "starting"  # rented, its worker has not reported
+    """Where a machine stands, from its rental to the proof that it is gone."""
+
+    STARTING = "starting"  # rented, its worker has not been heard
     UNSYNCED = "unsynced"  # heard of, but not yet under this term
     READY = "ready"
     DRAINING = "draining"  # takes no new work: notice, fault or return
@@ -43,7 +43,7 @@
         self.sequence = -1
         self.term = 0
         self.last_heartbeat_at: float | None = None
-        self.last_answered_at = -1e9  # last report that was answered, here or by a follower
+        self.last_answered_at = -1e9  # last heartbeat answered, here or by a follower
         self.incarnation_since = now  # when the present incarnation was first heard of
         self.lost_commands = 0  # answers with launches that can be seen not to have arrived
         self.command_unreachable_since: float | None = None
@@ -51,18 +51,18 @@
         self.gone_at: float | None = None  # end announced by a notice
         self.attempts: dict[tuple[str, int], TaskAttempt] = {}
         self.used: Resources = (0.0, 0.0, 0.0)
-        self.orphans: dict[tuple[str, int], str] = {}  # (frame, try) -> stage; of no job known here
+        self.orphans: dict[tuple[str, int], str] = {}  # (name, attempt) -> stage; of no job here
         self.images: OrderedDict[str, float] = OrderedDict()
         self.error_jobs: set[str] = set()
         self.quarantined_until = 0.0
         self.idle_since = now
         self.missed_lists = 0  # lists in a row, asked for after it fell silent, without it
         self.reason = ""
-        self.last_own_heartbeat_at = -1e9  # last report that came to this node itself
+        self.last_own_heartbeat_at = -1e9  # last heartbeat that came to this controller itself
         self.term_announced_at = -1e9
         self.commanded_at = -1e9  # last commanded directly
-        self.changes = 0  # of what an offer of its room says
-        self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept uncleared, to ring with
+        self.changes = 0  # of what its resource offer says
+        self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept to wake its worker with
 
     # -- changes of state ------------------------------------------------
 
@@ -73,7 +73,7 @@
             self.changes += 1
 
     def hear(self, synced: bool, now: float) -> None:
-        """A report arrived; `synced`: it was written under this term."""
+        """A heartbeat arrived; `synced`: it was written under this term."""
         self.last_heartbeat_at = now
         self.missed_lists = 0
         if self.state is MachineState.STARTING:
@@ -85,14 +85,14 @@
                 self._enter(MachineState.READY, now)
 
     def mark_command_unreachable(self, now: float) -> bool:
-        """Reports arrive, but answers don't reach the worker; whether that is news."""
+        """Heartbeats arrive, but commands don't reach the worker; whether that is a change."""
         if self.command_unreachable_since is not None:
             return False
         self.command_unreachable_since = now
         return True
 
     def mark_command_reachable(self) -> bool:
-        """The worker has acted on an answer; whether that is news."""
+        """The worker has acted on a command; whether that is a change."""
         self.lost_commands = 0
         was = self.command_unreachable_since is not None
         self.command_unreachable_since = None
@@ -100,6 +100,7 @@
 
     @property
     def command_unreachable(self) -> bool:
+        """Whether heartbeats arrive from the worker, but commands don't reach it."""
         return self.command_unreachable_since is not None
 
     def drain(self, reason: str, now: float) -> None:
@@ -118,22 +119,94 @@
         """It is proven that the machine and everything on it are gone."""
         self._enter(MachineState.GONE, now)
 
-    # -- room ------------------------------------------------------------
+    # -- what is seen of it ------------------------------------------------
+
+    def note_listed(self, endpoint: str | None) -> None:
+        """The cloud's list names the machine."""
+        self.unconfirmed = False
+        if self.endpoint is None:
+            self.endpoint = endpoint
+        self.missed_lists = 0
+
+    def begin_incarnation(self, incarnation: int, now: float) -> None:
+        """The worker has a new incarnation: the one before has ended, with all its tasks."""
+        self.incarnation = incarnation
+        self.incarnation_since = now
+        self.orphans.clear()
+
+    def answered(self, directly: bool, now: float) -> None:
+        """A heartbeat that awaits an answer came; `directly`: to this controller itself."""
+        self.last_answered_at = now
+        if directly:
+            self.last_own_heartbeat_at = now
+
+    def note_heartbeat(self, sequence: int, endpoint: str, term: int) -> None:
+        """The newest heartbeat of the present incarnation; its worker knows `term`."""
+        self.sequence = sequence
+        self.endpoint = endpoint
+        self.term = term
+
+    def note_busy(self, now: float) -> None:
+        """There was a task on the machine, or there could be one, until now."""
+        self.idle_since = now
+
+    def expect_end(self, left_s: float, now: float) -> None:
+        """The cloud takes the machine in `left_s` seconds."""
+        self.gone_at = now + left_s
+        self.drain("notice", now)
+
+    def count_lost_command(self) -> int:
+        """An answer with launches did not arrive; how many since one did."""
+        self.lost_commands += 1
+        return self.lost_commands
+
+    def count_missed_list(self) -> None:
+        """One more list lacks the machine, asked for after it fell silent."""
+        self.missed_lists += 1
+
+    def record_error(self, job_id: str) -> int:
+        """A job that is not at fault itself failed here; how many such jobs there are."""
+        self.error_jobs.add(job_id)
+        return len(self.error_jobs)
+
+    def quarantine_until(self, at: float) -> None:
+        """A launch found no room: take no new work before `at`."""
+        self.quarantined_until = at
+
+    def count_change(self) -> None:
+        """Something changed that the machine's resource offer says."""
+        self.changes += 1
+
+    # -- tasks to wake its worker with --------------------------------------
+
+    def keep_wake_tasks(self, tasks: list[tuple[str, int]]) -> None:
+        """Ended tasks (name, attempt) that are left uncleared, to wake the worker with."""
+        self.changes += bool(self.wake_tasks) is not bool(tasks)
+        self.wake_tasks = tasks
+
+    def take_wake_task(self) -> tuple[str, int]:
+        """The ended task (name, attempt) to clear now; IndexError if none is kept."""
+        task = self.wake_tasks.pop()
+        self.changes += not self.wake_tasks
+        return task
+
+    # -- resources ------------------------------------------------------------
 
     @property
     def total(self) -> Resources:
+        """Resources of the whole machine; none while its type is not known."""
         if self.machine_type is None:
             return (0.0, 0.0, 0.0)
         return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
 
     def attach(self, attempt: TaskAttempt) -> None:
-        """A run is, or may come to be, on the machine."""
+        """An attempt is, or may come to be, on the machine."""
         self.changes += 1
         self.attempts[(attempt.job.id, attempt.index)] = attempt
         self.used = add_resources(self.used, attempt.job.need)
 
     def detach(self, attempt: TaskAttempt) -> bool:
-        """A run is not here any more; whether it was."""
+        """An attempt is not here any more; whether it was."""
         key = (attempt.job.id, attempt.index)
         if self.attempts.get(key) is not attempt:
             return False
@@ -146,7 +219,7 @@
         return True
 
     def free(self) -> Resources:
-        """Room that nothing on the machine, or on its way there, takes."""
+        """Resources that nothing on the machine, or on its way there, takes."""
         machine_type = self.machine_type
         if machine_type is None:
             return (0.0, 0.0, 0.0)
@@ -159,8 +232,14 @@
 
     @property
     def empty(self) -> bool:
+        """Whether no task is, or may come to be, on the machine."""
         return not self.orphans and not self.attempts
 
+    @property
+    def boot_s(self) -> float:
+        """The usual boot time of the machine's type, in seconds; 0 while that is not known."""
+        return self.machine_type.boot_s if self.machine_type is not None else 0.0
+
     # -- images ----------------------------------------------------------
 
     def fetched(self, image: str, size_gb: float) -> None:
@@ -176,7 +255,7 @@
             total -= size
 
     def fetch_s(self, image: str, size_gb: float) -> float:
-        """Expected time until the image is there, other fetches included."""
+        """Expected seconds until the image is there, other fetches included."""
         if image in self.images or self.machine_type is None:
             return 0.0
         queue = {image: size_gb}
@@ -189,6 +268,7 @@
 
 
 def fits(need: Resources, available: Resources) -> bool:
+    """Whether enough of every resource is available."""
     return (
         need[0] <= available[0] + SLACK
         and need[1] <= available[1] + SLACK
@@ -197,8 +277,8 @@
 
 
 def count_fitting(need: Resources, available: Resources, limit: int) -> int:
-    """How many tasks of this size the room takes, up to `limit`."""
-    # Written out: called for each machine, waiting job and round of planning.
+    """How many tasks of this size the available resources take, up to `limit`."""
+    # Written out: called for each machine, waiting job and scheduling round.
     count: float = limit
     if need[0] > SLACK:
         count = min(count, (available[0] + SLACK) // need[0])
@@ -210,6 +290,7 @@
 
 
 def add_resources(available: Resources, other: Resources, factor: float = 1.0) -> Resources:
+    """The sum of `available` and `factor` times `other`."""
     return (
         available[0] + other[0] * factor,
         available[1] + other[1] * factor,
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -1,85 +1,95 @@
-"""What each machine has to offer, and when."""
+"""What each machine has to offer, and when; and the offers of a zone that searches see."""
 
 from __future__ import annotations
 
-from topazhold.core import preemption
-from topazhold.core.cluster_state import NO_RESOURCES
-from topazhold.core.heartbeat_reconciliation import HeartbeatReconciliation
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources
+import math
+from typing import NamedTuple
+
+from topazhold.core import autoscaling, preemption
+from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
 from topazhold.core.machines import Machine, MachineState, add_resources
-from topazhold.core.search import AGED, Priority, ResourceOffer
+from topazhold.core.reservations import ReservationTable, add_reservation
+from topazhold.core.search import AGED, CACHE_LENGTH, Priority, ResourceOffer, sooner
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
 SAME_OFFER_HEARTBEATS = 1.0
 #: The same for summaries and searches, as a share of the time between two summaries in the
-#: state service, if that is longer: the other controllers' searches see no newer ones.
+#: key-value store, if that is longer: the other controllers' searches see no newer ones.
 SAME_OFFER_SUMMARIES = 0.5
+#: How old a list of offers may be, in heartbeat intervals.
+OFFER_HEARTBEATS = 0.2
 #: Natural ends listed in an offer.
 MAX_AVAILABILITY_STEPS = 4
 
 
-class ResourceOffers(HeartbeatReconciliation):
-    """Offers of machines, each made anew only where something changed."""
+class KnownOffer(NamedTuple):
+    """A machine's offer, the count of the machine's changes it was made at, and the time."""
+
+    changes: int
+    at: float
+    offer: ResourceOffer
+
+
+class PreemptibleWork(NamedTuple):
+    """Attempts of one kind of job on a machine: one of the jobs, all their resources together,
+    and the longest time that one takes to write its checkpoint, in seconds."""
+
+    job: Job
+    resources: Resources
+    save_s: float
+
+
+class ResourceOffers:
+    """Offers of machines, each made anew only where something changed.
+
+    Owns the last offer of each machine, and the last list of offers of each zone.
+    """
+
+    def __init__(
+        self, cluster: ClusterState, reservation_table: ReservationTable, alpha: float
+    ) -> None:
+        self._cluster = cluster
+        self._reservation_table = reservation_table
+        self._alpha = alpha
+        self._heartbeat_interval_s = cluster.heartbeat_interval_s
+        self._age_s = SAME_OFFER_HEARTBEATS * cluster.heartbeat_interval_s
+        self._shared_age_s = max(self._age_s, SAME_OFFER_SUMMARIES * cluster.timing.summary_s)
+        self._known: dict[str, KnownOffer] = {}
+        self._zones: dict[str, tuple[float, list[ResourceOffer]]] = {}
+        cluster.when_machine_removed(self._forget)
+
+    def _forget(self, name: str) -> None:
+        self._known.pop(name, None)
+
+    # -- one machine -------------------------------------------------------
 
-    def _present_offer(
+    def present_offer(
         self, machine: Machine, now: float, shared: bool = False
     ) -> ResourceOffer | None:
         """The machine's offer, made anew only where something changed on it.
 
-        Making every offer anew for every summary and search took a fifth of a leader's
-        time with 790 machines. `shared`: it is for a summary or a search.
+        None if it takes no new work. `shared`: it is for a summary or a search.
         """
-        if machine.state is not MachineState.STARTING and not self.usable(machine, now):
+        if machine.state is not MachineState.STARTING and not self._cluster.usable(machine, now):
             return None
-        known = self._known_offers.get(machine.name)
-        if known is not None and known[0] == machine.changes:
-            age_s = SAME_OFFER_HEARTBEATS * self.heartbeat_interval_s
-            if shared:
-                age_s = max(age_s, SAME_OFFER_SUMMARIES * self.summary_s)
-            if now - known[1] < age_s:
-                return known[2]
+        known = self._known.get(machine.name)
+        if known is not None and known.changes == machine.changes:
+            if now - known.at < (self._shared_age_s if shared else self._age_s):
+                return known.offer
         offer = self._offer(machine, now)
-        self._known_offers[machine.name] = (machine.changes, now, offer)
+        self._known[machine.name] = KnownOffer(machine.changes, now, offer)
         return offer
 
     def _offer(self, machine: Machine, now: float) -> ResourceOffer:
         assert machine.machine_type is not None
-        availability: list[tuple[float, Resources]] = []
         preemptible: list[tuple[Priority, float, Resources]] = []
         if machine.state is MachineState.STARTING:
-            wait = machine.machine_type.boot_s - (now - machine.rented_at)
-            availability.append((max(wait, 2 * self.heartbeat_interval_s), machine.total))
+            wait_s = machine.machine_type.boot_s - (now - machine.rented_at)
+            availability = [(max(wait_s, 2 * self._heartbeat_interval_s), machine.total)]
         else:
-            available = machine.free()
-            # A worker that can be rung takes a launch at once, others at their
-            # next report.
-            availability.append(
-                (0.0 if machine.wake_tasks else 0.5 * self.heartbeat_interval_s, available)
-            )
-            ends = []
-            for attempt in machine.attempts.values():
-                # A service's replica does not end by itself. Its estimate of 0 s made it seem
-                # about to: a gang held the machine for good while another stood empty.
-                if attempt.present and (attempt.stopping or not attempt.job.service):
-                    if attempt.stopping:
-                        left = (
-                            max(0.0, attempt.job.spec.save_s - (now - attempt.stop_at))
-                            + self.heartbeat_interval_s
-                        )
-                    else:
-                        left = self.remaining_s(attempt, now)
-                        if attempt.state is not AttemptState.RUNNING:
-                            left += machine.fetch_s(
-                                attempt.job.spec.image, attempt.job.spec.image_gb
-                            )
-                    ends.append((left, attempt.job.need))
-            ends.sort(key=lambda end: end[0])
-            step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
-            for number, (left, need) in enumerate(ends, start=1):
-                available = add_resources(available, need)
-                if number % step == 0 or number == len(ends):
-                    availability.append((left, available))
+            availability = self._availability(machine, now)
             preemptible = self._preemptible(machine)
         return ResourceOffer(
             machine.name,
@@ -92,47 +102,149 @@
             machine.machine_type.fetch_gb_per_s,
         )
 
-    def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
-        """Room that work of each rank could take from work behind it."""
-        # Runs of one kind of job are added up first: this is asked of every
-        # machine for every summary.
-        kinds: dict[tuple[bool, int], tuple[Job, Resources, float]] = {}
+    def _availability(self, machine: Machine, now: float) -> list[tuple[float, Resources]]:
+        """Seconds from now, and the room that is free by then as tasks end."""
+        available = machine.free()
+        # A worker that can be woken takes a launch at once, others at their
+        # next heartbeat.
+        availability = [
+            (0.0 if machine.wake_tasks else 0.5 * self._heartbeat_interval_s, available)
+        ]
+        ends = []
         for attempt in machine.attempts.values():
-            job = attempt.job
-            if job.gang and job.gang_state is GangState.STARTING:
-                continue
-            seal = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
-            kind = (job.within_guarantee, job.urgency_level)
-            _, available, longest = kinds.get(kind, (job, NO_RESOURCES, 0.0))
-            kinds[kind] = (job, add_resources(available, job.need), max(longest, seal))
+            # A service's replica does not end by itself, and has no run time to estimate.
+            if attempt.present and (attempt.stopping or not attempt.job.service):
+                ends.append((self._left_s(machine, attempt, now), attempt.job.need))
+        ends.sort(key=lambda end: end[0])
+        step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
+        for number, (left_s, need) in enumerate(ends, start=1):
+            available = add_resources(available, need)
+            if number % step == 0 or number == len(ends):
+                availability.append((left_s, available))
+        return availability
+
+    def _left_s(self, machine: Machine, attempt: TaskAttempt, now: float) -> float:
+        spec = attempt.job.spec
+        if attempt.stopping:
+            return max(0.0, spec.save_s - (now - attempt.stop_at)) + self._heartbeat_interval_s
+        left_s = self._cluster.remaining_s(attempt, now)
+        if attempt.state is not AttemptState.RUNNING:
+            left_s += machine.fetch_s(spec.image, spec.image_gb)
+        return left_s
+
+    def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
+        """Room that work of each priority could take from work behind it."""
+        kinds = self._preemptible_work(machine)
         found = []
         for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
             within_guarantee, outside, is_aged = (
-                self._behind((first, urgency_level), list(kinds.values())) for first in (0, 1, AGED)
+                self._behind((first, urgency_level), kinds) for first in (0, 1, AGED)
             )
             if within_guarantee[1] != NO_RESOURCES:
                 found.append(((0, urgency_level), *within_guarantee))
             if outside[1] != NO_RESOURCES:
                 found.append(((1, urgency_level), *outside))
             if is_aged[1] != within_guarantee[1]:
-                # Work that only a guarantee might stop: a pressing gang that counted on it
-                # waited for it for good, beside an empty machine.
+                # An aged gang must not count on work that only a guarantee might stop.
                 found.append(((AGED, urgency_level), *is_aged))
         return found
 
-    def _behind(
-        self, priority: Priority, kinds: list[tuple[Job, Resources, float]]
-    ) -> tuple[float, Resources]:
-        """When, and how much, work of a rank could take from work behind it."""
+    @staticmethod
+    def _preemptible_work(machine: Machine) -> list[PreemptibleWork]:
+        """Attempts of one kind of job are added up: this is asked of every machine for
+        every summary."""
+        kinds: dict[tuple[bool, int], PreemptibleWork] = {}
+        for attempt in machine.attempts.values():
+            job = attempt.job
+            if job.gang and job.gang_state is GangState.STARTING:
+                continue
+            save_s = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
+            kind = (job.within_guarantee, job.urgency_level)
+            known = kinds.get(kind)
+            available, longest_s = (known.resources, known.save_s) if known else (NO_RESOURCES, 0.0)
+            kinds[kind] = PreemptibleWork(
+                job, add_resources(available, job.need), max(longest_s, save_s)
+            )
+        return list(kinds.values())
+
+    def _behind(self, priority: Priority, kinds: list[PreemptibleWork]) -> tuple[float, Resources]:
+        """When (in seconds), and how much, work of a priority could take from work behind it."""
         available = NO_RESOURCES
-        delay = 0.0
-        for job, of_kind, seal in kinds:
-            if preemption.behind(priority, job):
-                available = add_resources(available, of_kind)
-                delay = max(delay, seal)
-        return self.heartbeat_interval_s + delay, available
+        delay_s = 0.0
+        for kind in kinds:
+            if preemption.behind(priority, kind.job):
+                available = add_resources(available, kind.resources)
+                delay_s = max(delay_s, kind.save_s)
+        return self._heartbeat_interval_s + delay_s, available
 
-    @staticmethod
-    def _boot_s(machine: Machine) -> float:
-        """The usual boot time of the machine's type."""
-        return machine.machine_type.boot_s if machine.machine_type is not None else 0.0
+    # -- a zone ------------------------------------------------------------
+
+    def of_zone(self, zone: str, now: float, largest: Job | None) -> list[ResourceOffer]:
+        """The zone's cache: machines with room, soonest free first.
+
+        It is as long as the largest waiting gang needs, for its alpha·N candidates; every
+        other place in it goes to the machines that are soonest free for its tasks, since in
+        a full zone those are where a GPU comes free, not a machine.
+
+        Reserved machines are named in any case, since a reserved group with a machine that is
+        not known could not be judged. Those that are reserved whole come on top of the others:
+        when many machines come up together they would fill the cache.
+        """
+        found = self._all_of_zone(zone, now)
+        reserved = self._reserved_by_machine()
+        whole = {offer.name for offer in found if offer.name in reserved and offer.full(reserved)}
+        if whole:
+            found = [offer for offer in found if offer.name not in whole] + [
+                offer for offer in found if offer.name in whole
+            ]
+        if largest is None:
+            return _cut(found, CACHE_LENGTH, reserved)
+        length = max(CACHE_LENGTH, math.ceil(self._alpha * largest.spec.tasks))
+        priority = preemption.priority(largest)
+        fitting = sorted(
+            found,
+            key=lambda offer: (
+                offer.name in whole,
+                offer.ready_for(priority, largest.need),
+                sooner(offer),
+            ),
+        )
+        both = [offer for pair in zip(fitting, found, strict=True) for offer in pair]
+        return _cut(list(dict.fromkeys(both)), length, reserved)
+
+    def _reserved_by_machine(self) -> dict[str, Resources]:
+        """What all reservations together keep, machine by machine."""
+        by_machine: dict[str, Resources] = {}
+        for reservation in self._reservation_table.all():
+            add_reservation(by_machine, reservation)
+        return by_machine
+
+    def _all_of_zone(self, zone: str, now: float) -> list[ResourceOffer]:
+        """Every machine's offer; searches and summaries of about the same time share them."""
+        at, found = self._zones.get(zone, (-1e9, []))
+        if now - at < OFFER_HEARTBEATS * self._heartbeat_interval_s:
+            return found
+        found = []
+        for machine in self._cluster.machines.values():
+            if machine.zone == zone and machine.machine_type is not None:
+                offer = self.present_offer(machine, now, shared=True)
+                if offer is not None:
+                    found.append(offer)
+        found.sort(key=sooner)
+        self._zones[zone] = (now, found)
+        return found
+
+    def directory(self) -> list[tuple[str, str]]:
+        """All machines that count as capacity, with their zones, for pivots."""
+        return [
+            (machine.name, machine.zone)
+            for machine in self._cluster.machines.values()
+            if autoscaling.counts_as_capacity(machine)
+        ]
+
+
+def _cut(
+    offers: list[ResourceOffer], length: int, reserved: dict[str, Resources]
+) -> list[ResourceOffer]:
+    """So many offers, and those of machines with reserved resources beyond them."""
+    return offers[:length] + [offer for offer in offers[length:] if offer.name in reserved]
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -1,258 +1,274 @@
-"""The leader's view of jobs and machines, and its decisions.
+"""The leader's view of jobs and machines, and its decisions, behind one face.
 
-Events come in as method calls that carry the time; what is to be done comes
-out in the queues (`strikes`, `releases`, `finished`) and from `plan` and
-`answer`. Nothing here waits, reads a clock or draws unseeded numbers.
+Events come in as method calls that carry the time; what is to be done comes out in the
+queues (`to_command`, `releases`, `finished`) and from `plan` and `answer`. Nothing here
+waits, reads a clock or draws unseeded numbers.
 """
 
 from __future__ import annotations
 
-import math
+from collections.abc import Iterable
+from random import Random
 
-from topazhold.core import autoscaling, preemption
-from topazhold.core.cluster_state import UP
-from topazhold.core.gang_placement import GangPlacement
-from topazhold.core.jobs import Job, JobState, Resources
-from topazhold.core.machines import Machine, count_fitting
-from topazhold.core.reservations import add_reservation
-from topazhold.core.search import CACHE_LENGTH, ResourceOffer, allowed, sooner
-from topazhold.wire.messages import MachineType
+from topazhold.core import autoscaling
+from topazhold.core.jobs import Job, JobState, TaskAttempt
+from topazhold.core.machines import Machine
+from topazhold.core.reservations import Reservation, ReservationTable
+from topazhold.core.scheduler_parts import SchedulerParts
+from topazhold.core.search import ResourceOffer
+from topazhold.settings import Operator, Settings
+from topazhold.wire.messages import Command, Heartbeat, ListedMachine, MachineType
 
-#: How old a list of offers may be.
-OFFER_HEARTBEATS = 0.2
 
+class Scheduler:
+    """What the rest of the program sees of a term's scheduler.
 
-class Scheduler(GangPlacement):
-    """All duties together, with what others are told and what is rented."""
+    Owns nothing but its `parts`; tables and queues that it names are those of the part that
+    owns them: `jobs`, `machines`, `zone_of`, `usage`, `estimates`, `releases`, `finished` and
+    `to_command` of `ClusterState`, `rejected` of `BindingReservations`,
+    `capacity_backoff` of `FleetScaling`. All times are seconds, on one steady clock.
+    """
 
-    def waiting_gangs(self, now: float) -> list[Job]:
-        """Gangs that need a hold: none in force, and their team may use the room."""
-        found = []
-        self._lower = {}
-        for job in self._waiting_jobs(now):
-            if not job.gang or not self._limit_reachable(job):
-                continue
-            found.append(job)
-        return found
+    def __init__(
+        self,
+        settings: Settings,
+        operator: Operator,
+        term: int,
+        reservation_table: ReservationTable,
+        rng: Random,
+        now: float,
+    ) -> None:
+        self.parts = parts = SchedulerParts(settings, operator, term, reservation_table, now)
+        self.reservation_table = reservation_table
+        self.rng = rng
+        self.term = term
+        self.heartbeat_interval_s = parts.timing.heartbeat_interval_s
+        self.lease_s = parts.timing.lease_s
+        self.cancel_s = parts.timing.cancel_s
+        self.lag_s = parts.timing.lag_s
+        self.summary_s = parts.timing.summary_s
+        self.cluster = cluster = parts.cluster
+        self.jobs = cluster.jobs
+        self.machines = cluster.machines
+        self.zone_of = cluster.zone_of
+        self.usage = cluster.usage
+        self.estimates = cluster.estimates
+        self.releases = cluster.releases
+        self.finished = cluster.finished
+        self.to_command = cluster.to_command
+        self.rejected = parts.reservations.rejected
+        self.capacity_backoff = parts.scaling.capacity_backoff
+        self._commands = parts.commands
+        self._eviction = parts.eviction
+        self._heartbeats = parts.heartbeats
+        self._failure_detection = parts.failure_detection
+        self._reservations = parts.reservations
+        self._rounds = parts.rounds
 
-    def wanting_s(self, job: Job, now: float) -> float:
-        """How long the gang has been without a hold that is in force."""
-        if not self.needs_reservation(job):
-            self._wanting_since.pop(job.id, None)
-            return 0.0
-        return now - self._wanting_since.setdefault(job.id, now)
+    # -- state that may be set anew ------------------------------------------
 
-    def needs_reservation(self, job: Job) -> bool:
-        reservation = self.reservation_table.of_job(job.id)
-        return reservation is None or self.spent(job, reservation)
+    @property
+    def changes(self) -> int:
+        """Counts what a round may depend on, time aside."""
+        return self.cluster.changes
+
+    @changes.setter
+    def changes(self, changes: int) -> None:
+        """Tell of a change outside, such as a reservation's, by another count."""
+        self.cluster.changes = changes
+
+    @property
+    def last_arrival(self) -> float:
+        """When the newest job came."""
+        return self.cluster.last_arrival
+
+    @last_arrival.setter
+    def last_arrival(self, at: float) -> None:
+        """Take the newest job to have come at another time."""
+        self.cluster.last_arrival = at
+
+    @property
+    def wait_objectives(self) -> dict[str, tuple[float, float]]:
+        """By job class, the shortest and the longest objective for a start, in seconds."""
+        return self.parts.objectives.wait_objectives
+
+    @wait_objectives.setter
+    def wait_objectives(self, wait_objectives: dict[str, tuple[float, float]]) -> None:
+        """Have other objectives hold for what is judged from now on."""
+        self.parts.objectives.wait_objectives = wait_objectives
+
+    @property
+    def machine_types(self) -> dict[str, MachineType]:
+        """The cloud's types of machines, by name."""
+        return self.cluster.machine_types
+
+    @machine_types.setter
+    def machine_types(self, machine_types: dict[str, MachineType]) -> None:
+        """Share the catalog's table, whose contents may change later."""
+        self.cluster.machine_types = machine_types
+
+    # -- jobs ------------------------------------------------------------------
+
+    def add_job(self, job: Job) -> None:
+        """A job is live: accepted just now, or found by a new leader."""
+        self.cluster.add_job(job)
+
+    def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
+        """The job was moved to `over`, by this controller or another."""
+        self._eviction.on_job_ended(job_id, done, over_at, now)
+
+    def refresh_guarantees(self) -> None:
+        """Mark anew which jobs are within their teams' guaranteed quota, if that may differ."""
+        self.cluster.refresh_guarantees()
+
+    def ageing_threshold_s(self, job: Job) -> float:
+        """How long, in seconds, a gang waits like any other before it is aged."""
+        return self.parts.objectives.ageing_threshold_s(job)
+
+    def preempt(self, attempt: TaskAttempt, reason: str, now: float) -> None:
+        """Preempt a task, or its whole gang, with time to write a checkpoint if it has any."""
+        self._eviction.preempt(attempt, reason, now)
+
+    # -- machines --------------------------------------------------------------
+
+    def add_machine(
+        self, name: str, zone: str, spot: bool, machine_type: str, now: float
+    ) -> Machine:
+        """A machine was rented, listed, heard of by a heartbeat or found in the intents."""
+        return self.cluster.add_machine(name, zone, spot, machine_type, now)
+
+    def add_rented(self, name: str, zone: str, spot: bool, machine_type: str, now: float) -> None:
+        """The cloud names a machine in its answer to a scale-out request."""
+        self.cluster.add_rented(name, zone, spot, machine_type, now)
+
+    def release(self, machine: Machine, reason: str, now: float) -> None:
+        """Queue a machine in `releases`."""
+        self.cluster.release(machine, reason, now)
+
+    def must_be_released(self, name: str) -> bool:
+        """Whether a machine is released for a cancelled job's task."""
+        return self.cluster.must_be_released(name)
+
+    def remove_machine(self, name: str, now: float) -> None:
+        """A release was answered 200: the machine and all on it are gone."""
+        self.cluster.remove_machine(name, now)
+
+    def usable(self, machine: Machine, now: float) -> bool:
+        """Whether new work may be planned there."""
+        return self.cluster.usable(machine, now)
+
+    def on_machine_list(
+        self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float
+    ) -> None:
+        """A whole machine list of the cloud, asked for at `asked_at`."""
+        self.parts.machine_lists.on_machine_list(listed_machines, asked_at, now)
+
+    # -- workers ---------------------------------------------------------------
+
+    def on_heartbeat(
+        self, heartbeat: Heartbeat, direct: bool, now: float, forwarded: bool = False
+    ) -> Machine | None:
+        """A worker's heartbeat; None if it is stale or from a released machine.
+
+        `direct`: it answers a direct command; `forwarded`: a follower took it in.
+        """
+        return self._heartbeats.on_heartbeat(heartbeat, direct, now, forwarded)
+
+    def answer(
+        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
+    ) -> list[Command]:
+        """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
+        return self._commands.answer(machine, heartbeat, now, launches)
+
+    def kills(self, machine: Machine) -> list[Command]:
+        """Kills for all that must leave the machine; every one can be repeated."""
+        return self._commands.kills(machine)
+
+    def direct_commands(self, machine: Machine) -> list[Command]:
+        """What goes out directly: kills, and the clear that wakes a worker for its launch."""
+        return self._commands.direct_commands(machine)
+
+    def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
+        """Whom to command directly first: the living, and those with cancelled work."""
+        return self._commands.command_order(names, now)
+
+    def heard_recently(self, machine: Machine, now: float) -> bool:
+        """Whether the worker was heard not long ago, so that it is likely to answer."""
+        return self._commands.heard_recently(machine, now)
+
+    # -- what time brings about ------------------------------------------------
+
+    def tick(self, now: float) -> None:
+        """Do everything that is due because time passes."""
+        for job in list(self.jobs.values()):
+            if job.state is not JobState.LIVE:
+                self._eviction.stop_ended_job(job, now)
+            elif job.gang:
+                self._eviction.step_gang(job, now)
+        for machine in list(self.machines.values()):
+            self._failure_detection.watch(machine, now)
+        self._commands.wake_remaining(now)
+
+    def machines_without_heartbeat(self, now: float) -> list[str]:
+        """Machines whose heartbeats have not come here for a while."""
+        return self._failure_detection.machines_without_heartbeat(now)
+
+    def is_partitioned_from_workers(self, now: float) -> bool:
+        """Whether others hear most of the workers, and this controller hardly any."""
+        return self._failure_detection.is_partitioned_from_workers(now)
+
+    def needs_term_announcement(self, machine: Machine, now: float) -> bool:
+        """Whether a worker has to be told of this term directly."""
+        return self._failure_detection.needs_term_announcement(machine, now)
+
+    # -- searches for gangs' machines ------------------------------------------
+
+    def waiting_gangs(self, now: float) -> list[Job]:
+        """Gangs that wait, and whose teams may use the room."""
+        return self._reservations.waiting_gangs(now)
 
     def largest_gang(self, now: float) -> Job | None:
         """The waiting gang with the most tasks that must share a zone."""
-        gangs = [job for job in self.waiting_gangs(now) if job.spec.same_place]
-        return max(gangs, key=lambda job: (job.spec.tasks, job.id), default=None)
+        return self._reservations.largest_gang(now)
 
-    def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
-        """The zone's cache: machines with room, soonest free first.
+    def needs_reservation(self, job: Job) -> bool:
+        """Whether no reservation of the gang is in force."""
+        return self._reservations.needs_reservation(job)
 
-        Twenty machines can't give a gang of sixteen its alpha·N candidates, and
-        in a full zone they are those where a card comes free, not a machine. So
-        the cache is as long as the largest waiting gang needs, and every other
-        place in it goes to the machines that are soonest free for its tasks.
+    def wanting_s(self, job: Job, now: float) -> float:
+        """How long, in seconds, the gang has been without a reservation that is in force."""
+        return self._reservations.wanting_s(job, now)
 
-        Held machines are named in any case: a held group with a machine that is
-        not known could not be judged, and was given up for a worse one. Those that
-        are held whole come on top of the others: with 350 machines coming up at the
-        same time the first 20 were soon held, and all other gangs found none.
-        """
-        found = self._all_offers(zone, now)
-        reserved = self._reserved_by_machine()
-        whole = {offer.name for offer in found if offer.name in reserved and offer.full(reserved)}
-        if whole:
-            found = [offer for offer in found if offer.name not in whole] + [
-                offer for offer in found if offer.name in whole
-            ]
-        if largest is None:
-            return found[:CACHE_LENGTH] + [
-                offer for offer in found[CACHE_LENGTH:] if offer.name in reserved
-            ]
-        length = max(CACHE_LENGTH, math.ceil(self.alpha * largest.spec.tasks))
-        priority = preemption.priority(largest)
-        fitting = sorted(
-            found,
-            key=lambda offer: (
-                offer.name in whole,
-                offer.ready_for(priority, largest.need),
-                sooner(offer),
-            ),
-        )
-        both = [offer for pair in zip(fitting, found, strict=True) for offer in pair]
-        order = list(dict.fromkeys(both))
-        return order[:length] + [offer for offer in order[length:] if offer.name in reserved]
-
-    def _reserved_by_machine(self) -> dict[str, Resources]:
-        """What all holds together keep, machine by machine."""
-        by_machine: dict[str, Resources] = {}
-        for reservation in self.reservation_table.all():
-            add_reservation(by_machine, reservation)
-        return by_machine
-
-    def _all_offers(self, zone: str, now: float) -> list[ResourceOffer]:
-        """Every machine's offer; searches and summaries of about the same time share them."""
-        at, found = self._offers.get(zone, (-1e9, []))
-        if now - at < OFFER_HEARTBEATS * self.heartbeat_interval_s:
-            return found
-        found = []
-        for machine in self.machines.values():
-            if machine.zone == zone and machine.machine_type is not None:
-                offer = self._present_offer(machine, now, shared=True)
-                if offer is not None:
-                    found.append(offer)
-        found.sort(key=sooner)
-        self._offers[zone] = (now, found)
-        return found
+    def spent(self, job: Job, reservation: Reservation) -> bool:
+        """Whether a reservation was used up or refused, so that another is needed."""
+        return self._reservations.spent(job, reservation)
+
+    def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
+        """A zone's machines with room, soonest free first: enough for the `largest` gang."""
+        return self.parts.resource_offers.of_zone(zone, now, largest)
 
     def directory(self) -> list[tuple[str, str]]:
-        """All machines, for pivots."""
-        return [
-            (machine.name, machine.zone)
-            for machine in self.machines.values()
-            if autoscaling.counts_as_capacity(machine)
-        ]
-
-    def _is_missing(self, machine: Machine, now: float) -> bool:
-        return (
-            machine.state in UP
-            and self.silence_s(machine, now) > self.lease_s
-            and not math.isinf(self._silence_limit_leases(machine, now))
-        )
-
-    def _demand_for_zones(
-        self, found: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
-    ) -> None:
-        """Machines for a job that has waited while its room is there, but in the wrong zones.
+        """All machines that count as capacity, with their zones, for pivots."""
+        return self.parts.resource_offers.directory()
 
-        What is wished for a zone counts on others' work there to end in time. Beside
-        work that ran on for minutes a gang of one zone waited as long, and a machine
-        of another zone stood free. The same goes for jobs that may not have all their
-        tasks in one zone.
-        """
-        waiting = [
-            job
-            for job in self.jobs.values()
-            if job.state is JobState.LIVE
-            and (job.spec.same_place or job.spec.scatter)
-            and job.spec.zone is None
-            and self._is_starving(job, now)
-        ]
-        # Gangs of one shape find the same room: counted once for all of them.
-        counts_as_capacity: dict[object, dict[str, int]] = {}
-        for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
-            machine_type = autoscaling.best_type(job.spec, machine_types)
-            if machine_type is None or not self._limit_reachable(job):
-                continue
-            types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
-            shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
-            free = counts_as_capacity.get(shape)
-            if free is None:
-                free = counts_as_capacity[shape] = self._free_slots(job, machine_type)
-            short = self._short_zone(job, machine_type.zones, free)
-            if short is None:
-                continue
-            zone, tasks = short
-            whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-            each = count_fitting(job.need, whole, job.spec.tasks)
-            more = math.ceil(tasks / each)
-            spot = (
-                job.spec.spot
-                and self.scaling_policy.use_spot
-                and machine_type.spot_price is not None
-            )
-            there = sum(
-                machine.zone == zone
-                and machine.spot is spot
-                and autoscaling.counts_as_capacity(machine)
-                for machine in self.machines.values()
-                if machine.machine_type is not None
-            )
-            demand = found.setdefault((machine_type.name, spot), autoscaling.CapacityDemand())
-            demand.at_least(there + more, zone)
-            return  # one at a time
-
-    def _is_starving(self, job: Job, now: float) -> bool:
-        """Whether a gang presses, or a service has lacked replicas for longer than others."""
-        if job.gang:
-            return job.is_aged and not job.attempts
-        return job.service and job.waiting_count > 0 and now - job.arrived > self.lease_s
-
-    def _short_zone(
-        self, job: Job, zones: list[str], free: dict[str, int]
-    ) -> tuple[str, int] | None:
-        """A zone in which room for so many more tasks would let the job run, if zones alone
-        are in the way."""
-        wanted = job.waiting_count
-        if sum(free.values()) < wanted:
-            return None
-        if job.spec.same_place:
-            zone = max(zones, key=lambda zone: (free[zone], zone))
-            return (zone, wanted - free[zone]) if free[zone] < wanted else None
-        limit = (job.spec.tasks + 1) // 2
-        there = job.zones_used(self.zone_of)
-        allowed_more = {zone: max(0, limit - there.get(zone, 0)) for zone in zones}
-        missing = wanted - sum(min(free[zone], allowed_more[zone]) for zone in zones)
-        if missing <= 0:
-            return None
-        open_zones = [zone for zone in zones if free[zone] < allowed_more[zone]]
-        if not open_zones:
-            return None
-        zone = min(open_zones, key=lambda zone: (free[zone], zone))
-        return zone, min(missing, allowed_more[zone] - free[zone])
-
-    def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
-        """Zone by zone, how many tasks of a job the machines have room for now or soon."""
-        free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
-        for machine in self.machines.values():
-            if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
-                continue
-            if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
-                slots = count_fitting(job.need, machine.free(), job.spec.tasks)
-                free[machine.zone] = free.get(machine.zone, 0) + slots
-        return free
+    # -- scheduling rounds and scaling -----------------------------------------
+
+    def wants_plan(self, machine: Machine, now: float) -> bool:
+        """Whether a round might place something on this machine."""
+        return self._rounds.wants_plan(machine, now)
+
+    def plan(self, now: float) -> list[TaskAttempt]:
+        """New attempts; their intents are to be written before anything else."""
+        return self._rounds.plan(now)
+
+    def intents_written(self, attempts: Iterable[TaskAttempt], now: float) -> None:
+        """The intents of these attempts are committed: their launches may leave."""
+        self._rounds.intents_written(attempts, now)
+
+    def intents_failed(self, attempts: Iterable[TaskAttempt], now: float) -> None:
+        """The transaction failed for good: none of it was or will be written."""
+        self._rounds.intents_failed(attempts, now)
 
     def scale_out(self, now: float) -> list[autoscaling.ScaleOutRequest]:
-        """Rental requests; idle machines that are not wanted go to `releases`."""
-        machine_types = list(self.machine_types.values())
-        self.refresh_guarantees()
-        slowest = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
-        growing = now - self.last_arrival < max(slowest, self.lease_s)
-        found = autoscaling.capacity_demands(
-            self.jobs.values(),
-            machine_types,
-            self.usage.teams,
-            self.zone_of,
-            self.scaling_policy,
-            growing,
-        )
-        self._demand_for_zones(found, machine_types, now)
-        self._lower = {}
-        reserved = {
-            name
-            for reservation in self.reservation_table.all()
-            if self._binding(reservation)
-            for name in reservation.slots
-        }
-        requests: list[autoscaling.ScaleOutRequest] = []
-        for machine_type in machine_types:
-            # What has been silent for a lease is made up for, whether it comes back
-            # or not; in a cut nothing is.
-            fleet = autoscaling.Fleet(
-                machine_type, [m for m in self.machines.values() if not self._is_missing(m, now)]
-            )
-            requests += autoscaling.scale_out(
-                found, machine_type, fleet, self.capacity_backoff, now
-            )
-            for machine in autoscaling.scale_in(
-                found, machine_type, fleet, self.scaling_policy, growing, now
-            ):
-                if machine.name not in reserved:
-                    self.release(machine, "idle", now)
-        return requests
+        """Scale-out requests; idle machines that are not wanted go to `releases`."""
+        return self.parts.scaling.scale_out(now)
--- /dev/null
+++ b/topazhold/core/task_reconciliation.py
@@ -0,0 +1,184 @@
+"""The tasks that a worker's heartbeat names against the attempts that its machine should have."""
+
+from __future__ import annotations
+
+import logging
+
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.eviction import Eviction
+from topazhold.core.failure_attribution import FailureAttribution
+from topazhold.core.jobs import ON_MACHINE, AttemptState, Job, JobState, TaskAttempt
+from topazhold.core.machines import Machine
+from topazhold.wire import messages as wire
+from topazhold.wire.messages import Heartbeat, TaskStatus
+
+log = logging.getLogger(__name__)
+
+#: For so many heartbeat intervals nothing is placed on a machine that had no room, and no
+#: task of a job whose image is unknown.
+PAUSE_HEARTBEATS = 2
+
+#: Orphaned tasks: (name, attempt) -> stage.
+Orphans = dict[tuple[str, int], str]
+
+
+class TaskReconciliation:
+    """Moves attempts on to what workers say of them, and what that proves.
+
+    Owns no state.
+    """
+
+    def __init__(
+        self, cluster: ClusterState, eviction: Eviction, failures: FailureAttribution
+    ) -> None:
+        self._cluster = cluster
+        self._eviction = eviction
+        self._failures = failures
+        self._pause_s = PAUSE_HEARTBEATS * cluster.heartbeat_interval_s
+
+    def reconcile(
+        self, machine: Machine, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
+    ) -> bool:
+        """Take in all tasks of a heartbeat; whether it shows that a launch did not arrive.
+
+        `synced`: it was written under this term; `direct`: it answers a direct command.
+        """
+        seen: set[tuple[str, int]] = set()
+        orphans: Orphans = {}
+        for task in heartbeat.tasks:
+            key = wire.split_task_name(task.task_name)
+            if key is None:
+                continue
+            attempt = machine.attempts.get(key)
+            if attempt is not None and attempt.attempt_number == task.attempt_number:
+                seen.add(key)
+                self._reconcile_attempt(machine, attempt, task, now)
+            elif task.state == wire.ENDED:
+                if task.cause == wire.CAUSE_DONE:
+                    self._cluster.record_success(*key)
+            else:
+                self._on_orphan(machine, key, task, orphans, now)
+        machine.orphans = orphans
+        lost = False
+        for key, attempt in list(machine.attempts.items()):
+            if key not in seen:
+                lost |= self._reconcile_missing(attempt, heartbeat, synced, direct, now)
+        return lost
+
+    def _reconcile_attempt(
+        self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
+    ) -> None:
+        if task.state == wire.ENDED:
+            self._on_attempt_ended(machine, attempt, task, now)
+            return
+        if attempt.state is AttemptState.INTENDED:
+            return
+        if attempt.state is AttemptState.ORDERED and not attempt.possibly_running:
+            machine.mark_command_reachable()
+        before = attempt.state
+        attempt.observe(task.state, now)
+        if attempt.state is not before:
+            machine.count_change()
+        if attempt.state in (AttemptState.GATHERING, AttemptState.RUNNING):
+            spec = attempt.job.spec
+            machine.fetched(spec.image, spec.image_gb)
+
+    def _reconcile_missing(
+        self, attempt: TaskAttempt, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
+    ) -> bool:
+        """An attempt that the heartbeat lacks; whether its launch can be seen to be lost."""
+        if attempt.possibly_running:
+            if synced:
+                self._cluster.remove_attempt(attempt, now)
+        elif attempt.state is AttemptState.ORDERED:
+            # Heartbeats go out one at a time, so this one was sent after the
+            # answer with the launch was carried out or dropped for good.
+            if not direct and heartbeat.sequence > attempt.launch_sequence:
+                if attempt.stopping:
+                    self._cluster.remove_attempt(attempt, now)
+                else:
+                    attempt.launch_lost(now)
+                return True
+        elif attempt.state in ON_MACHINE:
+            self._cluster.remove_attempt(attempt, now)
+        return False
+
+    def _on_orphan(
+        self,
+        machine: Machine,
+        key: tuple[str, int],
+        task: TaskStatus,
+        orphans: Orphans,
+        now: float,
+    ) -> None:
+        """A task that no intent of ours explains: it must go, and counts till then."""
+        job_id, index = key
+        job = self._cluster.jobs.get(job_id)
+        if job is not None and index < job.spec.tasks and index not in job.attempts:
+            attempt = TaskAttempt(job, index, task.attempt_number, machine.name, now)
+            attempt.state = AttemptState.ORDERED
+            attempt.observe(task.state, now)
+            self._cluster.attach(attempt)
+            self._eviction.stop_attempt(attempt, 0.0, "unexpected", now)
+            if job.gang and job.state is JobState.LIVE:
+                self._eviction.stop_gang(job, 0.0, "unexpected task", now)
+            return
+        orphans[(task.task_name, task.attempt_number)] = task.state
+        self._cluster.request_command(machine.name)
+
+    def _on_attempt_ended(
+        self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
+    ) -> None:
+        attempt.end(task.cause or "", bool(task.kept), now)
+        log.info(
+            "task %s try %d on %s ended: %s%s",
+            attempt.task_name,
+            attempt.attempt_number,
+            machine.name,
+            attempt.cause,
+            " (saved)" if task.kept else "",
+        )
+        if attempt.cause == wire.CAUSE_DONE:
+            self._on_done(machine, attempt, now)
+        else:
+            self._on_failure(machine, attempt, now)
+        job = attempt.job
+        if job.service and not attempt.stopping:
+            if attempt.cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
+                self._failures.on_replica_ended(machine, attempt, now)
+        self._cluster.remove_attempt(attempt, now)
+
+    def _on_done(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+        job, spec = attempt.job, attempt.job.spec
+        machine.error_jobs.clear()
+        machine.fetched(spec.image, spec.image_gb)
+        is_whole = job.progress_s == 0.0 and not attempt.stopping and not job.service
+        if attempt.running_since is not None and is_whole:
+            self._cluster.estimates.learn(
+                spec.job_class, spec.estimated_run_s, now - attempt.running_since
+            )
+        self._cluster.record_success(job.id, attempt.index)
+
+    def _on_failure(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+        job = attempt.job
+        if attempt.cause == wire.CAUSE_ERROR and not job.service:
+            self._failures.on_attempt_failed(machine, job, now)
+        elif attempt.cause == wire.CAUSE_NO_CAPACITY:
+            machine.quarantine_until(now + self._pause_s)
+        elif attempt.cause == wire.CAUSE_UNKNOWN:
+            job.not_before = now + self._pause_s
+        if job.gang and attempt.running_since is not None:
+            self._record_gang_progress(job, attempt, attempt.running_since, now)
+
+    def _record_gang_progress(
+        self, job: Job, attempt: TaskAttempt, running_since: float, now: float
+    ) -> None:
+        """What the gang has saved, as far as it can be told from outside."""
+        if attempt.index != min(job.attempts, default=attempt.index):
+            return
+        ran_s = (attempt.stop_at if attempt.stopping else now) - running_since
+        total_s = job.progress_s + max(0.0, ran_s)
+        if attempt.kept:
+            job.progress_s = total_s
+        elif job.spec.checkpoint_s > 0:
+            job.progress_s = max(job.progress_s, total_s - total_s % job.spec.checkpoint_s)
--- /dev/null
+++ b/topazhold/core/team_limits.py
@@ -0,0 +1,92 @@
+"""Teams' limits: whether a gang can get at its own, and the lower work stopped for that."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from topazhold.core import preemption
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.eviction import Eviction
+from topazhold.core.jobs import AttemptState, GangState, Job, TaskAttempt
+
+
+class TeamWork(NamedTuple):
+    """What one job of a team has on machines."""
+
+    urgency_level: int
+    priority: tuple[int, int]
+    cpus: float
+    gpus: float
+
+
+class TeamLimits:
+    """Room under the limits of teams, their own lower work stopped.
+
+    Owns the memo of what each team's jobs have on machines; it is kept until `refresh`,
+    so that a round adds it up once.
+    """
+
+    def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
+        self._cluster = cluster
+        self._eviction = eviction
+        self._work: dict[str, list[TeamWork]] = {}
+
+    def refresh(self) -> None:
+        """Add up anew what teams have on machines when that is next asked for."""
+        self._work = {}
+
+    def reachable(self, job: Job) -> bool:
+        """Whether the gang fits its team's limit, lower work of the team stopped."""
+        usage = self._cluster.usage
+        if usage.allows(job, job.spec.tasks):
+            return True
+        cpus = gpus = 0.0
+        priority = preemption.priority(job)
+        for work in self._work_of(job.spec.team):
+            if work.urgency_level > job.urgency_level and work.priority > priority:
+                cpus += work.cpus
+                gpus += work.gpus
+        return usage.allows(job, job.spec.tasks, (-cpus, -gpus))
+
+    def preempt_for(self, job: Job, now: float) -> None:
+        """Stop the team's own lower work until the gang fits the limit."""
+        usage = self._cluster.usage
+        cpus = gpus = 0.0
+        attempts = self._lower_attempts(job)
+        attempts.sort(key=lambda attempt: (not attempt.stopping, preemption.loss(attempt, now)))
+        for attempt in attempts:
+            if usage.allows(job, job.spec.tasks, (-cpus, -gpus)):
+                return
+            cpus += attempt.job.need[0]
+            gpus += attempt.job.need[1]
+            if not attempt.stopping and attempt.state is not AttemptState.INTENDED:
+                self._eviction.preempt(attempt, f"limit of {job.spec.team} for {job.id}", now)
+
+    def _work_of(self, team_name: str) -> list[TeamWork]:
+        found = self._work.get(team_name)
+        if found is not None:
+            return found
+        found = self._work[team_name] = []
+        for job in self._cluster.jobs.values():
+            if job.spec.team != team_name or not job.attempts:
+                continue
+            if job.gang and job.gang_state is GangState.STARTING:
+                continue
+            count = sum(attempt.present for attempt in job.attempts.values())
+            if count:
+                cpus, gpus = job.need[0] * count, job.need[1] * count
+                found.append(TeamWork(job.urgency_level, preemption.priority(job), cpus, gpus))
+        return found
+
+    def _lower_attempts(self, job: Job) -> list[TaskAttempt]:
+        """Attempts of the same team that a gang may stop to get at its limit."""
+        return [
+            attempt
+            for other in self._cluster.jobs.values()
+            if other.spec.team == job.spec.team
+            and other.urgency_level > job.urgency_level
+            # Work that ranks before the gang would be placed again at once.
+            and preemption.priority(other) > preemption.priority(job)
+            for attempt in other.attempts.values()
+            if attempt.present and not (other.gang and other.gang_state is GangState.STARTING)
+        ]
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -1,39 +1,54 @@
-"""Commands to workers: launches, kills, clears, and what makes a worker report."""
+"""Commands to workers: launches, kills, clears, and what makes a worker send a heartbeat."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Iterable
 
-from topazhold.core.cluster_state import ClusterState
+from topazhold.core.cluster_state import USABLE_HEARTBEATS, ClusterState
 from topazhold.core.jobs import TASKS_PER_PART, UNSENT, AttemptState, JobState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Command, Heartbeat
+from topazhold.wire.messages import Command, Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
 
 #: Ended tasks left on a worker to wake it with.
 MAX_WAKE_TASKS = 3
-#: The answer to a report is made within so many heartbeat intervals.
+#: The answer to a heartbeat is made within so many heartbeat intervals.
 ANSWER_HEARTBEATS = 0.1
 
 
-class WorkerCommands(ClusterState):
-    """What a worker is told."""
+class WorkerCommands:
+    """What a worker is told, in the answer to its heartbeat or directly.
+
+    Owns `to_wake`, the machines to be made to send a heartbeat at once, and `_to_wake_later`,
+    those whose last answer is perhaps not made yet.
+    """
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self._cluster = cluster
+        self._term = cluster.term
+        self._answer_s = ANSWER_HEARTBEATS * cluster.heartbeat_interval_s
+        self._responsive_s = USABLE_HEARTBEATS * cluster.heartbeat_interval_s
+        self.to_wake: set[str] = set()
+        self._to_wake_later: set[str] = set()
 
     def answer(
-        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
+        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool
     ) -> list[Command]:
-        """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
+        """The commands for a heartbeat's answer: clears, kills, launches, in this order.
+
+        Launches only if `launches`, to a ready machine that knows this term.
+        """
         commands = self._clears(machine, heartbeat) + self.kills(machine)
         if (
             launches
             and machine.state is MachineState.READY
-            and heartbeat.fencing_token == self.term
+            and heartbeat.fencing_token == self._term
         ):
             for attempt in machine.attempts.values():
-                # Only in the session that the intent names: a newer one then
+                # Only in the incarnation that the intent names: a newer one then
                 # proves the task gone, also to a leader who comes later.
                 if (
                     attempt.state is AttemptState.WRITTEN
@@ -51,98 +66,99 @@
         return commands
 
     def _clears(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
-        """Clears for ended tasks, but for a few that are kept to ring with.
+        """Clears for ended tasks, but for a few that are kept to wake the worker with.
 
-        A change of a worker's tasks makes it report at once. Clearing the kept
+        A change of a worker's tasks makes it send a heartbeat at once. Clearing the kept
         task directly is such a change, so a launch need not wait for the next
         regular heartbeat.
         """
         commands = []
         for task in heartbeat.tasks:
-            if task.state != wire.ENDED:
-                continue
-            if task.cause == wire.CAUSE_DONE:
-                key = wire.split_task_name(task.task_name)
-                job = self.jobs.get(key[0]) if key else None
-                if (
-                    job is not None
-                    and key is not None
-                    and job.state is JobState.LIVE
-                    and key[1] // TASKS_PER_PART in job.unsaved_parts
-                ):
-                    continue  # the worker's word is the only record until it is saved
-            commands.append(wire.clear(task.task_name, task.attempt_number))
-        machine.changes += bool(machine.wake_tasks) is not bool(commands)
-        machine.wake_tasks = [
-            (command.task_name, command.attempt_number) for command in commands[:MAX_WAKE_TASKS]
-        ]
+            if task.state == wire.ENDED:
+                if task.cause == wire.CAUSE_DONE and self._is_only_record(task):
+                    continue
+                commands.append(wire.clear(task.task_name, task.attempt_number))
+        machine.keep_wake_tasks(
+            [(command.task_name, command.attempt_number) for command in commands[:MAX_WAKE_TASKS]]
+        )
         return commands[MAX_WAKE_TASKS:]
 
+    def _is_only_record(self, task: TaskStatus) -> bool:
+        """Whether nothing but the worker's heartbeat tells yet that a task has completed."""
+        key = wire.split_task_name(task.task_name)
+        job = self._cluster.jobs.get(key[0]) if key else None
+        return (
+            job is not None
+            and key is not None
+            and job.state is JobState.LIVE
+            and key[1] // TASKS_PER_PART in job.unsaved_parts
+        )
+
     def direct_commands(self, machine: Machine) -> list[Command]:
-        """What goes out directly: kills, and the ring for a waiting launch."""
+        """What goes out directly: kills, and the clear that wakes a worker for its launch."""
         commands = self.kills(machine)
         if machine.name in self.to_wake:
             self.to_wake.discard(machine.name)
             if machine.wake_tasks:
-                commands.append(wire.clear(*machine.wake_tasks.pop()))
-                machine.changes += not machine.wake_tasks
+                commands.append(wire.clear(*machine.take_wake_task()))
         return commands
 
-    def _wake(self, machine: Machine, now: float) -> None:
-        """Make the worker report, so that it gets its launches.
+    def wake(self, machine: Machine, now: float) -> None:
+        """Make the worker send a heartbeat, so that it gets its launches.
 
-        The answer to a report that has just come may still be on its way to being made,
+        The answer to a heartbeat that has just come may still be on its way to being made,
         and take them; whoever is not served by it is woken a moment later.
         """
         if not machine.wake_tasks:
             return
-        if self.heartbeat_is_recent(machine, now):
-            self.to_wake_later.add(machine.name)
+        if self._heartbeat_is_recent(machine, now):
+            self._to_wake_later.add(machine.name)
         else:
-            self.to_wake.add(machine.name)
-            self.to_command.add(machine.name)
+            self._wake_now(machine.name)
 
-    def heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
+    def _wake_now(self, name: str) -> None:
+        self.to_wake.add(name)
+        self._cluster.request_command(name)
+
+    def _heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
         """Whether the answer to the machine's last heartbeat may not be made yet."""
-        return (
-            now - (machine.last_heartbeat_at or 0.0)
-            <= ANSWER_HEARTBEATS * self.heartbeat_interval_s
-        )
+        return now - (machine.last_heartbeat_at or 0.0) <= self._answer_s
 
     def wake_remaining(self, now: float) -> None:
         """Wake the workers whose launches came too late for the answer that was due."""
-        for name in list(self.to_wake_later):
-            machine = self.machines.get(name)
-            if machine is not None and self.heartbeat_is_recent(machine, now):
+        for name in list(self._to_wake_later):
+            machine = self._cluster.machines.get(name)
+            if machine is not None and self._heartbeat_is_recent(machine, now):
                 continue
-            self.to_wake_later.discard(name)
+            self._to_wake_later.discard(name)
             if machine is not None and machine.wake_tasks:
                 if any(
                     attempt.state is AttemptState.WRITTEN for attempt in machine.attempts.values()
                 ):
-                    self.to_wake.add(name)
-                    self.to_command.add(name)
+                    self._wake_now(name)
 
     def heard_recently(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
         return (
             machine.last_heartbeat_at is not None
-            and now - machine.last_heartbeat_at < 2.5 * self.heartbeat_interval_s
+            and now - machine.last_heartbeat_at < self._responsive_s
         )
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
         """Whom to command directly first: the living, and those with cancelled work."""
         found = []
         for name in names:
-            machine = self.machines.get(name)
+            machine = self._cluster.machines.get(name)
             if machine is not None and machine.endpoint is not None:
+                must_be_released = self._cluster.must_be_released(name)
                 key = (
                     not self.heard_recently(machine, now),
-                    not self.must_be_released(name),
+                    not must_be_released,
                     machine.commanded_at,
+                    name,
                 )
                 found.append((key, machine))
-        found.sort(key=lambda item: (item[0], item[1].name))
+        found.sort(key=lambda item: item[0])
         return [machine for _, machine in found]
 
     def kills(self, machine: Machine) -> list[Command]:
--- /dev/null
+++ b/topazhold/core/zone_demand.py
@@ -0,0 +1,123 @@
+"""Machines for jobs whose room is there, but in the wrong zones."""
+
+from __future__ import annotations
+
+import math
+from typing import NamedTuple
+
+from topazhold.core import autoscaling
+from topazhold.core.cluster_state import ClusterState
+from topazhold.core.jobs import Job, JobState
+from topazhold.core.machines import count_fitting
+from topazhold.core.search import allowed
+from topazhold.core.team_limits import TeamLimits
+from topazhold.wire.messages import MachineType
+
+
+class ZoneShortage(NamedTuple):
+    """A zone that lacks room for so many tasks of a job."""
+
+    zone: str
+    tasks: int
+
+
+class ZoneDemand:
+    """Adds to the demand for machines what jobs that have waited lack in single zones.
+
+    Other demand in a zone counts on others' work there to end in time; beside work that runs
+    on a gang of one zone would wait as long, and so would jobs that may not have all their
+    tasks in one zone. Owns no state.
+    """
+
+    def __init__(
+        self, cluster: ClusterState, limits: TeamLimits, policy: autoscaling.ScalingPolicy
+    ) -> None:
+        self._cluster = cluster
+        self._limits = limits
+        self._policy = policy
+
+    def add_to(
+        self, found: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
+    ) -> None:
+        """Demand more machines of one zone for the first job that lacks them: one at a time."""
+        waiting = [job for job in self._cluster.jobs.values() if self._is_bound_and_waits(job, now)]
+        # Gangs of one shape find the same room: counted once for all of them.
+        counted: dict[object, dict[str, int]] = {}
+        for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
+            machine_type = autoscaling.best_type(job.spec, machine_types)
+            if machine_type is None or not self._limits.reachable(job):
+                continue
+            types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
+            shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
+            free = counted.get(shape)
+            if free is None:
+                free = counted[shape] = self._free_slots(job, machine_type)
+            short = self._shortage(job, machine_type.zones, free)
+            if short is not None:
+                self._add(found, job, machine_type, short)
+                return
+
+    def _add(
+        self,
+        found: autoscaling.CapacityDemands,
+        job: Job,
+        machine_type: MachineType,
+        short: ZoneShortage,
+    ) -> None:
+        whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+        each = count_fitting(job.need, whole, job.spec.tasks)
+        more = math.ceil(short.tasks / each)
+        spot = job.spec.spot and self._policy.use_spot and machine_type.spot_price is not None
+        there = sum(
+            machine.zone == short.zone
+            and machine.spot is spot
+            and autoscaling.counts_as_capacity(machine)
+            for machine in self._cluster.machines.values()
+            if machine.machine_type is not None
+        )
+        demand = found.setdefault((machine_type.name, spot), autoscaling.CapacityDemand())
+        demand.at_least(there + more, short.zone)
+
+    def _is_bound_and_waits(self, job: Job, now: float) -> bool:
+        """Whether zones matter to a job, and it is an aged gang, or a service that has lacked
+        replicas for longer than others."""
+        if job.state is not JobState.LIVE or job.spec.zone is not None:
+            return False
+        if not (job.spec.same_place or job.spec.scatter):
+            return False
+        if job.gang:
+            return job.is_aged and not job.attempts
+        late = now - job.arrived > self._cluster.lease_s
+        return job.service and job.waiting_count > 0 and late
+
+    def _shortage(self, job: Job, zones: list[str], free: dict[str, int]) -> ZoneShortage | None:
+        """A zone in which room for so many more tasks would let the job run, if zones alone
+        are in the way."""
+        wanted = job.waiting_count
+        if sum(free.values()) < wanted:
+            return None
+        if job.spec.same_place:
+            zone = max(zones, key=lambda zone: (free[zone], zone))
+            return ZoneShortage(zone, wanted - free[zone]) if free[zone] < wanted else None
+        max_in_zone = (job.spec.tasks + 1) // 2
+        there = job.zones_used(self._cluster.zone_of)
+        allowed_more = {zone: max(0, max_in_zone - there.get(zone, 0)) for zone in zones}
+        missing = wanted - sum(min(free[zone], allowed_more[zone]) for zone in zones)
+        if missing <= 0:
+            return None
+        open_zones = [zone for zone in zones if free[zone] < allowed_more[zone]]
+        if not open_zones:
+            return None
+        zone = min(open_zones, key=lambda zone: (free[zone], zone))
+        return ZoneShortage(zone, min(missing, allowed_more[zone] - free[zone]))
+
+    def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
+        """Zone by zone, how many tasks of a job the machines have room for now or soon."""
+        free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
+        for machine in self._cluster.machines.values():
+            if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
+                continue
+            if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+                slots = count_fitting(job.need, machine.free(), job.spec.tasks)
+                free[machine.zone] = free.get(machine.zone, 0) + slots
+        return free
