--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -23,7 +23,7 @@
         for number in range(tasks):
             spec = make_spec(shape="batch", tasks=1, id=f"wk-{10**17 + 100 * place + number}")
             job = harness.add_job(spec)
-            harness.scheduler._attach(TaskAttempt(job, 0, 2**60, machine.name, harness.now))
+            harness.scheduler.cluster.attach(TaskAttempt(job, 0, 2**60, machine.name, harness.now))
 
 
 def test_machines_of_a_zone_share_shards() -> None:
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -80,7 +80,7 @@
     other = harness.add_job(make_spec(9, tasks=1, shape="batch", gpus=4.0, estimated_run_s=3.0))
     attempt = TaskAttempt(other, 0, 1, "host-1", harness.now)
     attempt.state, attempt.running_since = AttemptState.RUNNING, harness.now
-    harness.scheduler._attach(attempt)
+    harness.scheduler.cluster.attach(attempt)
     gang = harness.add_job(make_spec(1, tasks=2, gpus=4.0))
     harness.reserve(gang, {"host-0": 1, "host-1": 1})
     array = harness.add_job(make_spec(2, shape="batch", tasks=1, gpus=1.0, urgency="best_effort"))
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -79,11 +79,11 @@
     scheduler = harness.scheduler
     machine = scheduler.machines["host-0"]
     for number in (1, 2):
-        scheduler._on_attempt_failed(machine, harness.add_job(make_spec(number)), harness.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(machine, harness.add_job(make_spec(number)), harness.now)
     assert machine.state is MachineState.DRAINING
     bad = harness.add_job(make_spec(7))
     for name in ("host-1", "host-2", "host-3"):
-        scheduler._on_attempt_failed(scheduler.machines[name], bad, harness.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(scheduler.machines[name], bad, harness.now)
     assert bad.not_before > harness.now
     for name in ("host-1", "host-2", "host-3"):
         assert scheduler.machines[name].state is MachineState.READY
@@ -159,7 +159,7 @@
     missed = [
         m
         for m in harness.scheduler.machines.values()
-        if harness.scheduler._is_missing(m, harness.now)
+        if harness.scheduler.parts.failure_detection.is_missing(m, harness.now)
     ]
     assert len(missed) == silent, "made up for, in case they are dead"
     for number in range(silent - 1):
@@ -183,5 +183,5 @@
     harness, _ = silent_group(0.6)
     assert not harness.scheduler.releases
     assert not any(
-        harness.scheduler._is_missing(m, harness.now) for m in harness.scheduler.machines.values()
+        harness.scheduler.parts.failure_detection.is_missing(m, harness.now) for m in harness.scheduler.machines.values()
     )
--- a/tests/test_scheduler_offers.py
+++ b/tests/test_scheduler_offers.py
@@ -41,7 +41,7 @@
         )
         attempt = TaskAttempt(job, 0, 1, machine.name, harness.now)
         attempt.state = AttemptState.RUNNING
-        harness.scheduler._attach(attempt)
+        harness.scheduler.cluster.attach(attempt)
     gang = harness.add_job(make_spec(tasks=5, gpus=4.0, cpus=16.0))
     whole = {f"host-{number:02d}" for number in range(45, 50)}
     assert whole <= {offer.name for offer in harness.scheduler.offers("a", harness.now, gang)}
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -114,7 +114,7 @@
     spec = make_spec(700, shape="batch", tasks=60)
     job = harness.add_job(spec)
     for index in range(60):
-        harness.scheduler._attach(TaskAttempt(job, index, 2**40, "host-002", harness.now))
+        harness.scheduler.cluster.attach(TaskAttempt(job, index, 2**40, "host-002", harness.now))
     shards = shards_of_larger_limits(harness, list(machines))
     values = shards.values({shards.of(machines["host-000"], machines)}, machines, "t")
     assert all(json_size(value) <= SMALL for _, value in values.values())
@@ -200,7 +200,7 @@
     store.stored["on/0001"] = records.on_value(machines.values(), "old")
     job = harness.add_job(make_spec(900, shape="batch", tasks=1))
     attempt = TaskAttempt(job, 0, 3, "host-000", harness.now)
-    harness.scheduler._attach(attempt)
+    harness.scheduler.cluster.attach(attempt)
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -95,7 +95,7 @@
                 attempt = TaskAttempt(job, index, self.number, report.machine, self.now)
                 attempt.written(self.now)
                 attempt.order(1, self.now)
-                self.scheduler._attach(attempt)
+                self.scheduler.cluster.attach(attempt)
                 report.tasks.append(
                     TaskStatus(attempt.task_name, attempt.attempt_number, "running")
                 )
@@ -181,7 +181,7 @@
         "decode": lambda: read(body, Heartbeat),
         "report": lambda: fleet.hear(report),
         "tick": lambda: fleet.scheduler.tick(fleet.now),
-        "rent": lambda: fleet.scheduler.rent(fleet.now),
+        "scale_out": lambda: fleet.scheduler.scale_out(fleet.now),
         "summary": summary_of(fleet),
         "search": search_of(fleet),
         "plan": lambda: fleet.scheduler.plan(fleet.now),
