--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -20,7 +20,7 @@
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
-from topazhold.core.search import ResourceOffer
+from topazhold.core.resource_offer import ResourceOffer
 from topazhold.settings import Operator
 
 ROOM = (16.0, 4.0, 64.0)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -10,7 +10,7 @@
 from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
-from topazhold.core.search import AGED
+from topazhold.core.resource_offer import AGED
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -5,7 +5,8 @@
 from random import Random
 
 from tests.conftest import make_spec
-from topazhold.core import search
+from topazhold.core import candidate_slots, group_search, zone_summary
+from topazhold.core.candidate_slots import SearchContext, SearchRules
 from topazhold.core.reservations import (
     QueueKey,
     Reservation,
@@ -13,7 +14,7 @@
     ReservedResources,
     pack_value,
 )
-from topazhold.core.search import ResourceOffer, SearchRules
+from topazhold.core.resource_offer import ResourceOffer, unpack_offer
 from topazhold.wire.codec import json_size
 
 RULES = SearchRules(2.0, 16, 20, distance_s=1.0, preference_s=0.5)
@@ -32,7 +33,9 @@
 
 
 def find(spec, directory, caches, seed: int = 1, taken=None, tries: int = 2):
-    return search.search(Random(seed), directory, caches, spec, (1, 2), taken or {}, RULES, tries)
+    return group_search.search(
+        Random(seed), directory, caches, spec, (1, 2), taken or {}, RULES, tries
+    )
 
 
 def test_takes_the_soonest_group_with_its_image() -> None:
@@ -75,7 +78,9 @@
     spec = make_spec(tasks=4, gpus=4.0, same_place=False)
     seen = set()
     for seed in range(30):
-        slots = search.gather(Random(seed), directory, caches, spec, (1, 2), {}, RULES)
+        slots = candidate_slots.gather(
+            Random(seed), directory, caches, SearchContext(spec, (1, 2), {}, RULES)
+        )
         assert len(slots) == 8
         seen |= {slot.offer.zone for slot in slots}
     assert seen == {"a", "b", "c"}
@@ -84,8 +89,10 @@
 def test_swap_loop_beats_the_first_draw() -> None:
     directory, caches = fleet(*(offer(f"m{n:02d}", "a", float(n)) for n in range(12)))
     spec = make_spec(tasks=4, gpus=4.0)
-    slots = search.gather(Random(3), directory, caches, spec, (1, 2), {}, RULES)
-    group = search.pick(Random(3), slots, spec, RULES)
+    slots = candidate_slots.gather(
+        Random(3), directory, caches, SearchContext(spec, (1, 2), {}, RULES)
+    )
+    group = group_search.pick(Random(3), slots, spec, RULES)
     assert group is not None and set(group.slots) == {"m00", "m01", "m02", "m03"}
 
 
@@ -152,7 +159,7 @@
         [((1, 1), 2.0, ROOM)],
         2.0,
     )
-    again = search.unpack_offer("a", item.pack())
+    again = unpack_offer("a", item.pack())
     assert again.pack() == item.pack()
     assert [delay for delay, _ in again.availability_for((1, 1), None)] == [0.0, 2.0, 9.5]
 
@@ -162,8 +169,8 @@
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
     reserved = {"m1": 1, "m2": 1}
-    assert search.score_reserved(reserved, caches, spec, (1, 2), {}, RULES) >= 90.0
-    assert search.score_reserved({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
+    assert group_search.score_reserved(reserved, caches, spec, (1, 2), {}, RULES) >= 90.0
+    assert group_search.score_reserved({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
 
 
 def test_work_that_yields_uses_room_of_gangs_that_still_wait() -> None:
@@ -193,17 +200,17 @@
     full = ResourceOffer(
         "m1", "a", "b1", False, frozenset(), [(0.0, (2.0, 0.0, 8.0)), (90.0, ROOM)], [], 2.0
     )
-    assert search.sooner(full)[0] == 90.0
-    assert search.sooner(offer("m2", "a", 40.0)) < search.sooner(full)
+    assert zone_summary.sooner(full)[0] == 90.0
+    assert zone_summary.sooner(offer("m2", "a", 40.0)) < zone_summary.sooner(full)
 
 
 def test_names_of_a_whole_zone_fit_a_value() -> None:
     """Forty names a zone were told: of 300 machines most were never a pivot."""
     names = [f"host-{number:06d}" for number in range(450)]
-    assert search.unpack_names(search.pack_names(names)) == names
-    assert json_size(search.pack_names(names)) < 4096
+    assert zone_summary.unpack_names(zone_summary.pack_names(names)) == names
+    assert json_size(zone_summary.pack_names(names)) < 4096
     for few in ([], ["host-1"], ["a", "b"]):
-        assert search.unpack_names(search.pack_names(few)) == few
+        assert zone_summary.unpack_names(zone_summary.pack_names(few)) == few
 
 
 def test_small_gang_gets_the_best_of_all_groups() -> None:
@@ -211,7 +218,7 @@
     processor time of a full fleet went there: a day took over 400 s of it."""
     rng = Random(3)
     scored: list[int] = []
-    score_group = search.score_group
+    score_group = group_search.score_group
 
     def counted(*args):
         scored.append(1)
@@ -221,12 +228,12 @@
         offers = [offer(f"m{n}", "a", rng.uniform(0.0, 60.0)) for n in range(12)]
         directory, caches = fleet(*offers)
         spec = make_spec(tasks=size, gpus=4.0)
-        search.score_group = counted
+        group_search.score_group = counted
         try:
             scored.clear()
             group = find(spec, directory, caches, tries=6)
         finally:
-            search.score_group = score_group
+            group_search.score_group = score_group
         soonest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
         assert group is not None and set(group.slots) == {item.name for item in soonest}
         assert len(scored) <= 73, "each group once, however many tries"
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -42,7 +42,7 @@
 from topazhold.core.leadership import Leadership
 from topazhold.core.placement_hints import PlacementHints
 from topazhold.core.reservations import ReservationTable
-from topazhold.core.search import pack_names, unpack_names
+from topazhold.core.zone_summary import pack_names, unpack_names
 from topazhold.io.client import Client
 from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
 from topazhold.io.http import Request, Response
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -18,6 +18,8 @@
     PreconditionFailedError,
 )
 from topazhold.core import records
+from topazhold.core.candidate_slots import SearchRules
+from topazhold.core.group_search import Group, score_reserved, search
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import (
@@ -28,17 +30,8 @@
     ReservationTable,
     pack_value,
 )
-from topazhold.core.search import (
-    AGED,
-    Group,
-    Priority,
-    ResourceOffer,
-    SearchRules,
-    score_reserved,
-    search,
-    unpack_names,
-    unpack_offer,
-)
+from topazhold.core.resource_offer import AGED, Priority, ResourceOffer, unpack_offer
+from topazhold.core.zone_summary import unpack_names
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -21,7 +21,7 @@
 from topazhold.core.jobs import AttemptState, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.preemption import queue_key
-from topazhold.core.search import cut_names, cut_summary, pack_names
+from topazhold.core.zone_summary import cut_names, cut_summary, pack_names
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
 
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -9,8 +9,8 @@
 from topazhold.core.heartbeat_reconciliation import BAD_JOB_MACHINES
 from topazhold.core.jobs import Job, Resources, TaskAttempt
 from topazhold.core.machines import Machine, add_resources, count_fitting
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.scheduling_round import SchedulingRound
-from topazhold.core.search import allowed
 
 #: Tasks of an array that get room back from other teams at once.
 MAX_PREEMPTED = 16
--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -7,7 +7,7 @@
 
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine, MachineState, count_fitting
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
 from topazhold.settings import Team
 from topazhold.wire.messages import JobSpec, MachineType
 
--- /dev/null
+++ b/topazhold/core/candidate_slots.py
@@ -0,0 +1,138 @@
+"""The candidates of a gang's search: slots for its tasks on offered machines.
+
+A random machine of the whole fleet is the pivot. Its zone's cache, then those of further
+pivots' zones, give alpha·N slots for a gang of N tasks.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from random import Random
+
+from topazhold.core.jobs import Resources
+from topazhold.core.machines import count_fitting
+from topazhold.core.placement_constraints import allowed
+from topazhold.core.resource_offer import Priority, ResourceOffer
+from topazhold.wire.messages import JobSpec
+
+#: What the first task on an empty machine costs, in full preferences.
+BREAK_PREFERENCE = 1.5
+
+
+@dataclass(frozen=True, slots=True)
+class SearchRules:
+    """Sizes and weights of the search."""
+
+    alpha: float  # candidate slots gathered for each task
+    groups: int  # groups that the swap loop improves
+    rounds: int  # rounds of the swap loop
+    distance_s: float  # seconds that one step of distance is worth
+    preference_s: float  # seconds that a full preference is worth
+
+
+@dataclass(frozen=True, slots=True)
+class SearchContext:
+    """What all steps of one gang's search share."""
+
+    spec: JobSpec
+    priority: Priority
+    reserved: Mapping[str, Resources]  # by machine: what is kept for others
+    rules: SearchRules
+
+
+class Slot:
+    """A place for one task: the `nth` of this job's on its machine, from 0."""
+
+    __slots__ = ("offer", "name", "zone", "nth", "delay", "ready", "cost")
+
+    def __init__(
+        self, offer: ResourceOffer, nth: int, delay: float, ready: float, cost: float
+    ) -> None:
+        self.offer = offer
+        self.name = offer.name
+        self.zone = offer.zone
+        self.nth = nth
+        self.delay = delay  # seconds until the resources are free
+        self.ready = ready  # seconds until the image is there too
+        self.cost = cost  # small preferences, in seconds
+
+
+def by_readiness(slot: Slot) -> tuple[float, int]:
+    """Sort key: soonest ready first; of one machine, the earlier slot first."""
+    return (slot.ready + slot.cost, slot.nth)
+
+
+def offer_slots(offer: ResourceOffer, context: SearchContext, limit: int) -> list[Slot]:
+    """Up to `limit` slots of one machine, soonest first."""
+    spec, rules = context.spec, context.rules
+    if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
+        return []
+    need = (spec.cpus, spec.gpus, spec.memory_gb)
+    fetch_s = 0.0
+    if spec.image not in offer.images:
+        fetch_s = spec.image_gb / offer.fetch_rate if offer.fetch_rate > 0 else 0.0
+    slots: list[Slot] = []
+    when_empty = offer.availability[-1][1] if offer.availability else need
+    for delay, available in offer.availability_for(
+        context.priority, context.reserved.get(offer.name)
+    ):
+        count = count_fitting(need, available, limit)
+        cost = 0.0
+        if spec.spot and not offer.spot:
+            cost += rules.preference_s  # leave ordinary machines to those who need them
+        if available[1] > 0:
+            unused_share = (available[1] - need[1]) / available[1]
+            # Fill machines that are in use already: gangs of whole machines find
+            # none where every one has a small task on it.
+            cost += 0.5 * rules.preference_s * unused_share
+            if need[1] * count < when_empty[1] and available[1] >= when_empty[1]:
+                cost += BREAK_PREFERENCE * rules.preference_s
+        while len(slots) < count:
+            slots.append(Slot(offer, len(slots), delay, delay + fetch_s, cost))
+    return slots
+
+
+def gather(
+    rng: Random,
+    directory: Sequence[tuple[str, str]],
+    caches: Mapping[str, Sequence[ResourceOffer]],
+    context: SearchContext,
+    slots_by_zone: dict[str, list[Slot]] | None = None,
+) -> list[Slot]:
+    """Alpha·N candidate slots from a random pivot's zone and from those of further pivots.
+
+    `directory` has (machine, zone) of the whole fleet. `slots_by_zone` keeps the slots of
+    caches for later tries of the same search.
+    """
+    if slots_by_zone is None:
+        slots_by_zone = {}
+    spec = context.spec
+    target_count = max(spec.tasks, math.ceil(context.rules.alpha * spec.tasks))
+    pivots = [zone for _, zone in directory if spec.zone is None or zone == spec.zone]
+    slots: list[Slot] = []
+    while pivots and len(slots) < target_count:
+        zone = rng.choice(pivots)
+        pivots = [other for other in pivots if other != zone]
+        if zone not in slots_by_zone:
+            slots_by_zone[zone] = _cache_slots(caches.get(zone, ()), context)
+        zone_slots = slots_by_zone[zone]
+        if spec.same_place:
+            if len(zone_slots) >= spec.tasks:
+                return zone_slots[:target_count]
+            continue  # this zone can't take the gang; another pivot
+        if spec.scatter:
+            slots += zone_slots[: max(1, math.ceil(target_count / 2))]
+        else:
+            slots += zone_slots[: target_count - len(slots)]
+    return [] if spec.same_place else slots
+
+
+def _cache_slots(offers: Sequence[ResourceOffer], context: SearchContext) -> list[Slot]:
+    """All slots of a zone's cache, the soonest ready first."""
+    slots: list[Slot] = []
+    for offer in offers:
+        slots += offer_slots(offer, context, context.spec.tasks)
+    slots.sort(key=by_readiness)
+    return slots
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -15,7 +15,7 @@
 from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import Reservation, ReservationTable, ReservedResources
-from topazhold.core.search import ResourceOffer
+from topazhold.core.resource_offer import ResourceOffer
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import MachineType
 
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -9,7 +9,7 @@
 from topazhold.core.cluster_state import UP
 from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
 from topazhold.core.machines import QUARANTINED, Machine, MachineState, fits
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.worker_commands import WorkerCommands
 
 log = logging.getLogger(__name__)
--- /dev/null
+++ b/topazhold/core/group_search.py
@@ -0,0 +1,222 @@
+"""The search for a gang's machines: of the candidate slots, the group with the lowest score.
+
+The score of a group is the wait until all its tasks can start, image fetches included, and
+the distance between its slots. A swap loop improves a few groups of the N slots that a gang
+needs; where there are few groups, all are compared.
+"""
+
+from __future__ import annotations
+
+import itertools
+import math
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from random import Random
+
+from topazhold.core.candidate_slots import (
+    SearchContext,
+    SearchRules,
+    Slot,
+    by_readiness,
+    gather,
+    offer_slots,
+)
+from topazhold.core.jobs import Resources
+from topazhold.core.resource_offer import Priority, ResourceOffer
+from topazhold.wire.messages import JobSpec
+
+#: Up to so many possible groups are compared one by one: four of eight slots give 70, no more
+#: than a swap loop tries.
+MAX_GROUPS = 70
+#: Random slots that one swap draws until one is outside the group.
+SWAP_DRAWS = 4
+
+
+@dataclass(slots=True, eq=False)
+class Group:
+    """Machines for a whole gang, with the number of tasks on each."""
+
+    score: float  # seconds; lower is better
+    wait: float  # seconds until all tasks can run, images included
+    capacity_wait: float  # seconds until the resources of all tasks are free
+    slots: dict[str, int]
+
+
+def score_group(group: Sequence[Slot], spec: JobSpec, rules: SearchRules) -> float:
+    """Seconds, lower is better; infinite if the job's placement constraints are broken."""
+    zones: dict[str, int] = {}
+    wait = 0.0
+    cost = 0.0
+    shares_machine = False
+    for slot in group:
+        zone = slot.zone
+        zones[zone] = zones.get(zone, 0) + 1
+        if slot.nth:
+            shares_machine = True
+        if slot.ready > wait:
+            wait = slot.ready
+        cost += slot.cost
+    if shares_machine and _lacks_earlier_slot(group):
+        return math.inf
+    in_main_zone = max(zones.values())
+    if spec.same_place and len(zones) > 1:
+        return math.inf
+    if spec.scatter and in_main_zone > (spec.tasks + 1) // 2:
+        return math.inf
+    distance = len(group) - in_main_zone
+    return wait + rules.distance_s * distance + cost / len(group)
+
+
+def _lacks_earlier_slot(group: Sequence[Slot]) -> bool:
+    """Whether a machine's nth slot is in the group without those before it."""
+    nths_by_machine: dict[str, list[int]] = {}
+    for slot in group:
+        nths_by_machine.setdefault(slot.name, []).append(slot.nth)
+    return any(max(nths) >= len(nths) for nths in nths_by_machine.values())
+
+
+def pick(rng: Random, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules) -> Group | None:
+    """The group of N among the candidates with the lowest score, if any is valid."""
+    if len(slots) < spec.tasks:
+        return None
+    soonest = _soonest_group(slots, spec)
+    if math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
+        return _best_of_all(soonest, slots, spec, rules)
+    return _best_by_swaps(rng, soonest, slots, spec, rules)
+
+
+def _best_of_all(
+    soonest: list[Slot] | None, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules
+) -> Group | None:
+    """Compare all groups; among equals the soonest slots come first, as in the swap loop."""
+    groups = itertools.chain(
+        [soonest] if soonest else [], itertools.combinations(slots, spec.tasks)
+    )
+    best = min(groups, key=lambda group: score_group(group, spec, rules))
+    return _as_group(best, score_group(best, spec, rules))
+
+
+def _best_by_swaps(
+    rng: Random,
+    soonest: list[Slot] | None,
+    slots: Sequence[Slot],
+    spec: JobSpec,
+    rules: SearchRules,
+) -> Group | None:
+    """Improve random groups, and the soonest one, by swaps of one slot, round by round."""
+    best: list[Slot] | None = None
+    best_score = math.inf
+    groups: list[tuple[list[Slot], float]] = []
+    for number in range(rules.groups):
+        group = soonest if number == 0 and soonest else rng.sample(slots, spec.tasks)
+        score = score_group(group, spec, rules)
+        groups.append((group, score))
+        if score < best_score:
+            best, best_score = group, score
+    for _ in range(rules.rounds):
+        improved = False
+        for number, (group, score) in enumerate(groups):
+            swapped = _swap(rng, group, slots)
+            new_score = score_group(swapped, spec, rules)
+            if new_score < score:
+                groups[number] = (swapped, new_score)
+                improved = True
+                if new_score < best_score:
+                    best, best_score = swapped, new_score
+        if not improved:
+            break  # a round without a better group: more of them seldom help
+    return _as_group(best, best_score)
+
+
+def _as_group(best: Sequence[Slot] | None, score: float) -> Group | None:
+    if best is None or math.isinf(score):
+        return None
+    counts: dict[str, int] = {}
+    for slot in best:
+        counts[slot.name] = counts.get(slot.name, 0) + 1
+    wait = max(slot.ready for slot in best)
+    return Group(score, wait, max(slot.delay for slot in best), counts)
+
+
+def _soonest_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
+    """The soonest slots, with the earlier ones of every machine, zone caps kept."""
+    zone_limit = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
+    zones: dict[str, int] = {}
+    group: list[Slot] = []
+    for slot in sorted(slots, key=by_readiness):
+        zone = slot.zone
+        if zones.get(zone, 0) < zone_limit:
+            zones[zone] = zones.get(zone, 0) + 1
+            group.append(slot)
+            if len(group) == spec.tasks:
+                return group
+    return None
+
+
+def _swap(rng: Random, group: Sequence[Slot], slots: Sequence[Slot]) -> list[Slot]:
+    """The group with one slot exchanged for a random one from outside, if one is drawn."""
+    swapped = list(group)
+    group_ids = {id(slot) for slot in group}
+    for _ in range(SWAP_DRAWS):
+        other = slots[int(rng.random() * len(slots))]  # randrange is much slower
+        if id(other) not in group_ids:
+            swapped[int(rng.random() * len(swapped))] = other
+            break
+    return swapped
+
+
+def score_reserved(
+    reserved: Mapping[str, int],
+    caches: Mapping[str, Sequence[ResourceOffer]],
+    spec: JobSpec,
+    priority: Priority,
+    taken: Mapping[str, Resources],
+    rules: SearchRules,
+) -> float:
+    """What a group that is reserved already would score by what is known now.
+
+    `reserved` has its tasks by machine, `taken` what is kept for others.
+    """
+    context = SearchContext(spec, priority, taken, rules)
+    group: list[Slot] = []
+    for offers in caches.values():
+        for offer in offers:
+            count = reserved.get(offer.name, 0)
+            if count:
+                group += offer_slots(offer, context, count)
+    if len(group) != spec.tasks:
+        return math.inf
+    return score_group(group, spec, rules)
+
+
+def search(
+    rng: Random,
+    directory: Sequence[tuple[str, str]],
+    caches: Mapping[str, Sequence[ResourceOffer]],
+    spec: JobSpec,
+    priority: Priority,
+    taken: Mapping[str, Resources],
+    rules: SearchRules,
+    tries: int,
+) -> Group | None:
+    """The best group of a few independent searches, each from its own pivot.
+
+    `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone, `taken`
+    what is kept for others by machine.
+    """
+    context = SearchContext(spec, priority, taken, rules)
+    best: Group | None = None
+    slots_by_zone: dict[str, list[Slot]] = {}
+    exhausted_zones: set[str] = set()
+    for _ in range(tries):
+        slots = gather(rng, directory, caches, context, slots_by_zone)
+        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
+            # All groups of this zone are compared the first time.
+            zone = slots[0].zone
+            if zone in exhausted_zones:
+                continue
+            exhausted_zones.add(zone)
+        group = pick(rng, slots, spec, rules) if slots else None
+        if group is not None and (best is None or group.score < best.score):
+            best = group
+    return best
--- /dev/null
+++ b/topazhold/core/placement_constraints.py
@@ -0,0 +1,14 @@
+"""Where a job's specification lets its tasks be."""
+
+from __future__ import annotations
+
+from topazhold.wire.messages import JobSpec
+
+
+def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
+    """Whether the job may be placed on machines of this type, zone and kind."""
+    if spec.machine_types is not None and machine_type not in spec.machine_types:
+        return False
+    if spec.zone is not None and zone != spec.zone:
+        return False
+    return spec.spot or not spot
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -6,7 +6,7 @@
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
 from topazhold.core.reservations import NOT_AGED, QueueKey
-from topazhold.core.search import AGED
+from topazhold.core.resource_offer import AGED
 
 
 def priority(job: Job) -> tuple[int, int]:
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -10,7 +10,7 @@
 from topazhold.core.cluster_state import NO_RESOURCES
 from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
 from topazhold.core.machines import Machine, add_resources, count_fitting
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
 
 #: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
 #: where another replica of the job is, where the machine takes less other work from then
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -14,8 +14,10 @@
 from topazhold.core.gang_placement import GangPlacement
 from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.machines import Machine, count_fitting
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.reservations import add_reservation
-from topazhold.core.search import CACHE_LENGTH, ResourceOffer, allowed, sooner
+from topazhold.core.resource_offer import ResourceOffer
+from topazhold.core.zone_summary import CACHE_LENGTH, sooner
 from topazhold.wire.messages import MachineType
 
 #: How old a list of offers may be.
--- /dev/null
+++ b/topazhold/core/zone_summary.py
@@ -0,0 +1,66 @@
+"""What a zone's summary carries, cut to the value limit of the key-value store.
+
+A summary has a cache of the zone's best offers, and the names of all its machines, from which
+searches draw their pivots.
+"""
+
+from __future__ import annotations
+
+import math
+import os.path
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any
+
+from topazhold.core.resource_offer import ResourceOffer
+
+#: Machines in a zone's cache.
+CACHE_LENGTH = 20
+
+
+def sooner(offer: ResourceOffer) -> tuple[float, float]:
+    """Sort key of a cache: soonest free first, then the one with the most free GPUs.
+
+    A machine with GPUs counts as free only when some of them are: CPUs and memory left beside
+    GPUs that are all taken serve no gang that searches the cache.
+    """
+    has_gpus = bool(offer.availability) and offer.availability[-1][1][1] > 0
+    for delay, available in offer.availability:
+        if available[0] > 0 and (available[1] > 0 or not has_gpus):
+            return (delay, -available[1])
+    return (math.inf, 0.0)
+
+
+def pack_names(names: Sequence[str]) -> list[str]:
+    """Names as [common prefix, the rest of each, joined by commas], so that one value takes all."""
+    prefix = os.path.commonprefix(list(names))  # noqa: RUF071 (names, not paths)
+    return [prefix, ",".join(name[len(prefix) :] for name in names)]
+
+
+def unpack_names(packed: Any) -> list[str]:
+    """Read what `pack_names` has made."""
+    prefix, suffixes = packed
+    if not prefix and not suffixes:
+        return []
+    return [f"{prefix}{suffix}" for suffix in str(suffixes).split(",")]
+
+
+def cut_names(packed: list[str], limit: int, round_number: int) -> list[str]:
+    """Packed names cut to `limit` bytes: every n-th, beginning with others in each round."""
+    prefix, suffixes = packed
+    size = len(prefix) + len(suffixes) + len('["",""]')
+    step = -(-size // max(1, limit))
+    if step <= 1:
+        return packed
+    return [prefix, ",".join(suffixes.split(",")[round_number % step :: step])]
+
+
+def cut_summary(packed: Iterable[Any], limit: int, size_of: Callable[[Any], int]) -> list[Any]:
+    """The first of a zone's packed offers, as many as `limit` bytes take."""
+    items: list[Any] = []
+    size = 0
+    for item in packed:
+        size += size_of(item) + 1
+        if size > limit:
+            break
+        items.append(item)
+    return items
