--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -1,183 +1,95 @@
-"""How many machines of which kind, and where."""
+"""Scale-out and scale-in: what to request from the cloud, and which idle machines to give back.
+
+The demand that both follow is worked out in `capacity_demand`, whose names are also found here.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
-
-from topazhold.core.jobs import Job, JobState
-from topazhold.core.machines import Machine, MachineState, count_fitting
-from topazhold.core.placement_constraints import allowed
-from topazhold.settings import Team
-from topazhold.wire.messages import JobSpec, MachineType
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from topazhold.core.capacity_demand import (
+    CapacityDemand,
+    CapacityDemands,
+    ScalingPolicy,
+    best_type,
+    capacity_demands,
+    fits_some_type,
+)
+from topazhold.core.machines import Machine, MachineState
+from topazhold.wire.messages import MachineType
+
+__all__ = [
+    "MAX_RELEASED_MACHINES",
+    "MAX_SCALE_OUT_MACHINES",
+    "CapacityBackoff",
+    "CapacityDemand",
+    "CapacityDemands",
+    "Fleet",
+    "ScaleOutRequest",
+    "ScalingPolicy",
+    "best_type",
+    "capacity_demands",
+    "counts_as_capacity",
+    "fits_some_type",
+    "scale_in",
+    "scale_out",
+]
 
 #: Most machines that the cloud gives at one request.
 MAX_SCALE_OUT_MACHINES = 50
 #: Most machines that the cloud takes back at one request.
 MAX_RELEASED_MACHINES = 100
-#: Share of the usual patience with idle machines when no jobs come any more.
-IDLE_WHEN_QUIET = 0.2
+#: The longest pause after refusals, in first pauses.
+MAX_BACKOFF_FACTOR = 4
+#: Share of the usual idle time before scale-in when no jobs come any more.
+QUIET_IDLE_SHARE = 0.2
 
 
+@dataclass(slots=True, eq=False)
 class ScaleOutRequest:
-    """A rental request, still to be named."""
+    """A request for machines, still without an identifier."""
+
+    machine_type: str
+    zone: str
+    spot: bool
+    count: int
 
-    __slots__ = ("machine_type", "zone", "spot", "count")
 
-    def __init__(self, machine_type: str, zone: str, spot: bool, count: int) -> None:
-        self.machine_type = machine_type
-        self.zone = zone
-        self.spot = spot
-        self.count = count
+class _Pause(NamedTuple):
+    """Until when nothing is requested, and how long that was from its start, in seconds."""
 
+    until: float
+    length_s: float
 
-class ScalingPolicy:
-    """Ratios of the renting policy."""
 
-    def __init__(self, headroom_share: float, idle_boots: float, use_spot: bool) -> None:
-        self.headroom_share = headroom_share
-        self.idle_boots = idle_boots  # idle time before a return, in boot times
-        self.use_spot = use_spot
+_NO_PAUSE = _Pause(0.0, 0.0)
 
 
 class CapacityBackoff:
-    """Where the cloud had nothing to give, and until when not to ask again."""
+    """Where the cloud had no capacity, and until when not to request it again."""
 
     def __init__(self) -> None:
-        self._until: dict[tuple[str, str, bool], tuple[float, float]] = {}
+        self._pauses: dict[tuple[str, str, bool], _Pause] = {}
 
     def on_refused(
         self, machine_type: str, zone: str, spot: bool, base_s: float, now: float
     ) -> None:
+        """The cloud had none: pause for `base_s` seconds, twice as long at each further time."""
         key = (machine_type, zone, spot)
-        _, pause = self._until.get(key, (0.0, 0.0))
-        pause = min(max(base_s, pause * 2), base_s * 4)
-        self._until[key] = (now + pause, pause)
+        last_s = self._pauses.get(key, _NO_PAUSE).length_s
+        length_s = min(max(base_s, last_s * 2), base_s * MAX_BACKOFF_FACTOR)
+        self._pauses[key] = _Pause(now + length_s, length_s)
 
     def on_granted(self, machine_type: str, zone: str, spot: bool) -> None:
-        self._until.pop((machine_type, zone, spot), None)
+        """The cloud has given machines: no pause any more."""
+        self._pauses.pop((machine_type, zone, spot), None)
 
     def may_request(self, machine_type: str, zone: str, spot: bool, now: float) -> bool:
-        return self._until.get((machine_type, zone, spot), (0.0, 0.0))[0] <= now
-
-
-def best_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> MachineType | None:
-    """The cheapest type per task that may run the job."""
-    need = (spec.cpus, spec.gpus, spec.memory_gb)
-    best: tuple[float, str] | None = None
-    chosen: MachineType | None = None
-    for machine_type in machine_types:
-        if spec.machine_types is not None and machine_type.name not in spec.machine_types:
-            continue
-        if spec.zone is not None and spec.zone not in machine_type.zones:
-            continue
-        count = count_fitting(
-            need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), spec.tasks
-        )
-        if count:
-            key = (machine_type.price / count, machine_type.name)
-            if best is None or key < best:
-                best, chosen = key, machine_type
-    return chosen
-
-
-class CapacityDemand:
-    """Machines wanted of one type and kind: anywhere, and in given zones at least.
-
-    What is `bound` to a zone is of no use in any other.
-    """
-
-    __slots__ = ("total", "zones", "bound")
-
-    def __init__(self) -> None:
-        self.total = 0.0
-        self.zones: dict[str, float] = {}
-        self.bound: dict[str, float] = {}
-
-    def add(self, machines: float, zone: str | None) -> None:
-        self.total += machines
-        if zone is not None:
-            self.zones[zone] = self.zones.get(zone, 0.0) + machines
-            self.bound[zone] = self.bound.get(zone, 0.0) + machines
-
-    def at_least(self, machines: float, zone: str) -> None:
-        """A zone must be able to take so much at once; others may use it in turn."""
-        self.zones[zone] = max(self.zones.get(zone, 0.0), machines)
-
-    def scale(self, factor: float) -> None:
-        self.total *= factor
-        for zone in self.zones:
-            self.zones[zone] *= factor
-        for zone in self.bound:
-            self.bound[zone] *= factor
-
-
-#: Wishes by type and kind (True: spot).
-CapacityDemands = dict[tuple[str, bool], CapacityDemand]
-
-
-def capacity_demands(
-    jobs: Iterable[Job],
-    machine_types: list[MachineType],
-    teams: dict[str, Team],
-    zone_of: dict[str, str],
-    rules: ScalingPolicy,
-    growing: bool,
-) -> CapacityDemands:
-    """Machines' worth of unfinished work per type and kind, within the teams' limits.
-
-    Headroom is kept only while jobs keep coming.
-    """
-    found: CapacityDemands = {}
-    gangs: list[tuple[CapacityDemand, Job, float, MachineType]] = []
-    counts: dict[str, int] = {}
-    for zone in zone_of.values():
-        counts[zone] = counts.get(zone, 0) + 1
-    available = {name: team.gpus_max or math.inf for name, team in teams.items()}
-    for job in sorted(
-        jobs, key=lambda job: (not job.within_guarantee, job.urgency_level, job.arrived)
-    ):
-        if job.state is not JobState.LIVE:
-            continue
-        machine_type = best_type(job.spec, machine_types)
-        if machine_type is None:
-            continue
-        tasks = job.spec.tasks - job.completed_count
-        if job.need[1] > 0:
-            tasks = min(tasks, int(available.get(job.spec.team, 0.0) // job.need[1]))
-            available[job.spec.team] = available.get(job.spec.team, 0.0) - tasks * job.need[1]
-        if tasks <= 0:
-            continue
-        whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-        machines = tasks / count_fitting(job.need, whole, 1 << 20)
-        spot = job.spec.spot and rules.use_spot and machine_type.spot_price is not None
-        demand = found.setdefault((machine_type.name, spot), CapacityDemand())
-        bound = _bound_zone(job, zone_of)
-        demand.add(machines, bound)
-        if bound is None and (job.service or (job.gang and not job.attempts)):
-            gangs.append((demand, job, machines, machine_type))
-    for demand, job, machines, machine_type in gangs:
-        # Room that is there, but in the wrong zones, lets no gang start.
-        by_size = sorted(machine_type.zones, key=lambda zone: -counts.get(zone, 0))
-        if job.spec.same_place:
-            demand.at_least(machines, by_size[0])
-        elif job.spec.scatter and len(by_size) > 1:
-            for zone in by_size[:2]:
-                demand.at_least(machines / 2, zone)
-    for demand in found.values():
-        demand.scale(1.0 + (rules.headroom_share if growing else 0.0))
-    return found
-
-
-def _bound_zone(job: Job, zone_of: dict[str, str]) -> str | None:
-    """The only zone that the job's waiting tasks may go to, if there is one."""
-    if job.spec.zone is not None:
-        return job.spec.zone
-    if job.spec.same_place:
-        for attempt in job.attempts.values():
-            if attempt.present and attempt.machine in zone_of:
-                return zone_of[attempt.machine]
-    return None
+        """Whether no pause is on."""
+        return self._pauses.get((machine_type, zone, spot), _NO_PAUSE).until <= now
 
 
 def counts_as_capacity(machine: Machine) -> bool:
@@ -188,7 +100,7 @@
 
 
 class Fleet:
-    """Machines of one type, counted by zone and kind."""
+    """Machines of one type that count as capacity, with their number by zone and kind."""
 
     def __init__(self, machine_type: MachineType, machines: Iterable[Machine]) -> None:
         self.machines = [
@@ -206,138 +118,163 @@
             self.zones[key] = self.zones.get(key, 0) + 1
 
     def count(self, spot: bool) -> int:
+        """Machines of one kind in all zones."""
         return sum(number for (_, kind), number in self.zones.items() if kind is spot)
 
 
+@dataclass(frozen=True, slots=True)
+class _Supply:
+    """Machines of one type and kind, and the zones where more may be requested."""
+
+    machine_type: str
+    spot: bool
+    fleet: Fleet
+    open_zones: list[str]
+
+    def machines_in(self, zone: str) -> int:
+        return self.fleet.zones.get((zone, self.spot), 0)
+
+    def shortfall(self, zone: str, machines: float) -> int:
+        """How many of the demanded machines the zone lacks; negative if it has more."""
+        return math.ceil(machines) - self.machines_in(zone)
+
+
+class _ScaleOutPlan(NamedTuple):
+    """Requests of one kind, and the machines that can't be requested: in all, and by zone."""
+
+    requests: list[ScaleOutRequest]
+    missing: int
+    missing_by_zone: dict[str, int]
+
+
 def scale_out(
-    found: CapacityDemands,
+    demands: CapacityDemands,
     machine_type: MachineType,
     fleet: Fleet,
     capacity_backoff: CapacityBackoff,
     now: float,
 ) -> list[ScaleOutRequest]:
-    """Requests that bring a type's capacity up to what is wished.
+    """Requests that bring a type's capacity up to the demand.
 
-    Spot machines are asked for first; what the cloud won't give of them is
-    made up by ordinary ones.
+    Spot instances are requested first; what the cloud won't give of them is made up by
+    ordinary machines.
     """
-    cheap = found.get((machine_type.name, True), CapacityDemand())
-    plain = found.get((machine_type.name, False), CapacityDemand())
-    # Ordinary machines beyond their own wish serve spot work too.
-    spare = max(0, fleet.count(False) - math.ceil(plain.total))
-    requests, missing, missing_zones = _scale_out_requests(
-        machine_type, True, math.ceil(cheap.total) - spare, cheap, fleet, capacity_backoff, now
-    )
-    both = CapacityDemand()
-    both.zones, both.bound = dict(plain.zones), dict(plain.bound)
-    for zone, number in missing_zones.items():
-        both.zones[zone] = both.zones.get(zone, 0.0) + number
-        short = math.ceil(cheap.bound.get(zone, 0.0)) - fleet.zones.get((zone, True), 0)
-        both.bound[zone] = both.bound.get(zone, 0.0) + max(0, min(number, short))
-    more, _, _ = _scale_out_requests(
-        machine_type, False, math.ceil(plain.total) + missing, both, fleet, capacity_backoff, now
-    )
-    return requests + more
-
-
-def _scale_out_requests(
-    machine_type: MachineType,
-    spot: bool,
-    total: int,
-    demand: CapacityDemand,
-    fleet: Fleet,
-    capacity_backoff: CapacityBackoff,
-    now: float,
-) -> tuple[list[ScaleOutRequest], int, dict[str, int]]:
-    """Requests of one kind, and what can't be asked for: in all, and by zone.
 
-    What is bound to a zone that has none now is not asked for elsewhere: a machine there
-    was given back idle, and its room in the cloud taken again before the zone's turn came.
+    def supply(spot: bool) -> _Supply:
+        open_zones = [
+            zone
+            for zone in machine_type.zones
+            if capacity_backoff.may_request(machine_type.name, zone, spot, now)
+        ]
+        return _Supply(machine_type.name, spot, fleet, open_zones)
+
+    spot_demand = demands.get((machine_type.name, True), CapacityDemand())
+    ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
+    # Ordinary machines beyond the demand for them serve spot work too.
+    spare = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
+    spot_plan = _plan_scale_out(supply(True), math.ceil(spot_demand.total) - spare, spot_demand)
+    substitutes = _with_substitutes(ordinary_demand, spot_demand, spot_plan, fleet)
+    ordinary_total = math.ceil(ordinary_demand.total) + spot_plan.missing
+    ordinary_plan = _plan_scale_out(supply(False), ordinary_total, substitutes)
+    return spot_plan.requests + ordinary_plan.requests
+
+
+def _with_substitutes(
+    ordinary: CapacityDemand, spot: CapacityDemand, spot_plan: _ScaleOutPlan, fleet: Fleet
+) -> CapacityDemand:
+    """Zone by zone, ordinary machines for their own work and for missing spot instances."""
+    demand = CapacityDemand(zones=dict(ordinary.zones), bound=dict(ordinary.bound))
+    for zone, missing in spot_plan.missing_by_zone.items():
+        demand.zones[zone] = demand.zones.get(zone, 0.0) + missing
+        bound_shortfall = math.ceil(spot.bound.get(zone, 0.0)) - fleet.zones.get((zone, True), 0)
+        bound_missing = max(0, min(missing, bound_shortfall))
+        demand.bound[zone] = demand.bound.get(zone, 0.0) + bound_missing
+    return demand
+
+
+def _plan_scale_out(supply: _Supply, total: int, demand: CapacityDemand) -> _ScaleOutPlan:
+    """Requests for the zones' demands, then for the rest of `total` machines.
+
+    What is bound to a zone without capacity is not requested elsewhere: a machine there would
+    stay idle, and take the cloud's capacity from the zone that needs it.
     """
-    usable = [
-        zone
-        for zone in machine_type.zones
-        if capacity_backoff.may_request(machine_type.name, zone, spot, now)
-    ]
-    counts = dict.fromkeys(usable, 0)
-    missing_zones: dict[str, int] = {}
-    for zone, number in demand.zones.items():
-        short = math.ceil(number) - fleet.zones.get((zone, spot), 0)
-        if short > 0 and zone in counts:
-            counts[zone] = min(short, MAX_SCALE_OUT_MACHINES)
-        elif short > 0:
-            missing_zones[zone] = short
-    short = total - fleet.count(spot) - sum(counts.values())
-    if usable:
-        short -= sum(
-            max(0, math.ceil(number) - fleet.zones.get((zone, spot), 0))
-            for zone, number in demand.bound.items()
+    counts = dict.fromkeys(supply.open_zones, 0)
+    missing_by_zone: dict[str, int] = {}
+    for zone, machines in demand.zones.items():
+        shortfall = supply.shortfall(zone, machines)
+        if shortfall > 0 and zone in counts:
+            counts[zone] = min(shortfall, MAX_SCALE_OUT_MACHINES)
+        elif shortfall > 0:
+            missing_by_zone[zone] = shortfall
+    missing = sum(missing_by_zone.values())
+    shortfall = total - supply.fleet.count(supply.spot) - sum(counts.values())
+    if counts:
+        shortfall -= sum(
+            max(0, supply.shortfall(zone, machines))
+            for zone, machines in demand.bound.items()
             if zone not in counts
         )
-        for _ in range(min(short, MAX_SCALE_OUT_MACHINES)):
-            zone = min(
-                usable, key=lambda zone: (fleet.zones.get((zone, spot), 0) + counts[zone], zone)
-            )
-            counts[zone] += 1
-        missing = sum(missing_zones.values())
+        _spread(min(shortfall, MAX_SCALE_OUT_MACHINES), counts, supply)
     else:
-        missing = max(short, sum(missing_zones.values()), 0)
+        missing = max(shortfall, missing, 0)
     requests = [
-        ScaleOutRequest(machine_type.name, zone, spot, number)
-        for zone, number in counts.items()
-        if number
+        ScaleOutRequest(supply.machine_type, zone, supply.spot, count)
+        for zone, count in counts.items()
+        if count
     ]
-    return requests, missing, missing_zones
+    return _ScaleOutPlan(requests, missing, missing_by_zone)
+
+
+def _spread(machines: int, counts: dict[str, int], supply: _Supply) -> None:
+    """Add machines one by one to the zone that will have the fewest."""
+    for _ in range(machines):
+        zone = min(counts, key=lambda zone: (supply.machines_in(zone) + counts[zone], zone))
+        counts[zone] += 1
 
 
 def scale_in(
-    found: CapacityDemands,
+    demands: CapacityDemands,
     machine_type: MachineType,
     fleet: Fleet,
-    rules: ScalingPolicy,
+    policy: ScalingPolicy,
     growing: bool,
     now: float,
 ) -> list[Machine]:
-    """Idle machines beyond what is wished, the longest idle first.
+    """Idle machines beyond the demand, the longest idle first.
 
-    An idle machine is kept for about as long as a new one would take to boot:
-    what it costs till then is what renting it anew would cost. When no jobs
-    come any more there is less to wait for.
+    An idle machine is kept for about as long as a new one would take to boot: what it costs
+    till then is what requesting it anew would cost. When no jobs come any more (`growing` is
+    false) there is less to wait for.
     """
-    cheap = found.get((machine_type.name, True), CapacityDemand())
-    plain = found.get((machine_type.name, False), CapacityDemand())
-    short_spot = max(0.0, cheap.total - fleet.count(True))
-    extra = {
-        False: fleet.count(False) - math.ceil(plain.total + short_spot),
-        True: fleet.count(True) - math.ceil(cheap.total),
+    spot_demand = demands.get((machine_type.name, True), CapacityDemand())
+    ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
+    spot_shortfall = max(0.0, spot_demand.total - fleet.count(True))
+    surplus = {
+        False: fleet.count(False) - math.ceil(ordinary_demand.total + spot_shortfall),
+        True: fleet.count(True) - math.ceil(spot_demand.total),
     }
-    floor = {(zone, False): number for zone, number in plain.zones.items()}
-    floor.update({(zone, True): number for zone, number in cheap.zones.items()})
-    patience = rules.idle_boots * machine_type.boot_s * (1.0 if growing else IDLE_WHEN_QUIET)
+    minimums = {(zone, False): machines for zone, machines in ordinary_demand.zones.items()}
+    minimums.update({(zone, True): machines for zone, machines in spot_demand.zones.items()})
+    max_idle_s = policy.idle_boots * machine_type.boot_s * (1.0 if growing else QUIET_IDLE_SHARE)
+    remaining = dict(fleet.zones)
+    chosen = []
+    for machine in _idle_longer_than(max_idle_s, fleet, now):
+        key = (machine.zone, machine.spot)
+        if surplus[machine.spot] > 0 and remaining[key] - 1 >= minimums.get(key, 0.0):
+            surplus[machine.spot] -= 1
+            remaining[key] -= 1
+            chosen.append(machine)
+    return chosen
+
+
+def _idle_longer_than(idle_s: float, fleet: Fleet, now: float) -> list[Machine]:
+    """Ready machines without work for longer than so many seconds, the longest idle first."""
     idle = [
         machine
         for machine in fleet.machines
         if machine.state is MachineState.READY
         and machine.empty
-        and now - machine.idle_since > patience
+        and now - machine.idle_since > idle_s
     ]
     idle.sort(key=lambda machine: machine.idle_since)
-    left = dict(fleet.zones)
-    chosen = []
-    for machine in idle:
-        key = (machine.zone, machine.spot)
-        if extra[machine.spot] > 0 and left[key] - 1 >= floor.get(key, 0.0):
-            extra[machine.spot] -= 1
-            left[key] -= 1
-            chosen.append(machine)
-    return chosen
-
-
-def fits_some_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> bool:
-    """Whether a task fits an allowed type in an allowed zone."""
-    need = (spec.cpus, spec.gpus, spec.memory_gb)
-    return any(
-        count_fitting(need, (machine_type.cpus, machine_type.gpus, machine_type.memory_gb), 1) == 1
-        and any(allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones)
-        for machine_type in machine_types
-    )
+    return idle
