--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,10 +8,11 @@
 import pytest
 
 from tests.standins import settings_for
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.settings import Operator
 from topazhold.wire.messages import Command, Heartbeat, JobSpec, MachineType, TaskStatus
 
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -13,9 +13,10 @@
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.term_context import TermContext
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
-from topazhold.core.jobs import AttemptState, Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.io.http import NoResponseError
 from topazhold.operations.operation_log import OperationLog
 from topazhold.settings import Operator
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -5,7 +5,8 @@
 from tests.conftest import Bench, make_spec
 from topazhold.core import failover, records
 from topazhold.core.intent_shards import MAX_MACHINES, IntentShards
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.wire.codec import json_size
 
 
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -12,9 +12,10 @@
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
-from topazhold.core.jobs import AttemptState, Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.settings import Operator
 from topazhold.wire import messages as wire
 
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -8,8 +8,9 @@
 import pytest
 
 from tests.conftest import Bench, make_spec
-from topazhold.core.jobs import JobState, TaskAttempt
+from topazhold.core.jobs import JobState
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 
 
 def stops(bench: Bench) -> list[tuple[str, int, float | None]]:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -7,10 +7,11 @@
 from tests.conftest import Bench, make_spec
 from topazhold.core import failover, preemption
 from topazhold.core.autoscaling import counts_as_capacity
-from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.resource_offer import AGED
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
 
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -9,8 +9,9 @@
 
 from tests.conftest import Bench, make_spec
 from tests.scenes import Scene, assert_rules, play_scene
-from topazhold.core.jobs import AttemptState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import MachineState
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire.messages import JobSpec
 
 
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -27,9 +27,10 @@
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShards
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.settings import LaterLimits, Operator
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size, pack
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -27,10 +27,11 @@
 from topazhold.control.term_context import TermContext
 from topazhold.core.candidate_slots import SearchRules
 from topazhold.core.group_search import search
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.preemption import priority, queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.io.http import Response
 from topazhold.io.peer_transport import encode
 from topazhold.io.server import Connection
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -17,7 +17,7 @@
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShard
-from topazhold.core.jobs import TaskAttempt
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError
 
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -18,9 +18,10 @@
 from topazhold.control.peer_messages import PLACED, SUMMARY, Placed, Summary
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
-from topazhold.core.jobs import AttemptState, JobState
+from topazhold.core.jobs import JobState
 from topazhold.core.machines import Machine
 from topazhold.core.preemption import queue_key
+from topazhold.core.task_attempts import AttemptState
 from topazhold.core.zone_summary import cut_names, cut_summary, pack_names
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -7,10 +7,11 @@
 from topazhold.core import preemption
 from topazhold.core.cluster_state import NO_RESOURCES
 from topazhold.core.heartbeat_reconciliation import BAD_JOB_MACHINES
-from topazhold.core.jobs import Job, Resources, TaskAttempt
+from topazhold.core.jobs import Job, Resources
 from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.scheduling_round import SchedulingRound
+from topazhold.core.task_attempts import TaskAttempt
 
 #: Tasks of an array that get room back from other teams at once.
 MAX_PREEMPTED = 16
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -12,10 +12,11 @@
 
 from topazhold.core import autoscaling, gangs, quota, records
 from topazhold.core.estimates import Estimates
-from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
+from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import Reservation, ReservationTable, ReservedResources
 from topazhold.core.resource_offer import ResourceOffer
+from topazhold.core.task_attempts import UNSENT, AttemptState, TaskAttempt
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import MachineType
 
--- /dev/null
+++ b/topazhold/core/completion_bitmap.py
@@ -0,0 +1,30 @@
+"""The stored form of completion marks: a bitmap as text, since values carry no binary data."""
+
+from __future__ import annotations
+
+import base64
+from collections.abc import Iterator
+
+
+def pack_bitmap(completed: bytearray) -> str:
+    """One bit a task, the first in the lowest bit, in Base64; empty if none is completed."""
+    if not any(completed):
+        return ""
+    bits = 0
+    for offset, mark in enumerate(completed):
+        if mark:
+            bits |= 1 << offset
+    return base64.b64encode(bits.to_bytes((len(completed) + 7) // 8, "little")).decode("ascii")
+
+
+def unpack_bitmap(text: str) -> Iterator[int]:
+    """The offsets of completed tasks, in order.
+
+    Raises:
+        ValueError: the text is wrongly padded Base64.
+    """
+    bits = int.from_bytes(base64.b64decode(text), "little")
+    while bits:
+        lowest = bits & -bits
+        yield lowest.bit_length() - 1
+        bits ^= lowest
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -7,9 +7,10 @@
 
 from topazhold.core import gangs
 from topazhold.core.cluster_state import UP
-from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.machines import QUARANTINED, Machine, MachineState, fits
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.task_attempts import UNSENT, AttemptState, TaskAttempt
 from topazhold.core.worker_commands import WorkerCommands
 
 log = logging.getLogger(__name__)
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -9,10 +9,11 @@
 from collections.abc import Iterable
 
 from topazhold.core import gangs
-from topazhold.core.jobs import Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 
 
 def missing_jobs(jobs: Iterable[str], intents: Iterable[Intents]) -> list[str]:
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -8,11 +8,12 @@
 from topazhold.core import gangs, preemption
 from topazhold.core.array_placement import MAX_PLACED_TASKS
 from topazhold.core.cluster_state import NO_RESOURCES
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
+from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.replica_placement import ReplicaPlacement
 from topazhold.core.reservations import Reservation
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from topazhold.core.jobs import ON_MACHINE, AttemptState, GangState, Job, TaskAttempt
+from topazhold.core.jobs import GangState, Job
+from topazhold.core.task_attempts import ON_MACHINE, AttemptState, TaskAttempt
 
 
 class GangClock:
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable
 
 from topazhold.core.eviction import Eviction
-from topazhold.core.jobs import ON_MACHINE, UNSENT, AttemptState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import QUARANTINED, Machine, MachineState
+from topazhold.core.task_attempts import ON_MACHINE, UNSENT, AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Heartbeat, ListedMachine, TaskStatus
 
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -1,40 +1,30 @@
-"""Jobs, and the runs of their tasks on machines, as explicit state machines."""
+"""Accepted jobs with their tasks' progress, and gangs as explicit state machines."""
 
 from __future__ import annotations
 
-import base64
 import heapq
 from collections.abc import Iterator
 from enum import Enum
 
+from topazhold.core.completion_bitmap import pack_bitmap, unpack_bitmap
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import JobSpec
 
-#: Tasks whose done marks share one value of the state service.
+#: Tasks whose completion bitmap shares one value of the key-value store: a part.
 TASKS_PER_PART = 4096
 
-#: The wait aimed at for a class that has no aim for its start.
+#: Seconds; the wait objective of a class that has none for its start.
 NO_OBJECTIVE = 1e9
+#: Seconds; earlier than any time of a steady clock.
+LONG_AGO = -1e9
 
+#: CPUs, GPUs, memory in GB.
 Resources = tuple[float, float, float]
 
 
-class AttemptState(Enum):
-    """Where one attempt of one task stands."""
-
-    INTENDED = "intended"  # planned; the intent may not be written yet
-    WRITTEN = "written"  # the intent is in the state service
-    ORDERED = "ordered"  # the launch went out in a heartbeat's answer
-    PULLING = "pulling"
-    GATHERING = "gathering"
-    RUNNING = "running"
-    FLUSHING = "flushing"
-    ENDED = "ended"  # reported as ended, not cleared yet
-    GONE = "gone"  # proven not to be on its machine
-
-
 class GangState(Enum):
-    """Where a gang as a whole stands."""
+    """How far a gang as a whole has come."""
 
     WAITING = "waiting"
     STARTING = "starting"
@@ -43,135 +33,28 @@
 
 
 class JobState(Enum):
+    """Whether a job still has work to do, and how it ended if not."""
+
     LIVE = "live"
     DONE = "done"
     ABORTED = "aborted"
 
 
-_OBSERVED = {
-    wire.PULLING: AttemptState.PULLING,
-    wire.GATHERING: AttemptState.GATHERING,
-    wire.RUNNING: AttemptState.RUNNING,
-    wire.FLUSHING: AttemptState.FLUSHING,
-}
-
-# Tuples: looking an enum's member up in a set calls its hash function, in Python.
-#: States in which the worker is known to have the task.
-ON_MACHINE = tuple(_OBSERVED.values())
-#: Those of them in which the task has its image.
-WITH_IMAGE = (AttemptState.GATHERING, AttemptState.RUNNING, AttemptState.FLUSHING)
-#: States in which no launch has left this node, so dropping the run is safe.
-UNSENT = (AttemptState.INTENDED, AttemptState.WRITTEN)
-
-
-class TaskAttempt:
-    """One attempt of one task on one machine."""
-
-    __slots__ = (
-        "job",
-        "index",
-        "attempt_number",
-        "machine",
-        "incarnation",
-        "state",
-        "since",
-        "launch_sequence",
-        "running_since",
-        "stop_grace",
-        "stop_at",
-        "possibly_running",
-        "cause",
-        "kept",
-        "task_name",
-    )
-
-    def __init__(self, job: Job, index: int, attempt_number: int, machine: str, now: float) -> None:
-        self.job = job
-        self.index = index
-        self.attempt_number = attempt_number
-        self.machine = machine
-        self.task_name = wire.task_name_of(job.id, index)
-        self.incarnation = 0
-        self.state = AttemptState.INTENDED
-        self.since = now
-        self.launch_sequence = -1
-        self.running_since: float | None = None
-        self.stop_grace: float | None = None
-        self.stop_at = 0.0
-        self.possibly_running = False
-        self.cause: str | None = None
-        self.kept = False
-
-    def _enter(self, state: AttemptState, now: float) -> None:
-        if state is not self.state:
-            self.state = state
-            self.since = now
-
-    def written(self, now: float) -> None:
-        """The intent is committed."""
-        assert self.state is AttemptState.INTENDED
-        self._enter(AttemptState.WRITTEN, now)
-
-    def order(self, sequence: int, now: float) -> None:
-        """The launch goes out in the answer to report `sequence`."""
-        assert self.state is AttemptState.WRITTEN
-        self.launch_sequence = sequence
-        self._enter(AttemptState.ORDERED, now)
-
-    def launch_lost(self, now: float) -> None:
-        """A newer heartbeat lacks the task: that answer was dropped for good."""
-        assert self.state is AttemptState.ORDERED
-        self._enter(AttemptState.WRITTEN, now)
-
-    def observe(self, stage: str, now: float) -> None:
-        """The worker reports the task in `stage`."""
-        state = _OBSERVED.get(stage)
-        if state is None or self.state in (AttemptState.ENDED, AttemptState.GONE):
-            return
-        self.possibly_running = False
-        if state is AttemptState.RUNNING and self.running_since is None:
-            self.running_since = now
-        self._enter(state, now)
-
-    def end(self, cause: str, kept: bool, now: float) -> None:
-        """The worker reports that the task has ended."""
-        self.possibly_running = False
-        self.cause = cause
-        self.kept = kept
-        self._enter(AttemptState.ENDED, now)
-
-    def vanish(self, now: float) -> None:
-        """It is proven that the task is not on its machine and won't be."""
-        self._enter(AttemptState.GONE, now)
-
-    def stop(self, grace_s: float, now: float) -> None:
-        """Ask for a stop; a later call can only shorten the grace."""
-        if self.stop_grace is None:
-            self.stop_at = now
-            self.stop_grace = grace_s
-        else:
-            self.stop_grace = min(self.stop_grace, grace_s)
-
-    @property
-    def stopping(self) -> bool:
-        return self.stop_grace is not None
-
-    @property
-    def present(self) -> bool:
-        """Whether it counts against room, quota and place."""
-        return self.state not in (AttemptState.ENDED, AttemptState.GONE)
-
-
 class Job:
     """An accepted job with its tasks' progress."""
 
     def __init__(self, spec: JobSpec, arrived: float, submitted: float, node: str) -> None:
+        """`node` is the controller that accepted it; times are seconds.
+
+        `arrived` and what follows from it are on the local steady clock, `submitted` is the
+        time of day.
+        """
         self.spec = spec
         self.id = spec.id
-        self.arrived = arrived  # on the local steady clock
-        self.submitted = submitted  # time of day
+        self.arrived = arrived
+        self.submitted = submitted
         self.node = node
-        self.revision = 0
+        self.revision = 0  # of its value in the key-value store
         self.state = JobState.LIVE
         self.gang = spec.gang
         self.service = spec.service
@@ -179,32 +62,33 @@
         self.urgency_level = wire.URGENCIES.index(spec.urgency)
         self.within_guarantee = False
         self.wait_objective_s = NO_OBJECTIVE
-        self.is_aged = False  # a gang that has waited long
-        self.gathering_until = -1e9  # work gives way to it, on all its machines
-        self.attempts: dict[int, TaskAttempt] = {}
+        self.is_aged = False  # a gang that has waited so long that it goes first
+        self.gathering_until = LONG_AGO  # till then others are preempted on all its machines
+        self.attempts: dict[int, TaskAttempt] = {}  # by task index
         self.completed = bytearray(spec.tasks)
         self.completed_count = 0
-        self.unsaved_parts: set[int] = set()  # parts with marks not yet saved
+        self.unsaved_parts: set[int] = set()  # with completions that are not stored yet
         self.saved_at = arrived
         self.next_unplaced = 0  # no task from here on was ever placed
-        self.requeued: list[int] = []
+        self.requeued: list[int] = []  # a heap of tasks to place again
         self.gang_state = GangState.WAITING
         self.gang_since = arrived
-        self.progress_s = 0.0
-        self.failed_on: dict[str, float] = {}
-        self.not_before = 0.0
+        self.progress_s = 0.0  # of a gang, as its checkpoints have it
+        self.failed_on: dict[str, float] = {}  # machine -> when a task failed there
+        self.not_before = 0.0  # no task is placed earlier
         self.cancelled_at: float | None = None
-        self.starting_reservation = 0  # serial of the hold that the gang is starting with
-        self.used_reservation = 0  # serial of the newest hold that is used up
+        self.starting_reservation = 0  # serial of the reservation that the gang starts with
+        self.used_reservation = 0  # serial of the newest reservation that is used up
 
     # -- tasks -----------------------------------------------------------
 
     @property
     def waiting_count(self) -> int:
-        """Tasks that are neither done nor on a machine."""
+        """Tasks that are neither completed nor on a machine."""
         return self.spec.tasks - self.completed_count - len(self.attempts)
 
     def running_count(self) -> int:
+        """Tasks whose attempt runs."""
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def waiting_tasks(self) -> Iterator[int]:
@@ -225,10 +109,11 @@
             heapq.heappush(self.requeued, index)
 
     def add_attempt(self, attempt: TaskAttempt) -> None:
+        """Make it the attempt of its task."""
         self.attempts[attempt.index] = attempt
 
     def remove_attempt(self, attempt: TaskAttempt) -> None:
-        """Forget a run that has ended or is proven gone."""
+        """Forget an attempt that has ended or is proven gone."""
         if self.attempts.get(attempt.index) is attempt:
             del self.attempts[attempt.index]
             if self.state is JobState.LIVE:
@@ -243,10 +128,11 @@
 
     @property
     def complete(self) -> bool:
+        """Whether all tasks have completed."""
         return self.completed_count == self.spec.tasks
 
     def zones_used(self, zone_of: dict[str, str]) -> dict[str, int]:
-        """Present tasks per zone; machines unknown by now count under ''."""
+        """Present attempts per zone; machines unknown by now count under ''."""
         zones: dict[str, int] = {}
         for attempt in self.attempts.values():
             if attempt.present:
@@ -257,49 +143,37 @@
     # -- changes of state ------------------------------------------------
 
     def finish(self) -> None:
+        """All tasks have completed."""
         assert self.state is JobState.LIVE
         self.state = JobState.DONE
 
     def abort(self, cancelled_at: float) -> None:
+        """The job was cancelled at that time of the steady clock."""
         self.state = JobState.ABORTED
         self.cancelled_at = cancelled_at
 
     def enter_gang_state(self, state: GangState, now: float) -> None:
+        """Change the gang's state; entering the present one changes nothing."""
         if state is not self.gang_state:
             self.gang_state = state
             self.gang_since = now
 
-    # -- the saved form --------------------------------------------------
+    # -- the stored form --------------------------------------------------
 
     def part_text(self, part: int) -> str:
-        """Done marks of one part; text, since the interface has no binary data."""
-        marks = self.completed[part * TASKS_PER_PART : (part + 1) * TASKS_PER_PART]
-        return _marks_to_text(marks)
+        """Completions of one part as they are stored."""
+        return pack_bitmap(self.completed[part * TASKS_PER_PART : (part + 1) * TASKS_PER_PART])
 
     def load_part(self, part: int, text: str) -> None:
-        """Done marks as they were saved; none are believed of a service."""
+        """Take over stored completions; a service has none, whatever is stored.
+
+        Raises:
+            ValueError: the text is wrongly padded Base64.
+        """
         if self.service:
             return
-        for offset in _text_to_marks(text):
+        for offset in unpack_bitmap(text):
             index = part * TASKS_PER_PART + offset
             if index < self.spec.tasks and not self.completed[index]:
                 self.completed[index] = 1
                 self.completed_count += 1
-
-
-def _marks_to_text(marks: bytearray) -> str:
-    if not any(marks):
-        return ""
-    bits = 0
-    for offset, mark in enumerate(marks):
-        if mark:
-            bits |= 1 << offset
-    return base64.b64encode(bits.to_bytes((len(marks) + 7) // 8, "little")).decode("ascii")
-
-
-def _text_to_marks(text: str) -> Iterator[int]:
-    bits = int.from_bytes(base64.b64decode(text), "little")
-    while bits:
-        low = bits & -bits
-        yield low.bit_length() - 1
-        bits ^= low
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -5,7 +5,8 @@
 from collections import OrderedDict
 from enum import Enum
 
-from topazhold.core.jobs import WITH_IMAGE, Resources, TaskAttempt
+from topazhold.core.jobs import Resources
+from topazhold.core.task_attempts import WITH_IMAGE, TaskAttempt
 from topazhold.wire.messages import MachineType
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
+from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
 from topazhold.core.reservations import NOT_AGED, QueueKey
 from topazhold.core.resource_offer import AGED
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
 def priority(job: Job) -> tuple[int, int]:
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -8,9 +8,10 @@
 from topazhold.core import preemption
 from topazhold.core.array_placement import MAX_PLACED_TASKS, ArrayPlacement
 from topazhold.core.cluster_state import NO_RESOURCES
-from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
+from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.machines import Machine, add_resources, count_fitting
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.task_attempts import TaskAttempt
 
 #: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
 #: where another replica of the job is, where the machine takes less other work from then
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -5,9 +5,10 @@
 from topazhold.core import preemption
 from topazhold.core.cluster_state import NO_RESOURCES
 from topazhold.core.heartbeat_reconciliation import HeartbeatReconciliation
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources
+from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, MachineState, add_resources
 from topazhold.core.resource_offer import AGED, Priority, ResourceOffer
+from topazhold.core.task_attempts import AttemptState
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -6,10 +6,11 @@
 
 from topazhold.core import preemption
 from topazhold.core.cluster_state import NO_RESOURCES, LowerWork
-from topazhold.core.jobs import AttemptState, GangState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.machines import Machine, MachineState, add_resources, fits
 from topazhold.core.reservations import QueueKey, Reservation, ReservedResources
 from topazhold.core.resource_offers import ResourceOffers
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: A hold whose room is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -6,8 +6,9 @@
 from collections.abc import Iterable
 
 from topazhold.core.cluster_state import ClusterState
-from topazhold.core.jobs import TASKS_PER_PART, UNSENT, AttemptState, JobState
+from topazhold.core.jobs import TASKS_PER_PART, JobState
 from topazhold.core.machines import Machine, MachineState
+from topazhold.core.task_attempts import UNSENT, AttemptState
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Command, Heartbeat
 
