--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -1,53 +1,49 @@
-"""Holds: room booked for a gang by the controller that searches for it.
+"""Reservations: resources kept for a gang by the controller that searches for it.
 
-Each controller keeps its holds in one value of the state service and writes it
-in one transaction that also guards the marks of the other controllers'
-values, so of two that book the same room at once only one succeeds.
+Each controller keeps its reservations in one value of the key-value store and writes it with
+a compare-and-swap that also guards the revisions of the other controllers' values, so of two
+that reserve the same resources at once only one succeeds. Keys and fields of the value keep
+the names of the first version.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from topazhold.core.jobs import Resources
 from topazhold.wire import messages as wire
 
 RESERVATION_PREFIX = "hold/"
-LEVELS = len(wire.URGENCIES)
-
-#: Whose turn it is: outside its guarantee, urgency, then time of submission of those
-#: that press, or LATER and the wait that its class aims at; smaller goes first.
+#: Urgency levels, 0 the most urgent.
+URGENCY_LEVELS = len(wire.URGENCIES)
+#: In place of an urgency level: reservations of all levels bind.
+EVERY_LEVEL = -1
+
+#: The order of the queue: (outside its guaranteed quota, urgency level, a time in seconds),
+#: smaller first. The time is that of submission for aged gangs, for others NOT_AGED and the
+#: wait objective of their class.
 QueueKey = tuple[int, int, float]
+#: Seconds; later than any time of day.
 NOT_AGED = 1e12
 
 
+@dataclass(slots=True, eq=False)
 class Reservation:
-    """Room for all tasks of one gang: machines with a number of tasks each."""
-
-    __slots__ = ("job", "slots", "need", "score", "serial", "made_at", "free_now", "queue_key")
+    """Resources for all tasks of one gang: machines with a number of tasks each."""
 
-    def __init__(
-        self,
-        job: str,
-        slots: dict[str, int],
-        need: Resources,
-        score: float,
-        serial: int,
-        made_at: float,
-        free_now: bool,
-        queue_key: QueueKey,
-    ) -> None:
-        self.job = job
-        self.slots = slots
-        self.need = need
-        self.score = score
-        self.serial = serial  # told apart from an earlier, used hold of the job
-        self.made_at = made_at  # time of day
-        self.free_now = free_now
-        self.queue_key = queue_key
+    job: str
+    slots: dict[str, int]  # machine -> tasks
+    need: Resources  # of one task
+    score: float  # of the search, in seconds
+    serial: int  # tells it from an earlier, used reservation of the job
+    made_at: float  # time of day
+    free_now: bool
+    queue_key: QueueKey
 
     def pack(self) -> list[Any]:
+        """The form in which it is stored."""
         slots = [[machine, count] for machine, count in sorted(self.slots.items())]
         return [
             self.job,
@@ -62,7 +58,7 @@
 
 
 def unpack(data: Any) -> Reservation:
-    """Read a hold; ValueError if it is none."""
+    """Read what `Reservation.pack` has made; ValueError if it is none."""
     try:
         job, slots, need, score, serial, made_at, free_now, queue_key = data
         return Reservation(
@@ -76,31 +72,32 @@
             (int(queue_key[0]), int(queue_key[1]), float(queue_key[2])),
         )
     except (TypeError, IndexError) as exc:
-        raise ValueError(f"not a hold: {exc}") from None
+        raise ValueError(f"not a reservation: {exc}") from None
 
 
 def pack_value(reservations: Iterable[Reservation], token: str) -> dict[str, Any]:
+    """One controller's value; `token` tells its write from others when it is read back."""
     return {"by": token, "holds": [reservation.pack() for reservation in reservations]}
 
 
 def unpack_value(data: Any) -> list[Reservation]:
-    """Holds of one controller's value; unreadable ones are left out."""
-    found = []
+    """Reservations of one controller's value; unreadable ones are left out."""
+    reservations = []
     for item in data.get("holds", ()) if isinstance(data, dict) else ():
         try:
-            found.append(unpack(item))
+            reservations.append(unpack(item))
         except ValueError:
             continue
-    return found
+    return reservations
 
 
 class ReservationTable:
-    """All controllers' holds, as far as this one has read them."""
+    """All controllers' reservations, as far as this one has read them."""
 
     def __init__(self, node: str) -> None:
         self.node = node
-        self.revisions: dict[str, int] = {}
-        self.reservations: dict[str, dict[str, Reservation]] = {}
+        self.revisions: dict[str, int] = {}  # by controller
+        self.reservations: dict[str, dict[str, Reservation]] = {}  # by controller, then job
 
     def read(self, node: str, data: Any, revision: int) -> None:
         """A controller's value was read, or seen to change."""
@@ -118,7 +115,7 @@
             self.reservations.pop(node, None)
 
     def replace(self, entries: dict[str, tuple[Any, int]]) -> None:
-        """The whole book was read anew."""
+        """All values were read again: (data, revision) by controller."""
         for node in list(self.revisions):
             if node not in entries:
                 del self.revisions[node]
@@ -127,24 +124,27 @@
             self.read(node, data, revision)
 
     def of_job(self, job: str) -> Reservation | None:
-        """The newest hold of a job, whoever made it."""
-        found = [part[job] for part in self.reservations.values() if job in part]
+        """The newest reservation of a job, whoever made it."""
+        reservations = [by_job[job] for by_job in self.reservations.values() if job in by_job]
         return max(
-            found, key=lambda reservation: (reservation.serial, reservation.made_at), default=None
+            reservations,
+            key=lambda reservation: (reservation.serial, reservation.made_at),
+            default=None,
         )
 
     def all(self) -> Iterable[Reservation]:
-        for part in self.reservations.values():
-            yield from part.values()
+        """Every controller's reservations."""
+        for by_job in self.reservations.values():
+            yield from by_job.values()
 
     def taken(
         self, skip_job: str, queue_key: QueueKey, binding: Callable[[Reservation], bool]
     ) -> dict[str, Resources]:
-        """Held room per machine that a job must leave alone when its turn has come.
+        """Reserved resources per machine that a job with this queue key must leave alone.
 
-        Only holds of those whose turn comes before bind. Without that exception a
-        swarm of guest gangs that books far ahead starves work that goes first,
-        and a stream of small gangs starves a large one that came before them.
+        Only reservations of jobs that come before it in the queue bind it. Else many gangs
+        beyond their guaranteed quota that reserve far ahead would starve work that goes first,
+        and a stream of small gangs a large one that came before them.
         """
         by_machine: dict[str, Resources] = {}
         for reservation in self.all():
@@ -158,16 +158,24 @@
         return by_machine
 
     def conditions(self) -> list[tuple[str, int]]:
-        """Marks that a booking depends on, its own value's included."""
-        revisions = {node: revision for node, revision in self.revisions.items()}
+        """Keys and revisions that a reservation depends on, its own value's included."""
+        revisions = dict(self.revisions)
         revisions.setdefault(self.node, 0)
         return [
             (RESERVATION_PREFIX + node, revision) for node, revision in sorted(revisions.items())
         ]
 
 
+class _QueuedReservation(NamedTuple):
+    """A reservation at the present place of its job in the queue."""
+
+    queue_key: QueueKey
+    serial: int
+    reservation: Reservation
+
+
 class ReservedResources:
-    """What holds keep, added up as the turns of a round of planning go by."""
+    """What reservations keep, added up as a scheduling round goes through the queue."""
 
     def __init__(
         self,
@@ -175,55 +183,53 @@
         queue_key_of: Callable[[Reservation], QueueKey | None],
         is_gathering: Callable[[Reservation], bool],
     ) -> None:
-        """`queue_key_of` gives the present turn of a hold's job; None if it binds nobody.
-
-        `gathers` tells whether the job is getting its room just now.
+        """`queue_key_of` gives the present queue key of a reservation's job; None if it binds
+        nobody. `is_gathering` tells whether the job is getting its resources just now.
         """
         self._is_gathering = is_gathering
-        turns = [
-            (queue_key_of(reservation), reservation) for reservation in reservation_table.all()
+        queued = [
+            _QueuedReservation(queue_key, reservation.serial, reservation)
+            for reservation in reservation_table.all()
+            if (queue_key := queue_key_of(reservation)) is not None
         ]
-        self._waiting = sorted(
-            (
-                (queue_key, reservation.serial, reservation)
-                for queue_key, reservation in turns
-                if queue_key is not None
-            ),
-            key=lambda item: item[:2],
-            reverse=True,
-        )
-        self._own: dict[str, list[tuple[QueueKey, Reservation]]] = {}
+        #: Those whose turn has not come, the next one last.
+        self._waiting = sorted(queued, key=lambda item: item[:2], reverse=True)
+        self._own: dict[str, list[_QueuedReservation]] = {}  # by job
+        #: By the urgency level that must leave them alone, then by machine.
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
-    def _add(self, queue_key: QueueKey, reservation: Reservation, sign: int = 1) -> None:
-        is_gathering = self._is_gathering(reservation)
-        for urgency_level in range(-1, LEVELS):
-            if urgency_level <= queue_key[1] or is_gathering:
-                add_reservation(self._by_machine.setdefault(urgency_level, {}), reservation, sign)
+    def _add(self, queued: _QueuedReservation, sign: int = 1) -> None:
+        is_gathering = self._is_gathering(queued.reservation)
+        for urgency_level in range(EVERY_LEVEL, URGENCY_LEVELS):
+            if urgency_level <= queued.queue_key[1] or is_gathering:
+                by_machine = self._by_machine.setdefault(urgency_level, {})
+                add_reservation(by_machine, queued.reservation, sign)
 
     def release(self, job: str) -> None:
-        """The job begins: its holds keep nothing any more."""
-        for queue_key, reservation in self._own.pop(job, ()):
-            self._add(queue_key, reservation, -1)
-        self._waiting = [item for item in self._waiting if item[2].job != job]
+        """The job begins: its reservations keep nothing any more."""
+        for queued in self._own.pop(job, ()):
+            self._add(queued, -1)
+        self._waiting = [queued for queued in self._waiting if queued.reservation.job != job]
 
     def taken(
         self, skip_job: str, queue_key: QueueKey, yields: bool = False
     ) -> Mapping[str, Resources]:
-        """As `ReservationTable.taken`; turns must come in order.
+        """As `ReservationTable.taken`; queue keys must come in order.
 
-        Work that `yields` may use the room of more urgent gangs that still wait
-        for other machines: it can be stopped once they have them. Else a gang
-        that waits for its last machine keeps all its others idle.
+        Work that `yields` may use the resources of more urgent gangs that still wait for
+        other machines: it can be preempted once they have them. Else a gang that waits for
+        its last machine would keep all its others idle.
         """
-        while self._waiting and self._waiting[-1][0] <= queue_key:
-            of_queue_key, _, reservation = self._waiting.pop()
-            self._own.setdefault(reservation.job, []).append((of_queue_key, reservation))
-            self._add(of_queue_key, reservation)
-        urgency_level = queue_key[1] if yields else -1
+        while self._waiting and self._waiting[-1].queue_key <= queue_key:
+            queued = self._waiting.pop()
+            self._own.setdefault(queued.reservation.job, []).append(queued)
+            self._add(queued)
+        urgency_level = queue_key[1] if yields else EVERY_LEVEL
         by_machine = self._by_machine.setdefault(urgency_level, {})
         own = [
-            reservation for of, reservation in self._own.get(skip_job, ()) if urgency_level <= of[1]
+            queued.reservation
+            for queued in self._own.get(skip_job, ())
+            if urgency_level <= queued.queue_key[1]
         ]
         if not own:
             return by_machine
@@ -236,13 +242,13 @@
 def add_reservation(
     by_machine: dict[str, Resources], reservation: Reservation, sign: int = 1
 ) -> None:
-    """Add a hold's room, machine by machine."""
+    """Add a reservation's resources machine by machine, or take them off with sign -1."""
     need = reservation.need
     for machine, count in reservation.slots.items():
-        available = by_machine.get(machine, (0.0, 0.0, 0.0))
+        reserved = by_machine.get(machine, (0.0, 0.0, 0.0))
         times = count * sign
         by_machine[machine] = (
-            available[0] + need[0] * times,
-            available[1] + need[1] * times,
-            available[2] + need[2] * times,
+            reserved[0] + need[0] * times,
+            reserved[1] + need[1] * times,
+            reserved[2] + need[2] * times,
         )
