--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -6,10 +6,11 @@
 
 from tests.fakes.controllers import make_settings
 from tests.job_specs import MACHINE_TYPE
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.settings import Operator
 from topazhold.wire.messages import Command, Heartbeat, JobSpec, TaskStatus
 
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -6,7 +6,8 @@
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core import failover, records
 from topazhold.core.intent_shards import MAX_MACHINES, IntentShards
-from topazhold.core.jobs import Job, TaskAttempt
+from topazhold.core.jobs import Job
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.wire.codec import json_size
 
 
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -13,9 +13,10 @@
 from tests.job_specs import MACHINE_TYPE, make_spec
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
-from topazhold.core.jobs import AttemptState, Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.settings import Operator
 from topazhold.wire import messages as wire
 
--- a/tests/test_plan_rounds.py
+++ b/tests/test_plan_rounds.py
@@ -11,8 +11,9 @@
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.binding_reservations import BindingReservations
 from topazhold.core.fleet_survey import FleetSurvey
-from topazhold.core.jobs import JobState, TaskAttempt
+from topazhold.core.jobs import JobState
 from topazhold.core.scheduling_round import SchedulingRounds
+from topazhold.core.task_attempts import TaskAttempt
 
 
 def stops(harness: SchedulerHarness) -> list[tuple[str, int, float | None]]:
--- a/tests/test_rental_limits.py
+++ b/tests/test_rental_limits.py
@@ -9,13 +9,8 @@
 
 from tests.job_specs import MACHINE_TYPE, make_spec
 from tests.scheduler_harness import SchedulerHarness
-from topazhold.core.autoscaling import (
-    CapacityBackoff,
-    CapacityDemand,
-    Fleet,
-    ScaleOutRequest,
-    scale_out,
-)
+from topazhold.core.autoscaling import CapacityBackoff, Fleet, ScaleOutRequest, scale_out
+from topazhold.core.capacity_demand import CapacityDemand
 from topazhold.core.machines import Machine, MachineState
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured, and
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -6,8 +6,9 @@
 
 from tests.job_specs import make_spec
 from tests.scheduler_harness import SchedulerHarness
-from topazhold.core.jobs import AttemptState, GangState, Job, TaskAttempt
-from topazhold.core.search import AGED
+from topazhold.core.jobs import GangState, Job
+from topazhold.core.resource_offer import AGED
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
 def running_gang(harness: SchedulerHarness, number: int = 1, **changes: object) -> Job:
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -4,7 +4,8 @@
 
 from tests.job_specs import make_spec
 from tests.scheduler_harness import SchedulerHarness
-from topazhold.core.jobs import AttemptState, GangState, Job
+from topazhold.core.jobs import GangState, Job
+from topazhold.core.task_attempts import AttemptState
 from topazhold.wire.messages import Heartbeat
 
 
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -5,9 +5,10 @@
 from tests.job_specs import make_spec
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core import failover
-from topazhold.core.jobs import AttemptState, Job
+from topazhold.core.jobs import Job
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
+from topazhold.core.task_attempts import AttemptState
 from topazhold.wire.messages import ListedMachine
 
 
@@ -79,11 +80,15 @@
     scheduler = harness.scheduler
     machine = scheduler.machines["host-0"]
     for number in (1, 2):
-        scheduler.parts.failure_attribution.on_attempt_failed(machine, harness.add_job(make_spec(number)), harness.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(
+            machine, harness.add_job(make_spec(number)), harness.now
+        )
     assert machine.state is MachineState.DRAINING
     bad = harness.add_job(make_spec(7))
     for name in ("host-1", "host-2", "host-3"):
-        scheduler.parts.failure_attribution.on_attempt_failed(scheduler.machines[name], bad, harness.now)
+        scheduler.parts.failure_attribution.on_attempt_failed(
+            scheduler.machines[name], bad, harness.now
+        )
     assert bad.not_before > harness.now
     for name in ("host-1", "host-2", "host-3"):
         assert scheduler.machines[name].state is MachineState.READY
@@ -183,5 +188,6 @@
     harness, _ = silent_group(0.6)
     assert not harness.scheduler.releases
     assert not any(
-        harness.scheduler.parts.failure_detection.is_missing(m, harness.now) for m in harness.scheduler.machines.values()
+        harness.scheduler.parts.failure_detection.is_missing(m, harness.now)
+        for m in harness.scheduler.machines.values()
     )
--- a/tests/test_scheduler_offers.py
+++ b/tests/test_scheduler_offers.py
@@ -4,7 +4,7 @@
 
 from tests.job_specs import make_spec
 from tests.scheduler_harness import SchedulerHarness
-from topazhold.core.jobs import AttemptState, TaskAttempt
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
 def test_offers_are_as_many_as_the_largest_gang_needs() -> None:
--- a/tests/test_scheduler_unreachable_machines.py
+++ b/tests/test_scheduler_unreachable_machines.py
@@ -5,7 +5,8 @@
 from tests.job_specs import make_spec
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.autoscaling import counts_as_capacity
-from topazhold.core.jobs import AttemptState, GangState
+from topazhold.core.jobs import GangState
+from topazhold.core.task_attempts import AttemptState
 
 
 def test_machine_whose_launches_never_arrive_is_unreachable_for_commands(
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -11,8 +11,9 @@
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.fleet_survey import OtherWork
-from topazhold.core.jobs import AttemptState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import MachineState
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire.messages import JobSpec
 
 
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -13,7 +13,7 @@
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import Job, Resources
 from topazhold.core.machines import Machine, add_resources, count_fitting
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.start_objectives import StartObjectives
 
 #: Tasks of an array that get room back from other teams at once.
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -11,9 +11,9 @@
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.reservations import QueueKey, Reservation, ReservationTable, ReservedResources
 from topazhold.core.resource_offers import ResourceOffers
-from topazhold.core.search import allowed
 from topazhold.core.team_limits import TeamLimits
 
 log = logging.getLogger(__name__)
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -7,10 +7,11 @@
 
 from topazhold.core import quota, records
 from topazhold.core.estimates import Estimates
-from topazhold.core.jobs import UNSENT, AttemptState, Job, JobState, Resources, TaskAttempt
+from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.recent_names import RecentNames
 from topazhold.core.start_objectives import StartObjectives
+from topazhold.core.task_attempts import UNSENT, AttemptState, TaskAttempt
 from topazhold.core.timing import Timing
 from topazhold.settings import Settings
 from topazhold.wire.messages import MachineType
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -4,9 +4,9 @@
 
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
-from topazhold.core.jobs import AttemptState, TaskAttempt
 from topazhold.core.machines import QUARANTINED, Machine, fits
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
 LAST_MOVE_HEARTBEATS = 2.0
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -6,8 +6,9 @@
 
 from topazhold.core import gangs
 from topazhold.core.cluster_state import ClusterState
-from topazhold.core.jobs import UNSENT, AttemptState, GangState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.start_objectives import StartObjectives
+from topazhold.core.task_attempts import UNSENT, AttemptState, TaskAttempt
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/failure_attribution.py
+++ b/topazhold/core/failure_attribution.py
@@ -5,8 +5,9 @@
 import logging
 
 from topazhold.core.cluster_state import ClusterState
-from topazhold.core.jobs import AttemptState, Job, TaskAttempt
+from topazhold.core.jobs import Job
 from topazhold.core.machines import QUARANTINED, Machine
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -8,8 +8,8 @@
 
 from topazhold.core.cluster_state import UP, ClusterState
 from topazhold.core.draining import Draining
-from topazhold.core.jobs import AttemptState
 from topazhold.core.machines import Machine, MachineState
+from topazhold.core.task_attempts import AttemptState
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -6,9 +6,10 @@
 from typing import NamedTuple
 
 from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
-from topazhold.core.jobs import Job, JobState, Resources, TaskAttempt
+from topazhold.core.jobs import Job, JobState, Resources
 from topazhold.core.machines import Machine, add_resources, count_fitting, fits
 from topazhold.core.reservations import ReservedResources
+from topazhold.core.task_attempts import TaskAttempt
 
 #: Attempts planned in one round.
 MAX_PLACED_TASKS = 96
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -7,10 +7,12 @@
 
 from topazhold.core import autoscaling, preemption
 from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
+from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, MachineState, add_resources
 from topazhold.core.reservations import ReservationTable, add_reservation
-from topazhold.core.search import AGED, CACHE_LENGTH, Priority, ResourceOffer, sooner
+from topazhold.core.resource_offer import AGED, Priority, ResourceOffer
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
+from topazhold.core.zone_summary import CACHE_LENGTH, sooner
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -11,11 +11,12 @@
 from random import Random
 
 from topazhold.core import autoscaling
-from topazhold.core.jobs import Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.reservations import Reservation, ReservationTable
+from topazhold.core.resource_offer import ResourceOffer
 from topazhold.core.scheduler_parts import SchedulerParts
-from topazhold.core.search import ResourceOffer
+from topazhold.core.task_attempts import TaskAttempt
 from topazhold.settings import Operator, Settings
 from topazhold.wire.messages import Command, Heartbeat, ListedMachine, MachineType
 
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -17,9 +17,10 @@
 from topazhold.core.fleet_survey import FleetSurvey
 from topazhold.core.gang_placement import GangPlacement
 from topazhold.core.job_queue import JobQueue
-from topazhold.core.jobs import AttemptState, GangState, Job, Resources, TaskAttempt
+from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, fits
 from topazhold.core.replica_placement import ReplicaPlacement
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.core.worker_commands import WorkerCommands
 
 
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -7,8 +7,9 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
 from topazhold.core.failure_attribution import FailureAttribution
-from topazhold.core.jobs import ON_MACHINE, AttemptState, Job, JobState, TaskAttempt
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine
+from topazhold.core.task_attempts import ON_MACHINE, AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
 from topazhold.wire.messages import Heartbeat, TaskStatus
 
--- a/topazhold/core/team_limits.py
+++ b/topazhold/core/team_limits.py
@@ -7,7 +7,8 @@
 from topazhold.core import preemption
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
-from topazhold.core.jobs import AttemptState, GangState, Job, TaskAttempt
+from topazhold.core.jobs import GangState, Job
+from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
 class TeamWork(NamedTuple):
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -9,7 +9,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import count_fitting
-from topazhold.core.search import allowed
+from topazhold.core.placement_constraints import allowed
 from topazhold.core.team_limits import TeamLimits
 from topazhold.wire.messages import MachineType
 
