--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -19,7 +19,7 @@
     ScaleInOperation,
 )
 from topazhold.operations.lease_confidence import LeaseConfidence, LeaseConfidenceTracker
-from topazhold.operations.operation_log import MAX_CLOSED_SCALE_INS, OperationLog
+from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.records import (
     OPERATION_PREFIX,
     SCALE_IN_PREFIX,
@@ -29,6 +29,7 @@
     read_record,
     write_record,
 )
+from topazhold.operations.retention import MAX_CLOSED_SCALE_INS
 
 #: Longer than a lease of a controller, by far.
 PAUSE_S = 30.0
@@ -407,25 +408,25 @@
 
 def test_holder_doubts_itself_after_a_pause_or_a_jump() -> None:
     lease_confidence = LeaseConfidenceTracker(longest_gap_s=1.0, now=0.0, wall=1000.0)
-    assert lease_confidence.look(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
-    assert lease_confidence.look(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
+    assert lease_confidence.check(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
+    assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
     lease_confidence.confirm(asked_at=2.4)
-    assert lease_confidence.look(2.6, 1002.6, True) is LeaseConfidence.DOUBTED, (
+    assert lease_confidence.check(2.6, 1002.6, True) is LeaseConfidence.DOUBTED, (
         "asked before the pause"
     )
     lease_confidence.confirm(asked_at=2.6)
-    assert lease_confidence.look(2.7, 1002.7, True) is LeaseConfidence.CONFIRMED
-    assert lease_confidence.look(2.8, 1302.8, True) is LeaseConfidence.DOUBTED, (
+    assert lease_confidence.check(2.7, 1002.7, True) is LeaseConfidence.CONFIRMED
+    assert lease_confidence.check(2.8, 1302.8, True) is LeaseConfidence.DOUBTED, (
         "suspended: one clock stood"
     )
     lease_confidence.confirm(asked_at=2.8)
-    assert lease_confidence.look(2.9, 1002.9, True) is LeaseConfidence.CONFIRMED, (
+    assert lease_confidence.check(2.9, 1002.9, True) is LeaseConfidence.CONFIRMED, (
         "the time of day set back"
     )
-    assert lease_confidence.look(3.0, 1003.0, False) is LeaseConfidence.DOUBTED, (
+    assert lease_confidence.check(3.0, 1003.0, False) is LeaseConfidence.DOUBTED, (
         "its lease is near its end"
     )
     lease_confidence.confirm(asked_at=3.0)
     lease_confidence.lose()
     lease_confidence.confirm(asked_at=3.1)
-    assert lease_confidence.look(3.1, 1003.1, True) is LeaseConfidence.LOST
+    assert lease_confidence.check(3.1, 1003.1, True) is LeaseConfidence.LOST
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -129,7 +129,7 @@
         if self._look(executor):
             return True
         if (
-            executor.lease_confidence.look(self.now, self.now, True) is LeaseConfidence.LOST
+            executor.lease_confidence.check(self.now, self.now, True) is LeaseConfidence.LOST
             or not self.state_up
         ):
             return False
@@ -142,7 +142,7 @@
     def _look(self, executor: Holder) -> bool:
         lease_is_valid = self.now < executor.valid_until
         return (
-            executor.lease_confidence.look(self.now, self.now, lease_is_valid)
+            executor.lease_confidence.check(self.now, self.now, lease_is_valid)
             is LeaseConfidence.CONFIRMED
         )
 
@@ -223,7 +223,7 @@
             elif fate != "refused":
                 names = self._rent(request)
                 if fate == "done":
-                    executor.operation_log.rented(request, names, self.now)
+                    executor.operation_log.scale_out_answered(request, names, self.now)
                     executor.machines |= set(names)
         elif fate == "held":
             self.held.append(lambda: self._release(request.names))
@@ -367,7 +367,7 @@
 
 
 def no_look_after_a_pause(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(LeaseConfidenceTracker, "look", lambda *args: LeaseConfidence.CONFIRMED)
+    patch.setattr(LeaseConfidenceTracker, "check", lambda *args: LeaseConfidence.CONFIRMED)
 
 
 def returns_not_kept(patch: pytest.MonkeyPatch) -> None:
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -98,11 +98,11 @@
     settings, _ = read_settings(config, operator)
     import msgspec
 
-    from topazhold.operations.inspection import ControllersUnreachableError, as_text, read_report
+    from topazhold.operations.inspection import StoreUnreachableError, as_text, read_report
 
     try:
         report = read_report(settings)
-    except ControllersUnreachableError as exc:
+    except StoreUnreachableError as exc:
         click.echo(f"topazhold: state service at {settings.outside.state}: {exc}", err=True)
         sys.exit(UNREACHABLE_STATUS)
     click.echo(msgspec.json.encode(report).decode() if as_json else as_text(report))
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -32,9 +32,9 @@
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.client import Client
 from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
-from topazhold.operations.failover import read_entries
+from topazhold.operations.failover import load_operations
 from topazhold.operations.released_machines import ReleasedMachines
-from topazhold.operations.term_operations import TermOperations
+from topazhold.operations.term_operations import OperationSettings, TermOperations
 from topazhold.settings import Operator, Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, convert
@@ -93,9 +93,7 @@
             context,
             cloud,
             self._intents,
-            settings,
-            operator,
-            controller_lease_s,
+            OperationSettings.of(settings, operator, controller_lease_s),
             now,
             announce_released,
         )
@@ -113,13 +111,13 @@
         start = await curio.clock()
         while True:
             try:
-                operations = await read_entries(self.context)
+                operations = await load_operations(self.context)
                 self._seen_revisions = await load(self.context, self._machine_types)
                 break
             except STORE_ERRORS as exc:
                 log.debug("take-over waits: %s", exc)
                 await curio.sleep(self.context.retry_s)
-        await self.operations.take_over(operations, self._released.names())
+        await self.operations.rebuild(operations, self._released.names())
         now = await curio.clock()
         log.info(
             "leader %s term %d took over in %.2f s: %d jobs, %d machines",
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -1,8 +1,8 @@
-"""The duty of cleaning up: done marks of large jobs that are over.
+"""Clean-up: removes the completion bitmaps of large jobs that are over.
 
-They may take several transactions to remove. Then the job and its parts are recorded first, so
-that a successor goes on where this holder ended. What a user's cancellation left behind while
-nobody led is found by a look at all parts when a term begins.
+Their parts may take several transactions to remove. Then the job and its parts are recorded
+first, so that a successor goes on where this leader ended. What a user's cancellation left
+behind while nobody led is found by a read of all parts when a term begins.
 """
 
 from __future__ import annotations
@@ -24,13 +24,12 @@
 
 log = logging.getLogger(__name__)
 
-
-#: States of an order that is not carried out yet.
-OPEN = (OperationState.DECIDED, OperationState.RECORDED, OperationState.SENT)
+#: States of an operation that is not carried out yet.
+UNFINISHED = (OperationState.DECIDED, OperationState.RECORDED, OperationState.SENT)
 
 
 class CleanupExecutor:
-    """Removes what jobs that are over have left in the state service."""
+    """Removes what jobs that are over have left in the key-value store."""
 
     def __init__(self, context: TermContext, executor: FencedExecutor) -> None:
         self._context = context
@@ -38,34 +37,37 @@
         self._swept = False
 
     def on_job_ended(self, job: Job) -> None:
-        """A job is over; its parts, if it has any, are of no use any more."""
+        """A job is over: decide to remove its parts, if it has any."""
         self._decide(job.id, range(1, records.parts_of(job)))
 
     def _decide(self, job_id: str, parts: range | list[int]) -> None:
         if not parts or any(
             operation.record.job == job_id
-            for operation in self._executor.operation_log.of_kind(CleanupOperation, *OPEN)
+            for operation in self._executor.operation_log.of_kind(CleanupOperation, *UNFINISHED)
         ):
             return
         operation = self._executor.operation_log.decide_cleanup(job_id, parts, time.time())
         if len(parts) < self._context.txn_ops and operation.state is OperationState.DECIDED:
-            operation.waive_record()  # one transaction is whole by itself
+            operation.waive_record()  # a single transaction is atomic
 
     async def loop(self) -> None:
-        """Clean up, again and again."""
+        """Clean up once every heartbeat interval for as long as the term lasts."""
         while True:
             await curio.sleep(self._context.heartbeat_interval_s)
             if not self._swept:
                 self._swept = await self._attempt(self._sweep)
             if (
-                self._executor.operation_log.of_kind(CleanupOperation, *OPEN)
+                self._executor.operation_log.of_kind(CleanupOperation, *UNFINISHED)
                 and await self._executor.may_act()
             ):
                 await self._executor.record()
                 await self._attempt(self._remove_all)
 
     async def _attempt(self, work: Callable[[], Awaitable[None]]) -> bool:
-        """Whether the state service let the work be done."""
+        """Whether the key-value store let the work be done.
+
+        Raises LeadershipLostError where another leader shows.
+        """
         try:
             await work()
         except PreconditionFailedError as exc:
@@ -79,7 +81,7 @@
         return True
 
     async def _sweep(self) -> None:
-        """Find parts of jobs that are not live, and that nobody has seen to."""
+        """Decide to remove the parts of jobs that are not live; one read of all parts."""
         store = self._context.store
         entries, _ = await store.entries(records.PART_PREFIX, USER_PRIORITY)
         parts: dict[str, list[int]] = {}
@@ -97,7 +99,7 @@
         for operation in operation_log.of_kind(
             CleanupOperation, OperationState.RECORDED, OperationState.SENT
         ):
-            if not await self._executor.look():
+            if not await self._executor.lease_confirmed():
                 return
             operation_log.sending(operation)
             await self._remove(operation.record.job, operation.record.parts)
--- a/topazhold/operations/cloud_operations.py
+++ b/topazhold/operations/cloud_operations.py
@@ -1,14 +1,14 @@
-"""One order of a holder of duties, from its decision to its end.
+"""One cloud operation of a leader, from the decision to the removal of its record.
 
     DECIDED -> RECORDED -> SENT -> CONFIRMED -> CLOSED
 
-Each change of state is one method; a change that is out of order raises `OperationStateError`.
+Each transition is one method; one that is out of order raises `OperationStateError`.
 """
 
 from __future__ import annotations
 
 from enum import Enum
-from typing import Generic, TypeVar
+from typing import Any, Generic, TypeVar
 
 from topazhold.operations.records import (
     CleanupRecord,
@@ -20,98 +20,117 @@
 
 
 class OperationState(Enum):
-    """Where an order stands."""
+    """How far an operation has got."""
 
     DECIDED = "decided"  # not known to be recorded, and not sent
     RECORDED = "recorded"  # its record is committed; it may be sent
-    SENT = "sent"  # asked for at least once; asked again until it is answered
+    SENT = "sent"  # requested at least once; repeated until it is answered
     CONFIRMED = "confirmed"  # carried out, or refused for good
     CLOSED = "closed"  # its record is removed
 
 
 class OperationStateError(RuntimeError):
-    """A change of state that is out of order: a fault of the program."""
+    """A transition that is out of order: a fault of the program."""
 
 
 Record = TypeVar("Record", bound=OperationRecord, covariant=True)
 
 
 class CloudOperation(Generic[Record]):
-    """One decision, and what has become of it."""
+    """One operation: its record, its state, and what its removal depends on."""
 
     def __init__(self, record: Record) -> None:
         self.record = record
         self.key = key_of(record)
         self.state = OperationState.DECIDED
-        self.stored = False  # whether its record is known to be in the state service
-        self.forced = False  # sent without a record, as the rules force
-        self.adopted = False  # decided in an earlier term
-        self.sends = 0
-        self.confirmed_at = 0.0
+        self.stored = False  # whether its record is known to be in the key-value store
+        self.bypasses_record = False  # sent though its record could not be written
+        self.request_count = 0  # requests of this term
+        self.confirmed_at = 0.0  # by the monotonic clock, in seconds
 
-    def _leave(self, *states: OperationState) -> None:
+    def _require(self, *states: OperationState) -> None:
         if self.state not in states:
             raise OperationStateError(f"{self.key} is {self.state.value}")
 
     def record_committed(self) -> None:
-        """The record is in the state service."""
-        if self.stored or (self.state is not OperationState.DECIDED and not self.forced):
+        """The record is in the key-value store."""
+        if self.stored or (self.state is not OperationState.DECIDED and not self.bypasses_record):
             raise OperationStateError(f"{self.key} is recorded twice")
         self.stored = True
         if self.state is OperationState.DECIDED:
             self.state = OperationState.RECORDED
 
     def waive_record(self) -> None:
-        """Orders are not recorded at all: the operators have switched that off."""
-        self._leave(OperationState.DECIDED)
+        """No record is needed: the operators have switched records off, or it is atomic."""
+        self._require(OperationState.DECIDED)
         self.state = OperationState.RECORDED
 
-    def force(self) -> None:
-        """It has to be sent though it can't be recorded now."""
-        self._leave(OperationState.DECIDED)
-        self.forced = True
+    def bypass_record(self) -> None:
+        """It has to be sent before its record can be written; the record follows."""
+        self._require(OperationState.DECIDED)
+        self.bypasses_record = True
         self.state = OperationState.RECORDED
 
     def sent(self) -> bool:
         """It is about to be sent; whether it was sent before in this term."""
-        self._leave(OperationState.RECORDED, OperationState.SENT)
+        self._require(OperationState.RECORDED, OperationState.SENT)
         self.state = OperationState.SENT
-        self.sends += 1
-        return self.sends > 1
+        self.request_count += 1
+        return self.request_count > 1
 
     def confirm(self, now: float) -> None:
         """It was carried out, or refused for good."""
-        self._leave(OperationState.SENT)
-        self.state = OperationState.CONFIRMED
-        self.confirmed_at = now
+        self._require(OperationState.SENT)
+        self._confirmed(now)
 
-    def settle_unsent(self, now: float) -> None:
-        """Nothing is left of it to be sent: others saw to it, or decided otherwise."""
-        self._leave(OperationState.RECORDED)
+    def confirm_unsent(self, now: float) -> None:
+        """Nothing of it remains to be sent: it was done by others, or superseded."""
+        self._require(OperationState.RECORDED)
+        self._confirmed(now)
+
+    def _confirmed(self, now: float) -> None:
         self.state = OperationState.CONFIRMED
         self.confirmed_at = now
 
     def close(self) -> None:
-        """Its record is gone, or there never was one."""
-        self._leave(OperationState.CONFIRMED)
+        """Its record is removed, or there never was one."""
+        self._require(OperationState.CONFIRMED)
         self.state = OperationState.CLOSED
 
 
 class ScaleInOperation(CloudOperation[ScaleInRecord]):
-    """Hands machines back."""
+    """Releases machines."""
 
     def __init__(self, record: ScaleInRecord) -> None:
         super().__init__(record)
-        self.left = dict.fromkeys(record.machines)  # those not yet proven to be gone
+        self.remaining_machines = dict.fromkeys(record.machines)  # not yet proven to be gone
 
 
 class ScaleOutOperation(CloudOperation[ScaleOutRecord]):
-    """Rents machines."""
+    """Requests new machines."""
 
     def __init__(self, record: ScaleOutRecord) -> None:
         super().__init__(record)
-        self.machines: list[str] = []  # what the cloud gave
+        self.machines: list[str] = []  # names that the cloud has answered with
 
 
 class CleanupOperation(CloudOperation[CleanupRecord]):
-    """Removes the done marks of a job that is over."""
+    """Removes the completion bitmaps of an ended job."""
+
+
+AnyOperation = CloudOperation[Any]
+
+
+def operation_for(record: OperationRecord) -> AnyOperation:
+    """The operation that a stored record describes.
+
+    Raises:
+        TypeError: there is no operation for this type of record.
+    """
+    if isinstance(record, ScaleInRecord):
+        return ScaleInOperation(record)
+    if isinstance(record, ScaleOutRecord):
+        return ScaleOutOperation(record)
+    if isinstance(record, CleanupRecord):
+        return CleanupOperation(record)
+    raise TypeError(f"no operation for a {type(record).__name__}")
--- /dev/null
+++ b/topazhold/operations/counters.py
@@ -0,0 +1,20 @@
+"""Totals of one term's cloud operations, for its last log line."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass
+class OperationCounters:
+    """How many operations of a term, and requests for them, came to what."""
+
+    decided: int = 0
+    adopted: int = 0  # left open by an earlier term
+    superseded: int = 0  # of a machine that a later term than the operation's has used
+    bypassed: int = 0  # sent before their record could be written
+    requests: int = 0
+    repeated: int = 0  # requests that were made before in this term
+    confirmed: int = 0
+    closed: int = 0
+    unreadable: int = 0  # stored records that can't be read
--- a/topazhold/operations/failover.py
+++ b/topazhold/operations/failover.py
@@ -1,7 +1,7 @@
-"""Orders that an earlier term left open: a new holder completes them.
+"""Failover: a new leader adopts the operations that earlier terms left open, and completes them.
 
-They are read before anything is decided. A machine of an open return is going for good, also
-when it still reports; an open rental is asked for again under its name.
+They are read before anything is decided. A machine of an open scale-in is released for good,
+also when it still sends heartbeats; an open scale-out is requested again under its name.
 """
 
 from __future__ import annotations
@@ -25,14 +25,25 @@
 log = logging.getLogger(__name__)
 
 
-async def read_entries(context: TermContext) -> list[Entry]:
-    """All stored orders; raises what the state service's access raises."""
+async def load_operations(context: TermContext) -> list[Entry]:
+    """All stored operations; raises what the key-value store raises."""
     entries, _ = await context.store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
     return entries
 
 
-def readable(entries: list[Entry], operation_log: OperationLog) -> list[OperationRecord]:
-    """The records of the entries; odd ones are logged and left."""
+def rebuild_operations(
+    scheduler: Scheduler, operation_log: OperationLog, entries: list[Entry], now: float
+) -> None:
+    """Adopt all stored operations, once the scheduler's jobs and intents are rebuilt."""
+    for record in _readable(entries, operation_log):
+        operation = operation_log.adopt(record, now)
+        log.info("operation %s of term %d is adopted", operation.key, record.term)
+        if isinstance(record, ScaleInRecord):
+            _adopt_scale_in(scheduler, operation_log, record, now)
+
+
+def _readable(entries: list[Entry], operation_log: OperationLog) -> list[OperationRecord]:
+    """The records of the entries; malformed ones are logged and left as they are."""
     found = []
     for entry in entries:
         try:
@@ -43,29 +54,17 @@
     return found
 
 
-def adopt(
-    scheduler: Scheduler, operation_log: OperationLog, entries: list[Entry], now: float
-) -> None:
-    """Take over all stored orders, once jobs and intents are loaded."""
-    for record in readable(entries, operation_log):
-        operation = operation_log.adopt(record, now)
-        if operation is None:
-            continue
-        log.info("order %s of term %d is taken over", operation.key, record.term)
-        if isinstance(record, ScaleInRecord):
-            _adopt_scale_in(scheduler, operation_log, record, now)
-
-
 def _adopt_scale_in(
     scheduler: Scheduler, operation_log: OperationLog, record: ScaleInRecord, now: float
 ) -> None:
+    """Release the machines of a scale-in, except those that a later term has used."""
     for name in record.machines:
         if operation_log.scale_in_of(name) is None:
             continue
         if _used_since(scheduler, name, record.term):
             # Only a controller that knows no records can have done that. What it placed
             # there is not to be lost for a decision that it did not know of.
-            log.info("return of %s is dropped: a later term has used it", name)
+            log.info("release of %s is superseded: a later term has used it", name)
             operation_log.supersede_scale_in(name, now)
             continue
         machine = scheduler.add_machine(name, "", False, "", now)
@@ -76,5 +75,5 @@
     """Whether a term later than `term` has placed tasks on the machine."""
     machine = scheduler.machines.get(name)
     return machine is not None and any(
-        run.attempt_number // ATTEMPTS_PER_TERM > term for run in machine.attempts.values()
+        attempt.attempt_number // ATTEMPTS_PER_TERM > term for attempt in machine.attempts.values()
     )
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -1,7 +1,8 @@
-"""The holder of the duties: doubts itself, records its orders, closes them.
+"""Records a term's cloud operations, and says whether they may be sent just now.
 
-A record goes out under the leadership guard, so that no record of a term can be written once
-its successor is elected; and the successor reads all records before it decides anything.
+A record is written on the precondition that the leadership holds, so that none of a term can
+be written once its successor is elected; and the successor reads all records before it decides
+anything.
 """
 
 from __future__ import annotations
@@ -23,28 +24,33 @@
 )
 from topazhold.control.term_context import TXN_BYTES, LeadershipLostError, TermContext
 from topazhold.core.leadership import LEADER_KEY
+from topazhold.operations.cloud_operations import AnyOperation
 from topazhold.operations.lease_confidence import LeaseConfidence, LeaseConfidenceTracker
-from topazhold.operations.operation_log import AnyOperation, OperationLog
+from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.records import InvalidRecordError, write_record
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
 
-#: A longer time between two looks at the clocks is taken for a pause; looks are due after a
-#: fifth of it. Shares of a lease's time.
+#: A longer time between two checks of the clocks is taken for a pause; checks are due after a
+#: fifth of it. In leases of a controller.
 GAP_CONTROLLER_LEASES = 0.5
-LOOK_CONTROLLER_LEASES = 0.1
-#: The lease must have so much of its time left when an order is decided or sent.
+CHECK_CONTROLLER_LEASES = 0.1
+#: What must be left of the lease when an operation is decided or sent, in leases.
 MARGIN_CONTROLLER_LEASES = 0.05
-#: After a pause, machines are heard for so many heartbeat intervals before one is released
-#: without a record: what was known of them is old.
-HEARING_HEARTBEATS = 2.5
-#: Report periods between two looks for records to remove.
+#: Heartbeat intervals after a pause before a machine may be released without a record: what was
+#: known of the machines is old.
+STALE_HEARTBEATS = 2.5
+#: Heartbeat intervals between two removals of records.
 CLOSING_HEARTBEATS = 1.0
 
 
 class FencedExecutor:
-    """What all duties of a term need of the state service."""
+    """Fences the operations of a term: records first, and no request in doubt of the lease.
+
+    `controller_lease_s` is the duration of a controller's lease in seconds. Methods that reach
+    the key-value store raise `LeadershipLostError` where another leader shows.
+    """
 
     def __init__(
         self,
@@ -59,30 +65,33 @@
         self.lease_confidence = LeaseConfidenceTracker(
             GAP_CONTROLLER_LEASES * controller_lease_s, now, time.time()
         )
-        self._recording = curio.Lock()  # several duties record; each order is put once at a time
+        self._recording = curio.Lock()  # so that a record is put once at a time
         self._unconfirmed: dict[str, AnyOperation] = {}  # whose records may have been written
 
-    # -- doubt -----------------------------------------------------------------
+    # -- lease -----------------------------------------------------------------
 
     def begin(self, now: float) -> None:
-        """The term is loaded; from here on the clocks are looked at."""
+        """The term is loaded; from here on the clocks are checked."""
         self.lease_confidence.begin(now, time.time())
 
-    async def look(self) -> bool:
-        """Look at the clocks; whether orders may be decided and sent just now."""
+    async def lease_confirmed(self) -> bool:
+        """Check the clocks; whether operations may be decided and sent just now."""
         now = await curio.clock()
         lease_is_valid = self._context.lease_is_valid(
             now + MARGIN_CONTROLLER_LEASES * self._controller_lease_s
         )
         pauses = self.lease_confidence.pauses
-        lease_confidence = self.lease_confidence.look(now, time.time(), lease_is_valid)
+        confidence = self.lease_confidence.check(now, time.time(), lease_is_valid)
         if self.lease_confidence.pauses != pauses:
-            log.info("holder of term %d was paused: no orders until confirmed", self._context.term)
-        return lease_confidence is LeaseConfidence.CONFIRMED
+            log.info(
+                "leader of term %d was paused: no operations until its lease is confirmed",
+                self._context.term,
+            )
+        return confidence is LeaseConfidence.CONFIRMED
 
     async def may_act(self) -> bool:
-        """Whether this is the holder; where in doubt, the leadership is looked up."""
-        if await self.look():
+        """Whether the lease holds; where in doubt, the leadership is looked up."""
+        if await self.lease_confirmed():
             return True
         asked_at = await curio.clock()
         try:
@@ -92,25 +101,25 @@
             return False
         if entry is None or entry.revision != self._context.revision:
             self.lease_confidence.lose()
-            raise LeadershipLostError("another holder of the duties was found")
+            raise LeadershipLostError("another leader was found")
         self.lease_confidence.confirm(asked_at)
-        return await self.look()
+        return await self.lease_confirmed()
 
-    def may_force(self, now: float) -> bool:
-        """Whether what is known of the machines is fresh enough for a forced release."""
-        heard_s = now - self.lease_confidence.paused_at
-        return heard_s > HEARING_HEARTBEATS * self._context.heartbeat_interval_s
+    def may_bypass_records(self, now: float) -> bool:
+        """Whether what is known of the machines is fresh enough for an unrecorded release."""
+        since_pause_s = now - self.lease_confidence.paused_at
+        return since_pause_s > STALE_HEARTBEATS * self._context.heartbeat_interval_s
 
     async def watch_clocks(self) -> None:
-        """Look often, so that a pause shows before the next order."""
+        """Check often, so that a pause shows before the next operation."""
         while True:
-            await curio.sleep(LOOK_CONTROLLER_LEASES * self._controller_lease_s)
-            await self.look()
+            await curio.sleep(CHECK_CONTROLLER_LEASES * self._controller_lease_s)
+            await self.lease_confirmed()
 
     # -- records ---------------------------------------------------------------
 
     async def record(self) -> None:
-        """Write the records that are due; orders that fail stay as they are."""
+        """Write the records that are due; those that can't be written stay due."""
         context = self._context
         limit = min(context.txn_ops, max(1, TXN_BYTES // context.value_limit))
         async with self._recording:
@@ -127,7 +136,7 @@
             ]
             await self._context.store.compare_and_swap(conditions, puts, DECISION_PRIORITY)
         except InvalidRecordError as exc:
-            log.error("order not recorded: %s", exc)
+            log.error("operation not recorded: %s", exc)
             return False
         except PreconditionFailedError as exc:
             if LEADER_KEY in exc.keys:
@@ -138,24 +147,23 @@
             )
             return False
         except OutcomeUnknownError as exc:
-            # It may yet be carried out: the order stays, and is recorded under the same key.
+            # It may yet be carried out: the operation is recorded under the same key again.
             self._unconfirmed.update({operation.key: operation for operation in operations})
-            log.debug("orders perhaps not recorded: %s", exc)
+            log.debug("operations perhaps not recorded: %s", exc)
             return False
         except STORE_ERRORS as exc:
-            log.debug("orders not recorded: %s", exc)
+            log.debug("operations not recorded: %s", exc)
             return False
-        self._known(operations, await curio.clock())
+        self._recorded(operations, await curio.clock())
         return True
 
-    def _known(self, operations: Iterable[AnyOperation], now: float) -> None:
-        operations = list(operations)
+    def _recorded(self, operations: list[AnyOperation], now: float) -> None:
         self.operation_log.recorded(operations, now)
         for operation in operations:
             self._unconfirmed.pop(operation.key, None)
 
     async def _read_back(self, operations: Iterable[AnyOperation]) -> None:
-        """Keys that are there already: an earlier try without an answer wrote them."""
+        """Keys that exist already: an earlier try without an answer wrote them."""
         for operation in operations:
             try:
                 entry = await self._context.store.get(operation.key, DECISION_PRIORITY)
@@ -163,18 +171,18 @@
                 log.debug("record %s not read: %s", operation.key, exc)
                 continue
             if entry is not None and _token(entry.data) == operation.record.by:
-                self._known([operation], await curio.clock())
+                self._recorded([operation], await curio.clock())
             else:
                 log.error("key %s is taken by another record", operation.key)
 
     async def close_loop(self) -> None:
-        """Remove the records of orders that are over."""
+        """Remove the records of operations that are over, once every heartbeat interval."""
         while True:
             await curio.sleep(CLOSING_HEARTBEATS * self._context.heartbeat_interval_s)
             await self.close()
 
     async def close(self) -> None:
-        """Remove records that are due, in one transaction."""
+        """Remove the records that are due, in one transaction."""
         now = await curio.clock()
         due = self.operation_log.to_close(now, self._context.txn_ops)
         stored = [
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -1,4 +1,8 @@
-"""Who holds the duties, and which orders are open: read from the state service, nothing else."""
+"""The command `duties`: who leads, and which operations are open.
+
+Reads the key-value store only, and changes nothing. The output keeps the names of the first
+version: a duty is a kind of operation, its holder the leader, an order an operation.
+"""
 
 from __future__ import annotations
 
@@ -24,22 +28,22 @@
 
 #: Time limit of one request, in seconds.
 TIMEOUT_S = 5.0
-#: The duties, and what each is about.
+#: The kinds of operations by the name that is shown, and what each is about.
 DUTIES = {
-    "renting": "rental requests to the cloud",
-    "returning": "machines handed back, idle ones or reclaimed ones",
-    "cleaning up": "what jobs that are over have left in the state service",
+    "renting": "scale-out: requests for machines",
+    "returning": "scale-in: releases of machines",
+    "cleaning up": "clean-up: what jobs that are over have left in the key-value store",
 }
-#: Names in a line of text, at the most.
-NAMES_SHOWN = 4
+#: Names of machines in a line of text, at the most.
+MAX_SHOWN_NAMES = 4
 
 
-class ControllersUnreachableError(Exception):
-    """The state service gave no answer that can be used."""
+class StoreUnreachableError(Exception):
+    """The key-value store gave no answer that can be used."""
 
 
 class OperationKindState(msgspec.Struct):
-    """One duty and its holder."""
+    """A kind of operation, and the leader and term that decide on it, if there is one."""
 
     duty: str
     holder: str | None
@@ -47,7 +51,7 @@
 
 
 class OpenOperation(msgspec.Struct):
-    """One stored order."""
+    """A stored operation; `age_s` is in seconds, None in place of what can't be read."""
 
     key: str
     kind: str
@@ -58,34 +62,38 @@
 
 
 class OperationsReport(msgspec.Struct):
-    """What `topazhold duties` shows."""
+    """The output of `topazhold duties`."""
 
     duties: list[OperationKindState]
     orders: list[OpenOperation]
 
 
 async def inspect(settings: Settings) -> OperationsReport:
-    """Read the holder and all orders; raises Unreachable."""
+    """Read the leader and all operations.
+
+    Raises:
+        StoreUnreachableError: the key-value store gave no usable answer.
+    """
     client = Client(address(settings.outside.state), 1)
     store = KeyValueStore(client, client, settings.cluster.state, TIMEOUT_S)
     try:
         leader = await store.get(LEADER_KEY, LEASE_PRIORITY)
         entries, _ = await store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
     except STORE_ERRORS as exc:
-        raise ControllersUnreachableError(str(exc)) from None
+        raise StoreUnreachableError(str(exc)) from None
     finally:
         await client.close()
     found = read_value(leader.data) if leader is not None else None
-    holder, term = found if found is not None else (None, None)
+    leader_name, term = found if found is not None else (None, None)
     now = time.time()
     return OperationsReport(
-        [OperationKindState(duty, holder, term) for duty in DUTIES],
+        [OperationKindState(duty, leader_name, term) for duty in DUTIES],
         [_open_operation(entry.key, entry.data, term, now) for entry in entries],
     )
 
 
 def read_report(settings: Settings) -> OperationsReport:
-    """The same, for a program that does nothing else."""
+    """`inspect`, for a program that runs nothing else; raises the same."""
     report: OperationsReport = curio.run(inspect, settings)
     return report
 
@@ -104,8 +112,8 @@
 def _describe(record: OperationRecord) -> tuple[str, str]:
     if isinstance(record, ScaleInRecord):
         names = list(record.machines)
-        shown = ", ".join(f"{name} ({record.machines[name]})" for name in names[:NAMES_SHOWN])
-        more = f" and {len(names) - NAMES_SHOWN} more" if len(names) > NAMES_SHOWN else ""
+        shown = ", ".join(f"{name} ({record.machines[name]})" for name in names[:MAX_SHOWN_NAMES])
+        more = f" and {len(names) - MAX_SHOWN_NAMES} more" if len(names) > MAX_SHOWN_NAMES else ""
         return "return", shown + more
     if isinstance(record, ScaleOutRecord):
         price = "spot" if record.spot else "ordinary"
--- a/topazhold/operations/lease_confidence.py
+++ b/topazhold/operations/lease_confidence.py
@@ -1,8 +1,10 @@
-"""Whether a holder may take itself for the holder at this moment.
+"""Whether a leader may rely on its lease at this moment.
 
 A process can be stopped for any time between two of its instructions. What it knew before is
-then old, and its lease may have passed on. Every look at the clocks that comes later than it
+then old, and its lease may have expired. Every check of the clocks that comes later than it
 should shows such a pause; until the leadership has been looked up since, nothing is decided.
+
+Times named `now` are of the monotonic clock, `wall` of the time of day, both in seconds.
 """
 
 from __future__ import annotations
@@ -11,39 +13,42 @@
 
 
 class LeaseConfidence(Enum):
-    """What a holder may assume of itself."""
+    """What a leader may assume of its leadership."""
 
     CONFIRMED = "confirmed"
-    DOUBTED = "doubted"  # look the leadership up first
-    LOST = "lost"  # another holder was seen
+    DOUBTED = "doubted"  # the leadership has to be looked up first
+    LOST = "lost"  # another leader was seen
 
 
 class LeaseConfidenceTracker:
-    """Follows the clocks and the lease of one holder."""
+    """Follows the clocks and the lease of one leader.
+
+    A gap of more than `longest_gap_s` seconds between two checks is taken for a pause.
+    """
 
     def __init__(self, longest_gap_s: float, now: float, wall: float) -> None:
         self._longest_gap_s = longest_gap_s
-        self._looked_at = now
+        self._checked_at = now
         self._clock_difference = wall - now
         self._state = LeaseConfidence.CONFIRMED
         self.paused_at = -1e9  # when the last pause was noticed
         self.pauses = 0
 
     def begin(self, now: float, wall: float) -> None:
-        """The term is loaded, which may have taken long: the first order is confirmed first."""
-        self._looked_at = now
+        """The term is loaded, however long that took: doubted until it is looked up."""
+        self._checked_at = now
         self._clock_difference = wall - now
         self._state = LeaseConfidence.DOUBTED
 
-    def look(self, now: float, wall: float, lease_is_valid: bool) -> LeaseConfidence:
-        """Look at the clocks; `assured`: the lease can't have passed on.
+    def check(self, now: float, wall: float, lease_is_valid: bool) -> LeaseConfidence:
+        """Check the clocks; `lease_is_valid`: nobody else can be leader yet.
 
-        The steady clock may stand still while a machine is suspended; the time of day then
+        The monotonic clock may stand still while a machine is suspended; the time of day then
         jumps against it. A time of day set back says nothing and is taken as it is.
         """
-        gap = now - self._looked_at
+        gap = now - self._checked_at
         jump = (wall - now) - self._clock_difference
-        self._looked_at = now
+        self._checked_at = now
         self._clock_difference = wall - now
         if self._state is LeaseConfidence.LOST:
             return self._state
@@ -64,5 +69,5 @@
             self._state = LeaseConfidence.CONFIRMED
 
     def lose(self) -> None:
-        """The leadership is not held any more; there is no way back in this term."""
+        """The leadership is lost; there is no way back in this term."""
         self._state = LeaseConfidence.LOST
--- a/topazhold/operations/records.py
+++ b/topazhold/operations/records.py
@@ -1,7 +1,8 @@
-"""Records of orders in the state service: typed, and checked when written and when read.
+"""Records of cloud operations in the key-value store, checked when written and when read.
 
-An order is recorded under the leadership guard before it is sent, so that a successor can
-complete it. Its key names the term and a number within the term, and is never used twice.
+A record is written, on the precondition that the leadership holds, before its operation is
+sent, so that a successor can complete it. Its key names the term and a number within the term,
+and is never used twice. Keys and fields keep the names of the first version.
 """
 
 from __future__ import annotations
@@ -20,44 +21,45 @@
 SCALE_OUT_PREFIX = "duty/rental/"
 CLEANUP_PREFIX = "duty/cleanup/"
 
-#: Names and reasons in a record are cut or refused beyond so many characters.
-NAME_LENGTH = 200
-REASON_LENGTH = 60
+#: Characters of a name and of a reason; longer names are refused, longer reasons cut.
+MAX_NAME_LENGTH = 200
+MAX_REASON_LENGTH = 60
 #: Parts of one clean-up, at the most.
 MAX_PARTS = 1000
-#: What a record takes besides its machines, in bytes of JSON.
+#: Size of a record without its machines, in bytes of JSON, at the most.
 RECORD_BYTES = 400
+#: The largest term or number.
 MAX_INTEGER = 2**63 - 1
 
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_LENGTH)]
-Reason = Annotated[str, Meta(max_length=REASON_LENGTH)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Reason = Annotated[str, Meta(max_length=MAX_REASON_LENGTH)]
 Positive = Annotated[int, Meta(ge=1, le=MAX_INTEGER)]
 
 
 class OperationRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """What every record of an order says."""
+    """The fields that all records share."""
 
     by: Annotated[Name, Meta(description="token of the transaction that wrote the record")]
-    term: Annotated[Positive, Meta(description="term of the leader that decided the order")]
-    number: Annotated[Positive, Meta(description="number of the order within the term")]
+    term: Annotated[Positive, Meta(description="term of the leader that decided the operation")]
+    number: Annotated[Positive, Meta(description="number of the operation within the term")]
     at: Annotated[float, Meta(ge=0, description="time of day of the decision, in seconds")]
 
 
 class ScaleInRecord(OperationRecord, frozen=True, kw_only=True):
-    """Machines that are handed back to the cloud."""
+    """Scale-in: machines that are released."""
 
     machines: Annotated[
         dict[Name, Reason],
         Meta(
             min_length=1,
             max_length=MAX_RELEASED_MACHINES,
-            description="reason of the return, by machine",
+            description="reason of the release, by machine",
         ),
     ]
 
 
 class ScaleOutRecord(OperationRecord, frozen=True, kw_only=True):
-    """A rental request under a name that makes its repetition harmless."""
+    """Scale-out: a request under a name that makes it idempotent."""
 
     request: Annotated[Name, Meta(description="name of the request, never used twice")]
     machine_type: Name
@@ -67,7 +69,7 @@
 
 
 class CleanupRecord(OperationRecord, frozen=True, kw_only=True):
-    """Done marks of a job that is over, which are removed in several transactions."""
+    """Clean-up: parts of an ended job's completion bitmap, removed in several transactions."""
 
     job: Name
     parts: Annotated[
@@ -89,12 +91,16 @@
 
 
 def operation_key(prefix: str, term: int, number: int) -> str:
-    """The key of an order; in key order the oldest come first."""
+    """The key of an operation; in key order the oldest of a kind come first."""
     return f"{prefix}{term:012d}-{number:08d}"
 
 
 def key_of(record: OperationRecord) -> str:
-    """The key that a record belongs under."""
+    """The key that a record belongs under.
+
+    Raises:
+        InvalidRecordError: records of this type are not stored.
+    """
     for prefix, kind in RECORD_TYPES.items():
         if type(record) is kind:
             return operation_key(prefix, record.term, record.number)
@@ -102,7 +108,11 @@
 
 
 def write_record(record: OperationRecord) -> dict[str, Any]:
-    """The value to store; a record that could not be read again is refused."""
+    """The value to store.
+
+    Raises:
+        InvalidRecordError: the record could not be read again.
+    """
     value: dict[str, Any] = msgspec.to_builtins(record)
     try:
         convert(value, type(record))
@@ -112,7 +122,11 @@
 
 
 def read_record(key: str, value: Any) -> OperationRecord:
-    """A stored order; raises RecordError for anything odd, its key included."""
+    """The record that is stored under a key.
+
+    Raises:
+        InvalidRecordError: the value is malformed, or belongs under another key.
+    """
     for prefix, kind in RECORD_TYPES.items():
         if key.startswith(prefix):
             try:
@@ -126,11 +140,11 @@
 
 
 def split_machines(machines: Mapping[str, str], value_limit: int) -> Iterator[dict[str, str]]:
-    """Machines with their reasons, in portions that each fit a value."""
+    """Machines with their reasons, in portions that each fit a value of `value_limit` bytes."""
     portion: dict[str, str] = {}
     size = RECORD_BYTES
     for name, reason in machines.items():
-        reason = reason[:REASON_LENGTH]
+        reason = reason[:MAX_REASON_LENGTH]
         more = json_size({name: reason})
         if portion and (size + more > value_limit or len(portion) >= MAX_RELEASED_MACHINES):
             yield portion
--- a/topazhold/operations/released_machines.py
+++ b/topazhold/operations/released_machines.py
@@ -1,8 +1,8 @@
-"""Machines that another controller says it has released.
+"""Names of machines that other controllers have released.
 
-Machines with tasks of cancelled jobs are released also by controllers that can't record it.
-They tell all others once the cloud has answered. A machine's name is never used twice, so
-what was true once stays true.
+A machine with a task of a cancelled job is released also by a controller that can't record
+it. Once the cloud has answered, that controller tells all others. A machine's name is never
+used twice, so what was true once stays true.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ReleasedMachines:
-    """Names of machines that are gone, as this controller was told."""
+    """Machines that are gone, as this controller was told; bounded."""
 
     def __init__(self) -> None:
         self._names: dict[str, None] = {}
@@ -27,5 +27,5 @@
                 del self._names[next(iter(self._names))]
 
     def names(self) -> list[str]:
-        """All that are remembered."""
+        """All that are remembered, the oldest first."""
         return list(self._names)
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -1,6 +1,7 @@
-"""The duty of returning machines: idle, silent, failed, deaf, noticed ones, and cancelled work.
+"""Scale-in: releases machines, each by one operation that is recorded first.
 
-`Scheduler.releases` says which machines are to go; here each is returned by one order.
+`Scheduler.releases` says which machines are to go and why: idle, silent, failed, unreachable by
+commands, under a spot notice, or with cancelled tasks that can't be shown to be gone.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 from topazhold.core.intent_shards import IntentShard
 from topazhold.operations.cloud_operations import OperationState
 from topazhold.operations.fenced_executor import FencedExecutor
-from topazhold.operations.operation_log import ReleaseRequest
+from topazhold.operations.requests import ReleaseRequest
 
 log = logging.getLogger(__name__)
 
-#: Tells the other controllers of machines that were released without a record.
+#: Names machines that were released without a record to the other controllers.
 AnnounceReleased = Callable[[list[str]], Awaitable[None]]
 
 
 class ScaleInExecutor:
-    """Hands machines back, each by one order that is recorded first."""
+    """Decides, records and sends the releases of a term."""
 
     def __init__(
         self,
@@ -43,7 +44,7 @@
         self._announce_released = announce_released
 
     async def loop(self) -> None:
-        """Return what is to go, again and again."""
+        """Release what is to go, for as long as the term lasts."""
         while True:
             await curio.sleep(self._context.retry_s)
             request = await self.next_request()
@@ -51,10 +52,10 @@
                 await self._send(request)
 
     async def next_request(self) -> ReleaseRequest | None:
-        """Decide and record what is new; the machines to name in the next request.
+        """Decide and record what is new; the next request to send, if any.
 
-        A leader who can't be sure to be leader must not take machines away that another
-        may be using. Only a cancelled task has to go at any price.
+        A leader in doubt of its lease must not release machines that another may be using.
+        Only machines with cancelled tasks have to go in any case.
         """
         scheduler, operation_log = self._context.scheduler, self._executor.operation_log
         if not scheduler.releases and not operation_log.open_operations():
@@ -63,29 +64,29 @@
         if may_act:
             operation_log.decide_scale_in(scheduler.releases, time.time())
             await self._executor.record()
-            may_act = await self._executor.look()  # the record may have taken its time
-        if self._executor.may_force(await curio.clock()):
-            self._force_scale_in()
+            may_act = await self._executor.lease_confirmed()  # recording takes time
+        if self._executor.may_bypass_records(await curio.clock()):
+            self._bypass_records()
         elif not may_act:
             return None
-        return operation_log.release_request(scheduler.must_be_released, only_forced=not may_act)
+        return operation_log.release_request(scheduler.must_be_released, only_required=not may_act)
 
-    def _force_scale_in(self) -> None:
+    def _bypass_records(self) -> None:
         """Machines with cancelled tasks go also while nothing can be recorded."""
         scheduler, operation_log = self._context.scheduler, self._executor.operation_log
-        forced = {}
+        unrecorded = {}
         for name, reason in scheduler.releases.items():
             if scheduler.must_be_released(name):
                 operation = operation_log.scale_in_of(name)
                 if operation is None or operation.state is OperationState.DECIDED:
-                    forced[name] = reason
-        operation_log.force_scale_in(forced, time.time())
-        if forced:
-            log.info("%d machines with cancelled tasks released without a record", len(forced))
+                    unrecorded[name] = reason
+        operation_log.bypass_records(unrecorded, time.time())
+        if unrecorded:
+            log.info("%d machines with cancelled tasks released without a record", len(unrecorded))
 
     async def _send(self, request: ReleaseRequest) -> None:
         again = " again" if request.repeated else ""
-        log.info("return of %d machines asked for%s", len(request.names), again)
+        log.info("release of %d machines requested%s", len(request.names), again)
         try:
             await self._cloud.release(request.names)
         except CloudUnavailableError as exc:
@@ -97,16 +98,16 @@
             name
             for name in request.names
             if (operation := operation_log.scale_in_of(name)) is not None
-            and operation.forced
+            and operation.bypasses_record
             and not operation.stored
         ]
         operation_log.machines_gone(request.names, now)
-        await self._forget(request.names, now)
+        await self._remove_machines(request.names, now)
         if unrecorded:
             await self._announce_released(unrecorded)
 
     async def released_by_peer(self, names: list[str], now: float) -> None:
-        """Another controller's release of these machines was answered: they are gone."""
+        """Another controller's release of these machines was confirmed: they are gone."""
         self._executor.operation_log.machines_gone(names, now)
         known = [name for name in names if name in self._context.scheduler.machines]
         for name in names:
@@ -115,8 +116,8 @@
             log.info("%d machines were released by another controller", len(known))
             await self._context.request_plan()
 
-    async def _forget(self, names: list[str], now: float) -> None:
-        """The machines and all on them are gone."""
+    async def _remove_machines(self, names: list[str], now: float) -> None:
+        """The machines and all on them are gone: remove them, and their intents."""
         stale: set[IntentShard] = set()
         for name in names:
             self._context.scheduler.remove_machine(name, now)
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -1,4 +1,4 @@
-"""The duty of renting machines: every request is recorded under its name before it is sent."""
+"""Scale-out: every request for machines is recorded under its name before it is sent."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 log = logging.getLogger(__name__)
 
-#: For so many heartbeat intervals the cloud is not asked again for what it does not have.
+#: Heartbeat intervals for which nothing more is requested of what the cloud does not have.
 REFUSED_HEARTBEATS = 4
 
 
 class ScaleOutExecutor:
-    """Rents what is wished for, and completes rentals that were left open."""
+    """Requests the machines that the scheduler wants, and completes what was left open."""
 
     def __init__(
         self, context: TermContext, executor: FencedExecutor, cloud: Cloud, listed: curio.Event
@@ -33,80 +33,79 @@
         self._context = context
         self._executor = executor
         self._cloud = cloud
-        self._listed = listed  # a machine list has come
-        self._waits_until = 0.0
+        self._listed = listed  # set once a machine list of this term has arrived
+        self._fleet_known_at = 0.0  # by the monotonic clock; 0: no list has arrived
 
     async def loop(self) -> None:
-        """Rent, again and again; what was left open is completed at once."""
+        """Scale out for as long as the term lasts; what was left open is completed at once."""
         context = self._context
-        since = await curio.clock()
         while True:
             more = False
             if await self._executor.may_act():
                 await self._complete()
-                if await self._knows_fleet(since) and self._executor.operation_log.may_scale_out():
-                    more = await self._rent()
+                if await self._fleet_is_known() and self._executor.operation_log.may_scale_out():
+                    more = await self._scale_out()
             await curio.sleep(context.retry_s if more else context.heartbeat_interval_s)
 
-    async def _knows_fleet(self, since: float) -> bool:
-        """Whether enough is known of what is rented already.
+    async def _fleet_is_known(self) -> bool:
+        """Whether the machines that exist already are known.
 
-        A new leader waits for a list, and what its predecessor rented last is not even
-        listed at first.
+        A new leader waits for a machine list, and then for its lag: the last machines that its
+        predecessor requested are not listed at first.
         """
         if not self._listed.is_set():
             return False
-        if not self._waits_until:
+        if not self._fleet_known_at:
             lag_s = self._context.scheduler.lag_s if self._context.term > 1 else 0.0
-            self._waits_until = await curio.clock() + lag_s
-        return await curio.clock() >= self._waits_until
+            self._fleet_known_at = await curio.clock() + lag_s
+        return await curio.clock() >= self._fleet_known_at
 
-    async def _rent(self) -> bool:
-        """Decide, record and ask; whether so much was wished that more is likely to be."""
+    async def _scale_out(self) -> bool:
+        """Decide, record and send; whether so much was wanted that more is likely to be."""
         requests = self._context.scheduler.scale_out(await curio.clock())
-        for ask in requests:
-            self._executor.operation_log.decide_scale_out(ask, time.time())
+        for request in requests:
+            self._executor.operation_log.decide_scale_out(request, time.time())
         if requests:
             await self._executor.record()
             await self._complete()
-        return sum(ask.count for ask in requests) >= MAX_SCALE_OUT_MACHINES
+        return sum(request.count for request in requests) >= MAX_SCALE_OUT_MACHINES
 
     async def _complete(self) -> None:
-        """Ask for what is recorded and not answered yet."""
+        """Send what is recorded and not answered yet."""
         await self._executor.record()
         for operation in self._executor.operation_log.scale_outs_due():
-            if not await self._executor.look():
+            if not await self._executor.lease_confirmed():
                 return
-            await self._ask(operation)
+            await self._send(operation)
 
-    async def _ask(self, operation: ScaleOutOperation) -> None:
+    async def _send(self, operation: ScaleOutOperation) -> None:
         record, operation_log = operation.record, self._executor.operation_log
         capacity_backoff = self._context.scheduler.capacity_backoff
         kind = (record.machine_type, record.zone, record.spot)
         pause_s = REFUSED_HEARTBEATS * self._context.heartbeat_interval_s
         if operation_log.sending(operation):
-            log.info("rental %s asked for again", record.request)
-        ask = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
+            log.info("scale-out %s requested again", record.request)
+        request = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
         try:
-            names = await self._cloud.rent(record.request, ask)
+            names = await self._cloud.rent(record.request, request)
         except (CloudCapacityError, CloudRequestRejectedError) as exc:
             if isinstance(exc, CloudRequestRejectedError):
-                log.error("rental %s refused for good: %s", record.request, exc)
+                log.error("scale-out %s refused for good: %s", record.request, exc)
             now = await curio.clock()
             capacity_backoff.on_refused(*kind, pause_s, now)
-            operation_log.rented(operation, [], now)
+            operation_log.scale_out_answered(operation, [], now)
             return
         except CloudUnavailableError as exc:
-            log.debug("rental %s: %s", record.request, exc)
+            log.debug("scale-out %s: %s", record.request, exc)
             return
         now = await curio.clock()
-        operation_log.rented(operation, names, now)
+        operation_log.scale_out_answered(operation, names, now)
         for name in names:
             self._context.scheduler.add_rented(
                 name, record.zone, record.spot, record.machine_type, now
             )
         price = "spot" if record.spot else "ordinary"
-        log.info("rented %d of %d %s in %s", len(names), record.count, price, record.zone)
+        log.info("scale-out: %d of %d %s in %s", len(names), record.count, price, record.zone)
         if len(names) < record.count:
             capacity_backoff.on_refused(*kind, pause_s, now)
         else:
--- a/topazhold/operations/schemas.py
+++ b/topazhold/operations/schemas.py
@@ -1,4 +1,4 @@
-"""The schemas of stored records, as JSON Schema made from the types."""
+"""JSON Schemas of the stored records, made from their types."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from topazhold.operations.records import RECORD_TYPES
 
-PREAMBLE = """# Schemas of stored orders
+PREAMBLE = """# Schemas of stored operations
 
 Made from `topazhold/operations/records.py` by `python -m tools.schemas > docs/duties-schemas.md`; a
 test fails if this page is old. Keys: PREFIX, the term in 12 digits, `-`, the number in 8 digits.
@@ -25,7 +25,7 @@
 
 
 def page() -> str:
-    """The page of all schemas."""
+    """The Markdown page of all schemas."""
     parts = [PREAMBLE]
     for prefix in RECORD_TYPES:
         text = json.dumps(schema_of(prefix), indent=2, sort_keys=True)
--- a/topazhold/operations/term_operations.py
+++ b/topazhold/operations/term_operations.py
@@ -1,9 +1,10 @@
-"""All duties of one term: their holder, their orders, and the loops that carry them out."""
+"""All cloud operations of one term: their log, and the loops that carry them out."""
 
 from __future__ import annotations
 
 import logging
 from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
 
 import curio
 
@@ -13,7 +14,7 @@
 from topazhold.control.term_context import TermContext
 from topazhold.operations.cleanup import CleanupExecutor
 from topazhold.operations.cloud_operations import ScaleInOperation
-from topazhold.operations.failover import adopt
+from topazhold.operations.failover import rebuild_operations
 from topazhold.operations.fenced_executor import FencedExecutor
 from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.scale_in import AnnounceReleased, ScaleInExecutor
@@ -23,59 +24,79 @@
 
 log = logging.getLogger(__name__)
 
-#: A return's record is kept for as long as a list, or a late heartbeat, may still name the
-#: machine: so many lags of the list and leases of the workers.
-KEEP_LAGS = 4.0
-KEEP_LEASES = 2.0
+#: A scale-in's record is kept for as long as a machine list, or a late heartbeat, may still name
+#: the machine: so many lags of the list and leases of the workers.
+KEEP_LIST_LAGS = 4.0
+KEEP_WORKER_LEASES = 2.0
+
+
+@dataclass(frozen=True)
+class OperationSettings:
+    """The settings that operations depend on; times in seconds."""
+
+    controller_lease_s: float
+    keep_s: float  # how long the record of a scale-in outlasts its end
+    record_operations: bool
+
+    @classmethod
+    def of(
+        cls, settings: Settings, operator: Operator, controller_lease_s: float
+    ) -> OperationSettings:
+        """Out of the platform's and the operators' settings."""
+        cloud, workers = settings.cluster.cloud, settings.cluster.workers
+        keep_s = KEEP_LIST_LAGS * cloud.list_lag_s + KEEP_WORKER_LEASES * workers.lease_s
+        return cls(controller_lease_s, keep_s, operator.record_orders)
 
 
 class TermOperations:
-    """What the leader of one term does in the world outside, by orders."""
+    """What the leader of one term does outside the cluster's state, by recorded operations."""
 
     def __init__(
         self,
         context: TermContext,
         cloud: Cloud,
         intents: Intents,
-        settings: Settings,
-        operator: Operator,
-        controller_lease_s: float,
+        settings: OperationSettings,
         now: float,
         announce_released: AnnounceReleased,
     ) -> None:
-        workers = settings.cluster.workers
-        keep_s = KEEP_LAGS * settings.cluster.cloud.list_lag_s + KEEP_LEASES * workers.lease_s
         self._context = context
         self.operation_log = OperationLog(
-            context.node, context.term, context.value_limit, keep_s, operator.record_orders
+            context.node,
+            context.term,
+            context.value_limit,
+            settings.keep_s,
+            settings.record_operations,
+        )
+        self.executor = FencedExecutor(
+            context, self.operation_log, settings.controller_lease_s, now
         )
-        self.executor = FencedExecutor(context, self.operation_log, controller_lease_s, now)
         self._machine_list = MachineList(context, cloud)
         self.scale_in = ScaleInExecutor(context, self.executor, cloud, intents, announce_released)
         self._scale_out = ScaleOutExecutor(context, self.executor, cloud, self._machine_list.listed)
         self._cleanup = CleanupExecutor(context, self.executor)
         context.clean_up = self._cleanup.on_job_ended
 
-    async def take_over(self, entries: list[Entry], released: list[str]) -> None:
-        """Complete what earlier terms left open; `released` machines are known to be gone."""
+    async def rebuild(self, entries: list[Entry], released: list[str]) -> None:
+        """Adopt what earlier terms left open; `released` machines are known to be gone."""
         now = await curio.clock()
         self.executor.begin(now)
-        adopt(self._context.scheduler, self.operation_log, entries, now)
+        rebuild_operations(self._context.scheduler, self.operation_log, entries, now)
         await self.scale_in.released_by_peer(released, now)
         if self.operation_log.counters.adopted:
-            returns = sum(
+            scale_ins = sum(
                 isinstance(operation, ScaleInOperation)
                 for operation in self.operation_log.open_operations()
             )
             log.info(
-                "term %d takes over %d orders, %d of them returns",
+                "term %d adopts %d operations, %d of them scale-ins",
                 self._context.term,
                 self.operation_log.counters.adopted,
-                returns,
+                scale_ins,
             )
 
     def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """What goes on while the term lasts."""
+        """The loops to run while the term lasts."""
         return (
             self._machine_list.loop,
             self._scale_out.loop,
@@ -86,18 +107,18 @@
         )
 
     def log_totals(self) -> None:
-        """One line about all orders of the term."""
+        """Log one line about all operations of the term."""
         counters = self.operation_log.counters
         log.info(
-            "orders of term %d: %d decided, %d taken over, %d superseded, %d forced, "
-            "%d requests, %d of them again, %d confirmed, %d closed, %d records unreadable",
+            "operations of term %d: %d decided, %d adopted, %d superseded, %d sent unrecorded, "
+            "%d requests, %d of them repeated, %d confirmed, %d closed, %d records unreadable",
             self._context.term,
             counters.decided,
             counters.adopted,
             counters.superseded,
-            counters.forced,
-            counters.sends,
-            counters.repeats,
+            counters.bypassed,
+            counters.requests,
+            counters.repeated,
             counters.confirmed,
             counters.closed,
             counters.unreadable,
