--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -10,7 +10,7 @@
 
 from tests.standins import finish
 from topazhold.io.http import Request, Response
-from topazhold.io.http_heads import MAX_HEADS, parse_request_head, render_answer_head
+from topazhold.io.http_heads import MAX_HEADS, parse_request_head, render_response_head
 from topazhold.io.server import Connection
 
 
@@ -119,12 +119,12 @@
         pieces = [report(number) for number in range(count)]
         exchange(pieces, Random(1))  # once, so that the heads are known
         parsed = parse_request_head.cache_info().misses
-        rendered = render_answer_head.cache_info().misses
+        rendered = render_response_head.cache_info().misses
         seen, _, sock = exchange(pieces, Random(1))
         assert len(seen) == len(sock.sent) == count
         assert sock.receives == count + 2  # and the end, seen by us and by h11
         assert parse_request_head.cache_info().misses == parsed
-        assert render_answer_head.cache_info().misses == rendered
+        assert render_response_head.cache_info().misses == rendered
 
 
 def test_remembered_heads_are_bounded() -> None:
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -155,7 +155,7 @@
         """Ask a worker what it has, and kill what it must not have."""
         assert place.endpoint is not None
         try:
-            client = await self._clients.at(address(place.endpoint), len(self._looking))
+            client = await self._clients.client_for(address(place.endpoint), len(self._looking))
             status, body = await client.ask(
                 "GET", wire.STATUS_PATH, None, self._heartbeat_interval_s
             )
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -97,7 +97,7 @@
         """POST /commands; whatever comes back is a heartbeat."""
         assert machine.endpoint is not None
         try:
-            client = await self._clients.at(address(machine.endpoint), len(self._striking))
+            client = await self._clients.client_for(address(machine.endpoint), len(self._striking))
             orders = Commands(self._context.term, commands, machine.incarnation)
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, orders, self._context.heartbeat_interval_s
--- a/topazhold/io/__init__.py
+++ b/topazhold/io/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, HTTP and peer links, on curio and h11."""
+"""Transport on curio and h11: HTTP, links between controllers, rate limits, CPU accounting."""
--- a/topazhold/io/client.py
+++ b/topazhold/io/client.py
@@ -9,30 +9,46 @@
 import curio
 import h11
 
-from topazhold.io.http import CHUNK, NoResponseError, connect
+from topazhold.io.http import CHUNK_BYTES, NoResponseError, connect
 from topazhold.io.http_heads import HEAD_LIMIT
 from topazhold.wire.codec import pack
 
+#: Connections to one address that are kept open, at the most.
+MAX_IDLE_CONNECTIONS = 4
+#: Bytes of a response's body, at the most.
+MAX_RESPONSE_BYTES = 8 << 20
 
-class Client:
-    """Keeps a few idle connections to one address."""
 
-    def __init__(self, address: tuple[str, int], keep: int = 4, body_limit: int = 8 << 20) -> None:
+class Client:
+    """Sends requests to one address, and keeps a few idle connections to it."""
+
+    def __init__(
+        self,
+        address: tuple[str, int],
+        max_idle: int = MAX_IDLE_CONNECTIONS,
+        max_response_bytes: int = MAX_RESPONSE_BYTES,
+    ) -> None:
         self._address = address
         self._host = f"{address[0]}:{address[1]}"
-        self._keep = keep
-        self._body_limit = body_limit
+        self._max_idle = max_idle
+        self._max_response_bytes = max_response_bytes
         self._idle: list[tuple[Any, h11.Connection]] = []
 
     async def ask(
         self, method: str, target: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Send a request; raises NotSent or NoAnswer, also when time runs out."""
+        """Send a request, its message encoded as CBOR; the status and the body of the response.
+
+        `timeout_s` holds for a new connection and for the exchange, each by itself.
+
+        Raises:
+            RequestNotSentError: no connection could be opened in time.
+            NoResponseError: the connection failed, or the response did not come in time.
+        """
         body = b"" if message is None else pack(message)
-        fresh = not self._idle
-        sock, conn = await self._take(timeout_s) if fresh else self._idle.pop()
+        sock, conn = self._idle.pop() if self._idle else await self._open(timeout_s)
         try:
-            status, answer = await curio.timeout_after(
+            status, response = await curio.timeout_after(
                 timeout_s, self._exchange, sock, conn, method, target, body
             )
         except (OSError, h11.ProtocolError, curio.TaskTimeout) as exc:
@@ -41,74 +57,85 @@
         except BaseException:
             await sock.close()
             raise
-        keep = conn.our_state is h11.DONE and conn.their_state is h11.DONE
-        if keep and len(self._idle) < self._keep:
+        reusable = conn.our_state is h11.DONE and conn.their_state is h11.DONE
+        if reusable and len(self._idle) < self._max_idle:
             conn.start_next_cycle()
             self._idle.append((sock, conn))
         else:
             await sock.close()
-        return status, answer
+        return status, response
 
     async def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         while self._idle:
             sock, _ = self._idle.pop()
             await sock.close()
 
-    async def _take(self, timeout_s: float) -> tuple[Any, h11.Connection]:
+    async def _open(self, timeout_s: float) -> tuple[Any, h11.Connection]:
         sock = await connect(self._address, timeout_s)
         return sock, h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
 
     async def _exchange(
         self, sock: Any, conn: h11.Connection, method: str, target: str, body: bytes
     ) -> tuple[int, bytes]:
+        """Send a request and receive its response; raises OSError or h11.ProtocolError."""
+        await sock.sendall(self._encode(conn, method, target, body))
+        return await self._receive(sock, conn)
+
+    def _encode(self, conn: h11.Connection, method: str, target: str, body: bytes) -> bytes:
         headers = [("Host", self._host), ("Content-Length", str(len(body)))]
         if body:
             headers.append(("Content-Type", "application/cbor"))
         out = conn.send(h11.Request(method=method, target=target, headers=headers))
         if body:
             out += conn.send(h11.Data(data=body))
-        await sock.sendall(out + (conn.send(h11.EndOfMessage()) or b""))
+        return out + (conn.send(h11.EndOfMessage()) or b"")
+
+    async def _receive(self, sock: Any, conn: h11.Connection) -> tuple[int, bytes]:
         status = 0
         parts: list[bytes] = []
         size = 0
         while True:
             event = conn.next_event()
             if event is h11.NEED_DATA:
-                data = await sock.recv(CHUNK)
+                data = await sock.recv(CHUNK_BYTES)
                 conn.receive_data(data)
             elif isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > self._body_limit:
-                    raise OSError("answer too large")
+                if size > self._max_response_bytes:
+                    raise OSError("response too large")
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return status, b"".join(parts)
             elif isinstance(event, h11.ConnectionClosed):
-                raise OSError("closed")
+                raise OSError("connection closed")
 
 
 class Clients:
-    """Clients of many addresses; those used longest ago are given up."""
+    """Clients of up to `limit` addresses; the least recently used ones are closed.
+
+    `dial` makes a client of an address that keeps the given number of idle connections.
+    """
 
     def __init__(self, dial: Callable[[tuple[str, int], int], Client], limit: int) -> None:
         self._dial = dial
-        self._max = limit
-        self._of: OrderedDict[tuple[str, int], Client] = OrderedDict()
+        self._limit = limit
+        self._by_address: OrderedDict[tuple[str, int], Client] = OrderedDict()
 
-    async def at(self, address: tuple[str, int], busy: int) -> Client:
-        """The client of an address; `busy` of all are in use and come on top of the bound."""
-        client = self._of.get(address)
+    async def client_for(self, address: tuple[str, int], busy: int) -> Client:
+        """The client of an address; `busy` of all are in use and come on top of the limit."""
+        client = self._by_address.get(address)
         if client is None:
-            client = self._of[address] = self._dial(address, 1)
-        self._of.move_to_end(address)
-        while len(self._of) > self._max + busy:
-            _, oldest = self._of.popitem(last=False)
+            client = self._by_address[address] = self._dial(address, 1)
+        self._by_address.move_to_end(address)
+        while len(self._by_address) > self._limit + busy:
+            _, oldest = self._by_address.popitem(last=False)
             await oldest.close()
         return client
 
     async def close(self) -> None:
-        for client in self._of.values():
+        """Close the idle connections of all clients."""
+        for client in self._by_address.values():
             await client.close()
--- a/topazhold/io/cpu_accounting.py
+++ b/topazhold/io/cpu_accounting.py
@@ -1,9 +1,10 @@
-"""Where this process's time goes: an account of its work by duty.
+"""CPU accounting: how long this process works, by category of work.
 
-The account is an activation of the curio kernel. The kernel tells it whenever a task begins
+`CpuAccounting` is an activation of the curio kernel. The kernel calls it whenever a task begins
 to run and whenever it stops, so what a task waits for is never counted as its work. Time is
-taken from the steady clock: what the process does while others have the processor counts,
-too, and so the account shows how much of its share of a processor each duty takes.
+taken from the monotonic clock: a slice of work counts as long while other processes have the
+processor, so the figures show how much of this process's share of a processor each category
+takes. The kernel's own time, between slices, is not counted.
 """
 
 from __future__ import annotations
@@ -19,15 +20,18 @@
 import curio
 from curio.kernel import Activation
 
-#: Report periods between two looks at the timers, and between two statements.
-LOOK_HEARTBEATS = 0.5
+#: Heartbeat intervals between two samples of how late timers fire.
+SAMPLE_HEARTBEATS = 0.5
+#: Heartbeat intervals between two statements.
 STATEMENT_HEARTBEATS = 60
 #: Samples of how late timers fire that one statement is made of, at the most.
 MAX_SAMPLES = 512
+#: Length of a statement's time, in seconds, below which no share of it is computed.
+MIN_SPAN_S = 1e-9
 
 
 class WorkCategory(Enum):
-    """What a task works for."""
+    """What a task works for; the values are shown in the statements."""
 
     HEARTBEATS = "reports"
     USERS = "users"
@@ -43,7 +47,10 @@
 
 
 class CategoryUsage:
-    """What one duty has taken since the last statement."""
+    """What one category has used since the last statement.
+
+    A piece is the work of a task between two waits.
+    """
 
     __slots__ = ("seconds", "pieces", "longest_s")
 
@@ -52,93 +59,97 @@
         self.pieces = 0
         self.longest_s = 0.0
 
+    def describe(self, span_s: float) -> str:
+        """Share of the time, pieces, their mean and their longest duration."""
+        mean_ms = 1000 * self.seconds / self.pieces
+        return (
+            f"{100 * self.seconds / span_s:.2f}% ({self.pieces}, "
+            f"{mean_ms:.2f} ms, at most {1000 * self.longest_s:.0f})"
+        )
+
 
 class CpuAccounting(Activation):
-    """Sums up how long tasks run, by duty.
+    """Adds up how long tasks run, by category.
 
-    A task begins without a duty, and each names its own by `enter`; the piece of work that
-    it is in then counts for that duty as a whole.
+    A task begins in `OTHER`, and names its category by `enter`; the piece of work that it is
+    in then counts for that category as a whole.
     """
 
     def __init__(self) -> None:
-        self._categories: dict[int, WorkCategory] = {}  # tasks that have named one
-        self._task = 0
+        self._categories: dict[int, WorkCategory] = {}  # by the id of a task that has named one
+        self._task_id = 0  # 0: no task runs
         self._category = WorkCategory.OTHER
-        self._began = 0.0
-        self.entries = {
-            category: CategoryUsage() for category in WorkCategory
-        }  # since the last statement
-        self._since = time.monotonic()
-        self._late: deque[float] = deque(maxlen=MAX_SAMPLES)
+        self._piece_began = 0.0
+        self.entries = {category: CategoryUsage() for category in WorkCategory}
+        self._statement_began = time.monotonic()
+        self._timer_delays: deque[float] = deque(maxlen=MAX_SAMPLES)  # in seconds
 
     def enter(self, category: WorkCategory) -> None:
-        """From now on the running task works for `duty`."""
+        """From now on the running task works for `category`."""
         self._category = category
-        if self._task:
-            self._categories[self._task] = category
+        if self._task_id:
+            self._categories[self._task_id] = category
 
     async def run_in_category(
         self, category: WorkCategory, work: Callable[[], Awaitable[Any]]
     ) -> None:
-        """Run a loop as work for `duty`."""
+        """Run `work` in the present task as work for `category`; raises what it raises."""
         self.enter(category)
         await work()
 
-    async def loop(self, heartbeat_interval_s: float, state: Callable[[str], None]) -> None:
-        """Look at the timers, and make a statement every so many heartbeat intervals."""
-        pause_s = LOOK_HEARTBEATS * heartbeat_interval_s
+    async def loop(self, heartbeat_interval_s: float, report: Callable[[str], None]) -> None:
+        """Sample the timers, and report a statement every `STATEMENT_HEARTBEATS`."""
+        pause_s = SAMPLE_HEARTBEATS * heartbeat_interval_s
         while True:
-            for _ in range(int(STATEMENT_HEARTBEATS / LOOK_HEARTBEATS)):
+            for _ in range(int(STATEMENT_HEARTBEATS / SAMPLE_HEARTBEATS)):
                 due = time.monotonic() + pause_s
                 await curio.sleep(pause_s)
-                self._late.append(max(0.0, time.monotonic() - due))
-            state(self.statement())
+                self._timer_delays.append(max(0.0, time.monotonic() - due))
+            report(self.statement())
 
     def running(self, task: Any) -> None:
         """The kernel is about to run a task."""
-        self._task = task.id
+        self._task_id = task.id
         self._category = self._categories.get(task.id, WorkCategory.OTHER)
-        self._began = time.monotonic()
+        self._piece_began = time.monotonic()
 
     def suspended(self, task: Any, trap: Any) -> None:
         """A task waits, or has ended."""
         entry = self.entries[self._category]
-        took_s = time.monotonic() - self._began
-        entry.seconds += took_s
+        piece_s = time.monotonic() - self._piece_began
+        entry.seconds += piece_s
         entry.pieces += 1
-        if took_s > entry.longest_s:
-            entry.longest_s = took_s
-        self._task = 0
+        if piece_s > entry.longest_s:
+            entry.longest_s = piece_s
+        self._task_id = 0
 
     def terminated(self, task: Any) -> None:
         """A task has ended."""
         self._categories.pop(task.id, None)
 
     def statement(self) -> str:
-        """One line on the time since the last statement; the next one begins."""
+        """One line on the time since the last statement; the next one begins here."""
         now = time.monotonic()
-        span = max(now - self._since, 1e-9)
-        busy = sum(entry.seconds for entry in self.entries.values())
+        span_s = max(now - self._statement_began, MIN_SPAN_S)
+        busy_s = sum(entry.seconds for entry in self.entries.values())
+        by_use = sorted(self.entries.items(), key=lambda item: item[1].seconds, reverse=True)
         parts = [
-            f"{category.value} {100 * entry.seconds / span:.2f}% ({entry.pieces}, "
-            f"{1000 * entry.seconds / entry.pieces:.2f} ms, at most {1000 * entry.longest_s:.0f})"
-            for category, entry in sorted(
-                self.entries.items(), key=lambda item: item[1].seconds, reverse=True
-            )
+            f"{category.value} {entry.describe(span_s)}"
+            for category, entry in by_use
             if entry.pieces
         ]
-        late = self._late or [0.0]
+        delays = self._timer_delays or [0.0]
         line = (
-            f"busy {100 * busy / span:.1f}% of {span:.0f} s: {', '.join(parts)}; "
-            f"timers late {1000 * statistics.median(late):.0f} ms, at most "
-            f"{1000 * max(late):.0f} ms; memory at most {peak_memory_mb():.1f} MB"
+            f"busy {100 * busy_s / span_s:.1f}% of {span_s:.0f} s: {', '.join(parts)}; "
+            f"timers late {1000 * statistics.median(delays):.0f} ms, at most "
+            f"{1000 * max(delays):.0f} ms; memory at most {peak_memory_mb():.1f} MB"
         )
         self.entries = {category: CategoryUsage() for category in WorkCategory}
-        self._late.clear()
-        self._since = now
+        self._timer_delays.clear()
+        self._statement_began = now
         return line
 
 
 def peak_memory_mb() -> float:
-    """The most memory that the process has held."""
+    """The most memory that the process has held, in MiB."""
     return resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
--- a/topazhold/io/http.py
+++ b/topazhold/io/http.py
@@ -13,14 +13,16 @@
 
 log = logging.getLogger(__name__)
 
-#: The most that is received at once.
-CHUNK = 64 * 1024
-#: Pause before another try to bind an address that is in use.
+#: Bytes that are received at once, at the most.
+CHUNK_BYTES = 64 * 1024
+#: Seconds before another try to bind an address that is in use.
 BIND_RETRY_S = 0.2
+#: Seconds before another try after a connection could not be accepted.
+ACCEPT_RETRY_S = 0.05
 
 
 class Request:
-    """A received request; `body` is bytes still to be decoded."""
+    """A received request: method, path, query without `?`, and the encoded body."""
 
     __slots__ = ("method", "path", "query", "body")
 
@@ -31,7 +33,10 @@
 
 
 class Response:
-    """A response: a status, a CBOR body and perhaps `Retry-After`."""
+    """A response: a status, a body to encode as CBOR, and perhaps `Retry-After` in seconds.
+
+    `close`: the connection ends after it.
+    """
 
     __slots__ = ("status", "body", "retry_after", "close")
 
@@ -45,22 +50,30 @@
 
     @property
     def retry_after_s(self) -> int | None:
-        """The value of the header, in whole seconds."""
+        """The value of the `Retry-After` header, in whole seconds and at least 1."""
         return None if self.retry_after is None else max(1, round(self.retry_after))
 
 
-class RequestNotSentError(Exception):
-    """The request did not leave this node."""
+class TransportError(Exception):
+    """A request came to no response."""
+
+
+class RequestNotSentError(TransportError):
+    """The request did not leave this node: it is not carried out."""
 
 
-class NoResponseError(Exception):
+class NoResponseError(TransportError):
     """The request was sent and may have been, or may yet be, carried out."""
 
 
 async def listen(
     address: tuple[str, int], client: Callable[[Any], Awaitable[None]], backlog: int
 ) -> None:
-    """Accept connections until cancelled; one failed accept is not the end."""
+    """Accept connections until cancelled, each served by a task of its own.
+
+    One failed accept is not the end. Raises OSError if the address can't be bound for another
+    reason than being in use.
+    """
     server = await _bind(address, backlog)
     async with server:
         while True:
@@ -68,7 +81,7 @@
                 sock, _ = await server.accept()
             except OSError as exc:
                 log.debug("accept: %s", exc)
-                await curio.sleep(0.05)
+                await curio.sleep(ACCEPT_RETRY_S)
                 continue
             await curio.spawn(_served, sock, client, daemon=True)
 
@@ -76,8 +89,8 @@
 async def _bind(address: tuple[str, int], backlog: int) -> Any:
     """A listening socket, as soon as the address is free.
 
-    Another process may hold it for a moment, as an outgoing connection's own address. A
-    controller that ended for that came up again only after the platform's pause.
+    Another process may hold it for a moment, as an outgoing connection's own address. That is
+    no reason to end: the platform starts an ended controller again only after a pause.
     """
     while True:
         try:
@@ -98,7 +111,11 @@
 
 
 async def connect(address: tuple[str, int], timeout_s: float) -> Any:
-    """Open a TCP connection to a numeric address; raises NotSent."""
+    """Open a TCP connection to a numeric address within `timeout_s` seconds.
+
+    Raises:
+        RequestNotSentError: the connection was refused, or not open in time.
+    """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         await curio.timeout_after(timeout_s, sock.connect, address)
--- a/topazhold/io/http_heads.py
+++ b/topazhold/io/http_heads.py
@@ -1,11 +1,10 @@
-"""Remembered HTTP message heads, read and written by h11 once each.
+"""A cache of HTTP message heads, each parsed or rendered by h11 once.
 
-Workers and users send the same few request heads again and again, and nearly all answers
-have the same head. Parsing, checking and rendering a head by h11 takes several times as
-long as all else that a request costs, and a head that is the same to the byte always
-gives the same result. So h11 does it once, and the result is kept.
+Workers and users send the same few request heads again and again, and nearly all responses
+have the same head. To parse, check and render a head is the larger part of a request's cost,
+and a head that is the same to the byte always gives the same result.
 
-Only plain messages are kept: HTTP/1.1, a body of a known length or none, and a connection
+Only plain requests are cached: HTTP/1.1, a body of a known length or none, and a connection
 that stays open. The caller gives all others to an `h11.Connection` of its own.
 """
 
@@ -18,16 +17,18 @@
 
 #: The end of a head, as h11 finds it.
 HEAD_END = re.compile(rb"\n\r?\n")
+#: Bytes of a head, at the most; a longer one is refused.
 HEAD_LIMIT = 16 * 1024
-#: Distinct heads that are remembered, of each kind, and the longest of them.
+#: Distinct heads that are cached, of requests and of responses each.
 MAX_HEADS = 8192
+#: Bytes of a cached head, at the most.
 MAX_HEAD_BYTES = 1024
 
 _PLAIN_REQUEST = b"GET / HTTP/1.1\r\nHost: any\r\n\r\n"
 
 
 class RequestHead:
-    """What the head of a plain request says."""
+    """The head of a plain request; `length` is that of its body, in bytes."""
 
     __slots__ = ("method", "target", "length")
 
@@ -38,14 +39,14 @@
 
 
 def split_head(data: bytes | bytearray) -> int:
-    """Where the head at the start of `data` ends; 0 if its end has not been received."""
+    """The length in bytes of the head at the start of `data`; 0 if its end is missing."""
     found = HEAD_END.search(data)
     return found.end() if found is not None else 0
 
 
 @lru_cache(maxsize=MAX_HEADS)
 def parse_request_head(head: bytes) -> RequestHead | None:
-    """Read a complete request head; None if it is not that of a plain request."""
+    """Parse a complete request head; None if it is not that of a plain request."""
     if len(head) > MAX_HEAD_BYTES:
         return None
     connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
@@ -69,7 +70,7 @@
     return RequestHead(event.method.decode("ascii"), event.target.decode("latin-1"), length)
 
 
-def _answer_headers(length: int, retry_after_s: int | None, close: bool) -> list[tuple[str, str]]:
+def _response_headers(length: int, retry_after_s: int | None, close: bool) -> list[tuple[str, str]]:
     headers = [("Content-Type", "application/cbor"), ("Content-Length", str(length))]
     if retry_after_s is not None:
         headers.append(("Retry-After", str(retry_after_s)))
@@ -78,17 +79,19 @@
     return headers
 
 
-def answer_event(status: int, length: int, retry_after_s: int | None, close: bool) -> h11.Response:
-    """The head of an answer, for an `h11.Connection`."""
-    headers = _answer_headers(length, retry_after_s, close)
+def response_event(
+    status: int, length: int, retry_after_s: int | None, close: bool
+) -> h11.Response:
+    """The head of a response with a body of `length` bytes, for an `h11.Connection`."""
+    headers = _response_headers(length, retry_after_s, close)
     return h11.Response(status_code=status, headers=headers)
 
 
 @lru_cache(maxsize=MAX_HEADS)
-def render_answer_head(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
-    """The head of the answer to a plain request."""
+def render_response_head(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
+    """The encoded head of the response to a plain request, its body `length` bytes long."""
     connection = h11.Connection(h11.SERVER)
     connection.receive_data(_PLAIN_REQUEST)
     connection.next_event()
-    event = answer_event(status, length, retry_after_s, close)
+    event = response_event(status, length, retry_after_s, close)
     return connection.send(event) or b""
--- a/topazhold/io/peer_transport.py
+++ b/topazhold/io/peer_transport.py
@@ -1,7 +1,7 @@
-"""Links between controllers: length-prefixed CBOR arrays over TCP.
+"""Transport between controllers: length-prefixed CBOR arrays over TCP.
 
-Every message is an array whose first member is its tag. A link is only a
-shortcut: nothing that the rules need depends on a message arriving.
+Every message is an array whose first member is its tag. Delivery is best-effort: no safety
+rule depends on a message arriving.
 """
 
 from __future__ import annotations
@@ -19,24 +19,30 @@
 log = logging.getLogger(__name__)
 
 _LENGTH = struct.Struct("!I")
+#: Bytes of an encoded message, at the most.
 FRAME_LIMIT = 256 * 1024
+#: Messages that wait to be sent to one controller, at the most.
 QUEUE_LIMIT = 32
+#: Time limits to connect and to send a message, in periods of the messages.
+CONNECT_PERIODS = 2
+SEND_PERIODS = 4
 
+#: Handles a message of another controller.
 Receiver = Callable[[tuple[Any, ...]], Awaitable[None]]
 
 
 def encode(message: tuple[Any, ...]) -> bytes:
-    """One message as it goes out; encoded once for all peers."""
+    """The frame of a message, the same for all peers; empty if it is over the limit."""
     data = cbor2.dumps(message)
     if len(data) > FRAME_LIMIT:
-        # The receiver would end the link; a summary that is missed is sent anew.
+        # The receiver would close the connection, and lose other messages with it.
         log.error("message %s of %d bytes is not sent", message[0], len(data))
         return b""
     return _LENGTH.pack(len(data)) + data
 
 
 async def receive(sock: Any) -> tuple[Any, ...] | None:
-    """The next message, or None when the link ends or carries no message."""
+    """The next message; None if the connection ends or carries no message. Raises OSError."""
     head = await _exactly(sock, _LENGTH.size)
     if head is None:
         return None
@@ -56,6 +62,7 @@
 
 
 async def _exactly(sock: Any, size: int) -> bytes | None:
+    """So many bytes; None if the connection ends before."""
     data = bytearray()
     while len(data) < size:
         part = await sock.recv(size - len(data))
@@ -66,13 +73,17 @@
 
 
 class PeerListener:
-    """Receives the other controllers' messages."""
+    """Receives the other controllers' messages.
+
+    A connection that is idle for `idle_s` seconds is closed.
+    """
 
     def __init__(self, receiver: Receiver, idle_s: float) -> None:
         self._receiver = receiver
         self._idle_s = idle_s
 
     async def run(self, address: tuple[str, int]) -> None:
+        """Accept connections until cancelled; raises OSError if the address can't be bound."""
         await listen(address, self._client, backlog=16)
 
     async def _client(self, sock: Any) -> None:
@@ -87,7 +98,10 @@
 
 
 class PeerConnection:
-    """Sends to one other controller; the oldest message gives way when it lags."""
+    """Sends to one other controller; the oldest message is dropped when the queue is full.
+
+    `period_s` is the interval of regular messages in seconds.
+    """
 
     def __init__(self, address: tuple[str, int], period_s: float) -> None:
         self._address = address
@@ -96,29 +110,34 @@
         self._wake = curio.Event()
 
     async def send(self, frame: bytes) -> None:
-        """Send an encoded message soon."""
+        """Queue a frame for sending."""
         if len(self._waiting) >= QUEUE_LIMIT:
             self._waiting.pop(0)
         self._waiting.append(frame)
         await self._wake.set()
 
     async def run(self) -> None:
-        """Keep the link up until cancelled."""
+        """Keep the connection open, and send what is queued, until cancelled."""
         while True:
             try:
-                sock = await connect(self._address, self._period_s * 2)
+                sock = await connect(self._address, self._period_s * CONNECT_PERIODS)
             except RequestNotSentError:
                 self._waiting.clear()
                 await curio.sleep(self._period_s)
                 continue
             try:
-                while True:
-                    await self._wake.wait()
-                    self._wake.clear()
-                    while self._waiting:
-                        frame = self._waiting.pop(0)
-                        await curio.timeout_after(self._period_s * 4, sock.sendall, frame)
+                await self._send_queued(sock)
             except (OSError, curio.TaskTimeout):
                 pass
             finally:
+                # A curio socket as a context manager is not taken out of the kernel's selector.
                 await sock.close()
+
+    async def _send_queued(self, sock: Any) -> None:
+        """Send queued frames until the connection fails: OSError or curio.TaskTimeout."""
+        while True:
+            await self._wake.wait()
+            self._wake.clear()
+            while self._waiting:
+                frame = self._waiting.pop(0)
+                await curio.timeout_after(self._period_s * SEND_PERIODS, sock.sendall, frame)
--- a/topazhold/io/server.py
+++ b/topazhold/io/server.py
@@ -11,12 +11,12 @@
 import h11
 from curio import socket
 
-from topazhold.io.http import CHUNK, Request, Response, listen
+from topazhold.io.http import CHUNK_BYTES, Request, Response, listen
 from topazhold.io.http_heads import (
     HEAD_LIMIT,
-    answer_event,
     parse_request_head,
-    render_answer_head,
+    render_response_head,
+    response_event,
     split_head,
 )
 from topazhold.wire import messages as wire
@@ -24,31 +24,37 @@
 
 log = logging.getLogger(__name__)
 
-#: How often idle connections are looked for, as a share of the time that they may be idle.
+#: Interval of the search for idle connections, as a share of the time that they may be idle.
 REAP_SHARE = 0.125
+#: Connections that wait to be accepted, at the most.
+BACKLOG = 256
+#: `Retry-After` of a connection that is over the limit, in seconds.
+LIMITED_RETRY_S = 1.0
 
+#: Responds to a request.
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class Connection:
-    """One accepted connection: receives requests and sends their answers.
+    """One accepted connection: receives requests and sends their responses.
 
-    Plain requests are read by remembered heads (`heads`). From the first request that is
-    not plain, or whose head does not arrive in one piece, the connection is h11's.
+    Plain requests are read by cached heads (`http_heads`). From the first request that is
+    not plain, or whose head does not arrive in one piece, an `h11.Connection` reads them.
     """
 
     def __init__(self, sock: Any, task: curio.Task, now: float) -> None:
         self._sock = sock
         self.task = task
-        self.waits_since: float | None = now  # for a request; None while one is answered
+        self.idle_since: float | None = now  # None while a request is handled
         self._received = bytearray()
         self._protocol: h11.Connection | None = None
-        self._head_only = False  # the answer to a HEAD request has no body
+        self._head_only = False  # the response to a HEAD request has no body
 
     async def receive(self) -> Request | Response | None:
-        """The next request, the answer to one that is refused, or None at the end.
+        """The next request, the response to one that is refused, or None at the end.
 
-        Raises `h11.RemoteProtocolError` if what arrives is not HTTP.
+        Raises h11.RemoteProtocolError if what arrives is not HTTP, OSError if the connection
+        fails.
         """
         if self._protocol is None:
             request = await self._receive_plain()
@@ -63,17 +69,17 @@
         return await self._receive_any(self._protocol)
 
     async def _receive_plain(self) -> Request | None:
-        """The next request if it is plain; else None, and what was received is kept."""
+        """The next request if it is plain; else None, and what was received is left."""
         received = self._received
         if not received:
-            received += await self._sock.recv(CHUNK)
+            received += await self._sock.recv(CHUNK_BYTES)
         end = split_head(received)
         head = parse_request_head(bytes(received[:end])) if end else None
         if head is None or head.length > wire.BODY_LIMIT:
             return None
         whole = end + head.length
         while len(received) < whole:
-            part = await self._sock.recv(CHUNK)
+            part = await self._sock.recv(CHUNK_BYTES)
             if not part:
                 return None
             received += part
@@ -82,6 +88,7 @@
         return Request(head.method, head.target, body)
 
     async def _receive_any(self, protocol: h11.Connection) -> Request | Response | None:
+        """The same as `receive`, by h11."""
         head: h11.Request | None = None
         parts: list[bytes] = []
         size = 0
@@ -91,7 +98,7 @@
                 if protocol.they_are_waiting_for_100_continue:
                     go_on = h11.InformationalResponse(status_code=100, headers=[])
                     await self._sock.sendall(protocol.send(go_on))
-                protocol.receive_data(await self._sock.recv(CHUNK))
+                protocol.receive_data(await self._sock.recv(CHUNK_BYTES))
             elif isinstance(event, h11.Request):
                 head = event
                 self._head_only = event.method == b"HEAD"
@@ -107,35 +114,38 @@
             else:
                 return None
 
-    async def send(self, answer: Response) -> bool:
-        """Send an answer; whether the connection can go on."""
-        body = b"" if answer.body is None else pack(answer.body)
+    async def send(self, response: Response) -> bool:
+        """Send a response; whether the connection can go on. Raises OSError if it fails."""
+        body = b"" if response.body is None else pack(response.body)
         protocol = self._protocol
         if protocol is None:
-            head = render_answer_head(answer.status, len(body), answer.retry_after_s, answer.close)
+            head = render_response_head(
+                response.status, len(body), response.retry_after_s, response.close
+            )
             await self._sock.sendall(head + body)
-            return not answer.close
-        event = answer_event(answer.status, len(body), answer.retry_after_s, answer.close)
+            return not response.close
+        event = response_event(response.status, len(body), response.retry_after_s, response.close)
         out = protocol.send(event) or b""
         if not self._head_only:
             out += protocol.send(h11.Data(data=body)) or b""
         out += protocol.send(h11.EndOfMessage()) or b""
         await self._sock.sendall(out)
         done = protocol.our_state is h11.DONE and protocol.their_state is h11.DONE
-        return done and not answer.close
+        return done and not response.close
 
     async def refuse(self, status: int) -> None:
-        """Answer what is not HTTP, if an answer can still be sent."""
+        """Respond to what is not HTTP, if a response can still be sent."""
         protocol = self._protocol
         if protocol is not None and protocol.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             await self.send(Response(status, close=True))
 
 
 class Server:
-    """Serves one address, with a bound on all connections and one on some.
+    """Serves one address, with a limit on all connections and a lower one on some.
 
-    Connections whose first request `is_limited` names are guests: they may take
-    `max_limited` at the most, so that others always find room.
+    A connection counts as limited from the first request for which `is_limited` is true. There
+    are `max_limited` of these at the most, so that others are always accepted. A connection
+    that is idle for `idle_s` seconds is closed.
     """
 
     def __init__(
@@ -147,7 +157,7 @@
         max_limited: int = 0,
     ) -> None:
         self._handler = handler
-        self._max = limit
+        self._limit = limit
         self._idle_s = idle_s
         self._is_limited = is_limited
         self._max_limited = max_limited
@@ -155,65 +165,66 @@
         self._limited_connections = 0
 
     async def run(self, address: tuple[str, int]) -> None:
-        """Accept connections until cancelled."""
+        """Accept connections until cancelled; raises OSError if the address can't be bound."""
         reaper = await curio.spawn(self._reap, daemon=True)
         try:
-            await listen(address, self._serve, backlog=256)
+            await listen(address, self._serve, backlog=BACKLOG)
         finally:
             await reaper.cancel()
 
     async def _reap(self) -> None:
-        """End connections that have been idle for too long.
+        """Close connections that have been idle for too long.
 
-        One task for all: a time limit around each request cost a fifth of the request.
+        One task for all of them is cheaper than a time limit around each request.
         """
         while True:
             await curio.sleep(REAP_SHARE * self._idle_s)
             now = time.monotonic()
             for connection in list(self._open):
-                since = connection.waits_since
-                if since is not None and now - since > self._idle_s:
+                idle_since = connection.idle_since
+                if idle_since is not None and now - idle_since > self._idle_s:
                     await connection.task.cancel(blocking=False)
 
     async def _serve(self, sock: Any) -> None:
-        if len(self._open) >= self._max:
-            return  # closing at once lets the load balancer or the worker move on
+        if len(self._open) >= self._limit:
+            return  # closed at once, so that the load balancer or the worker moves on
         connection = Connection(sock, await curio.current_task(), time.monotonic())
         self._open.add(connection)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            await self._talk(connection)
+            await self._serve_requests(connection)
         finally:
             self._open.discard(connection)
 
-    async def _talk(self, connection: Connection) -> None:
+    async def _serve_requests(self, connection: Connection) -> None:
+        """Handle one request after the other until the connection ends."""
         limited = False
         try:
             while True:
-                connection.waits_since = time.monotonic()
+                connection.idle_since = time.monotonic()
                 try:
                     request = await connection.receive()
                 except h11.RemoteProtocolError as exc:
                     await connection.refuse(exc.error_status_hint or 400)
                     return
-                connection.waits_since = None
+                connection.idle_since = None
                 if request is None:
                     return
                 if isinstance(request, Request) and not limited and self._is_limited(request):
                     if self._limited_connections >= self._max_limited:
-                        request = Response(503, retry_after=1.0, close=True)
+                        request = Response(503, retry_after=LIMITED_RETRY_S, close=True)
                     else:
                         limited = True
                         self._limited_connections += 1
-                answer = request if isinstance(request, Response) else await self._answer(request)
-                if not await connection.send(answer):
+                response = request if isinstance(request, Response) else await self._handle(request)
+                if not await connection.send(response):
                     return
         finally:
             self._limited_connections -= limited
 
-    async def _answer(self, request: Request) -> Response:
+    async def _handle(self, request: Request) -> Response:
         try:
             return await self._handler(request)
-        except Exception:  # one bad request must not take the node down
+        except Exception:  # one bad request must not end the controller
             log.exception("request failed: %s %s", request.method, request.path)
             return Response(500)
