--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: the controller itself, and the commands `check` and `duties`."""
 
 from __future__ import annotations
 
@@ -12,31 +12,35 @@
 from topazhold import __version__
 from topazhold import settings as conf
 
+#: The operators' settings that are read if no others are named.
 OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
-#: Exit status of commands that find nobody to ask.
+#: Exit status where settings can't be used.
+BAD_SETTINGS_STATUS = 2
+#: Exit status where the key-value store gives no answer.
 UNREACHABLE_STATUS = 3
+#: Values of the environment variable LOG_LEVEL; any other means `info`.
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def set_up_logging() -> None:
-    """Log to standard error in the amount that LOG_LEVEL gives."""
+    """Log to standard error from the level on that LOG_LEVEL names."""
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
-    # curio warns of every timer that fires a moment late, which is no news here.
+    # curio warns of every timer that fires late; `CpuAccounting` reports that in sum.
     logging.getLogger("curio").setLevel(logging.ERROR)
 
 
 def read_settings(config: Path, operator: Path | None) -> tuple[conf.Settings, conf.Operator]:
-    """Both settings files, or one clear line and exit status 2."""
+    """Read both settings files; where one can't be used, one line and the end, with status 2."""
     if operator is None and OPERATOR_FILE.exists():
         operator = OPERATOR_FILE
     try:
         return conf.load(config), conf.load_operator(operator)
     except conf.SettingsError as exc:
         click.echo(f"topazhold: {exc}", err=True)
-        sys.exit(2)
+        sys.exit(BAD_SETTINGS_STATUS)
 
 
 CONFIG = click.option(
@@ -62,7 +66,7 @@
         return
     if config is None:
         raise click.UsageError("--config FILE is needed")
-    settings, own = read_settings(config, operator)
+    settings, operators_own = read_settings(config, operator)
     set_up_logging()
     import curio
 
@@ -72,7 +76,8 @@
     cpu_accounting = CpuAccounting()
 
     async def serve() -> None:
-        await Controller(settings, own, cpu_accounting=cpu_accounting).run()
+        """Run the controller until it is cancelled."""
+        await Controller(settings, operators_own, cpu_accounting=cpu_accounting).run()
 
     try:
         curio.run(serve, activations=[cpu_accounting])
