--- a/topazhold/wire/__init__.py
+++ b/topazhold/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages as they stand on the wire; the only place for their field names."""
+"""Messages of the protocol; the only place for its field names, which `field(name=...)` maps."""
--- a/topazhold/wire/codec.py
+++ b/topazhold/wire/codec.py
@@ -18,12 +18,12 @@
 
 
 def pack(message: Any) -> bytes:
-    """Encode a struct, a map or a list."""
+    """Encode a struct, a map or a list as CBOR."""
     return cbor2.dumps(msgspec.to_builtins(message))
 
 
 def unpack(body: bytes) -> Any:
-    """Decode a body to plain values."""
+    """Decode a CBOR body to plain values; raises InvalidMessageError."""
     try:
         return cbor2.loads(body)
     except Exception as exc:  # the decoder raises many kinds on hostile input
@@ -31,7 +31,12 @@
 
 
 def convert(value: Any, kind: type[T]) -> T:
-    """Check plain values against a struct; non-finite numbers are refused."""
+    """Check plain values against a struct.
+
+    Raises:
+        InvalidMessageError: not a map, a field is missing or of another type, or a number is
+            not finite.
+    """
     if not isinstance(value, dict):
         raise InvalidMessageError("not a map")
     try:
@@ -43,12 +48,12 @@
 
 
 def read(body: bytes, kind: type[T]) -> T:
-    """Decode and check a body."""
+    """Decode and check a CBOR body; raises InvalidMessageError."""
     return convert(unpack(body), kind)
 
 
 def json_size(value: Any) -> int:
-    """The size that the protocol's limits count."""
+    """The size in bytes that the protocol's limits count: that of the value as JSON."""
     return len(msgspec.json.encode(value))
 
 
