--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs for developers; the product does not use them."""
+"""Programs for developers; topazhold itself does not use them."""
--- a/tools/compare_messages.py
+++ b/tools/compare_messages.py
@@ -185,9 +185,10 @@
 
 
 def describe(outcome: Outcome, difference: Difference) -> str:
-    """The first difference, for a reader."""
+    """The day and its first difference, as text."""
 
     def shown(message: str | None) -> str:
+        """The beginning of a message."""
         return "no more messages" if message is None else message.strip()[:SHOWN_CHARACTERS]
 
     return (
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -2,10 +2,10 @@
 
     python -m tools.costs --machines 168 --tasks 5 --gangs 15 --arrays 30 [--profile plan]
 
-Drives the real HTTP, report, planning, search and summary code over a fleet in memory and
-prints the processor time of one call of each piece. `--profile PIECE` runs that piece under
-the standard library's profiler and prints the costliest functions. The times are those of
-this machine: they are for comparing pieces and versions with each other.
+Drives the real HTTP, heartbeat, planning, search and summary code over a fleet in memory and
+prints the processor time of one call of each piece in milliseconds. `--profile PIECE` runs that
+piece under the standard library's profiler and prints the costliest functions. The times are
+those of this machine: they are for comparing pieces and versions with each other.
 """
 
 from __future__ import annotations
@@ -37,11 +37,20 @@
 from topazhold.wire.codec import read
 from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
 
+#: The leader's term.
 TERM = 5
-#: Tasks of the gangs and arrays, in turn, as on the sites that this was written for.
+#: Tasks of the gangs, in turn, and of each array.
 GANG_SIZES = (1, 2, 4, 8)
 ARRAY_SIZE = 18
+#: Gangs of this size are searched for, and so often in one call.
+SEARCHED_GANG_SIZE = 4
 SEARCH_TRIES = 4
+#: A cost is the least mean of so many runs, each of about so many seconds and calls at least.
+RUNS = 5
+RUN_S = 0.05
+MIN_CALLS = 3
+#: Functions that a profile names.
+PROFILED_FUNCTIONS = 25
 
 
 class Fleet:
@@ -73,71 +82,75 @@
             self.reservation_table.reservations.setdefault("node-0", {})[job.id] = reservation
         for _ in range(arrays):
             self._job(shape="batch", tasks=ARRAY_SIZE, gpus=1.0)
-        for report in self.heartbeats:
-            self.hear(report)
+        for heartbeat in self.heartbeats:
+            self.receive(heartbeat)
 
     def _job(self, **changes: Any) -> Job:
+        """A new job of the tests' default kind, with these fields changed."""
         self.number += 1
         job = Job(make_spec(self.number, **changes), self.now, 1e9 + self.now, "node-0")
         self.scheduler.add_job(job)
         return job
 
     def _machine(self, name: str, zone: str) -> None:
-        report = Heartbeat(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
-        self.heartbeats.append(report)
-        self.hear(report)
+        """A machine that is up and idle."""
+        heartbeat = Heartbeat(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
+        self.heartbeats.append(heartbeat)
+        self.receive(heartbeat)
 
     def _fill(self, tasks: int) -> None:
         """Every machine runs so many small tasks."""
-        for report in self.heartbeats:
+        for heartbeat in self.heartbeats:
             job = self._job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
             for index in range(tasks):
-                attempt = TaskAttempt(job, index, self.number, report.machine, self.now)
+                attempt = TaskAttempt(job, index, self.number, heartbeat.machine, self.now)
                 attempt.written(self.now)
                 attempt.order(1, self.now)
                 self.scheduler._attach(attempt)
-                report.tasks.append(
+                heartbeat.tasks.append(
                     TaskStatus(attempt.task_name, attempt.attempt_number, "running")
                 )
 
-    def hear(self, report: Heartbeat) -> list[Any]:
-        """A report of the same tasks, with the next number."""
-        report.sequence += 1
-        machine = self.scheduler.on_heartbeat(report, False, self.now)
+    def receive(self, heartbeat: Heartbeat) -> list[Any]:
+        """A heartbeat of the same tasks, with the next number; the commands of its answer."""
+        heartbeat.sequence += 1
+        machine = self.scheduler.on_heartbeat(heartbeat, False, self.now)
         assert machine is not None
         self.scheduler.wants_plan(machine, self.now)
-        return self.scheduler.answer(machine, report, self.now)
+        return self.scheduler.answer(machine, heartbeat, self.now)
 
 
 class EndlessSocket:
-    """Receives the same request again and again; what is sent is dropped."""
+    """A socket that receives the same request again and again; what is sent is dropped."""
 
     def __init__(self, request: bytes) -> None:
         self._request = request
 
     async def recv(self, size: int) -> bytes:
+        """The whole request."""
         return self._request
 
     async def sendall(self, data: bytes) -> None:
-        pass
+        """Drop the data."""
 
 
 def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that never waits."""
+    """The value of a coroutine that never waits."""
     try:
         coroutine.send(None)
     except StopIteration as exc:
         return exc.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine waits")
 
 
 def http_exchange(body: bytes) -> Callable[[], None]:
-    """Receive a report and send an answer without commands."""
+    """Receives a heartbeat and sends an answer without commands."""
     head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
     connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)  # type: ignore[arg-type]
     answer = Response(200, Commands(TERM, []))
 
     def exchange() -> None:
+        """One request with its response."""
         finish(connection.receive())
         finish(connection.send(answer))
 
@@ -145,14 +158,16 @@
 
 
 async def nothing(message: tuple[Any, ...]) -> None:
-    """In place of the links to other controllers."""
+    """Takes the place of the broadcast to other controllers."""
 
 
 def summary_of(fleet: Fleet) -> Callable[[], None]:
+    """Makes and encodes a summary, one second after the last one."""
     context = TermContext(fleet.settings, None, fleet.scheduler, TERM, 1, lambda now: True)  # type: ignore[arg-type]
     summaries = SummaryPublisher(context, fleet.operator.summary_s, nothing)
 
     def summary() -> None:
+        """One summary."""
         fleet.now += 1.0
         encode(("summary", TERM, summaries.summary(fleet.now)))
 
@@ -160,28 +175,32 @@
 
 
 def search_of(fleet: Fleet) -> Callable[[], None]:
-    """The search for a gang of four."""
+    """Searches for machines for a waiting gang."""
     scheduler = fleet.scheduler
-    job = next(job for job in scheduler.jobs.values() if job.gang and job.spec.tasks == 4)
+    job = next(
+        job for job in scheduler.jobs.values() if job.gang and job.spec.tasks == SEARCHED_GANG_SIZE
+    )
     caches = {zone: scheduler.offers(zone, fleet.now, job) for zone in "ab"}
     rules = SearchRules(2.0, 16, 20, 1.0, 1.0)
     directory = scheduler.directory()
 
     def one() -> None:
+        """One search."""
         search(fleet.rng, directory, caches, job.spec, priority(job), {}, rules, SEARCH_TRIES)
 
     return one
 
 
 def pieces(fleet: Fleet) -> dict[str, Callable[[], Any]]:
-    report = fleet.heartbeats[0]
-    body = cbor2.dumps(msgspec.to_builtins(report))
+    """The pieces of a leader's work, by the name that is printed."""
+    heartbeat = fleet.heartbeats[0]
+    body = cbor2.dumps(msgspec.to_builtins(heartbeat))
     return {
         "http": http_exchange(body),
         "decode": lambda: read(body, Heartbeat),
-        "report": lambda: fleet.hear(report),
+        "report": lambda: fleet.receive(heartbeat),
         "tick": lambda: fleet.scheduler.tick(fleet.now),
-        "rent": lambda: fleet.scheduler.rent(fleet.now),
+        "scale_out": lambda: fleet.scheduler.scale_out(fleet.now),
         "summary": summary_of(fleet),
         "search": search_of(fleet),
         "plan": lambda: fleet.scheduler.plan(fleet.now),
@@ -189,13 +208,13 @@
 
 
 def cost_ms(piece: Callable[[], Any]) -> float:
-    """The least mean of five runs, in milliseconds."""
+    """Processor time of one call in milliseconds: the least mean of `RUNS` runs."""
     piece()
     began = time.process_time()
     piece()
-    count = max(3, int(0.05 / max(time.process_time() - began, 1e-6)))
+    count = max(MIN_CALLS, int(RUN_S / max(time.process_time() - began, 1e-6)))
     best = float("inf")
-    for _ in range(5):
+    for _ in range(RUNS):
         began = time.process_time()
         for _ in range(count):
             piece()
@@ -210,7 +229,7 @@
     )
     parser.add_argument("--machines", type=int, default=168)
     parser.add_argument("--tasks", type=int, default=5, help="tasks that each machine runs")
-    parser.add_argument("--gangs", type=int, default=15, help="gangs that wait, with a hold")
+    parser.add_argument("--gangs", type=int, default=15, help="gangs that wait, with a reservation")
     parser.add_argument("--arrays", type=int, default=30, help="arrays that wait")
     parser.add_argument("--profile", metavar="PIECE", help="the piece to run under the profiler")
     parser.add_argument("--rounds", type=int, default=200, help="calls under the profiler")
@@ -224,7 +243,7 @@
     profiler = cProfile.Profile()
     for _ in range(args.rounds):
         profiler.runcall(found[args.profile])
-    pstats.Stats(profiler).sort_stats("tottime").print_stats(25)
+    pstats.Stats(profiler).sort_stats("tottime").print_stats(PROFILED_FUNCTIONS)
 
 
 if __name__ == "__main__":
--- a/tools/pauses.py
+++ b/tools/pauses.py
@@ -1,7 +1,7 @@
-"""Stops and continues holders of duties on loopback, many times, and counts what came of it.
+"""Stops and continues leaders on loopback, many times, and counts the effects on operations.
 
 Run as `python -m tools.pauses --seeds 10`. Every scene starts three controllers of the real
-program and the stand-ins of the tests; figures are loopback figures of this machine.
+program and the fakes of the tests; figures are loopback figures of this machine.
 """
 
 from __future__ import annotations
@@ -16,12 +16,14 @@
 from tests.pause_scenes import PauseOutcome, play_pause
 from tests.traps import KINDS, POINTS
 
+#: Characters that are printed of a scene's failure.
+SHOWN_CHARACTERS = 300
 HEADINGS = "| order | stopped at | scenes | orders | executed | stale | stale with effect |"
 HEADINGS += " two decisions | rules broken | without holder, median and worst s | failed |"
 
 
-def one(point: str, kind: str, seed: int, record: bool) -> PauseOutcome | str:
-    """One scene; a text if it came to no end."""
+def play_scene(point: str, kind: str, seed: int, record: bool) -> PauseOutcome | str:
+    """The outcome of one scene, or the reason why it came to no end."""
     operator = f"record_orders: {str(record).lower()}\n"
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -30,8 +32,8 @@
             return f"{kind}, {point}, seed {seed}: {type(exc).__name__}: {exc}"
 
 
-def row(kind: str, point: str, outcomes: list[PauseOutcome | str]) -> str:
-    """A line of the table."""
+def table_row(kind: str, point: str, outcomes: list[PauseOutcome | str]) -> str:
+    """The line of the table for one kind of operation and one point."""
     done = [outcome for outcome in outcomes if not isinstance(outcome, str)]
     times = sorted(outcome.without_holder_s for outcome in done) or [float("nan")]
     cells = [
@@ -64,15 +66,16 @@
         for kind in KINDS:
             for point in POINTS:
                 if not record and "record" in point:
-                    continue  # there is none
-                tries = [
-                    pool.submit(one, point, kind, seed, record) for seed in range(1, seeds + 1)
+                    continue  # without records there is no such point
+                scenes = [
+                    pool.submit(play_scene, point, kind, seed, record)
+                    for seed in range(1, seeds + 1)
                 ]
-                outcomes = [each.result() for each in tries]
-                click.echo(row(kind, point, outcomes))
+                outcomes = [scene.result() for scene in scenes]
+                click.echo(table_row(kind, point, outcomes))
                 failures += [outcome for outcome in outcomes if isinstance(outcome, str)]
     for failure in failures:
-        click.echo(f"failed: {failure[:300]}")
+        click.echo(f"failed: {failure[:SHOWN_CHARACTERS]}")
 
 
 if __name__ == "__main__":
--- a/topazhold/operations/counters.py
+++ b/topazhold/operations/counters.py
@@ -18,3 +18,8 @@
     confirmed: int = 0
     closed: int = 0
     unreadable: int = 0  # stored records that can't be read
+
+    def count_request(self, repeated: bool) -> None:
+        """A request is about to be sent; `repeated`: not for the first time in this term."""
+        self.requests += 1
+        self.repeated += repeated
--- a/topazhold/operations/operation_log.py
+++ b/topazhold/operations/operation_log.py
@@ -227,19 +227,15 @@
             return None
         operations = {release.operation.key: release.operation for release in due}
         repeated = any([operation.sent() for operation in operations.values()])
-        self._count_request(repeated)
+        self.counters.count_request(repeated)
         return ReleaseRequest([release.name for release in due], repeated)
 
     def sending(self, operation: AnyOperation) -> bool:
         """A scale-out or clean-up is about to be sent; whether it is a repetition."""
         repeated = operation.sent()
-        self._count_request(repeated)
+        self.counters.count_request(repeated)
         return repeated
 
-    def _count_request(self, repeated: bool) -> None:
-        self.counters.requests += 1
-        self.counters.repeated += repeated
-
     def scale_outs_due(self) -> list[ScaleOutOperation]:
         """Scale-outs to request, for the first time or once more."""
         return self.of_kind(ScaleOutOperation, OperationState.RECORDED, OperationState.SENT)
