--- a/tools/record_messages.py
+++ b/tools/record_messages.py
@@ -130,6 +130,7 @@
         signature = inspect.signature(ask)
 
         async def hooked(*args: Any, **kwargs: Any) -> tuple[int, bytes]:
+            """Write down the request, and what came of it."""
             _, source, target, method, path, message, timeout_s = signature.bind(
                 *args, **kwargs
             ).arguments.values()
@@ -151,6 +152,7 @@
 
     def _hooked_send(self, send: Callable[..., Any]) -> Callable[..., Any]:
         async def hooked(link: Any, frame: bytes) -> Any:
+            """Write down the frame."""
             source, target = _attribute(link, SOURCE_NAMES), _attribute(link, TARGET_NAMES)
             self._write("frame", source, target, body=decoded(frame[FRAME_HEAD:]))
             return await send(link, frame)
--- a/topazhold/io/peer_transport.py
+++ b/topazhold/io/peer_transport.py
@@ -23,6 +23,8 @@
 FRAME_LIMIT = 256 * 1024
 #: Messages that wait to be sent to one controller, at the most.
 QUEUE_LIMIT = 32
+#: Connections that wait to be accepted, at the most.
+BACKLOG = 16
 #: Time limits to connect and to send a message, in periods of the messages.
 CONNECT_PERIODS = 2
 SEND_PERIODS = 4
@@ -84,7 +86,7 @@
 
     async def run(self, address: tuple[str, int]) -> None:
         """Accept connections until cancelled; raises OSError if the address can't be bound."""
-        await listen(address, self._client, backlog=16)
+        await listen(address, self._client, backlog=BACKLOG)
 
     async def _client(self, sock: Any) -> None:
         while True:
