--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -25,7 +25,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.placement_hints import PlacementHints
 from topazhold.io.http import Response
-from topazhold.wire.messages import Commands, Heartbeat, TaskStatus
+from topazhold.wire.workers import Commands, Heartbeat, TaskStatus
 
 Twist = Callable[[Scenario, str, str], Awaitable[None]]
 
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -17,7 +17,7 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
-from topazhold.settings import Operator
+from topazhold.operator_settings import Operator
 from topazhold.wire import messages as wire
 
 
--- a/tests/test_scheduler_failover.py
+++ b/tests/test_scheduler_failover.py
@@ -8,7 +8,8 @@
 from topazhold.core.autoscaling import counts_as_capacity
 from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.records import Intents
-from topazhold.wire.messages import ListedMachine, TaskStatus
+from topazhold.wire.cloud import ListedMachine
+from topazhold.wire.workers import TaskStatus
 
 
 def test_new_leader_places_intended_tasks_only_after_a_heartbeat_of_its_term() -> None:
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -9,7 +9,7 @@
 from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.task_attempts import AttemptState
-from topazhold.wire.messages import ListedMachine
+from topazhold.wire.cloud import ListedMachine
 
 
 def silent_group(share: float) -> tuple[SchedulerHarness, int]:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -33,7 +33,8 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
-from topazhold.settings import LaterLimits, Operator
+from topazhold.operator_settings import Operator
+from topazhold.settings import LaterLimits
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size, pack
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,7 +16,8 @@
 from topazhold.core.jobs import Job
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, pack, read, unpack
-from topazhold.wire.messages import Heartbeat, JobSpec
+from topazhold.wire.jobs import JobSpec
+from topazhold.wire.workers import Heartbeat
 
 
 def fields(**changes: Any) -> dict[str, Any]:
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -49,10 +49,12 @@
 from topazhold.io.peer_transport import PeerConnection, PeerListener, encode
 from topazhold.io.server import Server
 from topazhold.operations.released_machines import ReleasedMachines
-from topazhold.settings import Operator, Settings, address
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
+from topazhold.wire.cloud import MachineType
 from topazhold.wire.codec import InvalidMessageError, read
-from topazhold.wire.messages import Commands, Heartbeat, MachineType
+from topazhold.wire.workers import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -18,7 +18,7 @@
 from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Entry
+from topazhold.wire.key_value_store import Entry
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -13,8 +13,8 @@
 from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.reservations import RESERVATION_PREFIX
+from topazhold.wire.cloud import MachineType
 from topazhold.wire.codec import InvalidMessageError
-from topazhold.wire.messages import MachineType
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -16,7 +16,7 @@
 from topazhold.core.leadership import Leadership
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
-from topazhold.wire.messages import Heartbeat
+from topazhold.wire.workers import Heartbeat
 
 #: A leader that has been silent for this share of a grant's time is cut off.
 SILENT_CONTROLLER_LEASES = 0.9
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -32,10 +32,11 @@
 )
 from topazhold.core.resource_offer import AGED, Priority, ResourceOffer, unpack_offer
 from topazhold.core.zone_summary import unpack_names
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -13,7 +13,7 @@
 from topazhold.settings import State as StateLimits
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, json_size, read
-from topazhold.wire.messages import Entry
+from topazhold.wire.key_value_store import Entry
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -20,9 +20,10 @@
 from topazhold.control.leader_term import LeaderTerm
 from topazhold.core import records
 from topazhold.core.preemption import queue_key
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 from topazhold.wire.codec import InvalidMessageError
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -15,7 +15,7 @@
 from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.resource_offer import Priority, ResourceOffer
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 #: What the first task on an empty machine costs, in full preferences.
 BREAK_PREFERENCE = 1.5
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -14,7 +14,7 @@
 from topazhold.core.task_attempts import UNSENT, AttemptState, TaskAttempt
 from topazhold.core.timing import Timing
 from topazhold.settings import Settings
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/fleet_scaling.py
+++ b/topazhold/core/fleet_scaling.py
@@ -7,7 +7,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.failure_detection import FailureDetection
 from topazhold.core.zone_demand import ZoneDemand
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 
 class FleetScaling:
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -23,7 +23,7 @@
 )
 from topazhold.core.jobs import Resources
 from topazhold.core.resource_offer import Priority, ResourceOffer
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 #: Up to so many possible groups are compared one by one: four of eight slots give 70, no more
 #: than a swap loop tries.
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -7,7 +7,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.task_reconciliation import TaskReconciliation
-from topazhold.wire.messages import Heartbeat
+from topazhold.wire.workers import Heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -9,7 +9,7 @@
 from topazhold.core.completion_bitmap import pack_bitmap, unpack_bitmap
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 #: Tasks whose completion bitmap shares one value of the key-value store: a part.
 TASKS_PER_PART = 4096
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -7,7 +7,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.machines import Machine
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import ListedMachine
+from topazhold.wire.cloud import ListedMachine
 
 #: A machine that was rented so many list lags ago is on any list that is asked for now.
 LISTED_LAGS = 4
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -7,7 +7,7 @@
 
 from topazhold.core.jobs import Resources
 from topazhold.core.task_attempts import WITH_IMAGE, TaskAttempt
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
 SLACK = 1e-6
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -11,7 +11,7 @@
 from topazhold.core.machines import Machine
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, convert
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 LIVE_PREFIX = "live/"
 OVER_PREFIX = "over/"
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -17,8 +17,10 @@
 from topazhold.core.resource_offer import ResourceOffer
 from topazhold.core.scheduler_parts import SchedulerParts
 from topazhold.core.task_attempts import TaskAttempt
-from topazhold.settings import Operator, Settings
-from topazhold.wire.messages import Command, Heartbeat, ListedMachine, MachineType
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
+from topazhold.wire.cloud import ListedMachine, MachineType
+from topazhold.wire.workers import Command, Heartbeat
 
 
 class Scheduler:
--- a/topazhold/core/scheduler_parts.py
+++ b/topazhold/core/scheduler_parts.py
@@ -25,7 +25,8 @@
 from topazhold.core.timing import Timing
 from topazhold.core.worker_commands import WorkerCommands
 from topazhold.core.zone_demand import ZoneDemand
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 
 
 class SchedulerParts:
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -11,7 +11,7 @@
 from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.team_limits import TeamLimits
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 
 class ZoneShortage(NamedTuple):
