--- a/tests/cloud_operation_history.py
+++ b/tests/cloud_operation_history.py
@@ -3,11 +3,14 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.duties.records import RENTAL_PREFIX, RETURN_PREFIX
 
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
 #: An answer with a launch may be carried out so long after it was made.
 IN_FLIGHT_S = 5.0
 
@@ -30,7 +33,7 @@
 class CloudOperationHistory:
     """Judges every order that has an effect; `judges` is off where old versions lead."""
 
-    def __init__(self, simulation: Any) -> None:
+    def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self.judges = True
         self.returns: dict[str, tuple[str, float]] = {}  # machine -> record, since when
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -3,33 +3,60 @@
 from __future__ import annotations
 
 from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import curio
 
 from tests.cloud_operation_history import CloudOperationHistory
 from tests.fakes.worker import FakeWorker
 
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
+Answer = tuple[int, Any]
+
+KEPT_LISTS_S = 12.0
+RELEASE_S = 0.2
+#: Share of the rented machines whose worker never comes up.
+DEAD_ON_ARRIVAL_SHARE = 0.1
+CATALOG = {
+    "breeds": [
+        {
+            "label": "b1",
+            "vcpus": 16,
+            "cards": 4,
+            "ram_gb": 64,
+            "local_gb": 100,
+            "fetch_gb_per_s": 2.0,
+            "hourly": 10.0,
+            "market_price": 4.0,
+            "ready_s": 3,
+            "apiaries": ["a", "b"],
+        }
+    ]
+}
+
 
 class FakeCloud:
     """Rents machines; its list is late and may run backwards."""
 
     HOST = "cloud:1"
 
-    def __init__(self, simulation: Any, rng: Random, capacity: int) -> None:
+    def __init__(self, simulation: Simulation, rng: Random, capacity: int) -> None:
         self.simulation = simulation
         self.rng = rng
         self.capacity = capacity
         self.workers: dict[str, FakeWorker] = {}
-        self.asks: dict[str, list[str]] = {}
-        self.number = 0
-        self.history: list[tuple[float, list[dict[str, Any]]]] = []
-        self.orders = CloudOperationHistory(simulation)
+        self.operations = CloudOperationHistory(simulation)
         self.down = False
+        self.rented: dict[str, list[str]] = {}  # machines, by the name of the request
+        self._next_number = 0
+        self._past_lists: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
-        name = f"host-{self.number:06d}"
-        self.number += 1
+        """Put a machine up; its worker comes up unless it never `boots`."""
+        name = f"host-{self._next_number:06d}"
+        self._next_number += 1
         worker = FakeWorker(self.simulation, name, zone, spot, self.rng)
         self.workers[name] = worker
         self.simulation.network.zones[worker.host] = zone
@@ -44,66 +71,66 @@
         worker.tasks.clear()
         self.workers.pop(worker.name, None)
 
-    def snapshot(self) -> None:
+    def record_machine_list(self) -> None:
+        """Keep the list of this moment, to be handed out later."""
         now = self.simulation.clock.now
-        machine_names = [
+        machines = [
             {
-                "id": w.name,
-                "endpoint": w.host,
+                "id": worker.name,
+                "endpoint": worker.host,
                 "breed": "b1",
-                "apiary": w.zone,
-                "drones": w.spot,
-                "stage": w.state(now),
-                "age_s": now - w.rented_at,
+                "apiary": worker.zone,
+                "drones": worker.spot,
+                "stage": worker.state(now),
+                "age_s": now - worker.rented_at,
             }
-            for w in self.workers.values()
+            for worker in self.workers.values()
         ]
-        self.history.append((now, machine_names))
-        self.history = [item for item in self.history if now - item[0] < 12.0]
+        self._past_lists.append((now, machines))
+        self._past_lists = [item for item in self._past_lists if now - item[0] < KEPT_LISTS_S]
 
-    async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+    async def handle(self, source: str, method: str, path: str, body: Any) -> Answer:
+        """A controller's request."""
         if self.down:
             return 503, {"error": "trouble"}
         if method == "GET" and path.startswith("/machines"):
-            lag = self.rng.uniform(0.0, 2.0) * self.simulation.settings.cluster.cloud.list_lag_s
-            wanted = self.simulation.clock.now - lag
-            old = [machine_names for at, machine_names in self.history if at <= wanted]
-            machine_names = old[-1] if old else []
-            return 200, {"boxes": machine_names, "truncated": False}
+            return 200, {"boxes": self._late_machine_list(), "truncated": False}
         if path == "/catalog":
-            return 200, {
-                "breeds": [
-                    {
-                        "label": "b1",
-                        "vcpus": 16,
-                        "cards": 4,
-                        "ram_gb": 64,
-                        "local_gb": 100,
-                        "fetch_gb_per_s": 2.0,
-                        "hourly": 10.0,
-                        "market_price": 4.0,
-                        "ready_s": 3,
-                        "apiaries": ["a", "b"],
-                    }
-                ]
-            }
-        self.orders.arrived(source)
+            return 200, CATALOG
+        self.operations.arrived(source)
         if path == "/machines/release":
-            await curio.sleep(0.2)
-            there = [self.workers[name] for name in body["boxes"] if name in self.workers]
-            self.orders.released(source, there)
-            for worker in there:
-                self.remove(worker)
-            return 200, {}
-        if body["swarm_ask"] in self.asks:
-            return 200, {"boxes": self.asks[body["swarm_ask"]]}
+            return await self._release(source, body)
+        return await self._rent(source, body)
+
+    def _late_machine_list(self) -> list[dict[str, Any]]:
+        """A list of up to twice the lag ago."""
+        lag_s = self.rng.uniform(0.0, 2.0) * self.simulation.settings.cluster.cloud.list_lag_s
+        until = self.simulation.clock.now - lag_s
+        old = [machines for at, machines in self._past_lists if at <= until]
+        return old[-1] if old else []
+
+    async def _release(self, source: str, body: Any) -> Answer:
+        await curio.sleep(RELEASE_S)
+        there = [self.workers[name] for name in body["boxes"] if name in self.workers]
+        self.operations.released(source, there)
+        for worker in there:
+            self.remove(worker)
+        return 200, {}
+
+    async def _rent(self, source: str, body: Any) -> Answer:
+        """Rent machines; a repeated request gets the machines of the first one."""
+        request = body["swarm_ask"]
+        if request in self.rented:
+            return 200, {"boxes": self.rented[request]}
         room = self.capacity - len(self.workers)
         if room <= 0:
             return 503, {"error": "no capacity"}
         names = [
-            await self.add(body["apiary"], body["drones"], self.rng.random() > 0.1)
+            await self.add(
+                body["apiary"], body["drones"], self.rng.random() > DEAD_ON_ARRIVAL_SHARE
+            )
             for _ in range(min(room, body["count"]))
         ]
-        self.asks[body["swarm_ask"]] = names
-        self.orders.rented(source, body["swarm_ask"], names)
+        self.rented[request] = names
+        self.operations.rented(source, request, names)
         return 200, {"boxes": names}
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import curio
 import msgspec
@@ -15,6 +15,9 @@
 from topazhold.settings import Settings
 from topazhold.wire.codec import pack
 
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
 
 def make_settings(name: str, zone: str, others: list[tuple[str, str]]) -> Settings:
     """A small deployment: two zones, two teams, short times."""
@@ -48,7 +51,7 @@
     )
 
 
-def create_controller(simulation: Any, name: str, alive: dict[str, bool]) -> Any:
+def create_controller(simulation: Simulation, name: str, alive: dict[str, bool]) -> Any:
     """A controller of the version that is installed there; it does nothing yet."""
     version = simulation.versions.get(name, CURRENT)
     settings = version.settings(simulation.controller_settings[name])
@@ -64,41 +67,41 @@
         )
 
     operator = version.load("settings", "Operator")()
-    node = version.load("control.node", "Node")(settings, operator, dial)
-    member(node, "rng").seed(simulation.rng.random())
-    member(node, "links").update(
+    controller = version.load("control.node", "Node")(settings, operator, dial)
+    member(controller, "rng").seed(simulation.rng.random())
+    member(controller, "links").update(
         {
             other: PeerLink(simulation, name, other)
             for other in simulation.controller_names
             if other != name
         }
     )
-    return node
+    return controller
 
 
-async def start_controller(simulation: Any, name: str) -> None:
+async def start_controller(simulation: Simulation, name: str) -> None:
     """Start a controller process, as the platform does after an end."""
     alive = {"yes": True}
-    node = create_controller(simulation, name, alive)
+    controller = create_controller(simulation, name, alive)
     request_kind = simulation.versions.get(name, CURRENT).load("io.http", "Request")
     host = simulation.controller_settings[name].bind
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         data = pack(body) if body is not None else b""
         await simulation.wait_while_paused(name)
-        answer = await member(node, "handle")(request_kind(method, path, data))
+        answer = await member(controller, "handle")(request_kind(method, path, data))
         await simulation.wait_while_paused(name)
         return member(answer, "status"), member(answer, "body")
 
-    task = await curio.spawn(member(node, "work"), daemon=True)
-    simulation.controllers[name] = node
+    task = await curio.spawn(member(controller, "work"), daemon=True)
+    simulation.controllers[name] = controller
     simulation.processes[name] = (task, alive)
     simulation.network.hosts[host] = handle
     simulation.network.hosts[name] = handle
     simulation.network.zones[name] = simulation.zones[name]
 
 
-async def stop_controller(simulation: Any, name: str) -> None:
+async def stop_controller(simulation: Simulation, name: str) -> None:
     """Kill a controller: no goodbye, nothing kept."""
     task, alive = simulation.processes.pop(name)
     alive["yes"] = False
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -11,21 +11,26 @@
 from topazhold.settings import LaterLimits
 from topazhold.wire.codec import json_size
 
+Answer = tuple[int, Any]
+
+#: Keys in a page of a list, however many are asked for.
+MAX_PAGE_KEYS = 7
+
 
 class FakeKeyValueStore:
-    """Keys with marks, grants, conditional transactions and watches."""
+    """Keys with revisions, leases, conditional transactions and watches."""
 
     HOST = "state:1"
 
     def __init__(self, clock: VirtualTime) -> None:
         self.clock = clock
-        self.data: dict[str, tuple[Any, int, int | None]] = {}
+        self.data: dict[str, tuple[Any, int, int | None]] = {}  # value, revision, lease
         self.revision = 100
-        self.grants: dict[int, tuple[float, float]] = {}  # ttl, end
-        self.next_lease_id = 1
+        self.leases: dict[int, tuple[float, float]] = {}  # time to live, end
+        self._next_lease_id = 1
         self.changes: list[tuple[int, str, Any]] = []
         self.down = False
-        self.refused: set[str] = set()  # nodes that get 503
+        self.refused: set[str] = set()  # controllers that get 503
         self.slow_s = 0.0  # an answer takes up to so long
         self.value_bytes = 8 * 1024
         self.txn_ops = 8
@@ -36,40 +41,75 @@
         self._tokens = (0.0, 0.0)  # changes that may come now, and as of when
         self._changed = curio.Event()
 
-    async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+    async def handle(self, source: str, method: str, path: str, body: Any) -> Answer:
+        """A controller's request."""
         if self.slow_s and not path.startswith("/watch"):
             await curio.sleep(self.slow_s * (0.1 + 0.9 * (self.revision % 7 == 0)))
-        await self._expire()
+        await self._expire_leases()
         path, _, query = path.partition("?")
         args = dict(part.split("=", 1) for part in query.split("&") if part)
-        refused = self.down or source in self.refused
         if path == "/watch":
             return await self._watch(source, args)
-        if refused:
+        if self.down or source in self.refused:
             return 503, {}
         if path == "/store":
             return self._list(args)
         if path.startswith("/store/"):
             return self._get(path[len("/store/") :])
         if path == "/multi":
-            return await self._multi(body)
+            return await self._compare_and_swap(body)
         if path == "/grants":
-            lease_id = self.next_lease_id
-            self.next_lease_id += 1
-            ttl = body["ttl_ms"] / 1000
-            self.grants[lease_id] = (ttl, self.clock.now + ttl)
-            return 200, {"permit": lease_id}
-        lease_id = int(path.split("/")[2])
-        if lease_id not in self.grants:
+            return self._grant_lease(body["ttl_ms"] / 1000)
+        return await self._change_lease(int(path.split("/")[2]), method == "DELETE")
+
+    # -- leases ------------------------------------------------------------------
+
+    def set_down(self, down: bool) -> None:
+        """Refuse everybody, or serve again; no lease expires meanwhile."""
+        if self.down and not down:
+            for lease_id in list(self.leases):
+                self._renew_lease(lease_id)
+        self.down = down
+
+    async def _expire_leases(self) -> None:
+        if self.down:
+            return
+        for lease_id, (_, end) in list(self.leases.items()):
+            if end < self.clock.now:
+                await self._end_lease(lease_id)
+
+    async def _end_lease(self, lease_id: int) -> None:
+        """Drop a lease and all keys under it."""
+        self.leases.pop(lease_id, None)
+        for key in [key for key, (_, _, held) in self.data.items() if held == lease_id]:
+            self.revision += 1
+            del self.data[key]
+            self.changes.append((self.revision, key, None))
+        await self._wake_watches()
+
+    def _grant_lease(self, ttl_s: float) -> Answer:
+        lease_id = self._next_lease_id
+        self._next_lease_id += 1
+        self.leases[lease_id] = (ttl_s, self.clock.now + ttl_s)
+        return 200, {"permit": lease_id}
+
+    async def _change_lease(self, lease_id: int, revoke: bool) -> Answer:
+        """Revoke or renew a lease."""
+        if lease_id not in self.leases:
             return 404, {}
-        if method == "DELETE":
-            await self._end(lease_id)
+        if revoke:
+            await self._end_lease(lease_id)
         else:
-            ttl, _ = self.grants[lease_id]
-            self.grants[lease_id] = (ttl, self.clock.now + ttl)
+            self._renew_lease(lease_id)
         return 200, {}
 
-    def lower(self, limits: LaterLimits) -> None:
+    def _renew_lease(self, lease_id: int) -> None:
+        ttl_s, _ = self.leases[lease_id]
+        self.leases[lease_id] = (ttl_s, self.clock.now + ttl_s)
+
+    # -- limits ------------------------------------------------------------------
+
+    def lower_limits(self, limits: LaterLimits) -> None:
         """From now on, without notice, smaller values and transactions, and fewer changes."""
         if limits.value_kb is not None:
             self.value_bytes = int(limits.value_kb * 1024)
@@ -100,60 +140,41 @@
         self.refused_rates += over
         return over
 
-    def set_down(self, down: bool) -> None:
-        if self.down and not down:
-            for lease_id, (ttl, _) in list(self.grants.items()):
-                self.grants[lease_id] = (ttl, self.clock.now + ttl)
-        self.down = down
+    # -- keys --------------------------------------------------------------------
 
-    async def _expire(self) -> None:
-        if self.down:
-            return
-        for lease_id, (_, end) in list(self.grants.items()):
-            if end < self.clock.now:
-                await self._end(lease_id)
-
-    async def _end(self, lease_id: int) -> None:
-        self.grants.pop(lease_id, None)
-        for key in [key for key, (_, _, held) in self.data.items() if held == lease_id]:
-            self.revision += 1
-            del self.data[key]
-            self.changes.append((self.revision, key, None))
-        await self._wake()
-
-    async def _wake(self) -> None:
+    async def _wake_watches(self) -> None:
         await self._changed.set()
         self._changed.clear()
 
-    def _get(self, key: str) -> tuple[int, Any]:
+    def _get(self, key: str) -> Answer:
         if key not in self.data:
             return 404, {"harvest": self.revision}
         data, revision, lease_id = self.data[key]
         return 200, {"key": key, "data": data, "mark": revision, "permit": lease_id}
 
-    def _list(self, args: dict[str, str]) -> tuple[int, Any]:
+    def _list(self, args: dict[str, str]) -> Answer:
         keys = sorted(
             key for key in self.data if key.startswith(args["under"]) and key > args.get("from", "")
         )
-        most = min(int(args.get("most", 1000)), 7)
+        most = min(int(args.get("most", 1000)), MAX_PAGE_KEYS)
         page = [{"key": k, "data": self.data[k][0], "mark": self.data[k][1]} for k in keys[:most]]
         return 200, {"entries": page, "truncated": len(keys) > most, "harvest": self.revision}
 
-    async def _multi(self, body: Any) -> tuple[int, Any]:
+    async def _compare_and_swap(self, body: Any) -> Answer:
         if self._too_large(body["then"]):
             return 400, {"error": "too large"}
         if self._too_many(len(body["then"])):
             return 429, {}
-        failed = [
+        stale = [
             condition["key"]
             for condition in body["guards"]
             if self.data.get(condition["key"], (None, 0, None))[1] != condition["mark"]
         ]
-        if failed:
-            return 409, {"failed": failed, "harvest": self.revision}
+        if stale:
+            return 409, {"failed": stale, "harvest": self.revision}
         for change in body["then"]:
             lease_id = change.get("permit")
-            if lease_id is not None and lease_id not in self.grants:
+            if lease_id is not None and lease_id not in self.leases:
                 return 400, {"error": "no such lease"}
         if body["then"]:
             self.revision += 1
@@ -164,26 +185,25 @@
                 self.on_change(change["put"], change["data"])
             elif self.data.pop(change["drop"], None) is not None:
                 self.changes.append((self.revision, change["drop"], None))
-        await self._wake()
+        await self._wake_watches()
         return 200, {"harvest": self.revision}
 
-    async def _watch(self, source: str, args: dict[str, str]) -> tuple[int, Any]:
+    async def _watch(self, source: str, args: dict[str, str]) -> Answer:
         since = int(args["from"])
         end = self.clock.now + int(args.get("block_ms", 0)) / 1000
         while True:
-            await self._expire()
+            await self._expire_leases()
             hidden = self.down or source in self.refused
-            events = (
-                []
-                if hidden
-                else [
-                    {"put": key, "data": data, "mark": revision}
-                    if data is not None
-                    else {"drop": key, "mark": revision}
-                    for revision, key, data in self.changes
-                    if revision > since and key.startswith(args["under"])
-                ]
-            )
+            events = [] if hidden else self._events_since(since, args["under"])
             if events or self.clock.now >= end:
                 return 200, {"harvest": since if hidden else self.revision, "events": events}
             await curio.ignore_after(0.1, self._changed.wait)
+
+    def _events_since(self, revision: int, prefix: str) -> list[dict[str, Any]]:
+        return [
+            {"put": key, "data": data, "mark": at}
+            if data is not None
+            else {"drop": key, "mark": at}
+            for at, key, data in self.changes
+            if at > revision and key.startswith(prefix)
+        ]
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -2,26 +2,30 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING
 
 import curio
 
 from tests.versions import deliver_peer_message
 from topazhold.wire.codec import unpack
 
+if TYPE_CHECKING:
+    from tests.simulation.deployment import Simulation
+
 #: Messages between controllers that are kept of each kind.
 KEPT_MESSAGES = 200
 
 
 class PeerLink:
-    """Stands in for a link to another controller."""
+    """One direction between two controllers."""
 
-    def __init__(self, simulation: Any, source: str, target: str) -> None:
+    def __init__(self, simulation: Simulation, source: str, target: str) -> None:
         self._simulation = simulation
         self._source = source
         self._target = target
 
     async def send(self, frame: bytes) -> None:
+        """Deliver a message a moment later, if nothing is in between."""
         await curio.spawn(self._deliver, frame, daemon=True)
 
     async def _deliver(self, frame: bytes) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -148,7 +148,7 @@
         self.elected: list[tuple[float, str]] = []
 
     def _changed(self, key: str, data: Any) -> None:
-        self.cloud.orders.stored(key, data)
+        self.cloud.operations.stored(key, data)
         if key == LEADER_KEY:
             self.elected.append((self.clock.now, data["node"]))
 
--- a/tests/pause_scenarios.py
+++ b/tests/pause_scenarios.py
@@ -60,7 +60,7 @@
         await curio.sleep(max(WATCHED_S, HELD_S if point == "before_answer" else 0.0, LEASE_S))
 
     simulation = play(act, folder, seed, operator)
-    history = simulation.cloud.orders
+    history = simulation.cloud.operations
     return PauseOutcome(
         orders=history.received,
         executed=len(history.executed),
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -59,7 +59,7 @@
         self.violations: list[str] = []
         self.store = FakeKeyValueStore(clock)
         self.cloud = FakeCloud(self, self.rng, capacity)
-        self.store.on_change = self.cloud.orders.stored
+        self.store.on_change = self.cloud.operations.stored
         self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
         self.network.hosts[FakeCloud.HOST] = self.cloud.handle
         self.tasks = TaskExecution(self)
@@ -116,7 +116,7 @@
 
     def task_launched(self, worker: FakeWorker, task_name: str) -> None:
         """A worker carries out a launch."""
-        self.cloud.orders.launched(worker, task_name)
+        self.cloud.operations.launched(worker, task_name)
 
     def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
         """A task has its image: the moment that the rules look at."""
@@ -139,12 +139,12 @@
             self.check_running_tasks()
             self.rules.check_answered()
             self.rules.check_waiting()
-            self.cloud.snapshot()
+            self.cloud.record_machine_list()
 
     def install_production(self, later: LaterLimits) -> None:
         """All controllers are of the production version; they know what is to come."""
         self.versions = dict.fromkeys(self.controller_names, production())
-        self.cloud.orders.judges = False  # production records no orders
+        self.cloud.operations.judges = False  # production records no orders
         for settings in self.controller_settings.values():
             settings.cluster.state.next = later
 
@@ -163,7 +163,7 @@
         self.users.service_share = SERVICE_SHARE_AFTER_UPGRADE
         await curio.sleep(self.rng.uniform(0.0, 5.0))
         self.note("limits lowered")
-        self.store.lower(later)
+        self.store.lower_limits(later)
 
     async def run_day(
         self,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -117,7 +117,9 @@
             await scenario.wait_until(lambda: scenario.leader() not in (None, leader), 30.0)
         before = scenario.clock.now
         await settle(scenario)
-        late = [done for done in scenario.cloud.orders.executed if done.at > before and done.stale]
+        late = [
+            done for done in scenario.cloud.operations.executed if done.at > before and done.stale
+        ]
         assert late == [], "an order of a former holder had an effect"
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -176,7 +178,7 @@
         scenario.cloud.down = False
         network.late_operation_share = network.late_write_share = network.loss_share = 0.0
         await settle(scenario)
-        assert len(scenario.cloud.orders.executed) > 3
+        assert len(scenario.cloud.operations.executed) > 3
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -201,7 +203,9 @@
         await scenario.wait_until(lambda: len(asked) == 3)
         repeated = len(set(asked)) < 3
         assert repeated == (status != 400)
-        await scenario.wait_until(lambda: scenario.cloud.asks and len(scenario.cloud.workers) == 8)
+        await scenario.wait_until(
+            lambda: scenario.cloud.rented and len(scenario.cloud.workers) == 8
+        )
         await settle(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -221,7 +225,7 @@
         scenario.store.set_down(True)
         await scenario.wait_until(lambda: worker.gone)
         await curio.sleep(1.0)
-        assert scenario.cloud.orders.forced == [worker.name]
+        assert scenario.cloud.operations.forced == [worker.name]
         for node in scenario.controllers.values():
             assert worker.name in node.released.names()
         await curio.sleep(20.0)
@@ -307,7 +311,7 @@
     """An old leader ignores the record and uses the machine; the next new one leaves it."""
 
     async def act(scenario: Scenario) -> None:
-        scenario.cloud.orders.judges = False  # production records nothing
+        scenario.cloud.operations.judges = False  # production records nothing
         leader = await begin(scenario)
         trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
         await order(scenario, leader, "return")
@@ -354,7 +358,7 @@
         leader = await begin(scenario)
         await order(scenario, leader, "return")
         await curio.sleep(5.0)
-        assert scenario.cloud.orders.executed
+        assert scenario.cloud.operations.executed
         assert odd.keys() <= scenario.store.data.keys()
 
     assert_no_violations(run_scenario(act, monkeypatch))
