--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -221,11 +221,11 @@
         return lambda: self.network.hosts[host]
 
     async def wait_until(
-        self, true: Callable[[], Any], what: str = "it", most_s: float = PATIENCE_S
+        self, condition: Callable[[], Any], what: str = "it", max_s: float = PATIENCE_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
-        end = self.clock.now + most_s
-        while not true():
+        end = self.clock.now + max_s
+        while not condition():
             assert self.clock.now < end, f"{what} never came to be"
             await curio.sleep(0.02)
 
--- a/tests/random_days.py
+++ b/tests/random_days.py
@@ -8,7 +8,8 @@
 from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
-#: Kinds of faults, by what they hit; one that stands twice is drawn twice as often.
+#: Kinds of faults, by what they hit; one that stands twice is drawn twice as often. Their
+#: names are those of `tests.simulation.faults.FAULTS`.
 CONTROLLERS = ["crash", "crash", "crash_leader", "crash_all", "roll", "crash_election"]
 NETWORK = [
     "zones_cut",
@@ -39,6 +40,11 @@
     services: float = 0.0,
     later: LaterLimits | None = None,
 ) -> Simulation:
+    """Play a day with faults of these kinds; whoever calls checks what came of it.
+
+    `limit` multiplies the teams' quotas, `services` is the share of jobs that are services,
+    and with `later` the day begins with the production version, which is upgraded.
+    """
     simulations: list[Simulation] = []
 
     async def main(clock: VirtualTime) -> None:
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -76,6 +76,7 @@
     # -- what a test does -----------------------------------------------------
 
     async def start(self, machines: int = 6) -> None:
+        """Start all controllers and some machines, and wait for a leader."""
         for name in self.controller_names:
             await start_controller(self, name)
         for number in range(machines):
@@ -83,23 +84,24 @@
         await curio.spawn(self.run_steps, daemon=True)
         await self.wait_until(lambda: self.leader() is not None)
 
-    async def wait_until(self, true: Callable[[], Any], most_s: float = 60.0) -> None:
+    async def wait_until(self, condition: Callable[[], Any], max_s: float = 60.0) -> None:
         """Wait until something is so; an assertion fails if it never is."""
-        end = self.clock.now + most_s
-        while not true():
+        end = self.clock.now + max_s
+        while not condition():
             assert self.clock.now < end, "it never came to be"
             await curio.sleep(0.01)
 
     def leader(self) -> str | None:
         """The loaded leader with the newest token."""
         leading = [
-            (fencing_token(node), name)
-            for name, node in self.controllers.items()
-            if has_loaded(node)
+            (fencing_token(controller), name)
+            for name, controller in self.controllers.items()
+            if has_loaded(controller)
         ]
         return max(leading)[1] if leading else None
 
     def other_controllers(self, name: str | None) -> list[str]:
+        """The controllers that are up, but for this one."""
         return [
             other for other in self.controller_names if other != name and other in self.controllers
         ]
@@ -109,6 +111,7 @@
         return self.rng.choice(self.controller_names)
 
     def present_jobs(self) -> set[str]:
+        """The jobs with a task that has started and not ended."""
         return {task.job for worker in self.cloud.workers.values() for task in worker.present()}
 
     async def submit(self, via: str, run_s: float = LONG_S, **changes: Any) -> str:
@@ -158,6 +161,7 @@
         return jobs
 
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
+        """Ask this controller; no answer is status 0."""
         try:
             status, data = await self.network.ask("user", via, method, path, body, 5.0)
         except (NotSent, NoAnswer):
@@ -172,30 +176,35 @@
         return status
 
     async def poll(self, job: str, via: str) -> tuple[int, Any]:
+        """Ask one controller about a job; the checker hears the answer."""
         sent = self.clock.now
         status, body = await self.request(via, "GET", f"/api/jobs/{job}", None)
         self.rules.check_answer(job, status, body, False, sent)
         return status, body
 
     async def stop(self, name: str) -> None:
+        """Kill a controller."""
         await stop_controller(self, name)
 
     async def start_again(self, name: str, after_s: float = 0.0) -> None:
+        """Start a controller after a while, unless it is up by then."""
         await curio.sleep(after_s)
         if name not in self.controllers:
             await start_controller(self, name)
 
-    async def wait_for_new_leader(self, old: str | None, most_s: float = 30.0) -> str:
+    async def wait_for_new_leader(self, old: str | None, max_s: float = 30.0) -> str:
         """Wait until another one leads than `old`."""
-        await self.wait_until(lambda: self.leader() not in (None, old), most_s)
+        await self.wait_until(lambda: self.leader() not in (None, old), max_s)
         found = self.leader()
         assert found is not None
         return found
 
     def cut_off(self, one: str, others: list[str]) -> None:
+        """Let nothing pass between one host and others, or zones."""
         self.network.cuts |= {frozenset((one, other)) for other in others if other != one}
 
     def busy_workers(self) -> list[FakeWorker]:
+        """The workers with a task that has started."""
         return [worker for worker in self.cloud.workers.values() if worker.present()]
 
     # -- users in the background --------------------------------------------------
@@ -207,12 +216,10 @@
             self.background_users.append(user)
             await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
 
-    async def wait_for_all_users(self, most_s: float = 500.0) -> None:
+    async def wait_for_all_users(self, max_s: float = 500.0) -> None:
         """The faults are over: every job ends, and none is left waiting."""
         self.rules.calm_since = self.clock.now + SETTLING_S
-        await self.wait_until(
-            lambda: all(user.terminated for user in self.background_users), most_s
-        )
+        await self.wait_until(lambda: all(user.terminated for user in self.background_users), max_s)
         assert not self.users.polled
         self.rules.check_starvation()
 
@@ -239,4 +246,5 @@
 
 
 def assert_no_violations(scenario: Scenario) -> None:
+    """No rule was broken; else the last lines of the day's story."""
     assert scenario.violations == [], "\n".join(scenario.notes[-40:])
--- /dev/null
+++ b/tests/test_cancellation_records.py
@@ -0,0 +1,114 @@
+"""What a controller keeps of cancellations, tells its peers, and does about them alone."""
+
+from __future__ import annotations
+
+import time
+from typing import Any
+
+import curio
+import pytest
+
+from tests.fakes.controllers import make_settings
+from tests.fakes.virtual_time import VirtualTime, run_virtual
+from topazhold.control.enforcing import Enforcer
+from topazhold.core.cancellations import MOST_TOLD, Cancellations
+from topazhold.core.placements import Placements
+from topazhold.wire.messages import Report, TaskReport
+
+
+def test_record_reaches_a_peer_in_parts_and_after_its_restart() -> None:
+    here = Cancellations("here-1", 30.0, 10.0)
+    for number in range(2 * MOST_TOLD + 5):
+        assert here.add(f"wk-{number}", 1000.0, 1000.0)
+    assert not here.add("wk-3", 1000.0, 1000.0)
+    for boot in ("there-1", "there-2"):
+        there = Cancellations(boot, 30.0, 10.0)
+        here.acknowledged("there", "", -1)  # it has just started
+        messages = 0
+        while (news := here.news("there")) is not None:
+            there.receive("here", here.boot, *news, 1001.0)
+            here.acknowledged("there", *there.receipts()["here"])
+            messages += 1
+        assert messages == 3 and len(there) == len(here)
+        assert there.level_with("here", here.boot, here.last)
+        assert here.peer_has("there", "wk-1004")
+
+
+def test_record_takes_nothing_out_of_order() -> None:
+    """A lost message must not be taken for had: its jobs would never be told."""
+    there = Cancellations("there-1", 30.0, 10.0)
+    assert there.receive("here", "b", 5, 7, [["wk-7", 1000.0]], 1000.0) == []
+    assert there.receipts()["here"] == ["b", -1]
+    assert there.receive("here", "b", -1, 7, [["wk-7", 1000.0]], 1000.0) == [("wk-7", 1000.0)]
+
+
+def test_record_is_bounded_by_time() -> None:
+    record = Cancellations("b", 30.0, 10.0)
+    for number in range(100):
+        record.add(f"wk-{number}", 1000.0 + 10 * number, 1000.0 + 10 * number)
+    assert len(record) <= 17 and "wk-99" in record
+
+
+def test_older_heartbeat_says_nothing_of_a_workers_tasks() -> None:
+    def report(sequence: int, jobs: list[str]) -> Report:
+        tasks = [TaskReport(f"{job}/0", 1, "running") for job in jobs]
+        return Report("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
+
+    placements = Placements()
+    placements.told(3, [["host-1", "h:1", ["wk-1"]]])
+    placements.seen(report(5, []))
+    placements.seen(report(4, ["wk-1"]))
+    assert placements.may_hold(frozenset(["wk-1"])) == {}
+    placements.told(2, [["host-1", "h:1", ["wk-1"]]])
+    assert placements.may_hold(frozenset(["wk-1"])) == {}, "an earlier leader's word"
+
+
+def test_former_leader_does_not_release_what_its_successor_sees_to(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Not before the last moment, and only if nobody else has seen to the job."""
+    released: list[tuple[float, list[str]]] = []
+    told: list[list[str]] = []
+    seen_to = {"wk-1": False}
+
+    async def tell_released(names: list[str]) -> None:
+        told.append(names)
+
+    class Cloud:
+        async def machines(self) -> list[Any]:
+            return []
+
+        async def release(self, names: list[str]) -> None:
+            released.append((await curio.clock(), names))
+
+    async def main(clock: VirtualTime) -> None:
+        settings = make_settings("hive-0", "a", [])
+        cancel_s = settings.cluster.workers.cancel_s
+        record = Cancellations("b", cancel_s, settings.cluster.workers.lease_s)
+        placements = Placements()
+        placements.told(3, [["host-1", None, ["wk-1"]], ["host-2", None, ["wk-2"]]])
+        enforcer = Enforcer(
+            settings,
+            record,
+            placements,
+            Cloud(),
+            None,  # type: ignore[arg-type]
+            lambda job, now: seen_to[job],
+            tell_released,
+        )
+        record.add("wk-1", time.time() - 0.65 * cancel_s, time.time())
+        for _ in range(15):
+            await enforcer.round()
+            await curio.sleep(0.01 * cancel_s)
+        assert released == []
+        seen_to["wk-1"] = True
+        await enforcer.round()
+        await curio.sleep(0.01 * cancel_s)
+        seen_to["wk-1"] = False
+        for _ in range(14):
+            await enforcer.round()
+            await curio.sleep(0.01 * cancel_s)
+        assert [names for _, names in released] == [["host-1"]], "at the last moment"
+        assert told == [["host-1"]], "the others learn of it"
+
+    run_virtual(main, monkeypatch)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -6,32 +6,29 @@
 
 from __future__ import annotations
 
-import time
 from collections.abc import Awaitable, Callable
 from typing import Any
 
 import curio
 import pytest
 
-from tests.fakes.controllers import make_settings, start_controller
-from tests.fakes.virtual_time import VirtualTime, run_virtual
+from tests.fakes.controllers import start_controller
 from tests.fakes.worker import FakeWorker
 from tests.scenarios import SITES, Scenario, assert_no_violations, run_scenario
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.enforcing import Enforcer
 from topazhold.control.leading import Leading
 from topazhold.control.node import Node
-from topazhold.core.cancellations import MOST_TOLD, Cancellations
-from topazhold.core.placements import Placements
+from topazhold.core.cancellations import Cancellations
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.http import Answer
-from topazhold.wire.messages import Commands, Report, TaskReport
+from topazhold.wire.messages import Commands
 
 Twist = Callable[[Scenario, str, str], Awaitable[None]]
 
 
 async def nothing(scenario: Scenario, leader: str, confirmer: str) -> None:
-    """No further trouble."""
+    """No further fault."""
 
 
 async def confirmer_ends(scenario: Scenario, leader: str, confirmer: str) -> None:
@@ -69,7 +66,7 @@
     await start_controller(scenario, confirmer)
 
 
-def gap(
+def cancel_before_outage(
     twist: Twist,
     monkeypatch: pytest.MonkeyPatch,
     site: str,
@@ -77,7 +74,10 @@
     before: Callable[[Scenario], None] | None = None,
     links: bool = True,
 ) -> Scenario:
-    """The gap: refused alone, cancelled, out for all; `before` is set up with the refusal."""
+    """The store refuses the leader alone, jobs are cancelled, the store is out for all.
+
+    `before` is set up with the refusal.
+    """
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -115,14 +115,16 @@
         confirmer_restarts_alone,
     ],
 )
-def test_gap(twist: Twist, site: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    scenario = gap(twist, monkeypatch, site)
+def test_cancelled_tasks_are_gone_in_time_though_an_outage_follows(
+    twist: Twist, site: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    scenario = cancel_before_outage(twist, monkeypatch, site)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.9 * scenario.worker_settings.cancel_s
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_leader_after_the_outage_hears_the_workers_first(
+def test_leader_after_the_outage_waits_for_heartbeats_before_it_releases(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The intents still name the tasks that were killed in the outage."""
@@ -150,23 +152,25 @@
         scenario.store.set_down(True)
 
     monkeypatch.setattr(Scheduler, "release", noted)
-    assert_no_violations(gap(over, monkeypatch, site))
+    assert_no_violations(cancel_before_outage(over, monkeypatch, site))
     assert [w for term, w in reasons if term in terms and w.startswith("can't stop")] == []
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_gap_without_links(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_controller_that_confirmed_ends_the_tasks_without_its_peers(
+    site: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """No controller hears another: the confirmer sees to it itself."""
-    scenario = gap(nothing, monkeypatch, site, links=False)
+    scenario = cancel_before_outage(nothing, monkeypatch, site, links=False)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.7 * scenario.worker_settings.cancel_s
 
 
-def deaf(worker: FakeWorker, until: float) -> None:
+def lose_commands(worker: FakeWorker, until: float) -> None:
     worker.commands_lost_until = until
 
 
-def mute(worker: FakeWorker, until: float) -> None:
+def lose_heartbeats(worker: FakeWorker, until: float) -> None:
     worker.heartbeats_lost_until = until
 
 
@@ -176,9 +180,9 @@
 
 @pytest.mark.parametrize("links", [True, False])
 @pytest.mark.parametrize("site", SITES)
-@pytest.mark.parametrize("trouble", [deaf, mute, hang])
-def test_gap_with_machines_out_of_reach(
-    trouble: Callable[[FakeWorker, float], None],
+@pytest.mark.parametrize("fault", [lose_commands, lose_heartbeats, hang])
+def test_machines_out_of_reach_are_released_and_healthy_ones_kept(
+    fault: Callable[[FakeWorker, float], None],
     site: str,
     links: bool,
     monkeypatch: pytest.MonkeyPatch,
@@ -192,9 +196,9 @@
         assert len(busy) > 3
         healthy[:] = busy[2:]
         for worker in busy[:2]:
-            trouble(worker, scenario.clock.now + 4 * scenario.worker_settings.cancel_s)
+            fault(worker, scenario.clock.now + 4 * scenario.worker_settings.cancel_s)
 
-    scenario = gap(nothing, monkeypatch, site, before=before, links=links)
+    scenario = cancel_before_outage(nothing, monkeypatch, site, before=before, links=links)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
     gone = [worker.name for worker in healthy if worker.gone]
@@ -202,7 +206,9 @@
 
 
 @pytest.mark.parametrize("site", SITES)
-def test_gap_with_a_leader_that_could_not_load(site: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_leader_that_could_not_load_still_ends_cancelled_tasks(
+    site: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Its token voids the old leader's commands, so it has to kill without a scheduler."""
 
     async def act(scenario: Scenario) -> None:
@@ -281,7 +287,7 @@
 
 @pytest.mark.parametrize("seed", range(1, 7))
 @pytest.mark.parametrize("states", [["written"], ["intended", "ordered", "pulling"]])
-def test_launch_in_flight_at_the_confirmation(
+def test_nothing_is_launched_after_its_cancellation_is_confirmed(
     seed: int, states: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Cancelled between intent and launch, or while the launch is on its way."""
@@ -292,13 +298,13 @@
     assert scenario.launched_late == []
 
 
-def test_scene_catches_launches_that_are_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scenario_catches_launches_that_are_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
     """A leader that goes on launching what a peer has told it is cancelled."""
 
-    async def deaf_ear(self: Any, job_id: str, at: float) -> None:
+    async def ignore(self: Any, job_id: str, at: float) -> None:
         pass
 
-    monkeypatch.setattr(Leading, "cancelled", deaf_ear)
+    monkeypatch.setattr(Leading, "cancelled", ignore)
     monkeypatch.setattr(Leading, "_may_launch", lambda self, now: self.context.assured(now))
     late = [launch_in_flight(monkeypatch, seed, ["written"]).launched_late for seed in range(6)]
     assert any(late)
@@ -328,7 +334,10 @@
     one that knows of the cancellation it is killed also in a broken variant."""
     for seed in range(1, 9):
         with monkeypatch.context() as of_scenario:
-            if "ran_cancelled" in gap(twist, of_scenario, "hive", seed, links=links).violations:
+            if (
+                "ran_cancelled"
+                in cancel_before_outage(twist, of_scenario, "hive", seed, links=links).violations
+            ):
                 return True
     return False
 
@@ -336,7 +345,7 @@
 def test_checker_catches_answers_without_kills(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those who keep workers without a scheduler, the leader that led among them ended."""
     no_enforcer(monkeypatch)
-    assert gap(leader_ends, monkeypatch, "hive").violations == []
+    assert cancel_before_outage(leader_ends, monkeypatch, "hive").violations == []
     monkeypatch.setattr(
         Node, "_answer_kept", lambda self, rep, term: Answer(200, Commands(term, []))
     )
@@ -353,104 +362,3 @@
 ) -> None:
     monkeypatch.setattr(Node, "_informed", lambda self, now: True)
     assert breaks_on_some_seed(all_restart, monkeypatch)
-
-
-# -- the record itself -------------------------------------------------------------
-
-
-def test_record_reaches_a_peer_in_parts_and_after_its_restart() -> None:
-    here = Cancellations("here-1", 30.0, 10.0)
-    for number in range(2 * MOST_TOLD + 5):
-        assert here.add(f"wk-{number}", 1000.0, 1000.0)
-    assert not here.add("wk-3", 1000.0, 1000.0)
-    for boot in ("there-1", "there-2"):
-        there = Cancellations(boot, 30.0, 10.0)
-        here.acknowledged("there", "", -1)  # it has just started
-        messages = 0
-        while (news := here.news("there")) is not None:
-            there.receive("here", here.boot, *news, 1001.0)
-            here.acknowledged("there", *there.receipts()["here"])
-            messages += 1
-        assert messages == 3 and len(there) == len(here)
-        assert there.level_with("here", here.boot, here.last)
-        assert here.peer_has("there", "wk-1004")
-
-
-def test_record_takes_nothing_out_of_order() -> None:
-    """A lost message must not be taken for had: its jobs would never be told."""
-    there = Cancellations("there-1", 30.0, 10.0)
-    assert there.receive("here", "b", 5, 7, [["wk-7", 1000.0]], 1000.0) == []
-    assert there.receipts()["here"] == ["b", -1]
-    assert there.receive("here", "b", -1, 7, [["wk-7", 1000.0]], 1000.0) == [("wk-7", 1000.0)]
-
-
-def test_record_is_bounded_by_time() -> None:
-    record = Cancellations("b", 30.0, 10.0)
-    for number in range(100):
-        record.add(f"wk-{number}", 1000.0 + 10 * number, 1000.0 + 10 * number)
-    assert len(record) <= 17 and "wk-99" in record
-
-
-def test_older_word_of_a_worker_says_nothing_of_its_tasks() -> None:
-    def report(sequence: int, jobs: list[str]) -> Report:
-        tasks = [TaskReport(f"{job}/0", 1, "running") for job in jobs]
-        return Report("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
-
-    placements = Placements()
-    placements.told(3, [["host-1", "h:1", ["wk-1"]]])
-    placements.seen(report(5, []))
-    placements.seen(report(4, ["wk-1"]))
-    assert placements.may_hold(frozenset(["wk-1"])) == {}
-    placements.told(2, [["host-1", "h:1", ["wk-1"]]])
-    assert placements.may_hold(frozenset(["wk-1"])) == {}, "an earlier leader's word"
-
-
-def test_former_leader_does_not_release_what_her_successor_sees_to(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    """Deposed, it had three machines released within a moment, of jobs cancelled 20 s before."""
-    released: list[tuple[float, list[str]]] = []
-    told: list[list[str]] = []
-    seen_to = {"wk-1": False}
-
-    async def tell_released(names: list[str]) -> None:
-        told.append(names)
-
-    class Cloud:
-        async def machines(self) -> list[Any]:
-            return []
-
-        async def release(self, names: list[str]) -> None:
-            released.append((await curio.clock(), names))
-
-    async def main(clock: VirtualTime) -> None:
-        settings = make_settings("hive-0", "a", [])
-        cancel_s = settings.cluster.workers.cancel_s
-        record = Cancellations("b", cancel_s, settings.cluster.workers.lease_s)
-        placements = Placements()
-        placements.told(3, [["host-1", None, ["wk-1"]], ["host-2", None, ["wk-2"]]])
-        enforcer = Enforcer(
-            settings,
-            record,
-            placements,
-            Cloud(),
-            None,  # type: ignore[arg-type]
-            lambda job, now: seen_to[job],
-            tell_released,
-        )
-        record.add("wk-1", time.time() - 0.65 * cancel_s, time.time())
-        for _ in range(15):
-            await enforcer.round()
-            await curio.sleep(0.01 * cancel_s)
-        assert released == []
-        seen_to["wk-1"] = True
-        await enforcer.round()
-        await curio.sleep(0.01 * cancel_s)
-        seen_to["wk-1"] = False
-        for _ in range(14):
-            await enforcer.round()
-            await curio.sleep(0.01 * cancel_s)
-        assert [names for _, names in released] == [["host-1"]], "at the last moment"
-        assert told == [["host-1"]], "the others learn of it"
-
-    run_virtual(main, monkeypatch)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -101,7 +101,7 @@
 @pytest.mark.parametrize("successors", [1, 2])
 @pytest.mark.parametrize("kind", ["return", "rental"])
 @pytest.mark.parametrize("point", POINTS)
-def test_paused_holder_goes_on_after_its_successors(
+def test_paused_holder_does_no_harm_when_it_goes_on_after_its_successors(
     point: str, kind: str, successors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("kind", ["return", "rental"])
 @pytest.mark.parametrize("point", POINTS)
-def test_state_service_fails_at_each_point(
+def test_operation_is_completed_once_though_the_store_fails_at_any_point(
     point: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("point", POINTS)
-def test_all_controllers_end_with_an_order_open(
+def test_open_operation_outlasts_the_end_of_all_controllers(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
@@ -162,7 +162,9 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_lost_answers_and_late_transactions(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_operation_is_decided_twice_under_lost_answers_and_late_writes(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Of many orders none is decided twice, whatever is lost, late or refused."""
 
     async def act(scenario: Scenario) -> None:
@@ -184,7 +186,9 @@
 
 
 @pytest.mark.parametrize("status", [400, 429, 503])
-def test_cloud_refuses_then_gives_a_part(status: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_rental_goes_on_after_the_cloud_refuses_and_then_gives_a_part(
+    status: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """A request is repeated under its name; what is refused for good is given up."""
 
     async def act(scenario: Scenario) -> None:
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -47,7 +47,7 @@
     return await node.handle(Request(method, path, body))
 
 
-def test_statuses(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_submissions_get_their_proper_status(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == 201
         again = await submit(node)
@@ -75,7 +75,7 @@
     run_with_controller(monkeypatch, act)
 
 
-def test_a_repeat_is_known_whatever_its_body_would_get(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_repeated_submission_is_known_whatever_its_body(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == 201
         for changes in ({"crew": "green"}, {"frames": 0}, {"vcpus": 99.0}, {"shape": None}):
@@ -90,7 +90,9 @@
     run_with_controller(monkeypatch, act)
 
 
-def test_types_not_known_yet(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_submission_is_refused_while_no_machine_type_is_known(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node)
         assert answer.status == 503 and answer.retry_after >= 1.0
@@ -106,7 +108,7 @@
     run_virtual(main, monkeypatch)
 
 
-def test_outage_is_answered_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_in_an_outage_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """What can't be taken is refused at once, with a time to come back."""
 
     async def act(simulation: Simulation, node: Any) -> None:
@@ -159,7 +161,7 @@
     assert statuses.count(503) > 300 and 10 < statuses.count(201) < 200
 
 
-def test_largest_job_fits(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_largest_job_is_stored_and_read_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node, shape="batch", tasks=100_000, gpus=0.5, cpus=1.0)
         assert answer.status == 201
@@ -193,7 +195,7 @@
     run_with_controller(monkeypatch, act)
 
 
-def test_an_odd_record_hides_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unreadable_record_hides_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
     """It kept each new leader from taking over, and every job from running."""
 
     async def main(clock: VirtualTime) -> None:
