--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -148,7 +148,7 @@
         self.elected: list[tuple[float, str]] = []
 
     def _changed(self, key: str, data: Any) -> None:
-        self.cloud.orders.stored(key, data)
+        self.cloud.operations.stored(key, data)
         if key == LEADER_KEY:
             self.elected.append((self.clock.now, data["node"]))
 
@@ -221,11 +221,11 @@
         return lambda: self.network.hosts[host]
 
     async def wait_until(
-        self, true: Callable[[], Any], what: str = "it", timeout_s: float = PATIENCE_S
+        self, condition: Callable[[], Any], what: str = "it", max_s: float = PATIENCE_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
-        end = self.clock.now + timeout_s
-        while not true():
+        end = self.clock.now + max_s
+        while not condition():
             assert self.clock.now < end, f"{what} never came to be"
             await curio.sleep(0.02)
 
--- a/tests/test_unrecordable_order.py
+++ b/tests/test_unrecordable_order.py
@@ -60,12 +60,12 @@
     name = idle_machines(scenario, leader)[0]
     worker = scenario.cloud.workers[name]
     scheduler.release(scheduler.machines[name], "chosen", scenario.clock.now)
-    return Shown(lambda: name in scenario.cloud.orders.returns, lambda: worker.gone)
+    return Shown(lambda: name in scenario.cloud.operations.returns, lambda: worker.gone)
 
 
 async def scale_out(scenario: Scenario, leader: str) -> Shown:
     """A job comes that needs more machines than there are."""
-    history, requests = scenario.cloud.orders, scenario.cloud.asks
+    history, requests = scenario.cloud.operations, scenario.cloud.rented
     recorded, sent = set(history.rentals), set(requests)
     await scenario.submit(scenario.other_controllers(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
     return Shown(lambda: history.rentals > recorded, lambda: requests.keys() > sent)
@@ -152,7 +152,7 @@
     monkeypatch.setattr(topazhold.settings, "Operator", unrecorded)
 
     async def act(scenario: Scenario) -> None:
-        scenario.cloud.orders.judges = False  # nothing is recorded
+        scenario.cloud.operations.judges = False  # nothing is recorded
         leader = await begin(scenario)
         refused = refuse_too_many(scenario)
         decide_unrecordable(scenario, leader)
