--- a/tests/standins.py
+++ b/tests/standins.py
@@ -906,8 +906,8 @@
 
     operator = version.load("settings", "Operator")()
     node = version.load("control.controller", "Controller")(settings, operator, dial)
-    member(node, "rng").seed(world.rng.random())
-    member(node, "peer_connections").update(
+    member(node, "services.rng").seed(world.rng.random())
+    member(node, "peers.connections").update(
         {other: PeerLink(world, name, other) for other in world.names if other != name}
     )
     return node
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -10,18 +10,15 @@
 
 from tests.conftest import make_spec
 from tests.standins import settings_for
+from topazhold.control.cluster_view import ClusterView
 from topazhold.control.election import CONTROLLER_LEASE_BOUNDS, lease_time_s
-from topazhold.control.gang_reservations import (
-    ClusterView,
-    GangReservations,
-    PendingGang,
-    max_follower_searches,
-)
+from topazhold.control.gang_reservations import GangReservations
+from topazhold.control.pending_gangs import PendingGang, PendingGangs, max_follower_searches
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.search import ResourceOffer
-from topazhold.settings import Operator
+from topazhold.settings import Operator, Settings
 
 ROOM = (16.0, 4.0, 64.0)
 
@@ -45,86 +42,90 @@
         monkeypatch.setattr("time.time", lambda: self.now)
 
 
-def gang_reservations(clock: Clock) -> GangReservations:
+def gang_reservations(settings: Settings) -> GangReservations:
+    return GangReservations(settings, None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
+
+
+def pending_gangs(clock: Clock) -> PendingGangs:
     settings = settings_for("hive-0", "a", [])
-    found = GangReservations(settings, Operator(), None, ReservationTable("hive-0"), Random(1))  # type: ignore[arg-type]
+    found = PendingGangs(settings, Operator(), gang_reservations(settings), Random(1))
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
-    found.pending[job.id] = PendingGang(job.spec, queue_key(job), 0.0)
+    found.by_id[job.id] = PendingGang(job.spec, queue_key(job), 0.0)
     return found
 
 
-def reserved(found: GangReservations) -> set[str]:
-    return set(found.mine["wk-000001"].slots)
+def reserved(found: PendingGangs) -> set[str]:
+    return set(found.reservations.mine["wk-000001"].slots)
 
 
 def test_hold_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
     """Gangs of eight changed machines every few seconds and never had them all."""
     clock = Clock(monkeypatch)
-    found = gang_reservations(clock)
-    found.round(cluster_view(m1=100.0), 0.0)
+    found = pending_gangs(clock)
+    found.search_round(cluster_view(m1=100.0), 0.0)
     assert reserved(found) == {"m1"}
     clock.now += 10.0
-    found.round(cluster_view(m1=100.0, m2=85.0), 10.0)
+    found.search_round(cluster_view(m1=100.0, m2=85.0), 10.0)
     assert reserved(found) == {"m1"}
-    found.round(cluster_view(m1=100.0, m2=60.0), 11.0)
+    found.search_round(cluster_view(m1=100.0, m2=60.0), 11.0)
     assert reserved(found) == {"m2"}
 
 
 def test_held_machine_that_frees_late_loses_to_one_that_is_free(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
-    found = gang_reservations(clock)
-    found.round(cluster_view(m1=10.0), 0.0)
+    found = pending_gangs(clock)
+    found.search_round(cluster_view(m1=10.0), 0.0)
     clock.now += 10.0
-    found.round(cluster_view(m1=90.0, m2=20.0), 10.0)
+    found.search_round(cluster_view(m1=90.0, m2=20.0), 10.0)
     assert reserved(found) == {"m2"}
 
 
 def test_lapsed_hold_is_booked_anew_only_if_it_is_still_the_best(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
-    found = gang_reservations(clock)
-    found.round(cluster_view(m1=100.0), 0.0)
-    first = found.mine["wk-000001"].serial
+    found = pending_gangs(clock)
+    found.search_round(cluster_view(m1=100.0), 0.0)
+    first = found.reservations.mine["wk-000001"].serial
     clock.now += 61.0
-    found.round(cluster_view(m1=50.0, m2=49.0), 61.0)
-    assert reserved(found) == {"m1"} and found.mine["wk-000001"].serial > first
+    found.search_round(cluster_view(m1=50.0, m2=49.0), 61.0)
+    assert reserved(found) == {"m1"} and found.reservations.mine["wk-000001"].serial > first
     clock.now += 61.0
-    found.round(cluster_view(), 122.0)
-    assert found.mine == {}, "nothing is known of it any more"
+    found.search_round(cluster_view(), 122.0)
+    assert found.reservations.mine == {}, "nothing is known of it any more"
 
 
 def test_all_gangs_are_searched_for_in_turns(monkeypatch: Any) -> None:
     """Those with holds were not, as long as enough others had none."""
     clock = Clock(monkeypatch)
-    found = gang_reservations(clock)
-    found.round(cluster_view(m1=100.0), 0.0)
+    found = pending_gangs(clock)
+    found.search_round(cluster_view(m1=100.0), 0.0)
     for number in range(100, 140):
         job = Job(make_spec(number, tasks=4, gpus=4.0), 0.0, clock.now, "hive-0")
-        found.pending[job.id] = PendingGang(job.spec, queue_key(job), 1.0)
+        found.by_id[job.id] = PendingGang(job.spec, queue_key(job), 1.0)
     for second in range(1, 5):
         clock.now += 1.0
-        found.round(cluster_view(m1=100.0, m2=5.0), float(second))
+        found.search_round(cluster_view(m1=100.0, m2=5.0), float(second))
     assert reserved(found) == {"m2"}
 
 
 def test_conflict_costs_only_what_the_other_booking_touched(monkeypatch: Any) -> None:
     """All holds were thrown away at a conflict, those that stood before included."""
-    found = gang_reservations(Clock(monkeypatch))
-    found.round(cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
-    found.reservation_table.reservations["hive-0"] = dict(found.mine)
-    found.reservation_table.revisions["hive-0"] = 3
+    found = pending_gangs(Clock(monkeypatch))
+    found.search_round(cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
+    found.reservations.table.reservations["hive-0"] = dict(found.reservations.mine)
+    found.reservations.table.revisions["hive-0"] = 3
     for number, name in ((2, "m2"), (3, "m3")):
         job = Job(make_spec(number, tasks=1, gpus=4.0), 0.0, 1e9, "hive-0")
-        found.mine[job.id] = Reservation(
+        found.reservations.mine[job.id] = Reservation(
             job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, queue_key(job)
         )
-    before = dict(found.reservation_table.revisions)
+    before = dict(found.reservations.table.revisions)
     other = Job(make_spec(9, tasks=1, gpus=4.0), 0.0, 1e9, "hive-1")
-    found.reservation_table.revisions["hive-1"] = 4
-    found.reservation_table.reservations["hive-1"] = {
+    found.reservations.table.revisions["hive-1"] = 4
+    found.reservations.table.reservations["hive-1"] = {
         other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, queue_key(other))
     }
-    found.yield_contested(before)
-    assert set(found.mine) == {"wk-000001", "wk-000003"}
+    found.reservations.yield_contested(before)
+    assert set(found.reservations.mine) == {"wk-000001", "wk-000003"}
 
 
 def test_gang_left_out_of_a_cut_list_still_waits() -> None:
@@ -161,24 +162,24 @@
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     searched: list[str] = []
 
-    def search(self: GangReservations, pending: PendingGang, *args: Any) -> None:
+    def search(self: PendingGangs, pending: PendingGang, *args: Any) -> None:
         searched.append(pending.spec.id)
         clock[0] += 0.06
 
-    monkeypatch.setattr(GangReservations, "_search", search)
+    monkeypatch.setattr(PendingGangs, "_search", search)
     settings = settings_for("hive-0", "a", [])
-    found = GangReservations(
-        settings, Operator(), None, ReservationTable("hive-0"), Random(1), max_round_s=0.1
-    )  # type: ignore[arg-type]
+    found = PendingGangs(
+        settings, Operator(), gang_reservations(settings), Random(1), max_round_s=0.1
+    )
     for number in range(5):
         spec = make_spec(number)
-        found.pending[spec.id] = PendingGang(spec, (0, 0, float(number)), float(number))
-    order = list(found.pending)
-    found.round(ClusterView(), 1.0)
+        found.by_id[spec.id] = PendingGang(spec, (0, 0, float(number)), float(number))
+    order = list(found.by_id)
+    found.search_round(ClusterView(), 1.0)
     assert searched == order[:2]
-    found.round(ClusterView(), 2.0)
+    found.search_round(ClusterView(), 2.0)
     assert searched == order[:4], "those that were left come first"
-    found.round(ClusterView(), 3.0)
+    found.search_round(ClusterView(), 3.0)
     assert searched[4:] == [order[4], order[0]]
 
 
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -8,6 +8,7 @@
 
 import time
 from collections.abc import Awaitable, Callable
+from dataclasses import replace
 from typing import Any
 
 import curio
@@ -17,7 +18,8 @@
 from tests.standins import VirtualTime, Worker, run_virtual, settings_for, start_node
 from topazhold.control.cancellation_enforcer import CancellationEnforcer
 from topazhold.control.cancellation_exchange import CancellationExchange
-from topazhold.control.controller import Controller
+from topazhold.control.controller_services import initial_state
+from topazhold.control.heartbeat_service import HeartbeatService
 from topazhold.control.leader_term import LeaderTerm
 from topazhold.core.cancellations import MAX_SENT, Cancellations
 from topazhold.core.placement_hints import PlacementHints
@@ -318,7 +320,7 @@
     async def silent(self: Any, peer: str) -> None:
         pass
 
-    monkeypatch.setattr(CancellationExchange, "_broadcast", silent)
+    monkeypatch.setattr(CancellationExchange, "_send_missing", silent)
     monkeypatch.setattr(Cancellations, "informed", True, raising=False)
     assert breaks_on_some_seed(confirmer_ends, monkeypatch)
 
@@ -338,7 +340,7 @@
     no_enforcer(monkeypatch)
     assert gap(leader_ends, monkeypatch, "hive").broken == []
     monkeypatch.setattr(
-        Controller,
+        HeartbeatService,
         "_answer_locally",
         lambda self, heartbeat, term: Response(200, Commands(term, [])),
     )
@@ -353,7 +355,7 @@
 def test_checker_catches_workers_kept_by_who_knows_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Controller, "_informed", lambda self, now: True)
+    monkeypatch.setattr(HeartbeatService, "_is_informed", lambda self, now: True)
     assert breaks_on_some_seed(all_restart, monkeypatch)
 
 
@@ -435,10 +437,9 @@
         )
         cancellation_enforcer = CancellationEnforcer(
             settings,
-            record,
-            placement_hints,
             Cloud(),
             None,  # type: ignore[arg-type]
+            replace(initial_state(settings), cancellations=record, placement_hints=placement_hints),
             lambda job, now: seen_to[job],
             announce_released,
         )
--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -17,7 +17,7 @@
 from tests.test_service_days import LATER
 from tests.versions import CURRENT, Version, member, production
 from tests.world import NAMES, World
-from topazhold.control.controller import Controller
+from topazhold.control.peer_group import PeerGroup
 from topazhold.core import leadership, records, reservations
 from topazhold.core.jobs import TASKS_PER_PART, Job
 from topazhold.wire import messages as wire
@@ -84,7 +84,7 @@
 
 
 def summary_meaning(version: Version, key: str, data: Any) -> Any:
-    cluster_view = version.load("control.gang_reservations", "ClusterView")()
+    cluster_view = version.load("control.cluster_view", "ClusterView")()
     if key == "sum/*":
         member(cluster_view, "read_jobs")(data)
     else:
@@ -113,8 +113,8 @@
 
 def controller_meaning(controller: Any) -> Any:
     """What a controller knows of its peers."""
-    lead = member(controller, "leadership")
-    cancelled = member(controller, "cancellations")
+    lead = member(controller, "state.leadership")
+    cancelled = member(controller, "state.cancellations")
     return (
         member(lead, "leader"),
         member(lead, "term"),
@@ -124,9 +124,9 @@
         member(cancelled, "_acked"),
         {
             name: (member(place, "endpoint"), sorted(member(place, "jobs")))
-            for name, place in member(member(controller, "placement_hints"), "places").items()
+            for name, place in member(member(controller, "state.placement_hints"), "places").items()
         },
-        view_meaning(member(controller, "cluster_view")),
+        view_meaning(member(controller, "placement_search.cluster_view")),
     )
 
 
@@ -263,12 +263,12 @@
 
 
 def longer_ping(patch: pytest.MonkeyPatch) -> None:
-    tell = Controller._broadcast
+    tell = PeerGroup.broadcast
 
     async def told(self: Any, message: tuple[Any, ...]) -> None:
         await tell(self, (*message, 1) if message[0] == "ping" else message)
 
-    patch.setattr(Controller, "_broadcast", told)
+    patch.setattr(PeerGroup, "broadcast", told)
 
 
 def unreadable_intents(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -11,6 +11,7 @@
 from tests.conftest import MACHINE_TYPE, Bench, make_spec
 from tests.standins import VirtualTime, run_virtual, settings_for
 from topazhold.control.direct_commands import DirectCommands
+from topazhold.control.election import ElectionResult
 from topazhold.control.term_context import TermContext
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.jobs import AttemptState, Job, TaskAttempt
@@ -67,7 +68,8 @@
     for number in range(machines):
         machine = scheduler.add_machine(f"host-{number:06d}", "a", False, "b1", 0.0)
         machine.endpoint = f"10.0.{number // 250}.{number % 250}:9000"
-    context = TermContext(settings, None, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+    elected = ElectionResult(3, 7, 0.0)
+    context = TermContext(settings, None, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
     return context, scheduler
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -217,7 +217,7 @@
         await curio.sleep(1.0)
         assert scene.cloud.orders.forced == [worker.name]
         for node in scene.nodes.values():
-            assert worker.name in node.released.names()
+            assert worker.name in node.state.released.names()
         await curio.sleep(20.0)
         scene.state.set_down(False)
         await scene.end(leader)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -10,6 +10,7 @@
 
 from tests.conftest import MACHINE_TYPE, make_spec
 from tests.standins import VirtualTime, run_virtual, settings_for
+from topazhold.control.election import ElectionResult
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import AttemptState, Job, TaskAttempt
@@ -64,7 +65,8 @@
 
     async def main(clock: VirtualTime) -> None:
         await curio.sleep(0)
-        context = TermContext(settings, store, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(3, 7, 0.0)
+        context = TermContext(settings, store, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         await Intents(context).write(attempts)
 
     run_virtual(main, monkeypatch)
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -625,7 +625,7 @@
         leader = scene.leader()
         assert leader is not None
         scene.net.lost.add((StateService.HOST, leader))
-        new = await scene.new_leader(leader, 10 * scene.nodes[leader].controller_lease_s)
+        new = await scene.new_leader(leader, 10 * scene.nodes[leader].services.controller_lease_s)
         await scene.jobs_running(1, new)
         scene.net.lost.clear()
         await scene.until(lambda: scene.nodes[leader].leader_term is None)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -16,13 +16,13 @@
 from tests.test_settings import GOOD
 from topazhold import settings as conf
 from topazhold.cli import main
+from topazhold.control.election import ElectionResult
 from topazhold.control.intents import Intents
 from topazhold.control.key_value_store import (
     DECISION_PRIORITY,
     KeyValueStore,
-    PreconditionFailedError,
-    StoreUnavailableError,
 )
+from topazhold.control.store_errors import PreconditionFailedError, StoreUnavailableError
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
@@ -171,7 +171,8 @@
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
-        context = TermContext(settings, store, bench.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(5, 7, 0.0)
+        context = TermContext(settings, store, bench.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         context.shards.found("0001", 7, list(machines))
         shard = context.shards.gone("host-015")
         assert shard is not None
@@ -203,7 +204,8 @@
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
-        context = TermContext(settings, store, bench.scheduler, 5, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(5, 7, 0.0)
+        context = TermContext(settings, store, bench.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         context.shards.found("0001", 7, list(machines))
         await Intents(context).write([attempt])
 
@@ -246,7 +248,8 @@
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
-        context = TermContext(settings, Taking(), scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(3, 7, 0.0)
+        context = TermContext(settings, Taking(), scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
         told.append(summaries._stored(summaries.summary(1.0)))
         await summaries._write(told[0])
@@ -313,7 +316,7 @@
                 )
             except (StoreUnavailableError, PreconditionFailedError) as exc:
                 outcomes.append(type(exc))
-        outcomes.append(store._writes._rate)
+        outcomes.append(store._limits._writes._rate)
 
     run_virtual(act, monkeypatch)
     return outcomes
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -10,6 +10,7 @@
 
 from tests.conftest import MACHINE_TYPE, make_spec
 from tests.standins import VirtualTime, run_virtual, settings_for
+from topazhold.control.election import ElectionResult
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import Job
@@ -37,7 +38,8 @@
 
     async def main(clock: VirtualTime) -> None:
         await curio.sleep(0)
-        context = TermContext(settings, None, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(3, 7, 0.0)
+        context = TermContext(settings, None, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
         told.append(summaries.summary(1.0))
         told.append(summaries._stored(told[0]))
@@ -65,7 +67,8 @@
             await curio.sleep(0)
 
     async def main(clock: VirtualTime) -> None:
-        context = TermContext(settings, None, scheduler, 3, 7, lambda now: True)  # type: ignore[arg-type]
+        elected = ElectionResult(3, 7, 0.0)
+        context = TermContext(settings, None, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
         task = await curio.spawn(other)
         collected.append(await summaries._collect(1.0))
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -142,7 +142,7 @@
             "drones": False,
             "flight": 1,
             "tally": 1,
-            "crown": node.leadership.term,
+            "crown": node.state.leadership.term,
             "frames": [],
         }
         before = world.clock.now
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -17,6 +17,7 @@
 import tomllib
 from dataclasses import dataclass
 from functools import cache
+from operator import attrgetter
 from pathlib import Path
 from types import ModuleType
 from typing import Any
@@ -30,11 +31,12 @@
 PRODUCTION_PACKAGE = "topazhold_production"
 
 #: What production calls the modules, and the classes, functions and attributes in them, that
-#: have other names now: today's name -> production's. Whoever uses both versions names
-#: things as they are called today, and gets at them by `Version.module` and `member`.
+#: have other names or stand elsewhere now: today's name -> production's. Whoever uses both
+#: versions names things as they are called today, and gets at them by `Version.module` and
+#: `member`; a name with dots leads through the parts of an object.
 PRODUCTION_MODULES: dict[str, str] = {
     "control.controller": "control.node",
-    "control.gang_reservations": "control.booking",
+    "control.cluster_view": "control.booking",
     "core.reservations": "core.holds",
 }
 PRODUCTION_MEMBERS: dict[str, str] = {
@@ -43,14 +45,17 @@
     "Heartbeat": "Report",
     "NoResponseError": "NoAnswer",
     "RequestNotSentError": "NotSent",
-    "cluster_view": "view",
     "completed": "done",
     "completed_count": "done_count",
     "follower_heartbeats": "fallback",
     "leader_term": "leading",
     "mark_completed": "mark_done",
-    "peer_connections": "links",
-    "placement_hints": "placements",
+    "peers.connections": "links",
+    "placement_search.cluster_view": "view",
+    "services.rng": "rng",
+    "state.cancellations": "cancellations",
+    "state.leadership": "leadership",
+    "state.placement_hints": "placements",
 }
 
 _IMPORT = re.compile(rf"^(\s*(?:from|import)\s+){PACKAGE}\b", re.MULTILINE)
@@ -84,7 +89,7 @@
     module = owner.__name__ if isinstance(owner, ModuleType) else type(owner).__module__
     if module.partition(".")[0] == PRODUCTION_PACKAGE:
         name = PRODUCTION_MEMBERS.get(name, name)
-    return getattr(owner, name)
+    return attrgetter(name)(owner)
 
 
 CURRENT = Version(PACKAGE)
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -23,6 +23,7 @@
 
 from tests.conftest import MACHINE_TYPE, make_spec
 from tests.standins import settings_for
+from topazhold.control.election import ElectionResult
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.jobs import Job, TaskAttempt
@@ -149,7 +150,8 @@
 
 
 def summary_of(fleet: Fleet) -> Callable[[], None]:
-    context = TermContext(fleet.settings, None, fleet.scheduler, TERM, 1, lambda now: True)  # type: ignore[arg-type]
+    elected = ElectionResult(TERM, 1, 0.0)
+    context = TermContext(fleet.settings, None, fleet.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
     summaries = SummaryPublisher(context, fleet.operator.summary_s, nothing)
 
     def summary() -> None:
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -4,23 +4,26 @@
 can be seen to know one, each controller that does looks at the machines itself:
 it asks for their state, sends kills with the token that the worker names, and
 has a machine released on which a task can't be shown to be gone. All of it goes
-without the state service.
+without the store.
 """
 
 from __future__ import annotations
 
 import logging
 import time
-from collections.abc import Awaitable, Callable
+from collections.abc import Set
+from typing import Protocol
 
 import curio
 
 from topazhold.control.cloud import Cloud, CloudUnavailableError
+from topazhold.control.controller_services import ControllerState, Dial
+from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
-from topazhold.core.cancellations import Cancellations
-from topazhold.core.placement_hints import PlacementHint, PlacementHints
-from topazhold.io.client import Client, Clients
+from topazhold.core.placement_hints import PlacementHint
+from topazhold.io.client import Clients
 from topazhold.io.http import NoResponseError, RequestNotSentError
+from topazhold.operations.scale_in import AnnounceReleased
 from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, read
@@ -37,14 +40,24 @@
 #: it; a controller that has only just begun to look gives it some time more, up to a
 #: last moment. Later than the end nothing is left to do.
 RELEASE_SHARE = 0.6
-PATIENCE_SHARE = 0.2
+GRACE_SHARE = 0.2
 LAST_SHARE = 0.8
 END_SHARE = 1.25
 #: Machines that are not known to hold such a task are looked at so many times: a launch
 #: may have been on its way at the first.
 SWEEPS = 2
-#: Looks under way at once, as a share of the sockets.
+#: Looks under way at once, as a share of the sockets, and at the least.
 LOOKING_SHARE = 1 / 32
+MIN_LOOKS = 4
+#: Report periods between two rounds, and before a release that failed is tried again.
+ROUND_HEARTBEATS = 0.2
+RELEASE_RETRY_REPORTS = 0.25
+
+
+class LeaderHandles(Protocol):
+    """Whether a leader with a loaded term knows that the job is cancelled, and sees to it."""
+
+    def __call__(self, job: str, now: float, /) -> bool: ...
 
 
 class CancellationEnforcer:
@@ -53,40 +66,59 @@
     def __init__(
         self,
         settings: Settings,
-        cancellations: Cancellations,
-        placement_hints: PlacementHints,
         cloud: Cloud,
-        dial: Callable[[tuple[str, int], int], Client],
-        seen_to: Callable[[str, float], bool],
-        announce_released: Callable[[list[str]], Awaitable[None]],
+        dial: Dial,
+        state: ControllerState,
+        leader_handles: LeaderHandles,
+        announce_released: AnnounceReleased,
     ) -> None:
         workers = settings.cluster.workers
         self._cancel_s = workers.cancel_s
         self._heartbeat_interval_s = workers.heartbeat_interval_s
-        self._cancellations = cancellations
-        self._placement_hints = placement_hints
+        self._cancellations = state.cancellations
+        self._placement_hints = state.placement_hints
         self._cloud = cloud
-        self._has_owner = seen_to  # whether a leader that has loaded knows the cancellation
+        self._leader_handles = leader_handles
         self._announce_released = announce_released
-        self._max = max(4, int(settings.cluster.limits.sockets * LOOKING_SHARE))
+        self._max_looks = max(MIN_LOOKS, int(settings.cluster.limits.sockets * LOOKING_SHARE))
         self._looking: set[str] = set()
-        self._clients = Clients(dial, self._max)
+        self._clients = Clients(dial, self._max_looks)
         self._left_since: dict[str, float] = {}  # jobs that no leader sees to, since when
         self._listed_at = -1e9
         self._releasing = False
 
     async def loop(self) -> None:
-        while True:
-            await curio.sleep(0.2 * self._heartbeat_interval_s)
-            await self.round()
+        """Look for what is left to this controller, a few times per heartbeat interval."""
+        await wait_then_work(ROUND_HEARTBEATS * self._heartbeat_interval_s, self.round)
+
+    async def round(self) -> None:
+        """Begin the looks and the release that are due."""
+        now = await curio.clock()
+        ages = self.open(now)
+        if not ages:
+            return
+        await self._list(now)
+        reserved = self._placement_hints.machines_of(frozenset(ages))
+        await self._release(
+            [
+                name
+                for name, jobs in reserved.items()
+                if any(self._must_go(job, ages[job], now) for job in jobs)
+            ]
+        )
+        for name in self._machines_to_look_at(frozenset(ages), reserved.keys(), now):
+            place = self._placement_hints.places[name]
+            place.looks = now
+            self._looking.add(name)
+            await curio.spawn(self._look, name, place, daemon=True)
 
     def open(self, now: float) -> dict[str, float]:
-        """Cancelled jobs that are left to this controller, by their age."""
+        """Cancelled jobs that are left to this controller, by their age in seconds."""
         wall = time.time()
         ages = {
             job: wall - at
             for job, at in self._cancellations.since(wall - END_SHARE * self._cancel_s)
-            if not self._has_owner(job, now)
+            if not self._leader_handles(job, now)
         }
         self._left_since = {job: self._left_since.get(job, now) for job in ages}
         look_s = LOOK_SHARE * self._cancel_s
@@ -95,48 +127,35 @@
     def _must_go(self, job: str, age: float, now: float) -> bool:
         """Whether a machine that may hold the job's task is to be released.
 
-        Just after a change of leader the former one knew of machines that its successor
-        was about to see to, and released them unasked.
+        Just after a change of leader the former one knows of machines that its successor is
+        about to see to: it gives them time.
         """
-        looked = now - self._left_since[job] > PATIENCE_SHARE * self._cancel_s
+        looked = now - self._left_since[job] > GRACE_SHARE * self._cancel_s
         late = age > LAST_SHARE * self._cancel_s
         return age > RELEASE_SHARE * self._cancel_s and (looked or late)
 
-    async def round(self) -> None:
-        """Begin the looks and the release that are due."""
-        now = await curio.clock()
-        ages = self.open(now)
-        if not ages:
-            return
-        await self._list(now)
-        reserved = self._placement_hints.machines_of(frozenset(ages))
-        await self._release(
-            [
-                name
-                for name, jobs in reserved.items()
-                if any(self._must_go(job, ages[job], now) for job in jobs)
-            ]
-        )
+    def _machines_to_look_at(
+        self, jobs: frozenset[str], holders: Set[str], now: float
+    ) -> list[str]:
+        """Machines that may hold a task of these jobs first; no more than may be under way.
+
+        Every machine is looked at some time after the last of the jobs was left to this
+        controller, and once more.
+        """
         again_s = AGAIN_SHARE * self._cancel_s
-        # Every machine is looked at some time after the last of them was left to this
-        # controller, and once more.
-        newest = max(self._left_since[job] for job in ages)
+        newest = max(self._left_since[job] for job in jobs)
         sweeps = [newest + (1 + n) * LOOK_SHARE * self._cancel_s for n in range(SWEEPS)]
         first: list[str] = []
         others: list[str] = []
         for name, place in self._placement_hints.places.items():
             if place.endpoint is None or name in self._looking:
                 continue
-            if name in reserved:
+            if name in holders:
                 if place.looks < newest or now - place.looks > again_s:
                     first.append(name)
             elif any(place.looks < at <= now for at in sweeps):
                 others.append(name)
-        for name in (first + others)[: self._max - len(self._looking)]:
-            place = self._placement_hints.places[name]
-            place.looks = now
-            self._looking.add(name)
-            await curio.spawn(self._look, name, place, daemon=True)
+        return (first + others)[: self._max_looks - len(self._looking)]
 
     async def _list(self, now: float) -> None:
         """Machines that no leader has told of, from the cloud, off and on."""
@@ -192,7 +211,7 @@
             await self._cloud.release(names)
         except CloudUnavailableError as exc:
             log.debug("release: %s", exc)
-            await curio.sleep(0.25 * self._heartbeat_interval_s)
+            await curio.sleep(RELEASE_RETRY_REPORTS * self._heartbeat_interval_s)
         else:
             for name in names:
                 self._placement_hints.gone(name)
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -29,7 +29,7 @@
 
 
 class Cloud:
-    """One controller's access; every request can be repeated as it is."""
+    """One controller's access, within its rate; every request can be repeated as it is."""
 
     def __init__(self, client: Client, rps: float, timeout_s: float) -> None:
         self._client = client
@@ -46,6 +46,7 @@
             raise CloudUnavailableError(str(exc)) from None
 
     async def catalog(self) -> list[MachineType]:
+        """The machine types with their present prices; raises CloudUnavailableError."""
         status, body = await self._ask("GET", wire.CATALOG_PATH, None)
         if status != 200:
             raise CloudUnavailableError(f"status {status}")
@@ -55,7 +56,10 @@
             raise CloudUnavailableError(f"catalog: {exc}") from None
 
     async def rent(self, name: str, ask: ScaleOutRequest) -> list[str]:
-        """Rent machines; repeating the name gives the same ones."""
+        """Rent machines; repeating the name gives the same ones.
+
+        Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
+        """
         body = wire.rent_body(name, ask.machine_type, ask.zone, ask.spot, ask.count)
         status, answer = await self._ask("POST", wire.MACHINES_PATH, body)
         if status == 503 and b"no capacity" in answer:
@@ -70,13 +74,13 @@
             raise CloudUnavailableError(f"rental: {exc}") from None
 
     async def release(self, names: list[str]) -> None:
-        """Returns only once the machines are gone."""
+        """Returns only once the machines are gone; raises CloudUnavailableError."""
         status, _ = await self._ask("POST", wire.RELEASE_PATH, wire.release_body(names))
         if status != 200:
             raise CloudUnavailableError(f"status {status}")
 
     async def machines(self) -> list[ListedMachine]:
-        """The whole list, as late as it is."""
+        """The whole list, as late as it is; raises CloudUnavailableError."""
         listed: list[ListedMachine] = []
         after: str | None = None
         while True:
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -1,16 +1,16 @@
-"""Direct commands to workers; the next report's answer repeats them."""
+"""Direct commands to workers; the next heartbeat's answer repeats them."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Protocol
 
 import curio
 
+from topazhold.control.controller_services import Dial
 from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core.machines import Machine
-from topazhold.io.client import Client, Clients
+from topazhold.io.client import Clients
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import address
 from topazhold.wire import messages as wire
@@ -23,12 +23,20 @@
 #: of the sockets.
 COMMANDING_SHARE = 1 / 32
 KEPT_SHARE = 1 / 16
+#: Of each, so many at the least.
+MIN_CONNECTIONS = 4
 #: Of those under way, the share that may wait for workers that are silent.
 SILENT_SHARE = 0.5
 #: Report periods between two rounds at the most.
 ROUND_HEARTBEATS = 0.05
 
 
+class OnAnswer(Protocol):
+    """Takes in the heartbeat with which a worker answers direct commands."""
+
+    async def __call__(self, heartbeat: Heartbeat, /) -> None: ...
+
+
 class DirectCommands:
     """Sends kills, rings and announcements directly."""
 
@@ -36,22 +44,23 @@
         self,
         context: TermContext,
         sockets: int,
-        dial: Callable[[tuple[str, int], int], Client],
-        hear: Callable[[Heartbeat], Awaitable[Any]],
+        dial: Dial,
+        on_heartbeat: OnAnswer,
     ) -> None:
-        self._max = max(4, int(sockets * COMMANDING_SHARE))
+        self._max = max(MIN_CONNECTIONS, int(sockets * COMMANDING_SHARE))
         self._max_silent = max(1, int(self._max * SILENT_SHARE))
-        self._clients = Clients(dial, max(4, int(sockets * KEPT_SHARE)))
+        self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * KEPT_SHARE)))
         self._context = context
-        self._on_heartbeat = hear
+        self._on_heartbeat = on_heartbeat
         self._striking: dict[str, bool] = {}  # under way; whether the worker is silent
-        self.superseded = curio.Event()
+        self.superseded = curio.Event()  # set once a worker knows a higher term
 
     async def close(self) -> None:
+        """Close the connections that are kept."""
         await self._clients.close()
 
     async def loop(self) -> None:
-        """Send kills directly; the next report's answer repeats them."""
+        """Send kills directly; the next heartbeat's answer repeats them."""
         while True:
             due = self._context.commands_due
             await curio.ignore_after(
@@ -63,8 +72,8 @@
     async def round(self) -> None:
         """Send what is due, the living and cancelled work first.
 
-        In order of name, dead machines kept every place for a heartbeat interval each,
-        and the kills for cancelled jobs and the new term came to the living late.
+        In another order, dead machines would keep every place for a heartbeat interval each,
+        and kills of cancelled jobs, and word of the new term, would come to the living late.
         """
         scheduler = self._context.scheduler
         now = await curio.clock()
@@ -94,7 +103,11 @@
             del self._striking[machine.name]
 
     async def direct(self, machine: Machine, commands: list[Command]) -> None:
-        """POST /commands; whatever comes back is a heartbeat."""
+        """POST /commands; whatever comes back is a heartbeat.
+
+        Raises LeadershipLostError where the worker knows a higher term; what gets no answer is
+        dropped, since the answer to the next heartbeat repeats it.
+        """
         assert machine.endpoint is not None
         try:
             client = await self._clients.at(address(machine.endpoint), len(self._striking))
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -1,17 +1,15 @@
-"""A controller's lease in the state service, and its part in the election of the leader."""
+"""A controller's lease in the store, and its part in the election of the leader."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Any, NamedTuple, Protocol
 
 import curio
 
-from topazhold.control.key_value_store import (
-    LEASE_PRIORITY,
-    STORE_ERRORS,
-    KeyValueStore,
+from topazhold.control.key_value_store import LEASE_PRIORITY, KeyValueStore, Precondition
+from topazhold.control.store_errors import (
+    KeyValueStoreError,
     PreconditionFailedError,
     WatchCompactedError,
 )
@@ -25,9 +23,9 @@
 #: A lease's time, as a share of the workers' lease, and its bounds in seconds.
 CONTROLLER_LEASE_SHARE = 0.15
 CONTROLLER_LEASE_BOUNDS = (1.5, 3.5)
-#: Seconds of a whole core that a lease outlasts at the least. A few pieces of work may come
-#: before its renewal; on half the processor that it has there, a leader of 168 machines lost
-#: its lease every few seconds, and each successor soon lost its own.
+#: Seconds of a whole core that a lease outlasts at the least: a few pieces of work may come
+#: before its renewal, and a leader whose lease ends for that is followed by one that fares no
+#: better.
 CONTROLLER_LEASE_CORE_S = 0.2
 #: Steady clocks drift; a lease is taken to end this much earlier.
 DRIFT = 0.002
@@ -43,7 +41,7 @@
 
 
 def lease_time_s(settings: Settings) -> float:
-    """How long a controller's lease lasts; the leadership and the holds hang on it."""
+    """How long a controller's lease lasts; the leadership and the reservations hang on it."""
     low, high = CONTROLLER_LEASE_BOUNDS
     cluster = settings.cluster
     by_workers = CONTROLLER_LEASE_SHARE * cluster.workers.lease_s
@@ -53,8 +51,40 @@
     return min(high, max(low, by_workers, by_processor))
 
 
+class ElectionResult(NamedTuple):
+    """An election that this controller has won."""
+
+    term: int
+    revision: int  # of the leadership key; while it stands, the term goes on
+    at: float  # seconds, by this controller's steady clock
+
+
+class OnElected(Protocol):
+    """Called once this controller has won an election."""
+
+    async def __call__(self, result: ElectionResult, /) -> None: ...
+
+
+class OnTermEnded(Protocol):
+    """Called, with the reason, when this controller can be leader no more, if it was."""
+
+    async def __call__(self, reason: str, /) -> None: ...
+
+
+class OnLeaseGranted(Protocol):
+    """Called with each new lease of this controller: what hung on the last one is gone."""
+
+    def __call__(self) -> None: ...
+
+
+class OnLeaseRenewed(Protocol):
+    """Called after each renewal of this controller's lease."""
+
+    async def __call__(self) -> None: ...
+
+
 class ControllerLease:
-    """One lease at a time, renewed for as long as the state service allows.
+    """One lease at a time, renewed for as long as the store allows.
 
     `granted` is called for each new lease, `ended` when one was not renewed in time, and
     `renewed` after each renewal.
@@ -64,9 +94,9 @@
         self,
         store: KeyValueStore,
         controller_lease_s: float,
-        granted: Callable[[], None],
-        ended: Callable[[str], Awaitable[None]],
-        renewed: Callable[[], Awaitable[None]],
+        granted: OnLeaseGranted,
+        ended: OnTermEnded,
+        renewed: OnLeaseRenewed,
     ) -> None:
         self._store = store
         self._controller_lease_s = controller_lease_s
@@ -74,14 +104,14 @@
         self._ended = ended
         self._renewed = renewed
         self.id: int | None = None
-        self.valid_until = 0.0  # it can't have ended before
+        self.valid_until = 0.0  # steady clock, seconds: it can't have ended before
 
     def lease_is_valid(self, now: float) -> bool:
-        """Whether the lease can't have passed on."""
+        """Whether the lease can't have ended yet, so that nobody else can be leader."""
         return now < self.valid_until
 
     async def loop(self) -> None:
-        """Keep a lease; the leadership and the holds hang on it."""
+        """Keep a lease; the leadership and the reservations hang on it."""
         while True:
             sent = await curio.clock()
             try:
@@ -99,7 +129,7 @@
                     await self._ended("the lease ended")
                     continue
                 self.valid_until = sent + self._controller_lease_s * (1 - DRIFT)
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("lease: %s", exc)
                 await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
                 continue
@@ -116,19 +146,19 @@
         return self._store.unanswered_requests >= UNANSWERED
 
     async def drop(self) -> None:
-        """End the lease, so that others need not wait for it to lapse."""
+        """End the lease, so that others need not wait for it to expire."""
         lease_id, self.id = self.id, None
         if lease_id is not None:
             try:
                 await self._store.revoke_lease(lease_id)
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("lease not dropped: %s", exc)
 
 
 class Election:
     """Follows the leadership key, and stands when it is free.
 
-    `elected` is called with the term and the key's revision, `deposed` with the reason when
+    `elected` is called with the term and the key's revision, `superseded` with the reason when
     another leader is seen.
     """
 
@@ -138,8 +168,8 @@
         leadership: Leadership,
         lease: ControllerLease,
         controller_lease_s: float,
-        elected: Callable[[int, int], Awaitable[None]],
-        superseded: Callable[[str], Awaitable[None]],
+        elected: OnElected,
+        superseded: OnTermEnded,
     ) -> None:
         self._store = store
         self._leadership = leadership
@@ -150,7 +180,7 @@
         self._barred_until = 0.0
 
     def bar(self, until: float) -> None:
-        """Don't stand before."""
+        """Don't stand before `until`, by the steady clock in seconds."""
         self._barred_until = until
 
     async def loop(self) -> None:
@@ -165,7 +195,7 @@
                     await self._follow(entry.revision)
             except WatchCompactedError:
                 continue
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("leadership: %s", exc)
                 await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
 
@@ -179,10 +209,10 @@
             await curio.sleep(VACANT_CONTROLLER_LEASES * self._controller_lease_s)
 
     async def _end_former_self(self, entry: Entry) -> bool:
-        """End a term left over from an earlier life of this node.
+        """End a term left over from an earlier process of this controller.
 
         That process is dead and nobody commands in its name, so there is no
-        need to wait for its lease to lapse. The same goes for an election won
+        need to wait for its lease to expire. The same goes for an election won
         without an answer.
         """
         value = read_value(entry.data)
@@ -190,7 +220,7 @@
             return False
         if entry.lease_id is None:
             return False
-        log.info("ending the lease %d of an earlier life", entry.lease_id)
+        log.info("ending the lease %d of an earlier process", entry.lease_id)
         await self._store.revoke_lease(entry.lease_id)
         if entry.lease_id == self._lease.id:
             self._lease.id = None
@@ -232,7 +262,10 @@
             token = f"{lead.node}-{lease_id}-{term}"
             value = {**lead.value(term), "by": token}
             revision = await self._store.commit(
-                [(LEADER_KEY, 0), (TERM_KEY, last.revision if last is not None else 0)],
+                [
+                    Precondition(LEADER_KEY, 0),
+                    Precondition(TERM_KEY, last.revision if last is not None else 0),
+                ],
                 [wire.put(LEADER_KEY, value, lease_id), wire.put(TERM_KEY, value)],
                 LEASE_PRIORITY,
                 LEADER_KEY,
@@ -242,7 +275,7 @@
         except PreconditionFailedError:
             lead.become_follower()
             return
-        except STORE_ERRORS:
+        except KeyValueStoreError:
             lead.become_follower()
             raise
         if self._lease.id != lease_id:
@@ -250,4 +283,4 @@
             return
         lead.become_leader(term)
         log.info("node %s elected leader, term %d", lead.node, term)
-        await self._begin_term(term, revision)
+        await self._begin_term(ElectionResult(term, revision, await curio.clock()))
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -1,9 +1,10 @@
-"""A take-over: what a new leader reads before any decision."""
+"""Failover: what a new leader reads of the store before any decision."""
 
 from __future__ import annotations
 
 import logging
 import time
+from typing import NamedTuple
 
 import curio
 
@@ -18,67 +19,104 @@
 
 log = logging.getLogger(__name__)
 
+#: Time between two looks for the catalog, as a share of the time between tries.
+CATALOG_RETRIES = 0.1
+
+
+class _ReadAt(NamedTuple):
+    """When the state was read, in seconds."""
+
+    clock: float  # steady clock
+    wall: float  # time of day
+
 
 async def load(context: TermContext, machine_types: dict[str, MachineType]) -> dict[str, int]:
-    """Read holds, jobs and intents before any decision; the revisions to watch from."""
-    seen_revision: dict[str, int] = {}
+    """Build the term's state from the store; the revisions to watch from, by prefix.
+
+    Waits until the machine types are known. Raises KeyValueStoreError; then all of it is to be
+    begun anew.
+    """
     while not machine_types:
-        await curio.sleep(0.1 * context.retry_s)
-    scheduler = context.scheduler
-    entries, seen_revision[RESERVATION_PREFIX] = await context.store.entries(
-        RESERVATION_PREFIX, LEASE_PRIORITY
-    )
-    scheduler.reservation_table.replace(
-        {entry.key[len(RESERVATION_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
-    )
-    live, seen_revision[records.LIVE_PREFIX] = await context.store.entries(
-        records.LIVE_PREFIX, LEASE_PRIORITY
-    )
-    seen_revision[records.RELAY_PREFIX] = seen_revision[records.LIVE_PREFIX]
-    clock, wall = await curio.clock(), time.time()
+        await curio.sleep(CATALOG_RETRIES * context.retry_s)
+    reservations_revision = await _load_reservations(context)
+    live, live_revision = await context.store.entries(records.LIVE_PREFIX, LEASE_PRIORITY)
+    read_at = _ReadAt(await curio.clock(), time.time())
     jobs = []
     for entry in live:
         # One odd record must not keep all others from being seen.
         try:
-            job = records.read_live(entry.data, entry.revision, wall, clock)
+            job = records.read_live(entry.data, entry.revision, read_at.wall, read_at.clock)
         except (InvalidMessageError, ValueError, TypeError) as exc:
             log.error("%s unreadable: %s", entry.key, exc)
             continue
         if records.parts_of(job) > 1:
             await load_completion_bitmaps(context, job)
         jobs.append(job)
-    ons, _ = await context.store.entries(records.ON_PREFIX, LEASE_PRIORITY)
-    # A take-over that was interrupted is begun anew, this with it: two shards
+    intents, unreadable = await _load_intents(context)
+    for job_id in failover.missing_jobs([job.id for job in jobs], intents):
+        over = await _read_over(context, job_id, read_at)
+        if over is not None:
+            jobs.append(over)
+    failover.rebuild(context.scheduler, jobs, intents, await curio.clock())
+    for name in unreadable:
+        await _release_unreadable(context, name)
+    return {
+        RESERVATION_PREFIX: reservations_revision,
+        records.LIVE_PREFIX: live_revision,
+        records.RELAY_PREFIX: live_revision,
+    }
+
+
+async def _load_reservations(context: TermContext) -> int:
+    """All controllers' reservations; the revision that they were read at."""
+    entries, revision = await context.store.entries(RESERVATION_PREFIX, LEASE_PRIORITY)
+    context.scheduler.reservation_table.replace(
+        {entry.key[len(RESERVATION_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
+    )
+    return revision
+
+
+async def load_completion_bitmaps(context: TermContext, job: Job) -> None:
+    """Read which tasks of a large job are done; raises KeyValueStoreError."""
+    prefix = f"{records.PART_PREFIX}{job.id}/"
+    parts, _ = await context.store.entries(prefix, LEASE_PRIORITY)
+    for entry in parts:
+        job.load_part(int(entry.key[len(prefix) :]), str(entry.data.get("done", "")))
+
+
+async def _load_intents(context: TermContext) -> tuple[list[records.Intents], list[str]]:
+    """What may be on each machine, and the machines whose intents can't be read."""
+    entries, _ = await context.store.entries(records.ON_PREFIX, LEASE_PRIORITY)
+    # A failover that was interrupted is begun anew, this with it: two shards
     # of one name would overwrite each other's intents.
     context.shards = IntentShards(context.value_limit)
     intents: list[records.Intents] = []
     unreadable: list[str] = []
-    for entry in ons:
+    for entry in entries:
         found, odd = records.read_on(entry.data)
         intents += found
         unreadable += odd
         names = [each.machine for each in found]
         context.shards.found(entry.key[len(records.ON_PREFIX) :], entry.revision, names)
-    for job_id in failover.missing_jobs([job.id for job in jobs], intents):
-        over = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
-        if over is not None:
-            try:
-                job = records.read_over(over.data, wall, clock)
-                jobs.append(job)
-                if job.state is JobState.ABORTED:
-                    context.cancellations.add(job.id, job.submitted, wall)
-            except (InvalidMessageError, ValueError, TypeError) as exc:
-                log.error("%s unreadable: %s", over.key, exc)
-    failover.rebuild(scheduler, jobs, intents, await curio.clock())
-    for name in unreadable:
-        # Anything may be on it: only its release proves otherwise.
-        machine = scheduler.add_machine(name, "", False, "", await curio.clock())
-        scheduler.release(machine, "its intents are unreadable", await curio.clock())
-    return seen_revision
+    return intents, unreadable
 
 
-async def load_completion_bitmaps(context: TermContext, job: Job) -> None:
-    prefix = f"{records.PART_PREFIX}{job.id}/"
-    parts, _ = await context.store.entries(prefix, LEASE_PRIORITY)
-    for entry in parts:
-        job.load_part(int(entry.key[len(prefix) :]), str(entry.data.get("done", "")))
+async def _read_over(context: TermContext, job_id: str, read_at: _ReadAt) -> Job | None:
+    """A job that intents name though it is over; None if it can't be read."""
+    over = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
+    if over is None:
+        return None
+    try:
+        job = records.read_over(over.data, read_at.wall, read_at.clock)
+    except (InvalidMessageError, ValueError, TypeError) as exc:
+        log.error("%s unreadable: %s", over.key, exc)
+        return None
+    if job.state is JobState.ABORTED:
+        context.cancellations.add(job.id, job.submitted, read_at.wall)
+    return job
+
+
+async def _release_unreadable(context: TermContext, name: str) -> None:
+    """Anything may be on such a machine: only its release proves otherwise."""
+    machine = context.scheduler.add_machine(name, "", False, "", await curio.clock())
+    context.scheduler.release(machine, "its intents are unreadable", await curio.clock())
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -2,14 +2,14 @@
 
 A follower sends workers to the leader. When it is cut from them, or there is
 none just now, that would cost them their leases and so their tasks. It then
-answers with the known term and no commands, and passes their reports on.
+answers with the known term and no commands, and forwards their heartbeats.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
@@ -18,7 +18,7 @@
 from topazhold.wire.codec import json_size
 from topazhold.wire.messages import Heartbeat
 
-#: A leader that has been silent for this share of a grant's time is cut off.
+#: A leader that has been silent for this share of a controller's lease can't be reached.
 SILENT_CONTROLLER_LEASES = 0.9
 #: Steady clocks drift apart by at most this share.
 DRIFT = 0.002
@@ -29,12 +29,12 @@
 
 
 class PartitionedControllerPolicy:
-    """Which workers a node keeps that is cut from all but its workers.
+    """Which workers a controller keeps that is cut from all but its workers.
 
-    Its answers keep their tasks alive and lead nowhere else. If only this node
+    Its answers keep their tasks alive and lead nowhere else. If only it
     is cut, every worker is better off with another one. If its whole zone is,
     a worker sent away finds nobody, and loses its lease on the way round.
-    Workers of other zones that report here, or one sent ahead that does not
+    Workers of other zones that arrive here, or one sent ahead that does not
     come back, show which it is.
     """
 
@@ -46,12 +46,13 @@
         self._way_out = False
 
     def end(self) -> None:
-        """The node is in touch again."""
+        """The controller is in touch again."""
         self._sent.clear()
         self._back.clear()
         self._way_out = False
 
     def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Whether to answer a worker here; one that is sent ahead is expected back."""
         sent = self._sent.pop(heartbeat.machine, None)
         if sent is not None:
             self._back[heartbeat.machine] = now
@@ -76,37 +77,44 @@
         return True
 
 
+class FollowerTiming(NamedTuple):
+    """The times, in seconds, by which a follower decides for how long to keep workers."""
+
+    controller_lease_s: float  # a controller's lease
+    lease_s: float  # a worker's lease
+    cancel_s: float = math.inf  # in which a cancelled job's tasks must be gone
+
+
 class FollowerHeartbeats:
-    """Decides which workers to keep here, and collects their reports."""
+    """Decides which workers to keep here, and collects their heartbeats."""
 
     def __init__(
         self,
         leadership: Leadership,
         zone: str,
         peers: int,
-        controller_lease_s: float,
-        lease_s: float,
+        timing: FollowerTiming,
         now: float,
-        cancel_s: float = math.inf,
     ) -> None:
+        lease_s = timing.lease_s
         self._lead = leadership
         self._zone = zone
         self._peers = peers
-        self._isolated = PartitionedControllerPolicy(zone, lease_s)
-        self._silence_s = SILENT_CONTROLLER_LEASES * controller_lease_s
+        self._partitioned = PartitionedControllerPolicy(zone, lease_s)
+        self._silence_s = SILENT_CONTROLLER_LEASES * timing.controller_lease_s
         self._lease_s = lease_s
         # A task that an answer keeps alive lives for a lease more. Until so long after
         # the last word of a peer, whatever was cancelled since is gone in time.
-        self._unheard_s = max(0.0, cancel_s - lease_s * (1 + DRIFT))
-        self._enforcing = False  # whether peers could end tasks that are kept here
+        self._max_silence_s = max(0.0, timing.cancel_s - lease_s * (1 + DRIFT))
+        self._peers_enforce = False  # whether peers could end tasks that are kept here
         self._since = now
-        self._heard: dict[str, float] = {}  # peers, by the time of their last ping
-        self._served: dict[str, bool] = {}  # whether the state service serves them
-        self._silent: set[str] = set()  # machines that the leader says it can't hear
+        self._last_ping_at: dict[str, float] = {}  # peers, by the time of their last ping
+        self._served: dict[str, bool] = {}  # whether the store serves them
+        self._silent: set[str] = set()  # machines whose heartbeats don't reach the leader
         self._sent_away: dict[str, float] = {}
         self._kept: dict[str, Heartbeat] = {}
 
-    def heard(
+    def on_ping(
         self,
         peer: str,
         served: bool,
@@ -114,69 +122,75 @@
         now: float,
         enforces: bool = True,
     ) -> None:
-        """A peer's ping; the leader's carries the machines that it does not hear."""
-        self._heard[peer] = now
-        self._enforcing = enforces
+        """A peer's ping; the leader's carries the machines whose heartbeats it lacks."""
+        self._last_ping_at[peer] = now
+        self._peers_enforce = enforces
         self._served[peer] = served
         if silent is not None:
             self._silent = set(silent)
 
     def reaches_peers(self, now: float) -> bool:
-        """Whether any peer was heard just now."""
-        return any(now - at < self._silence_s for at in self._heard.values())
+        """Whether any peer has pinged just now."""
+        return any(now - at < self._silence_s for at in self._last_ping_at.values())
 
-    def alone(self, now: float) -> bool:
-        """Whether peers are served while this node is not, or none can be heard."""
-        fresh = [peer for peer, at in self._heard.items() if now - at < 2 * self._silence_s]
-        return any(self._served[peer] for peer in fresh) or (bool(self._heard) and not fresh)
+    def is_alone(self, now: float) -> bool:
+        """Whether peers are served while this controller is not, or none can be heard."""
+        fresh = [peer for peer, at in self._last_ping_at.items() if now - at < 2 * self._silence_s]
+        return any(self._served[peer] for peer in fresh) or (bool(self._last_ping_at) and not fresh)
 
-    def informed(self, now: float) -> bool:
+    def is_informed(self, now: float) -> bool:
         """Whether every confirmed cancellation is met though workers are kept here.
 
-        Peers that are heard tell of them. Those that are not heard any more, but knew
+        Peers that ping tell of them. Those that are silent now, but knew
         where tasks are, release what they can't stop. Of others nothing is known, and
         workers are kept only for as long as `cancel_s` allows.
         """
         if self._peers == 0:
             return True
-        last = max(self._heard.values(), default=self._since)
-        return now - last < 2 * self._silence_s or self._enforcing or now - last < self._unheard_s
+        last = max(self._last_ping_at.values(), default=self._since)
+        return (
+            now - last < 2 * self._silence_s
+            or self._peers_enforce
+            or now - last < self._max_silence_s
+        )
 
-    def isolated(self, served: bool, now: float) -> bool:
-        """Whether this node reaches neither the state service nor any peer."""
+    def is_partitioned(self, served: bool, now: float) -> bool:
+        """Whether this controller reaches neither the store nor any peer."""
         quiet_s = 2 * self._silence_s
         lost = (
             self._peers > 0
             and not served
             and now - self._since > quiet_s
-            and all(now - at > quiet_s for at in self._heard.values())
+            and all(now - at > quiet_s for at in self._last_ping_at.values())
         )
         if not lost:
-            self._isolated.end()
+            self._partitioned.end()
         return lost
 
-    def keeps_isolated(self, heartbeat: Heartbeat, now: float) -> bool:
+    def keeps_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer a worker here although nothing comes of it."""
-        return heartbeat.fencing_token == self._lead.term > 0 and self._isolated.keeps(
+        return heartbeat.fencing_token == self._lead.term > 0 and self._partitioned.keeps(
             heartbeat, now
         )
 
-    def leader_cut(self, now: float) -> bool:
+    def is_leader_silent(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
         leader = self._lead.leader
-        return leader is not None and (now - self._heard.get(leader, self._since) > self._silence_s)
+        return leader is not None and (
+            now - self._last_ping_at.get(leader, self._since) > self._silence_s
+        )
 
-    def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
+    def should_keep(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer this worker here instead of sending it to the leader."""
         lead = self._lead
         if lead.term == 0 or heartbeat.fencing_token != lead.term:
             return False
-        if lead.leader is None or lead.leader == lead.node or self.leader_cut(now):
+        if lead.leader is None or lead.leader == lead.node or self.is_leader_silent(now):
             return True
         if heartbeat.machine not in self._silent:
             self._sent_away.pop(heartbeat.machine, None)
             return False
-        # The leader lives and does not hear this worker. It is sent to it once
+        # The leader lives, but this worker's heartbeats don't reach it. It is sent to it once
         # per lease time, which it survives if the way is still closed.
         last = self._sent_away.setdefault(heartbeat.machine, now)
         if now - last < self._lease_s:
@@ -184,7 +198,7 @@
         self._sent_away[heartbeat.machine] = now
         return False
 
-    def keep(self, heartbeat: Heartbeat) -> None:
+    def keep_for_forwarding(self, heartbeat: Heartbeat) -> None:
         """Pass it on with the next; a late copy does not take a newer one's place."""
         kept = self._kept.get(heartbeat.machine)
         if kept is None or (heartbeat.incarnation, heartbeat.sequence) > (
@@ -193,7 +207,7 @@
         ):
             self._kept[heartbeat.machine] = heartbeat
 
-    def take(self, limit: int) -> list[Any]:
+    def take_for_forwarding(self, limit: int) -> list[Any]:
         """Reports to pass on, as many as fit; the others follow next time.
 
         Those with ended tasks go first: the leader waits for them.
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -1,38 +1,36 @@
-"""Passes reports that a follower has answered on to the leader."""
+"""Forwards heartbeats that a follower has answered to the leader."""
 
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Mapping
 
 import curio
 
+from topazhold.control.election import ControllerLease
 from topazhold.control.follower_heartbeats import FollowerHeartbeats
-from topazhold.control.key_value_store import (
-    DECISION_PRIORITY,
-    STORE_ERRORS,
-    KeyValueStore,
-    PreconditionFailedError,
-)
+from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore
+from topazhold.control.peer_group import PeerGroup
 from topazhold.control.peer_messages import RELAY, Relay
+from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.control.term_context import TXN_BYTES
+from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core import records
 from topazhold.core.leadership import Leadership
-from topazhold.io.peer_transport import FRAME_LIMIT, PeerConnection, encode
+from topazhold.io.peer_transport import FRAME_LIMIT
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
 
-#: Messages with kept workers' reports a heartbeat interval, and the size of one; the
-#: share of the changes a second for them where only the state service is left.
-RELAY_FRAMES = 8
-RELAY_FRAME_BYTES = FRAME_LIMIT // 4
-RELAY_SHARE = 0.2
+#: Messages with kept workers' heartbeats per heartbeat interval, and the size of one; the
+#: share of the changes a second for them where only the store is left.
+MAX_FORWARD_FRAMES = 8
+FORWARD_FRAME_BYTES = FRAME_LIMIT // 4
+FORWARD_WRITE_SHARE = 0.2
 
 
 class HeartbeatForwarding:
-    """Sends kept reports by the link to the leader, or through the state service."""
+    """Sends kept heartbeats by the connection to the leader, or through the store."""
 
     def __init__(
         self,
@@ -40,51 +38,56 @@
         store: KeyValueStore,
         leadership: Leadership,
         follower_heartbeats: FollowerHeartbeats,
-        peer_connections: Mapping[str, PeerConnection],
-        lease_id: Callable[[], int | None],
+        peers: PeerGroup,
+        lease: ControllerLease,
     ) -> None:
         self._node = settings.node_name
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
-        self._limits = settings.cluster.state
+        state = settings.cluster.state
+        self._value_limit = int(state.lasting_value_bytes * records.VALUE_SHARE)
+        # Of the changes a second, as many as a share allows, in a transaction's worth.
+        by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
+        by_size = TXN_BYTES // self._value_limit
+        self._max_values = max(1, int(min(by_rate, state.lasting_txn_ops, by_size)))
         self._store = store
         self._leadership = leadership
         self._follower_heartbeats = follower_heartbeats
-        self._peer_connections = peer_connections
-        self._lease_id = lease_id
+        self._peers = peers
+        self._lease = lease
 
     async def loop(self) -> None:
-        """Pass kept workers' reports on: by the link, or the state service."""
-        state = self._limits
-        limit = int(state.lasting_value_bytes * records.VALUE_SHARE)
-        # Of the changes a second, as many as a share allows, in a transaction's worth.
-        by_rate = RELAY_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
-        max_frames = max(1, int(min(by_rate, state.lasting_txn_ops, TXN_BYTES // limit)))
-        while True:
-            await curio.sleep(self._heartbeat_interval_s)
-            lead = self._leadership
-            connection = self._peer_connections.get(lead.leader or "")
-            if connection is None:
-                continue
-            if not self._follower_heartbeats.leader_cut(await curio.clock()):
-                for _ in range(RELAY_FRAMES):
-                    heartbeats = self._follower_heartbeats.take(RELAY_FRAME_BYTES)
-                    if not heartbeats:
-                        break
-                    await connection.send(encode(Relay(RELAY, lead.term, heartbeats)))
-                continue
-            # A whole zone's reports don't fit one value: several, within a share of
-            # what a transaction takes and of the changes a second.
-            changes = []
-            for number in range(max_frames):
-                heartbeats = self._follower_heartbeats.take(limit)
-                if not heartbeats:
-                    break
-                key = f"{records.RELAY_PREFIX}{self._node}/{number}"
-                value = {"crown": lead.term, "reports": heartbeats}
-                changes.append(wire.put(key, value, self._lease_id()))
-            if not changes:
-                continue
-            try:
-                await self._store.compare_and_swap([], changes, DECISION_PRIORITY)
-            except (*STORE_ERRORS, PreconditionFailedError) as exc:
-                log.debug("reports not relayed: %s", exc)
+        """Forward kept workers' heartbeats once per heartbeat interval."""
+        await wait_then_work(self._heartbeat_interval_s, self._forward)
+
+    async def _forward(self) -> None:
+        leader = self._leadership.leader or ""
+        if not self._peers.is_known(leader):
+            return
+        if self._follower_heartbeats.is_leader_silent(await curio.clock()):
+            await self._forward_by_store()
+        else:
+            await self._forward_by_link(leader)
+
+    async def _forward_by_link(self, leader: str) -> None:
+        for _ in range(MAX_FORWARD_FRAMES):
+            heartbeats = self._follower_heartbeats.take_for_forwarding(FORWARD_FRAME_BYTES)
+            if not heartbeats:
+                break
+            await self._peers.send(leader, Relay(RELAY, self._leadership.term, heartbeats))
+
+    async def _forward_by_store(self) -> None:
+        """A whole zone's heartbeats don't fit one value: several, in one transaction."""
+        changes = []
+        for number in range(self._max_values):
+            heartbeats = self._follower_heartbeats.take_for_forwarding(self._value_limit)
+            if not heartbeats:
+                break
+            key = f"{records.RELAY_PREFIX}{self._node}/{number}"
+            value = {"crown": self._leadership.term, "reports": heartbeats}
+            changes.append(wire.put(key, value, self._lease.id))
+        if not changes:
+            return
+        try:
+            await self._store.compare_and_swap([], changes, DECISION_PRIORITY)
+        except KeyValueStoreError as exc:
+            log.debug("heartbeats not forwarded: %s", exc)
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -3,28 +3,32 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterator
+from collections.abc import Iterable, Iterator
+from typing import Any
 
 import curio
 
-from topazhold.control.key_value_store import (
-    DECISION_PRIORITY,
-    STORE_ERRORS,
+from topazhold.control.key_value_store import DECISION_PRIORITY, Precondition
+from topazhold.control.store_errors import (
+    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
     StoreUnavailableError,
+    UnreadableAnswerError,
 )
 from topazhold.control.term_context import TXN_BYTES, TermContext
 from topazhold.core import records
 from topazhold.core.intent_shards import IntentShard
 from topazhold.core.jobs import TaskAttempt
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError
 
 log = logging.getLogger(__name__)
 
-#: Guards that a transaction takes, per change.
-CONDITIONS_PER_OPERATION = 4
+#: Preconditions that a transaction takes, per change.
+PRECONDITIONS_PER_OPERATION = 4
+
+#: The values of shards that are to be written, by the shard's name: its revision and its value.
+ShardValues = dict[str, tuple[int, dict[str, Any]]]
 
 
 class Intents:
@@ -42,26 +46,16 @@
             await self._write_batch(batch)
 
     def _batches(self, attempts: list[TaskAttempt]) -> Iterator[list[TaskAttempt]]:
-        """The plan in parts, each with no more puts and guards than a transaction takes.
+        """The plan in parts, each with no more puts and preconditions than a transaction takes.
 
-        A guard is never left out: without its `live/` mark a job that was cancelled
-        in between would be launched. So many small jobs make more transactions.
+        A precondition is never left out: without the one on its `live/` key a job that was
+        cancelled in between would be launched. So many small jobs make more transactions.
         """
-        context = self._context
-        machines = context.scheduler.machines
-        by_shard: dict[str, list[TaskAttempt]] = {}
-        for attempt in attempts:
-            machine = machines.get(attempt.machine)
-            if machine is not None:
-                by_shard.setdefault(context.shards.of(machine, machines).name, []).append(attempt)
-        # The leader's own mark, and one for every value that may be put.
-        max_jobs = (
-            CONDITIONS_PER_OPERATION * context.txn_ops - len(context.conditions()) - context.txn_ops
-        )
+        max_jobs = self._max_jobs()
         batch: list[TaskAttempt] = []
         shards: set[str] = set()
         jobs: set[str] = set()
-        for shard, of_shard in by_shard.items():
+        for shard, of_shard in self._by_shard(attempts).items():
             for attempt in of_shard:
                 full = attempt.job.id not in jobs and len(jobs) >= max_jobs
                 if full or (shard not in shards and len(shards) >= self._planned_values):
@@ -73,84 +67,116 @@
         if batch:
             yield batch
 
+    def _by_shard(self, attempts: list[TaskAttempt]) -> dict[str, list[TaskAttempt]]:
+        """The runs by the name of their machine's shard; those of unknown machines fall out."""
+        context = self._context
+        machines = context.scheduler.machines
+        by_shard: dict[str, list[TaskAttempt]] = {}
+        for attempt in attempts:
+            machine = machines.get(attempt.machine)
+            if machine is not None:
+                by_shard.setdefault(context.shards.of(machine, machines).name, []).append(attempt)
+        return by_shard
+
+    def _max_jobs(self) -> int:
+        """Jobs whose precondition fits beside the leader's, and those of all values put."""
+        context = self._context
+        every = PRECONDITIONS_PER_OPERATION * context.txn_ops
+        return every - len(context.preconditions()) - context.txn_ops
+
     async def _write_batch(self, batch: list[TaskAttempt], retried: bool = False) -> None:
         """Commit the intents of some runs; `retried`: all that was too much is written apart."""
-        scheduler = self._context.scheduler
-        token = self._context.token()
+        context = self._context
+        scheduler = context.scheduler
+        token = context.token()
         shards = {
-            self._context.shards.of(scheduler.machines[attempt.machine], scheduler.machines)
+            context.shards.of(scheduler.machines[attempt.machine], scheduler.machines)
             for attempt in batch
             if attempt.machine in scheduler.machines
         }
-        values = self._context.shards.values(shards, scheduler.machines, token)
+        values = context.shards.values(shards, scheduler.machines, token)
         if not values or any(shard.name not in values for shard in shards):
             scheduler.intents_failed(batch, await curio.clock())
             return
         if len(values) > self._max_values:
-            # Shards that were too full have given machines to new ones.
-            if not await self._write_apart() or (len(batch) == 1 and retried):
-                scheduler.intents_failed(batch, await curio.clock())
-                await curio.sleep(self._context.retry_s)
-                return
-            half = (len(batch) + 1) // 2
-            for part in (batch[:half], batch[half:]):
-                if part:
-                    await self._write_batch(part, retried=len(part) == len(batch))
+            await self._write_in_halves(batch, retried)
             return
-        conditions = self._context.conditions()
-        operations = []
-        for name, (revision, value) in values.items():
-            conditions.append((records.on_key(name), revision))
-            operations.append(wire.put(records.on_key(name), value))
+        revision = await self._commit(batch, values, token)
+        if revision is None:
+            return
+        for name in values:
+            context.shards.marked(name, revision)
+        scheduler.intents_written(batch, await curio.clock())
+        await context.commands_due.set()
+
+    async def _write_in_halves(self, batch: list[TaskAttempt], retried: bool) -> None:
+        """Shards that were too full have given machines to new ones: write these apart first."""
+        if not await self._write_apart() or (len(batch) == 1 and retried):
+            self._context.scheduler.intents_failed(batch, await curio.clock())
+            await curio.sleep(self._context.retry_s)
+            return
+        half = (len(batch) + 1) // 2
+        for part in (batch[:half], batch[half:]):
+            if part:
+                await self._write_batch(part, retried=len(part) == len(batch))
+
+    def _preconditions(
+        self, batch: Iterable[TaskAttempt], values: ShardValues
+    ) -> list[Precondition]:
+        """A job that was cancelled or finished in between launches nothing."""
+        preconditions = self._context.preconditions()
+        for name, (revision, _) in values.items():
+            preconditions.append(Precondition(records.on_key(name), revision))
         for job in {attempt.job.id: attempt.job for attempt in batch}.values():
-            # A job that was cancelled or finished in between launches nothing.
-            conditions.append((records.live_key(job.id), job.revision))
+            preconditions.append(Precondition(records.live_key(job.id), job.revision))
+        return preconditions
+
+    async def _commit(
+        self, batch: list[TaskAttempt], values: ShardValues, token: str
+    ) -> int | None:
+        """Write the values; the revision, or None if nothing was written.
+
+        While the outcome is open, nothing else may be planned for these tasks.
+        """
+        context = self._context
+        preconditions = self._preconditions(batch, values)
+        operations = [wire.put(records.on_key(name), value) for name, (_, value) in values.items()]
+        probe = records.on_key(next(iter(values)))
         while True:
             try:
-                revision = await self._context.store.commit(
-                    conditions,
-                    operations,
-                    DECISION_PRIORITY,
-                    records.on_key(next(iter(values))),
-                    token,
-                    give_up_s=self._context.block_s,
+                return await context.store.commit(
+                    preconditions, operations, DECISION_PRIORITY, probe, token, context.block_s
                 )
-                break
             except PreconditionFailedError as exc:
                 log.debug("intents not written, changed: %s", exc)
-                scheduler.intents_failed(batch, await curio.clock())
-                await self._context.repair(exc.keys)
-                return
+                context.scheduler.intents_failed(batch, await curio.clock())
+                await context.repair(exc.keys)
+                return None
             except StoreUnavailableError as exc:
                 log.debug("intents not written: %s", exc)
-                scheduler.intents_failed(batch, await curio.clock())
-                await curio.sleep(self._context.retry_s)
-                return
-            except (OutcomeUnknownError, InvalidMessageError):
-                # Still open: nothing else may be planned for these tasks.
+                context.scheduler.intents_failed(batch, await curio.clock())
+                await curio.sleep(context.retry_s)
+                return None
+            except (OutcomeUnknownError, UnreadableAnswerError):
                 continue
-        for name in values:
-            self._context.shards.marked(name, revision)
-        scheduler.intents_written(batch, await curio.clock())
-        await self._context.commands_due.set()
 
     async def _write_apart(self) -> bool:
         """Shards that took machines over, by themselves; their old shards still name them.
 
-        False if the state service does not take them now.
+        False if the store does not take them now.
         """
         context = self._context
         for shard in context.shards.unwritten():
+            key = records.on_key(shard.name)
             value = context.shards.value(shard, context.scheduler.machines, context.token())
+            preconditions = [*context.preconditions(), Precondition(key, shard.revision)]
             try:
                 revision = await context.store.compare_and_swap(
-                    [*context.conditions(), (records.on_key(shard.name), shard.revision)],
-                    [wire.put(records.on_key(shard.name), value)],
-                    DECISION_PRIORITY,
+                    preconditions, [wire.put(key, value)], DECISION_PRIORITY
                 )
             except PreconditionFailedError as exc:
                 await context.repair(exc.keys)
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("shard %s not written apart: %s", shard.name, exc)
                 return False
             else:
@@ -169,13 +195,17 @@
                 return
             values = context.shards.values(shards, machines, context.token())
         for name, (revision, value) in values.items():
-            key = records.on_key(name)
-            change = wire.put(key, value) if value["boxes"] else wire.drop(key)
-            try:
-                done = await self._context.store.compare_and_swap(
-                    [*self._context.conditions(), (key, revision)], [change], DECISION_PRIORITY
-                )
-            except (*STORE_ERRORS, PreconditionFailedError) as exc:
-                log.debug("intents on %s stay: %s", name, exc)
-            else:
-                self._context.shards.marked(name, done if value["boxes"] else 0)
+            await self._write_tidied(name, revision, value)
+
+    async def _write_tidied(self, name: str, revision: int, value: dict[str, Any]) -> None:
+        """Write what is left in a shard, or drop it; what fails is tidied another time."""
+        context = self._context
+        key = records.on_key(name)
+        change = wire.put(key, value) if value["boxes"] else wire.drop(key)
+        preconditions = [*context.preconditions(), Precondition(key, revision)]
+        try:
+            done = await context.store.compare_and_swap(preconditions, [change], DECISION_PRIORITY)
+        except KeyValueStoreError as exc:
+            log.debug("intents on %s stay: %s", name, exc)
+        else:
+            context.shards.marked(name, done if value["boxes"] else 0)
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -1,15 +1,27 @@
-"""The state service: reads, conditional transactions, grants, watches."""
+"""The consensus-backed key-value store: reads, compare-and-swap, leases, watches.
+
+Every request keeps within this controller's share of the store's limits. A rank, one of
+`LEASES`, `DECISIONS` and `USERS`, says which requests go first when the limits are near.
+"""
 
 from __future__ import annotations
 
 import logging
-from typing import Any
+from collections.abc import Sequence
+from typing import Any, NamedTuple, TypeVar
 
 import curio
 
+from topazhold.control.store_errors import (
+    OutcomeUnknownError,
+    PreconditionFailedError,
+    StoreUnavailableError,
+    UnreadableAnswerError,
+    WatchCompactedError,
+)
+from topazhold.control.store_limits import StoreLimits
 from topazhold.io.client import Client
 from topazhold.io.http import NoResponseError, RequestNotSentError
-from topazhold.io.rate_limit import TokenBucket
 from topazhold.settings import State as StateLimits
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, json_size, read
@@ -17,146 +29,133 @@
 
 log = logging.getLogger(__name__)
 
+T = TypeVar("T")
+
 #: Shares of the request limit that lower ranks must leave to higher ones.
 LEASE_PRIORITY = 0.0
 DECISION_PRIORITY = 0.1
 USER_PRIORITY = 0.3
 
+#: Entries in a page of a list.
 PAGE = 500
 #: Trouble shorter than this share of a request's time limit is taken for a hiccup.
 HICCUP_TIMEOUTS = 0.75
-#: Longest wait of a decision for the limits.
-PATIENCE_S = 1.0
-
-
-class StoreUnavailableError(Exception):
-    """Not carried out: refused, over the limit, or out of reach."""
-
+#: Longest wait of a decision for the limits, in seconds.
+MAX_TURN_WAIT_S = 1.0
+#: Seconds between two tries while the outcome of a transaction is open, and between two reads
+#: that look for it.
+MAX_OUTCOME_RETRY_S = 0.25
+OUTCOME_READ_RETRY_S = 0.1
+#: Tries of a transaction within the time after which its outcome is given up, at the least.
+OUTCOME_TRIES = 8
 
-class OutcomeUnknownError(Exception):
-    """No answer: the change may have been, or may yet be, carried out."""
 
+class Precondition(NamedTuple):
+    """A key must have this revision, 0 for a key that does not exist."""
 
-class PreconditionFailedError(Exception):
-    """A guard failed; `keys` are the guarded keys that had changed."""
+    key: str
+    revision: int
 
-    def __init__(self, keys: list[str]) -> None:
-        super().__init__(", ".join(keys))
-        self.keys = keys
 
+class _Request(NamedTuple):
+    """One request, and what it takes of the limits."""
 
-class WatchCompactedError(Exception):
-    """The history does not go back that far; read the keys again."""
+    method: str
+    target: str
+    priority: float
+    message: Any = None
+    writes: int = 0
+    block_s: float | None = None  # a watch: how long the store may wait with the answer
 
 
 class KeyValueStore:
-    """One controller's access, within its share of the service's limits."""
+    """One controller's access, within its share of the store's limits.
+
+    Every request raises KeyValueStoreError, in one of its three kinds.
+    """
 
     def __init__(
         self, client: Client, watching: Client, limits: StateLimits, timeout_s: float
     ) -> None:
         self._client = client
         self._watching = watching
-        self._limits = limits
-        self._lowered = False  # whether the service has shown that its limits may be lower
-        self._share = 1.0
-        self._reads = TokenBucket(limits.rps)
-        self._writes = TokenBucket(limits.write_rps)
+        self._limits = StoreLimits(limits)
         self._timeout_s = timeout_s
-        self.failing_since: float | None = None
-        self.unanswered_requests = (
-            0  # requests in a row of which nothing has come, not even a refusal
-        )
+        self.failing_since: float | None = None  # steady clock, seconds
+        self.unanswered_requests = 0  # in a row, without even a refusal
 
     def answers(self, now: float) -> bool:
-        """Whether the service answers this controller, a hiccup aside."""
+        """Whether the store answers this controller, a hiccup aside."""
         return self.failing_since is None or now - self.failing_since < (
             HICCUP_TIMEOUTS * self._timeout_s
         )
 
     def set_share(self, share: float) -> None:
-        """This node's share of the limits."""
-        self._share = share
-        limits = self._limits
-        rps = limits.lasting_rps if self._lowered else limits.rps
-        write_rps = limits.lasting_write_rps if self._lowered else limits.write_rps
-        self._reads.set_rate(rps * share)
-        self._writes.set_rate(write_rps * share)
-
-    def _over_limit(self) -> None:
-        """The service refused a request that the present limits allow: they may have fallen.
-
-        They fall without notice and for good, so from now on this node keeps to the
-        lower ones. Where the refusal had another reason, that costs little.
-        """
-        if not self._lowered:
-            self._lowered = True
-            self.set_share(self._share)
-            log.info("state service refuses for its rate: keeping to the lower limits")
+        """Keep to this share of the store's limits from now on."""
+        self._limits.set_share(share)
 
     async def wait_for_limits(self, priority: float, writes: int) -> None:
         """Let time pass until the limits allow a request, within bounds."""
-        await curio.sleep(min(PATIENCE_S, await self.wait_s(priority, writes)))
+        await curio.sleep(min(MAX_TURN_WAIT_S, await self.wait_s(priority, writes)))
 
     async def wait_s(self, priority: float, writes: int) -> float:
-        """How long until the limits allow a request."""
-        now = await curio.clock()
-        return max(self._reads.wait_s(now, 1, priority), self._writes.wait_s(now, writes, priority))
+        """Seconds until the limits allow a request with so many puts and deletes."""
+        return self._limits.wait_s(await curio.clock(), priority, writes)
 
-    async def _ask(
-        self,
-        method: str,
-        target: str,
-        message: Any,
-        priority: float,
-        writes: int = 0,
-        timeout_s: float | None = None,
-        client: Client | None = None,
-    ) -> tuple[int, bytes]:
+    async def _take_turn(self, request: _Request) -> float:
+        """Wait until the limits allow a request; the time at which it goes out.
+
+        Raises StoreUnavailableError where they do not allow it in time.
+        """
         now = await curio.clock()
-        if priority < USER_PRIORITY:
+        if request.priority < USER_PRIORITY:
             # Decisions wait for their turn; users are told at once to come again.
-            wait = min(PATIENCE_S, await self.wait_s(priority, writes))
+            wait = min(MAX_TURN_WAIT_S, await self.wait_s(request.priority, request.writes))
             if wait > 0:
                 await curio.sleep(wait)
                 now = await curio.clock()
-        if not self._reads.take(now, 1, priority):
-            raise StoreUnavailableError("request limit")
-        if writes and not self._writes.take(now, writes, priority):
-            raise StoreUnavailableError("write limit")
+        over = self._limits.take(now, request.priority, request.writes)
+        if over is not None:
+            raise StoreUnavailableError(over)
+        return now
+
+    async def _ask(self, request: _Request) -> tuple[int, bytes]:
+        """Status and body of the answer; raises StoreUnavailableError or OutcomeUnknownError."""
+        sent_at = await self._take_turn(request)
+        client, timeout_s = self._client, self._timeout_s
+        if request.block_s is not None:
+            client, timeout_s = self._watching, request.block_s + self._timeout_s
         try:
-            status, body = await (client or self._client).ask(
-                method, target, message, timeout_s or self._timeout_s
+            status, body = await client.ask(
+                request.method, request.target, request.message, timeout_s
             )
-        except RequestNotSentError as exc:
+        except (RequestNotSentError, NoResponseError) as exc:
             self.unanswered_requests += 1
-            self._failed(now)
-            raise StoreUnavailableError(str(exc)) from None
-        except NoResponseError as exc:
-            self.unanswered_requests += 1
-            self._failed(now)
+            self._failed(sent_at)
+            if isinstance(exc, RequestNotSentError):
+                raise StoreUnavailableError(str(exc)) from None
             raise OutcomeUnknownError(str(exc)) from None
         self.unanswered_requests = 0
-        if status in (429, 503):
-            if status == 503:
-                self._failed(now)
-            else:
-                self._over_limit()
-            raise StoreUnavailableError(f"status {status}")
-        self.failing_since = None
-        return status, body
+        if status == 429:
+            self._limits.on_refused()
+        elif status == 503:
+            self._failed(sent_at)
+        else:
+            self.failing_since = None
+            return status, body
+        raise StoreUnavailableError(f"status {status}")
 
     def _failed(self, now: float) -> None:
         if self.failing_since is None:
             self.failing_since = now
 
     async def get(self, key: str, priority: float = USER_PRIORITY) -> Entry | None:
-        status, body = await self._ask("GET", f"{wire.STORE_PATH}/{key}", None, priority)
+        """A key's entry, or None if the key does not exist."""
+        status, body = await self._ask(_Request("GET", f"{wire.STORE_PATH}/{key}", priority))
         if status == 404:
             return None
-        if status != 200:
-            raise StoreUnavailableError(f"status {status}")
-        return read(body, Entry)
+        _expect_success(status)
+        return _read(body, Entry)
 
     async def entries(
         self, prefix: str, priority: float = DECISION_PRIORITY
@@ -167,37 +166,51 @@
         seen_revision: int | None = None
         while True:
             target = wire.store_query(prefix, after, PAGE)
-            status, body = await self._ask("GET", target, None, priority)
-            if status != 200:
-                raise StoreUnavailableError(f"status {status}")
-            page = read(body, wire.EntryPage)
+            status, body = await self._ask(_Request("GET", target, priority))
+            _expect_success(status)
+            page = _read(body, wire.EntryPage)
             seen_revision = page.revision if seen_revision is None else seen_revision
             entries += page.entries
             if not page.truncated or not page.entries:
                 return entries, seen_revision
             after = page.entries[-1].key
 
+    async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
+        """Changes under a prefix after a revision; waits up to `block_s` seconds for one.
+
+        Raises WatchCompactedError where the store no longer has all changes since.
+        """
+        target = wire.watch_query(prefix, since, int(block_s * 1000))
+        status, body = await self._ask(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
+        if status == 410:
+            raise WatchCompactedError(prefix)
+        _expect_success(status)
+        return _read(body, wire.WatchPage)
+
     async def compare_and_swap(
-        self, conditions: list[tuple[str, int]], operations: list[dict[str, Any]], priority: float
+        self,
+        preconditions: Sequence[Precondition],
+        operations: Sequence[dict[str, Any]],
+        priority: float,
     ) -> int:
-        """One transaction; the new revision. Raises Conflict."""
-        body = wire.transaction_body(
-            [wire.condition(key, revision) for key, revision in conditions], operations
-        )
-        status, answer = await self._ask(
-            "POST", wire.TRANSACTION_PATH, body, priority, writes=len(operations)
-        )
+        """Carry out all operations if all preconditions hold; the new revision.
+
+        Raises PreconditionFailedError if one of them does not hold.
+        """
+        conditions = [wire.condition(key, revision) for key, revision in preconditions]
+        body = wire.transaction_body(conditions, list(operations))
+        request = _Request("POST", wire.TRANSACTION_PATH, priority, body, writes=len(operations))
+        status, answer = await self._ask(request)
         if status == 200:
-            log.debug(
-                "%d changes written, the first to %s", len(operations), _first_key(operations)
-            )
-            return read(answer, wire.Committed).revision
+            first = wire.changed_key(operations[0]) if operations else "nothing"
+            log.debug("%d changes written, the first to %s", len(operations), first)
+            return _read(answer, wire.Committed).revision
         if status == 409:
-            raise PreconditionFailedError(read(answer, wire.Committed).failed)
+            raise PreconditionFailedError(_read(answer, wire.Committed).failed)
         # 400 comes where a lease ended while the transaction was on its way, and for a
         # value or a transaction that is too large.
         log.info(
-            "state service answered %d to a transaction: %r; changes: %s",
+            "store answered %d to a transaction: %r; changes: %s",
             status,
             answer[:200],
             ", ".join(f"{wire.changed_key(each)} ({json_size(each)})" for each in operations),
@@ -206,29 +219,29 @@
 
     async def commit(
         self,
-        conditions: list[tuple[str, int]],
-        operations: list[dict[str, Any]],
+        preconditions: Sequence[Precondition],
+        operations: Sequence[dict[str, Any]],
         priority: float,
         probe: str,
         token: str,
         give_up_s: float,
     ) -> int:
-        """A transaction whose outcome is found out.
+        """A compare-and-swap whose outcome is found out; the new revision.
 
-        `probe` is a key that it puts with `token` in its value, guarded like
-        all keys it changes, so that of two copies at most one is carried out.
-        Raises Conflict, StoreDown (nothing was done), or StoreUnknown when the
-        outcome stays open for `give_up_s`.
+        `probe` is a key that it puts with `token` in its value, with a precondition on it as
+        on all keys it changes, so that of two copies at most one is carried out.
+        Raises PreconditionFailedError, StoreUnavailableError (nothing was done), or
+        OutcomeUnknownError when the outcome stays open for `give_up_s` seconds.
         """
         unknown = False
         start = await curio.clock()
         while True:
             try:
-                return await self.compare_and_swap(conditions, operations, priority)
+                return await self.compare_and_swap(preconditions, operations, priority)
             except PreconditionFailedError:
                 if not unknown:
                     raise
-                entry = await self._probe(probe, start, give_up_s)
+                entry = await self._read_probe(probe, start, give_up_s)
                 if entry is not None and _token(entry) == token:
                     return entry.revision
                 raise
@@ -239,62 +252,50 @@
                     raise
             if await curio.clock() - start > give_up_s:
                 raise OutcomeUnknownError("outcome open")
-            await curio.sleep(min(0.25, give_up_s / 8))
+            await curio.sleep(min(MAX_OUTCOME_RETRY_S, give_up_s / OUTCOME_TRIES))
 
-    async def _probe(self, key: str, start: float, give_up_s: float) -> Entry | None:
+    async def _read_probe(self, key: str, start: float, give_up_s: float) -> Entry | None:
         while True:
             try:
                 return await self.get(key, LEASE_PRIORITY)
             except (StoreUnavailableError, OutcomeUnknownError):
                 if await curio.clock() - start > give_up_s:
                     raise OutcomeUnknownError("outcome open") from None
-                await curio.sleep(0.1)
+                await curio.sleep(OUTCOME_READ_RETRY_S)
 
     async def grant_lease(self, ttl_s: float) -> int:
+        """The id of a new lease, which ends `ttl_s` seconds after its last renewal."""
         body = wire.lease_body(int(ttl_s * 1000))
-        status, answer = await self._ask("POST", wire.LEASES_PATH, body, LEASE_PRIORITY)
-        if status != 200:
-            raise StoreUnavailableError(f"status {status}")
-        return read(answer, wire.LeaseGranted).lease_id
+        status, answer = await self._ask(_Request("POST", wire.LEASES_PATH, LEASE_PRIORITY, body))
+        _expect_success(status)
+        return _read(answer, wire.LeaseGranted).lease_id
 
     async def renew_lease(self, lease_id: int) -> bool:
-        """Renew a grant; False if it has ended."""
+        """Renew a lease; False if it has ended."""
         target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
-        status, _ = await self._ask("POST", target, {}, LEASE_PRIORITY)
+        status, _ = await self._ask(_Request("POST", target, LEASE_PRIORITY, {}))
         if status == 404:
             return False
-        if status != 200:
-            raise StoreUnavailableError(f"status {status}")
+        _expect_success(status)
         return True
 
     async def revoke_lease(self, lease_id: int) -> None:
-        await self._ask("DELETE", f"{wire.LEASES_PATH}/{lease_id}", None, LEASE_PRIORITY)
+        """End a lease at once, and with it the keys that are attached to it."""
+        await self._ask(_Request("DELETE", f"{wire.LEASES_PATH}/{lease_id}", LEASE_PRIORITY))
 
-    async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
-        """Changes under a prefix after a revision; waits for one."""
-        target = wire.watch_query(prefix, since, int(block_s * 1000))
-        status, body = await self._ask(
-            "GET",
-            target,
-            None,
-            LEASE_PRIORITY,
-            timeout_s=block_s + self._timeout_s,
-            client=self._watching,
-        )
-        if status == 410:
-            raise WatchCompactedError(prefix)
-        if status != 200:
-            raise StoreUnavailableError(f"status {status}")
-        return read(body, wire.WatchPage)
+
+def _expect_success(status: int) -> None:
+    """Raises StoreUnavailableError for any status but 200."""
+    if status != 200:
+        raise StoreUnavailableError(f"status {status}")
 
 
-def _first_key(operations: list[dict[str, Any]]) -> str:
-    return wire.changed_key(operations[0]) if operations else "nothing"
+def _read(body: bytes, kind: type[T]) -> T:
+    try:
+        return read(body, kind)
+    except InvalidMessageError as exc:
+        raise UnreadableAnswerError(str(exc)) from None
 
 
 def _token(entry: Entry) -> Any:
     return entry.data.get("by") if isinstance(entry.data, dict) else None
-
-
-#: What a caller has to expect of any request to the store.
-STORE_ERRORS = (StoreUnavailableError, OutcomeUnknownError, InvalidMessageError)
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -1,155 +1,143 @@
-"""A term: what the leader does besides answering requests."""
+"""What exists from a controller's election to the end of its term."""
 
 from __future__ import annotations
 
 import logging
-import time
 from collections.abc import Awaitable, Callable
-from random import Random
 from typing import Any
 
 import curio
 
-from topazhold.control.cloud import Cloud
+from topazhold.control.cluster_view import ClusterView
+from topazhold.control.controller_services import ControllerServices, ControllerState
 from topazhold.control.direct_commands import DirectCommands
+from topazhold.control.election import ControllerLease, ElectionResult
 from topazhold.control.failover import load
-from topazhold.control.gang_reservations import ClusterView
 from topazhold.control.intents import Intents
 from topazhold.control.job_persistence import JobPersistence
-from topazhold.control.key_value_store import (
-    DECISION_PRIORITY,
-    STORE_ERRORS,
-    KeyValueStore,
-    WatchCompactedError,
-)
+from topazhold.control.peer_group import Broadcast
+from topazhold.control.planning_loop import PlanningLoop
+from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import LeadershipLostError, TermContext
-from topazhold.core import records
-from topazhold.core.cancellations import Cancellations
-from topazhold.core.jobs import Job, JobState
+from topazhold.control.term_watches import TermWatches
+from topazhold.core.jobs import Job
 from topazhold.core.machines import Machine
-from topazhold.core.reservations import RESERVATION_PREFIX, ReservationTable
 from topazhold.core.scheduler import Scheduler
-from topazhold.io.client import Client
-from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
+from topazhold.io.cpu_accounting import WorkCategory
 from topazhold.operations.failover import read_entries
-from topazhold.operations.released_machines import ReleasedMachines
+from topazhold.operations.scale_in import AnnounceReleased
 from topazhold.operations.term_operations import TermOperations
-from topazhold.settings import Operator, Settings
-from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, convert
-from topazhold.wire.messages import Command, Heartbeat, MachineType
+from topazhold.wire.messages import Command, Heartbeat
 
 log = logging.getLogger(__name__)
 
-#: Shortest times between looks at the clocks of all, and between plans.
-TICK_HEARTBEATS = 0.1
-#: Without a look for so long, planning is taken to be stuck.
-STUCK_HEARTBEATS = 0.5
-PLAN_HEARTBEATS = 0.06
-#: Changes that a plan costs at the least, about.
-PLAN_WRITES = 2
-#: Time left to others after deciding, as a multiple of what it took.
-DECIDING_PAUSE = 3.0
+#: A heartbeat's answer waits for a plan for so many heartbeat intervals, so that it can launch.
+ANSWER_WAIT_REPORTS = 0.1
+
+#: One loop of a term, and the kind of work that its processor time counts as.
+TermLoop = tuple[WorkCategory, Callable[[], Awaitable[Any]]]
 
 
 class LeaderTerm:
-    """One term from the election to its end."""
+    """One term, from the election to its end: the scheduler, and the loops that act on it."""
 
     def __init__(
         self,
-        settings: Settings,
-        operator: Operator,
-        store: KeyValueStore,
-        cloud: Cloud,
-        reservation_table: ReservationTable,
-        machine_types: dict[str, MachineType],
-        term: int,
-        revision: int,
-        rng: Random,
-        now: float,
-        broadcast: Callable[[tuple[Any, ...]], Awaitable[None]],
-        dial: Callable[[tuple[str, int], int], Client],
-        lease_is_valid: Callable[[float], bool],
-        cancellations: Cancellations,
-        cpu_accounting: CpuAccounting,
-        controller_lease_s: float,
-        released: ReleasedMachines,
-        announce_released: Callable[[list[str]], Awaitable[None]],
+        services: ControllerServices,
+        state: ControllerState,
+        announce_released: AnnounceReleased,
+        broadcast: Broadcast,
+        lease: ControllerLease,
+        elected: ElectionResult,
     ) -> None:
-        self._cpu_accounting = cpu_accounting
-        self.term = term
-        self._machine_types = machine_types
-        self.scheduler = Scheduler(settings, operator, term, reservation_table, rng, now)
-        self.scheduler.machine_types = machine_types
-        self.loaded = False
+        """`elected.at` is the steady clock's time at which the term begins, in seconds."""
+        settings, operator = services.settings, services.operator
+        self.term = elected.term
+        self.loaded = False  # whether all state has been read: only then may it decide
+        self._cpu_accounting = services.cpu_accounting
+        self._released = state.released
+        self._machine_types = services.catalog.machine_types
+        self.scheduler = _create_scheduler(services, state, elected)
         self.context = context = TermContext(
-            settings, store, self.scheduler, term, revision, lease_is_valid, cancellations
+            settings,
+            services.store,
+            self.scheduler,
+            elected,
+            lease.lease_is_valid,
+            state.cancellations,
         )
         self._intents = Intents(context)
         self.job_persistence = JobPersistence(context)
-        self._released = released
         self.operations = TermOperations(
             context,
-            cloud,
+            services.cloud,
             self._intents,
             settings,
             operator,
-            controller_lease_s,
-            now,
+            services.controller_lease_s,
+            elected.at,
             announce_released,
         )
         self._direct_commands = DirectCommands(
-            context, settings.cluster.limits.sockets, dial, self._on_direct_heartbeat
+            context, settings.cluster.limits.sockets, services.dial, self._on_direct_heartbeat
         )
         self._summaries = SummaryPublisher(context, operator.summary_s, broadcast)
-        self._round = curio.Event()  # set, and replaced, at the end of a planning round
-        self._seen_revisions: dict[str, int] = {}
-        self._ticked_at = -1e9
-        self._planned_at = -1e9
+        self._watches = TermWatches(context, self.forwarded)
+        self._planning = PlanningLoop(context, self._intents)
 
     async def run(self) -> None:
-        """Term until cancelled or deposed."""
+        """Take over, then lead until cancelled or until a loop finds that the term is over.
+
+        Raises what else ends a loop.
+        """
+        await self._take_over()
+        async with curio.TaskGroup(wait=any) as group:
+            for category, loop in self._loops():
+                await group.spawn(self._run_loop, category, loop)
+        await self._direct_commands.close()
+        self.operations.log_totals()
+        if group.exception is not None:
+            raise group.exception
+
+    async def _take_over(self) -> None:
+        """Read all that earlier terms left, before any decision."""
         start = await curio.clock()
         while True:
             try:
                 operations = await read_entries(self.context)
-                self._seen_revisions = await load(self.context, self._machine_types)
+                self._watches.start_from(await load(self.context, self._machine_types))
                 break
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("take-over waits: %s", exc)
                 await curio.sleep(self.context.retry_s)
         await self.operations.take_over(operations, self._released.names())
-        now = await curio.clock()
         log.info(
             "leader %s term %d took over in %.2f s: %d jobs, %d machines",
             self.context.node,
             self.term,
-            now - start,
+            await curio.clock() - start,
             len(self.scheduler.jobs),
             len(self.scheduler.machines),
         )
         await self.context.learn_cancellations()
         self.context.cancellations.informed = True
         self.loaded = True
-        async with curio.TaskGroup(wait=any) as group:
-            for category, loop in (
-                (WorkCategory.COMMANDS, self._direct_commands.superseded.wait),
-                (WorkCategory.COMMANDS, self._direct_commands.loop),
-                (WorkCategory.PLANNING, self._plan_loop),
-                (WorkCategory.PLANNING, self._tick_loop),
-                (WorkCategory.STATE, self._watch_jobs),
-                (WorkCategory.STATE, self._watch_reservations),
-                (WorkCategory.STATE, self._watch_relays),
-                (WorkCategory.STATE, self.job_persistence.loop),
-                (WorkCategory.SUMMARIES, self._summaries.loop),
-                *((WorkCategory.CLOUD, loop) for loop in self.operations.loops()),
-            ):
-                await group.spawn(self._run_loop, category, loop)
-        await self._direct_commands.close()
-        self.operations.log_totals()
-        if group.exception is not None:
-            raise group.exception
+
+    def _loops(self) -> tuple[TermLoop, ...]:
+        return (
+            (WorkCategory.COMMANDS, self._direct_commands.superseded.wait),
+            (WorkCategory.COMMANDS, self._direct_commands.loop),
+            (WorkCategory.PLANNING, self._planning.plan_loop),
+            (WorkCategory.PLANNING, self._planning.tick_loop),
+            (WorkCategory.STATE, self._watches.jobs_loop),
+            (WorkCategory.STATE, self._watches.reservations_loop),
+            (WorkCategory.STATE, self._watches.forwarded_loop),
+            (WorkCategory.STATE, self.job_persistence.loop),
+            (WorkCategory.SUMMARIES, self._summaries.loop),
+            *((WorkCategory.CLOUD, loop) for loop in self.operations.loops()),
+        )
 
     async def _run_loop(self, category: WorkCategory, loop: Callable[[], Awaitable[Any]]) -> None:
         try:
@@ -157,45 +145,16 @@
         except LeadershipLostError as exc:
             log.info("term %d ends: %s", self.term, exc)
 
-    def cluster_view(self, now: float) -> ClusterView:
-        """The fleet for this node's own searches, fresh."""
-        return self._summaries.cluster_view(now)
-
-    async def released(self, machines: list[str]) -> None:
-        """Another controller's release of these machines was answered."""
-        if self.loaded:
-            await self.operations.scale_in.released_by_peer(machines, await curio.clock())
-
-    async def cancelled(self, job_id: str, at: float) -> None:
-        """A user was told that the job is cancelled, by this controller or a peer."""
-        if self.loaded:
-            await self.context.cancelled(job_id, at)
-
-    def placed(self) -> list[list[Any]]:
-        """Where tasks may be, for whoever has no scheduler."""
-        return self._summaries.placed()
-
-    def resend_all(self) -> None:
-        """A peer has just started: it knows of no machine."""
-        self._summaries.resend_all()
-
-    async def request_plan(self) -> None:
-        """Something changed: plan soon."""
-        await self.context.request_plan()
-
-    # -- events ----------------------------------------------------------------
-
-    async def plan_now(self, limit_s: float) -> None:
-        """Let one round of planning pass, so that a heartbeat's answer can launch."""
-        # An event, not a condition: a condition's lock was lost when two time
-        # limits ended in one wait, and planning stood still for good.
-        await self.context.request_plan()
-        await curio.ignore_after(limit_s, self._round.wait)
+    # -- heartbeats --------------------------------------------------------------
 
     async def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool = False
     ) -> tuple[Machine | None, list[Command]]:
-        """A worker's heartbeat; the commands for its answer."""
+        """Take in a worker's heartbeat; its machine, and the commands for its answer.
+
+        `direct`: it answers a direct command, and gets no commands itself. A heartbeat that
+        was overtaken by a newer one, or that can't be placed, gets none either.
+        """
         now = await curio.clock()
         before = self.scheduler.changes
         machine = self.scheduler.on_heartbeat(heartbeat, direct, now)
@@ -203,72 +162,24 @@
             await self.context.request_plan()
         if machine is None or direct:
             return machine, []
-        if self._plan_is_due(now) and self.scheduler.wants_plan(machine, now):
-            await self.plan_now(0.1 * self.context.heartbeat_interval_s)
+        if self._planning.is_due(now) and self.scheduler.wants_plan(machine, now):
+            await self._planning.next_round(ANSWER_WAIT_REPORTS * self.context.heartbeat_interval_s)
         if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
-            return machine, []  # a newer one was heard while this one waited
+            return machine, []  # a newer one arrived while this one waited
         now = await curio.clock()
         # Once the lease may have passed on, another may be leader: it knows of
         # the intents, but nothing new is to begin behind its back.
         return machine, self.scheduler.answer(machine, heartbeat, now, self._may_launch(now))
 
-    def _plan_is_due(self, now: float) -> bool:
-        """Whether a round of planning may find more than the last one did.
-
-        Every report used to wake the planning loop. Most change nothing that a plan
-        depends on, and a leader made twice as many rounds as there was reason for.
-        """
-        return self.context.wake.is_set() or now - self._planned_at > self.context.retry_s
-
     def _may_launch(self, now: float) -> bool:
-        """While the state service does not answer, nobody can know what was cancelled."""
+        """While the store does not answer, nobody can know what was cancelled."""
         return self.context.lease_is_valid(now) and self.context.store.answers(now)
 
     async def _on_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
         await self.on_heartbeat(heartbeat, direct=True)
 
-    async def accepted(self, job: Job) -> None:
-        if self.loaded:
-            self.scheduler.add_job(job)
-            await self.context.request_plan()
-
-    async def _watch(self, prefix: str, apply: Callable[[str, Any, int], Awaitable[None]]) -> None:
-        while True:
-            try:
-                page = await self.context.store.watch(
-                    prefix, self._seen_revisions[prefix], self.context.block_s
-                )
-            except WatchCompactedError:
-                raise LeadershipLostError("changes were missed") from None
-            except STORE_ERRORS as exc:
-                log.debug("watch %s: %s", prefix, exc)
-                await curio.sleep(self.context.retry_s)
-                continue
-            for event in page.events:
-                key, data, revision = wire.event_key(event)
-                await apply(key[len(prefix) :], data, revision)
-            self._seen_revisions[prefix] = max(self._seen_revisions[prefix], page.revision)
-            if page.events:
-                await self.context.request_plan()
-
-    async def _watch_reservations(self) -> None:
-        async def apply(node: str, data: Any, revision: int) -> None:
-            if data is None:
-                self.scheduler.reservation_table.expire(node, revision)
-            else:
-                self.scheduler.reservation_table.read(node, data, revision)
-
-        await self._watch(RESERVATION_PREFIX, apply)
-
-    async def _watch_relays(self) -> None:
-        async def apply(node: str, data: Any, revision: int) -> None:
-            if isinstance(data, dict) and data.get("crown") == self.term:
-                await self.forwarded(data.get("reports", []))
-
-        await self._watch(records.RELAY_PREFIX, apply)
-
     async def forwarded(self, heartbeats: Any) -> None:
-        """Reports that a follower took in while this node can't be reached."""
+        """Heartbeats, packed, that a follower took in while this controller can't be reached."""
         now = await curio.clock()
         before = self.scheduler.changes
         for item in heartbeats:
@@ -281,68 +192,74 @@
         if self.scheduler.changes != before:
             await self.context.request_plan()
 
-    async def _watch_jobs(self) -> None:
-        await self._watch(records.LIVE_PREFIX, self._job_changed)
+    # -- what the controller learns otherwise ------------------------------------
 
-    async def _job_changed(self, job_id: str, data: Any, revision: int) -> None:
-        job = self.scheduler.jobs.get(job_id)
-        if data is None:
-            # Of one that it has seen complete, `JobPersistence.finish` finds out.
-            if job is not None and job.state is JobState.LIVE and not job.complete:
-                await self.context.on_job_ended(job_id)
-        elif job is None:
-            try:
-                new = records.read_live(data, revision, time.time(), await curio.clock())
-            except (InvalidMessageError, ValueError, TypeError) as exc:
-                log.error("job %s unreadable: %s", job_id, exc)
-                return
-            self.scheduler.add_job(new)
-        else:
-            job.revision = max(job.revision, revision)
+    async def accepted(self, job: Job) -> None:
+        """A user's job was accepted by this controller."""
+        if self.loaded:
+            self.scheduler.add_job(job)
+            await self.context.request_plan()
 
-    # -- planning --------------------------------------------------------------
+    async def cancelled(self, job_id: str, at: float) -> None:
+        """A user was told, at a time of day, that the job is cancelled, here or by a peer."""
+        if self.loaded:
+            await self.context.cancelled(job_id, at)
 
-    def _tick(self, now: float) -> None:
-        self._ticked_at = now
-        self.scheduler.tick(now)
+    async def released(self, machines: list[str]) -> None:
+        """Another controller's release of these machines was answered."""
+        if self.loaded:
+            await self.operations.scale_in.released_by_peer(machines, await curio.clock())
 
-    async def _tick_loop(self) -> None:
-        """Time passes also while a plan waits for the state service.
+    async def request_plan(self) -> None:
+        """Something changed: plan soon."""
+        await self.context.request_plan()
 
-        A transaction without an answer is waited for without end, and with it waited
-        what has to happen in time: kills of cancelled jobs, and releases.
-        """
-        while True:
-            await curio.sleep(self.context.retry_s)
-            now = await curio.clock()
-            if now - self._ticked_at > STUCK_HEARTBEATS * self.context.heartbeat_interval_s:
-                before = self.scheduler.changes
-                self._tick(now)
-                if self.scheduler.changes != before:
-                    await self.context.request_plan()
-
-    async def _plan_loop(self) -> None:
-        while True:
-            await curio.ignore_after(self.context.retry_s, self.context.wake.wait)
-            self.context.wake.clear()
-            busy = 0.0  # time spent on deciding, waits for the state service left out
-            for _ in range(4):
-                # A plan that can't be written now is made anew later, with more
-                # of it in one transaction.
-                await self.context.store.wait_for_limits(DECISION_PRIORITY, PLAN_WRITES)
-                now = await curio.clock()
-                if now - self._ticked_at > TICK_HEARTBEATS * self.context.heartbeat_interval_s:
-                    self._tick(now)
-                self._planned_at = now
-                attempts = self.scheduler.plan(now)
-                busy += time.monotonic() - now
-                if not attempts:
-                    break
-                await self._intents.write(attempts)
-            passed, self._round = self._round, curio.Event()
-            await passed.set()
-            # Something changes all the time. Without a pause that grows with the cost
-            # of a round, a leader of many machines did nothing but plan.
-            await curio.sleep(
-                max(PLAN_HEARTBEATS * self.context.heartbeat_interval_s, busy * DECIDING_PAUSE)
-            )
+    # -- what others are told ----------------------------------------------------
+
+    def cluster_view(self, now: float) -> ClusterView:
+        """The fleet for this controller's own searches, fresh."""
+        return self._summaries.cluster_view(now)
+
+    def placed(self) -> list[list[Any]]:
+        """Where tasks may be, for whoever has no scheduler."""
+        return self._summaries.placed()
+
+    def resend_all(self) -> None:
+        """A peer has just started: it knows of no machine."""
+        self._summaries.resend_all()
+
+
+def _create_scheduler(
+    services: ControllerServices, state: ControllerState, elected: ElectionResult
+) -> Scheduler:
+    scheduler = Scheduler(
+        services.settings,
+        services.operator,
+        elected.term,
+        state.reservation_table,
+        services.rng,
+        elected.at,
+    )
+    scheduler.machine_types = services.catalog.machine_types
+    return scheduler
+
+
+class CurrentTerm:
+    """The term that this controller leads, if it leads one.
+
+    Changed by `LeadershipService` alone; the controller's other parts look.
+    """
+
+    def __init__(self) -> None:
+        self.leader_term: LeaderTerm | None = None
+
+    @property
+    def loaded_term(self) -> LeaderTerm | None:
+        """The term, if all its state has been read."""
+        term = self.leader_term
+        return term if term is not None and term.loaded else None
+
+    async def cancelled(self, job_id: str, at: float) -> None:
+        """A job was cancelled at this time of day: the term, if any, is to know."""
+        if self.leader_term is not None:
+            await self.leader_term.cancelled(job_id, at)
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -8,6 +8,7 @@
 
 from topazhold.control.cloud import Cloud, CloudUnavailableError
 from topazhold.control.term_context import TermContext
+from topazhold.control.waiting_loops import work_then_wait
 
 log = logging.getLogger(__name__)
 
@@ -24,15 +25,17 @@
         self.listed = curio.Event()  # a list has come in this term
 
     async def loop(self) -> None:
-        """Read the list, again and again."""
+        """Read the list, again and again; what the cloud can't answer is tried again."""
+        pause_s = max(self._context.heartbeat_interval_s, LIST_LAGS * self._context.scheduler.lag_s)
+        await work_then_wait(pause_s, self._read)
+
+    async def _read(self) -> None:
         scheduler = self._context.scheduler
-        while True:
-            asked = await curio.clock()
-            try:
-                listed = await self._cloud.machines()
-            except CloudUnavailableError as exc:
-                log.debug("machine list: %s", exc)
-            else:
-                scheduler.on_machine_list(listed, asked, await curio.clock())
-                await self.listed.set()
-            await curio.sleep(max(self._context.heartbeat_interval_s, LIST_LAGS * scheduler.lag_s))
+        asked = await curio.clock()
+        try:
+            listed = await self._cloud.machines()
+        except CloudUnavailableError as exc:
+            log.debug("machine list: %s", exc)
+        else:
+            scheduler.on_machine_list(listed, asked, await curio.clock())
+            await self.listed.set()
--- /dev/null
+++ b/topazhold/control/peer_announcer.py
@@ -0,0 +1,79 @@
+"""What a controller tells the others of itself: that it lives, and which machines are gone."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+import curio
+
+from topazhold.control.controller_services import ControllerServices, ControllerState
+from topazhold.control.leader_term import CurrentTerm
+from topazhold.control.peer_group import PeerGroup
+from topazhold.control.peer_messages import PING, RELEASED, Ping, Released
+from topazhold.control.waiting_loops import work_then_wait
+from topazhold.core.search import pack_names
+
+#: Time between two pings, as a share of a controller's lease.
+PING_GRANTS = 0.25
+
+
+class PeerAnnouncer:
+    """Pings the peers, and tells them of machines released without a record."""
+
+    def __init__(
+        self,
+        services: ControllerServices,
+        state: ControllerState,
+        peers: PeerGroup,
+        current: CurrentTerm,
+    ) -> None:
+        self._name = services.settings.node_name
+        self._services = services
+        self._state = state
+        self._peers = peers
+        self._current = current
+
+    async def loop(self) -> None:
+        """Ping a few times per lease of a controller."""
+        await work_then_wait(PING_GRANTS * self._services.controller_lease_s, self.ping)
+
+    async def ping(self) -> None:
+        """Tell all peers now whom this controller follows, and what it knows.
+
+        The leader adds the machines whose heartbeats don't reach it.
+        """
+        state = self._state
+        silent: list[str] | None = None
+        leader_term = self._current.loaded_term
+        if leader_term is not None:
+            silent = pack_names(
+                leader_term.scheduler.machines_without_heartbeat(await curio.clock())
+            )
+        cancellations = state.cancellations
+        await self._peers.broadcast(
+            Ping(
+                PING,
+                self._name,
+                state.leadership.term,
+                state.leadership.leader or "",
+                silent,
+                served=self._services.store.failing_since is None,
+                enforces=silent is not None or bool(state.placement_hints.places),
+                record=[cancellations.incarnation, cancellations.last, cancellations.informed],
+                receipts=cancellations.receipts(),
+            )
+        )
+
+    async def machines_released(self, machines: list[str]) -> None:
+        """The cloud has confirmed a release that is not recorded: the others must know."""
+        await self._peers.broadcast(Released(RELEASED, self._name, machines))
+        await self.learn_released(machines)
+
+    async def learn_released(self, machines: Iterable[object]) -> None:
+        """Machines are gone, as the cloud confirmed to this controller or a peer."""
+        names = [str(name) for name in machines]
+        self._state.released.add(names)
+        for name in names:
+            self._state.placement_hints.gone(name)
+        if self._current.leader_term is not None:
+            await self._current.leader_term.released(names)
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -25,7 +25,7 @@
     term: int
     leader: str
     silent: Any  # packed names of machines that the leader does not hear; None: not the leader
-    served: bool  # whether the state service answers it
+    served: bool  # whether the store answers it
     enforces: bool  # whether it could end tasks that others keep
     record: list[Any]  # its record of cancellations: boot, last number, whether it knows all
     receipts: dict[str, list[Any]]
--- /dev/null
+++ b/topazhold/control/peer_service.py
@@ -0,0 +1,155 @@
+"""Messages of the other controllers: hints, of which none is needed for the rules."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from dataclasses import dataclass
+from typing import Any
+
+import curio
+
+from topazhold.control.cancellation_exchange import CancellationExchange
+from topazhold.control.controller_services import ControllerState
+from topazhold.control.follower_heartbeats import SILENT_CONTROLLER_LEASES, FollowerHeartbeats
+from topazhold.control.leadership_service import LeadershipService
+from topazhold.control.peer_announcer import PeerAnnouncer
+from topazhold.control.peer_messages import (
+    CANCELLED,
+    PING,
+    PLACED,
+    RECEIPT,
+    RELAY,
+    RELEASED,
+    SUMMARY,
+    Cancelled,
+    Ping,
+    Placed,
+    Receipt,
+    Relay,
+    Released,
+    Summary,
+)
+from topazhold.control.placement_search import PlacementSearch
+from topazhold.core.search import unpack_names
+
+#: Silences of a leader after which its word on cancellations counts no more.
+QUIET_SILENCES = 2
+
+
+@dataclass(frozen=True)
+class PeerListeners:
+    """The parts of a controller that peers' messages are for."""
+
+    cancellation_exchange: CancellationExchange
+    follower_heartbeats: FollowerHeartbeats
+    placement_search: PlacementSearch
+    announcer: PeerAnnouncer
+
+
+class PeerService:
+    """Hands each message to the part it is for; kinds that are not known are dropped."""
+
+    def __init__(
+        self,
+        state: ControllerState,
+        leadership_service: LeadershipService,
+        listeners: PeerListeners,
+        controller_lease_s: float,
+    ) -> None:
+        self._state = state
+        self._leadership_service = leadership_service
+        self._current = leadership_service.current
+        self._listeners = listeners
+        self._quiet_s = QUIET_SILENCES * SILENT_CONTROLLER_LEASES * controller_lease_s
+        self._loaded_leader = ""  # who last pinged as leader of a loaded term
+        self._loaded_leader_at = -1e9
+        self._peer_incarnations: dict[str, str] = {}
+        self._handlers: dict[str, Callable[[tuple[Any, ...]], Awaitable[None]]] = {
+            PING: self._on_ping,
+            CANCELLED: self._on_cancelled,
+            RECEIPT: self._on_receipt,
+            RELEASED: self._on_released,
+            PLACED: self._on_placed,
+            RELAY: self._on_forwarded,
+            SUMMARY: self._on_summary,
+        }
+
+    async def handle(self, message: tuple[Any, ...]) -> None:
+        """Take in a message of another controller.
+
+        Raises ValueError, TypeError, IndexError or KeyError for one that can't be read; the
+        listener drops it.
+        """
+        handler = self._handlers.get(message[0])
+        if handler is not None:
+            await handler(message)
+
+    def is_handled_by_leader(self, job: str, now: float) -> bool:
+        """Whether a leader with a loaded term, here or elsewhere, knows the job's cancellation."""
+        if self._current.loaded_term is not None:
+            return True
+        if now - self._loaded_leader_at > self._quiet_s:
+            return False
+        return self._state.cancellations.peer_has(self._loaded_leader, job)
+
+    async def _on_ping(self, message: tuple[Any, ...]) -> None:
+        """A peer lives; what it knows of the leader and of cancellations."""
+        ping = Ping(*message)
+        peer = str(ping.node)
+        from_leader = ping.silent is not None and ping.node == ping.leader
+        now = await curio.clock()
+        self._listeners.follower_heartbeats.on_ping(
+            peer,
+            bool(ping.served),
+            unpack_names(ping.silent) if from_leader else None,
+            now,
+            bool(ping.enforces),
+        )
+        if from_leader:
+            self._loaded_leader, self._loaded_leader_at = peer, now
+        await self._compare_records(peer, ping.record, ping.receipts)
+        leadership = self._state.leadership
+        if ping.leader and int(ping.term) >= leadership.term:
+            if leadership.learn(str(ping.leader), int(ping.term)):
+                await self._leadership_service.end_term("a peer follows a later leader")
+
+    async def _compare_records(self, peer: str, record: Any, receipts: Any) -> None:
+        """Compare the records of cancellations with a peer's."""
+        incarnation, last, informed = record
+        cancellations = self._state.cancellations
+        if informed and cancellations.level_with(peer, str(incarnation), int(last)):
+            cancellations.informed = True
+        if self._peer_incarnations.get(peer) != incarnation:
+            self._peer_incarnations[peer] = str(incarnation)
+            if self._current.leader_term is not None:
+                self._current.leader_term.resend_all()
+        of_incarnation, upto = receipts.get(self._state.leadership.node, ("", -1))
+        await self._listeners.cancellation_exchange.on_receipt(peer, str(of_incarnation), int(upto))
+
+    async def _on_cancelled(self, message: tuple[Any, ...]) -> None:
+        await self._listeners.cancellation_exchange.on_cancellations(Cancelled(*message))
+
+    async def _on_receipt(self, message: tuple[Any, ...]) -> None:
+        receipt = Receipt(*message)
+        await self._listeners.cancellation_exchange.on_receipt(
+            str(receipt.node), str(receipt.incarnation), int(receipt.upto)
+        )
+
+    async def _on_released(self, message: tuple[Any, ...]) -> None:
+        await self._listeners.announcer.learn_released(Released(*message).machines)
+
+    async def _on_placed(self, message: tuple[Any, ...]) -> None:
+        placed = Placed(*message)
+        if self._current.loaded_term is None:
+            self._state.placement_hints.update_from_leader(int(placed.term), placed.items)
+
+    async def _on_forwarded(self, message: tuple[Any, ...]) -> None:
+        relay = Relay(*message)
+        leader_term = self._current.leader_term
+        if leader_term is not None and leader_term.term == int(relay.term):
+            await leader_term.forwarded(relay.heartbeats)
+
+    async def _on_summary(self, message: tuple[Any, ...]) -> None:
+        summary = Summary(*message)
+        if int(summary.term) >= self._state.leadership.term and self._current.leader_term is None:
+            self._listeners.placement_search.read_summary(summary.values, await curio.clock())
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -4,21 +4,24 @@
 
 import logging
 import time
-from collections.abc import Callable
 from typing import Any
 
 import curio
 
-from topazhold.control.gang_reservations import (
+from topazhold.control.cluster_view import ClusterView
+from topazhold.control.election import ControllerLease
+from topazhold.control.gang_reservations import WRITE_PERIOD_S
+from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore
+from topazhold.control.leader_term import CurrentTerm, LeaderTerm
+from topazhold.control.pending_gangs import (
     MAX_SEARCHES,
-    ClusterView,
-    GangReservations,
     PendingGang,
+    PendingGangs,
     max_follower_searches,
 )
-from topazhold.control.key_value_store import DECISION_PRIORITY, STORE_ERRORS, KeyValueStore
-from topazhold.control.leader_term import LeaderTerm
+from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.core import records
+from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.settings import Operator, Settings
 from topazhold.wire.codec import InvalidMessageError
@@ -28,15 +31,16 @@
 
 #: How often the leader tells its peers the summary, about.
 PEER_SUMMARY_S = 1.0
-#: Time left to reports and users after a round of searches, as a multiple of its own.
+#: Times between two summaries after which the leader searches for another controller's gang.
+STEP_IN_SUMMARIES = 2
+#: Time left to heartbeats and users after a round of searches, as a multiple of its own.
 SEARCH_PAUSE = 4.0
 
 
 class PlacementSearch:
     """Searches for the gangs that this controller accepted, as leader also for others.
 
-    `leading` gives the term that this controller leads, if it does, and `lease_id` the
-    lease that its holds hang on.
+    The reservations hang on `lease`, and end with it.
     """
 
     def __init__(
@@ -44,18 +48,18 @@
         settings: Settings,
         operator: Operator,
         store: KeyValueStore,
-        gang_reservations: GangReservations,
-        cluster_view: ClusterView,
-        leader_term: Callable[[], LeaderTerm | None],
-        lease_id: Callable[[], int | None],
+        pending_gangs: PendingGangs,
+        current: CurrentTerm,
+        lease: ControllerLease,
     ) -> None:
         self._node = settings.node_name
         self._summary_s = operator.summary_s
         self._store = store
-        self._gang_reservations = gang_reservations
-        self._cluster_view = cluster_view
-        self._leader_term = leader_term
-        self._lease_id = lease_id
+        self._pending_gangs = pending_gangs
+        self._reservations = pending_gangs.reservations
+        self.cluster_view = ClusterView()  # the fleet as the last summary shows it
+        self._current = current
+        self._lease = lease
         self._fetched_at = -1e9
         self._searches = max_follower_searches(settings.cluster.limits.cpu_share)
 
@@ -63,14 +67,14 @@
         """A summary, as old as it is: a transaction may be carried out late, after newer
         ones, and a message may be held up on its way."""
         jobs = values.get("")
-        if not isinstance(jobs, dict) or self._cluster_view.older(jobs):
+        if not isinstance(jobs, dict) or self.cluster_view.older(jobs):
             return
         for zone, data in values.items():
             if zone:
-                self._cluster_view.read_zone(zone, data)
+                self.cluster_view.read_zone(zone, data)
             else:
-                self._cluster_view.read_jobs(data)
-        self._cluster_view.at = now - max(0.0, time.time() - self._cluster_view.written)
+                self.cluster_view.read_jobs(data)
+        self.cluster_view.at = now - max(0.0, time.time() - self.cluster_view.written)
 
     async def _fetch_summary(self, now: float) -> None:
         entries, _ = await self._store.entries(records.SUMMARY_PREFIX)
@@ -81,109 +85,112 @@
         self.read_summary(values, now)
 
     async def loop(self) -> None:
-        """At most one write of holds a second."""
-        gang_reservations = self._gang_reservations
+        """Search, with at most one write of reservations a second."""
+        reservations = self._reservations
         while True:
-            await curio.ignore_after(1.0, gang_reservations.wake.wait)
+            await curio.ignore_after(WRITE_PERIOD_S, reservations.search_due.wait)
             now = await curio.clock()
-            if now - gang_reservations.wrote_at < 1.0:
-                await curio.sleep(1.0 - (now - gang_reservations.wrote_at))
-            gang_reservations.wake.clear()
-            lease_id = self._lease_id()
+            if now - reservations.wrote_at < WRITE_PERIOD_S:
+                await curio.sleep(WRITE_PERIOD_S - (now - reservations.wrote_at))
+            reservations.search_due.clear()
+            lease_id = self._lease.id
             if lease_id is None:
                 continue
             try:
-                busy = await self._operation_log(lease_id, await curio.clock())
-            except STORE_ERRORS as exc:
-                log.debug("booking: %s", exc)
+                busy_s = await self._search_and_write(lease_id, await curio.clock())
+            except KeyValueStoreError as exc:
+                log.debug("search for gangs: %s", exc)
             else:
-                await curio.sleep(busy * SEARCH_PAUSE)
+                await curio.sleep(busy_s * SEARCH_PAUSE)
 
-    async def _operation_log(self, lease_id: int, now: float) -> float:
-        """One round of searches; the time that it kept this process busy."""
-        leader_term = self._leader_term()
-        gang_reservations = self._gang_reservations
+    async def _search_and_write(self, lease_id: int, now: float) -> float:
+        """One round of searches; the seconds that it kept this process busy."""
+        leader_term = self._current.leader_term
+        if leader_term is not None and not leader_term.loaded:
+            return 0.0
         if leader_term is not None:
-            if not leader_term.loaded:
-                return 0.0
-            self._pending_of_leader(leader_term, now)
-            cluster_view = (
-                leader_term.cluster_view(now) if gang_reservations.pending else self._cluster_view
-            )
+            cluster_view, limit = self._prepare_as_leader(leader_term, now), MAX_SEARCHES
         else:
-            cluster_view = self._cluster_view
-            if now - max(cluster_view.at, self._fetched_at) > self._summary_s:
-                self._fetched_at = now
-                await self._fetch_summary(now)
-            await self._pending_of_follower(now)
-            if gang_reservations.pending:
-                await gang_reservations.read_reservations()
+            await self._prepare_as_follower(now)
+            cluster_view, limit = self.cluster_view, self._searches
         began = time.monotonic()
-        gang_reservations.round(
-            cluster_view, now, MAX_SEARCHES if leader_term is not None else self._searches
-        )
-        busy = time.monotonic() - began
-        if await gang_reservations.write(lease_id, now) and leader_term is not None:
+        self._pending_gangs.search_round(cluster_view, now, limit)
+        busy_s = time.monotonic() - began
+        if await self._reservations.write(lease_id, now) and leader_term is not None:
             await leader_term.request_plan()
-        return busy
+        return busy_s
+
+    def _prepare_as_leader(self, leader_term: LeaderTerm, now: float) -> ClusterView:
+        self._pending_of_leader(leader_term, now)
+        return leader_term.cluster_view(now) if self._pending_gangs.by_id else self.cluster_view
+
+    async def _prepare_as_follower(self, now: float) -> None:
+        if now - max(self.cluster_view.at, self._fetched_at) > self._summary_s:
+            self._fetched_at = now
+            await self._fetch_summary(now)
+        await self._pending_of_follower(now)
+        if self._pending_gangs.by_id:
+            await self._reservations.read_all()
 
     def _pending_of_leader(self, leader_term: LeaderTerm, now: float) -> None:
         """Its own gangs, and those whose controller is gone or finds nothing."""
-        pending = self._gang_reservations.pending
+        pending_gangs, mine = self._pending_gangs, self._reservations.mine
         waiting = {job.id: job for job in leader_term.scheduler.waiting_gangs(now)}
-        for job_id in list(pending):
+        for job_id in list(pending_gangs.by_id):
             if job_id not in waiting:
-                self._gang_reservations.forget(job_id)
+                pending_gangs.forget(job_id)
         for job in waiting.values():
-            others = (
-                job.node != self._node
-                and job.node in self._gang_reservations.reservation_table.revisions
-            )
             # Its own controller searches; two at once would only replace each
-            # other's holds. The leader steps in where nothing comes of it.
-            if others and leader_term.scheduler.wanting_s(job, now) < 2 * self._summary_s:
-                if job.id not in self._gang_reservations.mine:
-                    self._gang_reservations.forget(job.id)
-                    continue
-            known = pending.get(job.id)
+            # other's reservations. The leader steps in where nothing comes of it.
+            if self._is_left_to_other(leader_term, job, now) and job.id not in mine:
+                pending_gangs.forget(job.id)
+                continue
+            known = pending_gangs.by_id.get(job.id)
             if known is None:
-                pending[job.id] = PendingGang(job.spec, queue_key(job), job.arrived)
+                pending_gangs.by_id[job.id] = PendingGang(job.spec, queue_key(job), job.arrived)
             else:
                 known.queue_key = queue_key(job)
-            reservation = self._gang_reservations.mine.get(job.id)
+            reservation = mine.get(job.id)
             if reservation is not None and leader_term.scheduler.spent(job, reservation):
-                del self._gang_reservations.mine[job.id]
+                del mine[job.id]
+
+    def _is_left_to_other(self, leader_term: LeaderTerm, job: Job, now: float) -> bool:
+        """Whether another controller, which accepted the gang, has time left to find a group."""
+        if job.node == self._node or job.node not in self._reservations.table.revisions:
+            return False
+        return leader_term.scheduler.wanting_s(job, now) < STEP_IN_SUMMARIES * self._summary_s
 
     async def _pending_of_follower(self, now: float) -> None:
         """Gangs accepted here that the leader still lists as waiting."""
-        gang_reservations = self._gang_reservations
-        waiting = self._cluster_view.waiting
-        for job_id, pending in list(gang_reservations.pending.items()):
-            told = waiting.get(job_id)
-            if told is None:
+        pending_gangs, waiting = self._pending_gangs, self.cluster_view.waiting
+        for job_id, pending in list(pending_gangs.by_id.items()):
+            listed = waiting.get(job_id)
+            if listed is None:
                 # Started, or over; if the leader has only not heard of it yet,
-                # it will name this node as its searcher.
+                # it will name this controller as its searcher.
                 if (
-                    self._cluster_view.at - pending.since > 2 * PEER_SUMMARY_S
-                    and self._cluster_view.all_waiting
+                    self.cluster_view.at - pending.since > 2 * PEER_SUMMARY_S
+                    and self.cluster_view.all_waiting
                 ):
-                    gang_reservations.forget(job_id)
-            else:
-                pending.queue_key = told[1]
-                if told[2]:
-                    reservation = gang_reservations.mine.get(job_id)
-                    if (
-                        reservation is not None
-                        and time.time() - reservation.made_at > self._summary_s
-                    ):
-                        del gang_reservations.mine[job_id]  # refused, or used up
+                    pending_gangs.forget(job_id)
+                continue
+            _, pending.queue_key, needs_reservation = listed
+            if needs_reservation:
+                self._drop_refused(job_id)
         for job_id, (node, its_turn, _) in waiting.items():
-            if node == self._node and job_id not in gang_reservations.pending:
+            if node == self._node and job_id not in pending_gangs.by_id:
                 spec = await self._read_spec(job_id)
                 if spec is not None:
-                    gang_reservations.pending[job_id] = PendingGang(spec, its_turn, now)
+                    pending_gangs.by_id[job_id] = PendingGang(spec, its_turn, now)
+
+    def _drop_refused(self, job_id: str) -> None:
+        """The leader finds no reservation of this gang in force: an older one is of no use."""
+        reservation = self._reservations.mine.get(job_id)
+        if reservation is not None and time.time() - reservation.made_at > self._summary_s:
+            del self._reservations.mine[job_id]
 
     async def _read_spec(self, job_id: str) -> JobSpec | None:
+        """What a live job asks for; raises KeyValueStoreError."""
         entry = await self._store.get(records.live_key(job_id), DECISION_PRIORITY)
         if entry is None:
             return None
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -4,19 +4,18 @@
 
 import logging
 import time
-from collections.abc import Awaitable, Callable, Iterator
+from collections.abc import Iterator
 from typing import Any
 
 import curio
 
-from topazhold.control.gang_reservations import ClusterView
-from topazhold.control.key_value_store import (
-    DECISION_PRIORITY,
-    STORE_ERRORS,
-    PreconditionFailedError,
-)
+from topazhold.control.cluster_view import ClusterView
+from topazhold.control.key_value_store import DECISION_PRIORITY
+from topazhold.control.peer_group import Broadcast
 from topazhold.control.peer_messages import PLACED, SUMMARY, Placed, Summary
+from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.control.term_context import TXN_BYTES, TermContext
+from topazhold.control.waiting_loops import work_then_wait
 from topazhold.core import records
 from topazhold.core.jobs import AttemptState, JobState
 from topazhold.core.machines import Machine
@@ -38,6 +37,9 @@
 OVERHEAD_BYTES = 192
 RUNNING_SHARE = 0.3
 NAMES_SHARE = 0.5
+#: Between two summaries: heartbeat intervals, and seconds at the least.
+PAUSE_REPORTS = 0.5
+MIN_PAUSE_S = 1.0
 
 
 def _place(machine: Machine) -> list[Any]:
@@ -46,19 +48,20 @@
 
 
 class SummaryPublisher:
-    """Summaries: to peers every heartbeat interval, to the state service as configured."""
+    """Summaries: to peers every heartbeat interval, to the store as configured."""
 
     def __init__(
         self,
         context: TermContext,
         summary_s: float,
-        broadcast: Callable[[tuple[Any, ...]], Awaitable[None]],
+        broadcast: Broadcast,
     ) -> None:
         self._context = context
         self._summary_s = summary_s
         self._broadcast = broadcast
         self._sent: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint
         self._rounds = 0
+        self._written_at = -1e9  # steady clock, seconds
 
     def placed(self) -> list[list[Any]]:
         """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
@@ -85,7 +88,7 @@
         return items
 
     def cluster_view(self, now: float) -> ClusterView:
-        """The fleet for this node's own searches, fresh."""
+        """The fleet for this controller's own searches, fresh."""
         scheduler = self._context.scheduler
         cluster_view = ClusterView()
         cluster_view.at = now
@@ -114,8 +117,7 @@
     async def _collect(self, now: float) -> dict[str, Any]:
         """A summary made piece by piece, so that the rest of the process gets its turn.
 
-        In one piece it kept the lease, and the workers' answers, waiting for up to 0.9 s
-        on a share of 6.5% of a core.
+        In one piece it would keep the lease, and the workers' answers, waiting.
         """
         values: dict[str, Any] = {}
         for key, value in self._parts(now):
@@ -146,7 +148,7 @@
         }
 
     def _stored(self, values: dict[str, Any]) -> list[dict[str, Any]]:
-        """The same, cut to what the state service's values take.
+        """The puts of a summary, cut to what the store's values take.
 
         Whoever reads a cut list of waiting gangs is told so: a gang that is left out
         must not look as if it waited no more.
@@ -162,8 +164,8 @@
         operations = [wire.put(records.SUMMARY_PREFIX + "*", jobs)]
         for zone in self._context.zones:
             names = cut_names(values[zone]["all"], int(limit * NAMES_SHARE), self._rounds)
-            room = limit - json_size(names)
-            cache = cut_summary(values[zone]["cache"], room, json_size)
+            available = limit - json_size(names)
+            cache = cut_summary(values[zone]["cache"], available, json_size)
             operations.append(
                 wire.put(records.SUMMARY_PREFIX + zone, {"cache": cache, "all": names})
             )
@@ -175,28 +177,31 @@
         for start in range(0, len(operations), context.txn_ops):
             part = operations[start : start + context.txn_ops]
             try:
-                await context.store.compare_and_swap(context.conditions(), part, DECISION_PRIORITY)
+                await context.store.compare_and_swap(
+                    context.preconditions(), part, DECISION_PRIORITY
+                )
             except PreconditionFailedError as exc:
                 await context.repair(exc.keys)
                 return
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("summary not written: %s", exc)
                 return
 
     async def loop(self) -> None:
-        """Peers hear every heartbeat interval; the state service has it as configured."""
-        written_at = -1e9
-        while True:
-            now = await curio.clock()
-            values = await self._collect(now)
-            await self._broadcast(Summary(SUMMARY, self._context.term, values))
+        """Peers hear every heartbeat interval; the store has it as configured."""
+        pause_s = max(MIN_PAUSE_S, PAUSE_REPORTS * self._context.heartbeat_interval_s)
+        await work_then_wait(pause_s, self._publish)
+
+    async def _publish(self) -> None:
+        now = await curio.clock()
+        values = await self._collect(now)
+        await self._broadcast(Summary(SUMMARY, self._context.term, values))
+        await curio.sleep(0)
+        items = self.placement_changes()
+        for start in range(0, len(items), MAX_PLACED):
+            part = items[start : start + MAX_PLACED]
+            await self._broadcast(Placed(PLACED, self._context.term, part))
             await curio.sleep(0)
-            items = self.placement_changes()
-            for start in range(0, len(items), MAX_PLACED):
-                part = items[start : start + MAX_PLACED]
-                await self._broadcast(Placed(PLACED, self._context.term, part))
-                await curio.sleep(0)
-            if now - written_at >= self._summary_s:
-                written_at = now
-                await self._write(self._stored(values))
-            await curio.sleep(max(1.0, 0.5 * self._context.heartbeat_interval_s))
+        if now - self._written_at >= self._summary_s:
+            self._written_at = now
+            await self._write(self._stored(values))
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -8,10 +8,13 @@
 import logging
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 import curio
 
-from topazhold.control.key_value_store import DECISION_PRIORITY, STORE_ERRORS, KeyValueStore
+from topazhold.control.election import ElectionResult
+from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore, Precondition
+from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.intent_shards import IntentShards
@@ -25,8 +28,6 @@
 
 #: Seconds between tries of whatever failed, as a share of the heartbeat interval.
 RETRY_HEARTBEATS = 0.25
-
-
 #: What values may take of a transaction, whose limit is 64 KiB in all.
 TXN_BYTES = 48 * 1024
 
@@ -35,17 +36,22 @@
     """The term is over."""
 
 
+class LeaseIsValid(Protocol):
+    """Whether, at a steady clock's time in seconds, nobody else can be leader yet."""
+
+    def __call__(self, now: float, /) -> bool: ...
+
+
 class TermContext:
-    """One term's common ground."""
+    """One term's common ground: its number, its scheduler, and its access to the store."""
 
     def __init__(
         self,
         settings: Settings,
         store: KeyValueStore,
         scheduler: Scheduler,
-        term: int,
-        revision: int,
-        lease_is_valid: Callable[[float], bool],
+        elected: ElectionResult,
+        lease_is_valid: LeaseIsValid,
         cancellations: Cancellations | None = None,
     ) -> None:
         cluster = settings.cluster
@@ -53,13 +59,13 @@
         self.zones = cluster.zones
         self.store = store
         self.scheduler = scheduler
-        self.term = term
-        self.revision = revision
+        self.term = elected.term
+        self.revision = elected.revision
         if cancellations is None:
             workers = cluster.workers
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
         self.cancellations = cancellations
-        self.lease_is_valid = lease_is_valid  # whether nobody else can be leader yet
+        self.lease_is_valid = lease_is_valid
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.block_s = cluster.workers.lease_s
@@ -73,19 +79,24 @@
         self._sequence = 0
 
     def token(self) -> str:
+        """A text that no other transaction of any term carries."""
         self._sequence += 1
         return f"q{self.term}-{self._sequence}"
 
-    def conditions(self) -> list[tuple[str, int]]:
-        """Every transaction of the leader fails once its term is over."""
-        return [(LEADER_KEY, self.revision)]
+    def preconditions(self) -> list[Precondition]:
+        """What every transaction of the term carries: it fails once the term is over."""
+        return [Precondition(LEADER_KEY, self.revision)]
 
     async def request_plan(self) -> None:
         """Something changed: plan soon."""
         await self.wake.set()
 
     async def repair(self, keys: list[str]) -> None:
-        """Guards failed: learn what changed."""
+        """Preconditions on these keys failed: learn what has changed.
+
+        Raises LeadershipLostError where the leadership has. What can't be read now stays
+        as it was, and the next transaction fails in the same way.
+        """
         if LEADER_KEY in keys:
             raise LeadershipLostError("the leadership mark has changed")
         for key in keys:
@@ -96,7 +107,7 @@
                     entry = await self.store.get(key, DECISION_PRIORITY)
                     revision = entry.revision if entry is not None else 0
                     self.shards.marked(key[len(records.ON_PREFIX) :], revision)
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("repair of %s: %s", key, exc)
 
     async def _reread_job(self, job_id: str) -> None:
@@ -111,8 +122,8 @@
     async def cancelled(self, job_id: str, at: float) -> None:
         """A job is cancelled since `at`, by the time of day; a committed fact.
 
-        Nothing here waits: an outage of the state service that came in between kept
-        the kills of all cancelled jobs back for as long as it lasted.
+        Nothing here waits for the store: in an outage, kills of cancelled jobs must not be
+        kept back.
         """
         wall, now = time.time(), await curio.clock()
         self.cancellations.add(job_id, at, wall)
@@ -139,7 +150,7 @@
             return
         try:
             entry = await self.store.get(records.over_key(job_id), DECISION_PRIORITY)
-        except STORE_ERRORS as exc:
+        except KeyValueStoreError as exc:
             log.debug("end of %s not read: %s", job_id, exc)
             return
         now = await curio.clock()
--- /dev/null
+++ b/topazhold/control/term_watches.py
@@ -0,0 +1,111 @@
+"""What a term learns of changes in the store that others make: jobs, reservations, heartbeats."""
+
+from __future__ import annotations
+
+import logging
+import time
+from collections.abc import Awaitable, Callable
+from typing import Any, Protocol
+
+import curio
+
+from topazhold.control.store_errors import KeyValueStoreError, WatchCompactedError
+from topazhold.control.term_context import LeadershipLostError, TermContext
+from topazhold.core import records
+from topazhold.core.jobs import JobState
+from topazhold.core.reservations import RESERVATION_PREFIX
+from topazhold.wire import messages as wire
+from topazhold.wire.codec import InvalidMessageError
+from topazhold.wire.messages import WatchPage
+
+log = logging.getLogger(__name__)
+
+#: Applies one change: the key without its prefix, its value or None where it is gone, and the
+#: revision of the change.
+ApplyChange = Callable[[str, Any, int], Awaitable[None]]
+
+
+class OnForwarded(Protocol):
+    """Takes in heartbeats, packed, that a follower has answered and left in the store."""
+
+    async def __call__(self, heartbeats: Any, /) -> None: ...
+
+
+class TermWatches:
+    """Follows the store's changes from the revisions at which the term's state was read.
+
+    Every loop raises LeadershipLostError where the store no longer has all changes since.
+    """
+
+    def __init__(self, context: TermContext, on_forwarded: OnForwarded) -> None:
+        self._context = context
+        self._on_forwarded = on_forwarded
+        self._seen_revisions: dict[str, int] = {}
+
+    def start_from(self, revisions: dict[str, int]) -> None:
+        """Begin after these revisions, one for each prefix."""
+        self._seen_revisions = revisions
+
+    async def jobs_loop(self) -> None:
+        """Follow jobs that are submitted and cancelled on any controller."""
+        await self._watch(records.LIVE_PREFIX, self._on_job_changed)
+
+    async def reservations_loop(self) -> None:
+        """Follow all controllers' reservations."""
+        await self._watch(RESERVATION_PREFIX, self._on_reservations_changed)
+
+    async def forwarded_loop(self) -> None:
+        """Follow heartbeats that followers leave in the store while no link reaches here."""
+        await self._watch(records.RELAY_PREFIX, self._on_forwarded_changed)
+
+    async def _watch(self, prefix: str, apply: ApplyChange) -> None:
+        while True:
+            page = await self._next_page(prefix)
+            if page is None:
+                await curio.sleep(self._context.retry_s)
+                continue
+            for event in page.events:
+                key, data, revision = wire.event_key(event)
+                await apply(key[len(prefix) :], data, revision)
+            self._seen_revisions[prefix] = max(self._seen_revisions[prefix], page.revision)
+            if page.events:
+                await self._context.request_plan()
+
+    async def _next_page(self, prefix: str) -> WatchPage | None:
+        """The next changes under a prefix; None if the store did not answer."""
+        since = self._seen_revisions[prefix]
+        try:
+            return await self._context.store.watch(prefix, since, self._context.block_s)
+        except WatchCompactedError:
+            raise LeadershipLostError("changes were missed") from None
+        except KeyValueStoreError as exc:
+            log.debug("watch %s: %s", prefix, exc)
+            return None
+
+    async def _on_reservations_changed(self, node: str, data: Any, revision: int) -> None:
+        reservation_table = self._context.scheduler.reservation_table
+        if data is None:
+            reservation_table.expire(node, revision)
+        else:
+            reservation_table.read(node, data, revision)
+
+    async def _on_forwarded_changed(self, node: str, data: Any, revision: int) -> None:
+        if isinstance(data, dict) and data.get("crown") == self._context.term:
+            await self._on_forwarded(data.get("reports", []))
+
+    async def _on_job_changed(self, job_id: str, data: Any, revision: int) -> None:
+        scheduler = self._context.scheduler
+        job = scheduler.jobs.get(job_id)
+        if data is None:
+            # Of a job that is complete here, whoever moves it learns the end.
+            if job is not None and job.state is JobState.LIVE and not job.complete:
+                await self._context.on_job_ended(job_id)
+        elif job is None:
+            try:
+                new = records.read_live(data, revision, time.time(), await curio.clock())
+            except (InvalidMessageError, ValueError, TypeError) as exc:
+                log.error("job %s unreadable: %s", job_id, exc)
+                return
+            scheduler.add_job(new)
+        else:
+            job.revision = max(job.revision, revision)
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -5,16 +5,14 @@
 import logging
 import time
 from collections import OrderedDict
-from collections.abc import Awaitable, Callable
-from typing import Any
+from typing import Any, Protocol
 
 import curio
 import msgspec
 
-from topazhold.control.key_value_store import (
-    STORE_ERRORS,
-    USER_PRIORITY,
-    KeyValueStore,
+from topazhold.control.key_value_store import USER_PRIORITY, KeyValueStore, Precondition
+from topazhold.control.store_errors import (
+    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
 )
@@ -32,11 +30,33 @@
 #: Final answers kept in memory.
 MAX_FINAL_ANSWERS = 5000
 #: User requests under way at once; what comes on top is refused at once.
-MAX_CONCURRENT_REQUESTS = 24
+MAX_AT_ONCE = 24
 #: How long an open outcome is looked into; users wait 5 s for a submission.
 OUTCOME_S = 3.0
-#: Retry-After while the state service is out of reach.
+#: Retry-After while the store is out of reach.
 OUTAGE_RETRY_S = 2.0
+#: Retry-After at the least, and where nothing tells how long it will take.
+RETRY_S = 1.0
+#: Tries of a cancellation before the user is asked to come again.
+CANCEL_TRIES = 8
+
+
+class OnAccepted(Protocol):
+    """Called once a job is stored, before its user is told."""
+
+    async def __call__(self, job: Job, /) -> None: ...
+
+
+class CountRunning(Protocol):
+    """How many tasks of a job run, as far as this controller knows."""
+
+    def __call__(self, job_id: str, /) -> int: ...
+
+
+class ConfirmCancellation(Protocol):
+    """Called with the time of day of a job's cancellation, before any user is told of it."""
+
+    async def __call__(self, job_id: str, at: float, /) -> None: ...
 
 
 def users_request(request: Request) -> bool:
@@ -52,9 +72,9 @@
         settings: Settings,
         store: KeyValueStore,
         machine_types: dict[str, MachineType],
-        accepted: Callable[[Job], Awaitable[None]],
-        running: Callable[[str], int],
-        cancelled: Callable[[str, float], Awaitable[None]],
+        accepted: OnAccepted,
+        running: CountRunning,
+        cancelled: ConfirmCancellation,
     ) -> None:
         self._node = settings.node_name
         self._teams = {team.name: team for team in settings.cluster.teams}
@@ -63,7 +83,7 @@
         self._machine_types = machine_types
         self._accepted = accepted
         self._running = running
-        self._cancelled = cancelled  # told before any user is
+        self._cancelled = cancelled
         self._final: OrderedDict[str, str] = OrderedDict()
         self._busy = 0
         self._sequence = 0
@@ -84,7 +104,7 @@
             return Response(405)
         if rest and not wire.valid_job_id(job):
             return Response(404)
-        if self._busy >= MAX_CONCURRENT_REQUESTS:
+        if self._busy >= MAX_AT_ONCE:
             return Response(503, retry_after=await self._busy_wait())
         self._busy += 1
         try:
@@ -93,7 +113,7 @@
             return await (self._cancel(job) if cancel else self._poll(job))
         except OutcomeUnknownError:
             return Response(504, retry_after=OUTAGE_RETRY_S)
-        except STORE_ERRORS as exc:
+        except KeyValueStoreError as exc:
             log.debug("request refused: %s", exc)
             return Response(503, retry_after=await self._busy_wait())
         finally:
@@ -103,7 +123,7 @@
         """When to come back: after an outage's pause, or when the limits allow."""
         if self._store.failing_since is not None:
             return OUTAGE_RETRY_S
-        return max(1.0, await self._store.wait_s(USER_PRIORITY, 1))
+        return max(RETRY_S, await self._store.wait_s(USER_PRIORITY, 1))
 
     def _token(self) -> str:
         self._sequence += 1
@@ -124,31 +144,35 @@
         job_id = raw.get("id") if isinstance(raw, dict) else None
         if not isinstance(job_id, str) or not wire.valid_job_id(job_id):
             return Response(400)
-        status, spec, reason = self._judge(raw)
-        if status != 201 or spec is None:
-            # A repeat of an accepted job is answered with its state, whatever
-            # its body would get now.
-            known = await self._state(job_id)
-            if known is None:
-                log.info("job %s refused: %d, %s", job_id, status, reason)
-            return known or Response(status, retry_after=1.0 if status == 503 else None)
+        status, spec, reason = self._validate(raw)
+        if status == 201 and spec is not None:
+            return await self._store_job(spec)
+        # A repeat of an accepted job is answered with its state, whatever
+        # its body would get now.
+        known = await self._state(job_id)
+        if known is None:
+            log.info("job %s refused: %d, %s", job_id, status, reason)
+        return known or Response(status, retry_after=RETRY_S if status == 503 else None)
+
+    async def _store_job(self, spec: JobSpec) -> Response:
+        """Accept a job: it must be stored before its user is told."""
         job = Job(spec, await curio.clock(), time.time(), self._node)
         token = self._token()
         value = records.live_value(job, token)
         if json_size(value) + records.marks_size(spec) > self._value_limit:
             return Response(400)
-        key = records.live_key(job_id)
-        conditions = [(key, 0), (records.over_key(job_id), 0)]
+        key = records.live_key(job.id)
+        preconditions = [Precondition(key, 0), Precondition(records.over_key(job.id), 0)]
         try:
             job.revision = await self._store.commit(
-                conditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_S
+                preconditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_S
             )
         except PreconditionFailedError:
-            known = await self._state(job_id)
-            return known or Response(503, retry_after=1.0)
+            known = await self._state(job.id)
+            return known or Response(503, retry_after=RETRY_S)
         log.info(
             "job %s accepted: %s, %s %s of %d for %s",
-            job_id,
+            job.id,
             spec.job_class,
             spec.urgency,
             spec.shape,
@@ -156,9 +180,9 @@
             spec.team,
         )
         await self._accepted(job)
-        return Response(201, wire.job_answer(job_id, wire.PENDING))
+        return Response(201, wire.job_answer(job.id, wire.PENDING))
 
-    def _judge(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
+    def _validate(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
         """The status that a new job would get, with the reason."""
         try:
             spec = convert(raw, JobSpec)
@@ -219,7 +243,7 @@
         if final is not None:
             return Response(200, wire.job_answer(job_id, final))
         live, over = records.live_key(job_id), records.over_key(job_id)
-        for _ in range(8):
+        for _ in range(CANCEL_TRIES):
             entry = await self._store.get(live)
             if entry is None:
                 return await self._poll(job_id)
@@ -228,7 +252,7 @@
             value = records.over_value(entry.data["spec"], wire.ABORTED, at, token)
             try:
                 await self._store.commit(
-                    [(live, entry.revision), (over, 0)],
+                    [Precondition(live, entry.revision), Precondition(over, 0)],
                     [wire.drop(live), wire.put(over, value)],
                     USER_PRIORITY,
                     over,
@@ -241,4 +265,4 @@
             self._keep_final(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
             return Response(200, wire.job_answer(job_id, wire.ABORTED))
-        return Response(503, retry_after=1.0)
+        return Response(503, retry_after=RETRY_S)
--- /dev/null
+++ b/topazhold/control/waiting_loops.py
@@ -0,0 +1,28 @@
+"""Loops that wait and work, again and again, until they are cancelled."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable
+from typing import NoReturn, Protocol
+
+import curio
+
+
+class Work(Protocol):
+    """One pass of a loop; what it raises ends the loop."""
+
+    def __call__(self) -> Awaitable[object]: ...
+
+
+async def wait_then_work(pause_s: float, work: Work) -> NoReturn:
+    """Wait `pause_s` seconds, work, and so on; raises what `work` raises."""
+    while True:
+        await curio.sleep(pause_s)
+        await work()
+
+
+async def work_then_wait(pause_s: float, work: Work) -> NoReturn:
+    """Work, wait `pause_s` seconds, and so on; raises what `work` raises."""
+    while True:
+        await work()
+        await curio.sleep(pause_s)
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -13,7 +13,8 @@
 
 import curio
 
-from topazhold.control.key_value_store import STORE_ERRORS, USER_PRIORITY, PreconditionFailedError
+from topazhold.control.key_value_store import USER_PRIORITY, Precondition
+from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core import records
 from topazhold.core.jobs import Job
@@ -73,7 +74,7 @@
                 raise LeadershipLostError("the leadership mark has changed") from None
             log.error("clean-up met a live job: %s", exc)
             return False
-        except STORE_ERRORS as exc:
+        except KeyValueStoreError as exc:
             log.debug("clean-up waits: %s", exc)
             return False
         return True
@@ -106,7 +107,7 @@
     async def _remove(self, job_id: str, parts: list[int]) -> None:
         """Remove parts, as many at a time as a transaction takes; never a live job's."""
         context = self._context
-        conditions = [*context.conditions(), (records.live_key(job_id), 0)]
+        conditions = [*context.preconditions(), Precondition(records.live_key(job_id), 0)]
         for start in range(0, len(parts), context.txn_ops):
             some = parts[start : start + context.txn_ops]
             drops = [wire.drop(records.part_key(job_id, part)) for part in some]
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -16,8 +16,11 @@
 from topazhold.control.key_value_store import (
     DECISION_PRIORITY,
     LEASE_PRIORITY,
-    STORE_ERRORS,
     USER_PRIORITY,
+    Precondition,
+)
+from topazhold.control.store_errors import (
+    KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
 )
@@ -87,7 +90,7 @@
         asked_at = await curio.clock()
         try:
             entry = await self._context.store.get(LEADER_KEY, LEASE_PRIORITY)
-        except STORE_ERRORS as exc:
+        except KeyValueStoreError as exc:
             log.debug("leadership not confirmed: %s", exc)
             return False
         if entry is None or entry.revision != self._context.revision:
@@ -120,7 +123,9 @@
 
     async def _record(self, operations: list[AnyOperation]) -> bool:
         """One transaction; whether the records are known to be there."""
-        conditions = self._context.conditions() + [(operation.key, 0) for operation in operations]
+        conditions = self._context.preconditions() + [
+            Precondition(operation.key, 0) for operation in operations
+        ]
         try:
             puts = [
                 wire.put(operation.key, write_record(operation.record)) for operation in operations
@@ -142,7 +147,7 @@
             self._unconfirmed.update({operation.key: operation for operation in operations})
             log.debug("orders perhaps not recorded: %s", exc)
             return False
-        except STORE_ERRORS as exc:
+        except KeyValueStoreError as exc:
             log.debug("orders not recorded: %s", exc)
             return False
         self._known(operations, await curio.clock())
@@ -159,7 +164,7 @@
         for operation in operations:
             try:
                 entry = await self._context.store.get(operation.key, DECISION_PRIORITY)
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("record %s not read: %s", operation.key, exc)
                 continue
             if entry is not None and _token(entry.data) == operation.record.by:
@@ -184,11 +189,11 @@
             drops = [wire.drop(operation.key) for operation in stored]
             try:
                 await self._context.store.compare_and_swap(
-                    self._context.conditions(), drops, USER_PRIORITY
+                    self._context.preconditions(), drops, USER_PRIORITY
                 )
             except PreconditionFailedError:
                 raise LeadershipLostError("the leadership mark has changed") from None
-            except STORE_ERRORS as exc:
+            except KeyValueStoreError as exc:
                 log.debug("%d records stay: %s", len(stored), exc)
                 return
         for operation in stored:
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -8,7 +8,8 @@
 import curio
 import msgspec
 
-from topazhold.control.key_value_store import LEASE_PRIORITY, STORE_ERRORS, KeyValueStore
+from topazhold.control.key_value_store import LEASE_PRIORITY, KeyValueStore
+from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.core.leadership import LEADER_KEY, read_value
 from topazhold.io.client import Client
 from topazhold.operations.records import (
@@ -71,7 +72,7 @@
     try:
         leader = await store.get(LEADER_KEY, LEASE_PRIORITY)
         entries, _ = await store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
-    except STORE_ERRORS as exc:
+    except KeyValueStoreError as exc:
         raise ControllersUnreachableError(str(exc)) from None
     finally:
         await client.close()
