--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -51,7 +51,7 @@
 MIN_LOOKS = 4
 #: Report periods between two rounds, and before a release that failed is tried again.
 ROUND_HEARTBEATS = 0.2
-RELEASE_RETRY_REPORTS = 0.25
+RELEASE_RETRY_HEARTBEATS = 0.25
 
 
 class LeaderHandles(Protocol):
@@ -94,25 +94,25 @@
     async def round(self) -> None:
         """Begin the looks and the release that are due."""
         now = await curio.clock()
-        ages = self.open(now)
+        ages = self.left_to_this_controller(now)
         if not ages:
             return
         await self._list(now)
-        reserved = self._placement_hints.machines_of(frozenset(ages))
+        holders = self._placement_hints.machines_of(frozenset(ages))
         await self._release(
             [
                 name
-                for name, jobs in reserved.items()
-                if any(self._must_go(job, ages[job], now) for job in jobs)
+                for name, jobs in holders.items()
+                if any(self._must_release(job, ages[job], now) for job in jobs)
             ]
         )
-        for name in self._machines_to_look_at(frozenset(ages), reserved.keys(), now):
+        for name in self._machines_to_look_at(frozenset(ages), holders.keys(), now):
             place = self._placement_hints.places[name]
             place.looks = now
             self._looking.add(name)
             await curio.spawn(self._look, name, place, daemon=True)
 
-    def open(self, now: float) -> dict[str, float]:
+    def left_to_this_controller(self, now: float) -> dict[str, float]:
         """Cancelled jobs that are left to this controller, by their age in seconds."""
         wall = time.time()
         ages = {
@@ -124,7 +124,7 @@
         look_s = LOOK_SHARE * self._cancel_s
         return {job: age for job, age in ages.items() if now - self._left_since[job] > look_s}
 
-    def _must_go(self, job: str, age: float, now: float) -> bool:
+    def _must_release(self, job: str, age: float, now: float) -> bool:
         """Whether a machine that may hold the job's task is to be released.
 
         Just after a change of leader the former one knows of machines that its successor is
@@ -158,7 +158,7 @@
         return (first + others)[: self._max_looks - len(self._looking)]
 
     async def _list(self, now: float) -> None:
-        """Machines that no leader has told of, from the cloud, off and on."""
+        """Machines that no leader has named, from the cloud, off and on."""
         if now - self._listed_at < LOOK_SHARE * self._cancel_s:
             return
         self._listed_at = now
@@ -185,7 +185,7 @@
             commands = self._cancellations.kills(heartbeat)
             if not commands:
                 return
-            # Kills are safe from anybody, and a token equal to the worker's is heard.
+            # Kills are safe from anybody, and a token equal to the worker's is accepted.
             orders = Commands(heartbeat.fencing_token, commands, heartbeat.incarnation)
             log.info("%d tasks of cancelled jobs on %s killed from here", len(commands), name)
             status, body = await client.ask(
@@ -211,7 +211,7 @@
             await self._cloud.release(names)
         except CloudUnavailableError as exc:
             log.debug("release: %s", exc)
-            await curio.sleep(RELEASE_RETRY_REPORTS * self._heartbeat_interval_s)
+            await curio.sleep(RELEASE_RETRY_HEARTBEATS * self._heartbeat_interval_s)
         else:
             for name in names:
                 self._placement_hints.gone(name)
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -22,7 +22,7 @@
 
 
 class ReachesPeers(Protocol):
-    """Whether any peer was heard just before `now`, by the steady clock in seconds."""
+    """Whether any peer has pinged just before `now`, by the steady clock in seconds."""
 
     def __call__(self, now: float, /) -> bool: ...
 
@@ -30,8 +30,8 @@
 class CancellationExchange:
     """Keeps the peers' records of cancellations level with this controller's.
 
-    `on_cancelled` is called for each cancellation that is news here, and `hears_peers`
-    says whether any peer was heard just now.
+    `on_cancelled` is called for each cancellation that is news here, and `reaches_peers`
+    says whether any peer has pinged just now.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
             now = await curio.clock()
 
     async def _send_missing(self, peer: str) -> None:
-        """Send a peer what it lacks; it acknowledges, or is told again by the next ping."""
+        """Send a peer what it lacks; it acknowledges, or gets it again after the next ping."""
         news = self._cancellations.news(peer)
         if news is not None:
             message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *news)
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -36,7 +36,7 @@
         self._bucket = TokenBucket(rps)
         self._timeout_s = timeout_s
 
-    async def _ask(self, method: str, target: str, message: object) -> tuple[int, bytes]:
+    async def _send(self, method: str, target: str, message: object) -> tuple[int, bytes]:
         now = await curio.clock()
         if not self._bucket.take(now):
             raise CloudUnavailableError("request limit")
@@ -47,7 +47,7 @@
 
     async def catalog(self) -> list[MachineType]:
         """The machine types with their present prices; raises CloudUnavailableError."""
-        status, body = await self._ask("GET", wire.CATALOG_PATH, None)
+        status, body = await self._send("GET", wire.CATALOG_PATH, None)
         if status != 200:
             raise CloudUnavailableError(f"status {status}")
         try:
@@ -61,7 +61,7 @@
         Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
         """
         body = wire.rent_body(name, ask.machine_type, ask.zone, ask.spot, ask.count)
-        status, answer = await self._ask("POST", wire.MACHINES_PATH, body)
+        status, answer = await self._send("POST", wire.MACHINES_PATH, body)
         if status == 503 and b"no capacity" in answer:
             raise CloudCapacityError
         if status == 400:
@@ -75,7 +75,7 @@
 
     async def release(self, names: list[str]) -> None:
         """Returns only once the machines are gone; raises CloudUnavailableError."""
-        status, _ = await self._ask("POST", wire.RELEASE_PATH, wire.release_body(names))
+        status, _ = await self._send("POST", wire.RELEASE_PATH, wire.release_body(names))
         if status != 200:
             raise CloudUnavailableError(f"status {status}")
 
@@ -84,7 +84,7 @@
         listed: list[ListedMachine] = []
         after: str | None = None
         while True:
-            status, body = await self._ask("GET", wire.list_query(after, PAGE), None)
+            status, body = await self._send("GET", wire.list_query(after, PAGE), None)
             if status != 200:
                 raise CloudUnavailableError(f"status {status}")
             try:
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -27,7 +27,7 @@
 
 #: Time limits of a request: of the store as a share of the controller's lease, so
 #: that a renewal can be tried again in time, and of the cloud in seconds.
-STORE_TIMEOUT_GRANTS = 0.4
+STORE_TIMEOUT_CONTROLLER_LEASES = 0.4
 CLOUD_TIMEOUT_S = 5.0
 #: Idle connections that are kept: to the store for requests and for watches, and to
 #: the cloud.
@@ -71,7 +71,7 @@
         dial(state, STORE_CONNECTIONS),
         dial(state, WATCH_CONNECTIONS),
         cluster.state,
-        timeout_s=STORE_TIMEOUT_GRANTS * controller_lease_s,
+        timeout_s=STORE_TIMEOUT_CONTROLLER_LEASES * controller_lease_s,
     )
     cloud = Cloud(
         dial(address(settings.outside.cloud), CLOUD_CONNECTIONS),
@@ -98,7 +98,7 @@
     leadership: Leadership  # its role, and the newest term it has heard of
     reservation_table: ReservationTable  # all controllers' reservations
     cancellations: Cancellations  # confirmed to a user by any controller
-    placement_hints: PlacementHints  # hints of where tasks may be
+    placement_hints: PlacementHints  # where tasks may be
     released: ReleasedMachines  # gone, as the cloud confirmed to any controller
 
 
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -27,7 +27,7 @@
 MIN_CONNECTIONS = 4
 #: Of those under way, the share that may wait for workers that are silent.
 SILENT_SHARE = 0.5
-#: Report periods between two rounds at the most.
+#: Heartbeat intervals between two rounds at the most.
 ROUND_HEARTBEATS = 0.05
 
 
@@ -38,7 +38,7 @@
 
 
 class DirectCommands:
-    """Sends kills, rings and announcements directly."""
+    """Sends what machines are to do, and word of the term, to their own addresses."""
 
     def __init__(
         self,
@@ -47,12 +47,12 @@
         dial: Dial,
         on_heartbeat: OnAnswer,
     ) -> None:
-        self._max = max(MIN_CONNECTIONS, int(sockets * COMMANDING_SHARE))
-        self._max_silent = max(1, int(self._max * SILENT_SHARE))
+        self._max_under_way = max(MIN_CONNECTIONS, int(sockets * COMMANDING_SHARE))
+        self._max_silent = max(1, int(self._max_under_way * SILENT_SHARE))
         self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * KEPT_SHARE)))
         self._context = context
         self._on_heartbeat = on_heartbeat
-        self._striking: dict[str, bool] = {}  # under way; whether the worker is silent
+        self._under_way: dict[str, bool] = {}  # under way; whether the worker is silent
         self.superseded = curio.Event()  # set once a worker knows a higher term
 
     async def close(self) -> None:
@@ -77,10 +77,10 @@
         """
         scheduler = self._context.scheduler
         now = await curio.clock()
-        due = [name for name in scheduler.to_command if name not in self._striking]
-        silent = sum(self._striking.values())
+        due = [name for name in scheduler.to_command if name not in self._under_way]
+        silent = sum(self._under_way.values())
         for machine in scheduler.command_order(due, now):
-            if len(self._striking) >= self._max:
+            if len(self._under_way) >= self._max_under_way:
                 return
             is_silent = not scheduler.heard_recently(machine, now)
             if is_silent and silent >= self._max_silent:
@@ -90,7 +90,7 @@
             if commands or scheduler.needs_term_announcement(machine, now):
                 silent += is_silent
                 machine.commanded_at = now
-                self._striking[machine.name] = is_silent
+                self._under_way[machine.name] = is_silent
                 await curio.spawn(self._command, machine, commands, daemon=True)
 
     async def _command(self, machine: Machine, commands: list[Command]) -> None:
@@ -100,7 +100,7 @@
             log.info("term %d ends: %s", self._context.term, exc)
             await self.superseded.set()
         finally:
-            del self._striking[machine.name]
+            del self._under_way[machine.name]
 
     async def direct(self, machine: Machine, commands: list[Command]) -> None:
         """POST /commands; whatever comes back is a heartbeat.
@@ -110,7 +110,7 @@
         """
         assert machine.endpoint is not None
         try:
-            client = await self._clients.at(address(machine.endpoint), len(self._striking))
+            client = await self._clients.at(address(machine.endpoint), len(self._under_way))
             orders = Commands(self._context.term, commands, machine.incarnation)
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, orders, self._context.heartbeat_interval_s
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -30,7 +30,7 @@
 #: Steady clocks drift; a lease is taken to end this much earlier.
 DRIFT = 0.002
 #: Shares of a lease's time: between renewals, between tries of what failed, and between
-#: looks at a leadership that is vacant while this controller may not stand.
+#: looks at a leadership that is vacant while this controller may be no candidate.
 RENEW_CONTROLLER_LEASES = 0.25
 RETRY_CONTROLLER_LEASES = 0.1
 VACANT_CONTROLLER_LEASES = 0.05
@@ -86,27 +86,27 @@
 class ControllerLease:
     """One lease at a time, renewed for as long as the store allows.
 
-    `granted` is called for each new lease, `ended` when one was not renewed in time, and
-    `renewed` after each renewal.
+    `on_granted` is called for each new lease, `on_ended` when one was not renewed in time, and
+    `on_renewed` after each renewal.
     """
 
     def __init__(
         self,
         store: KeyValueStore,
         controller_lease_s: float,
-        granted: OnLeaseGranted,
-        ended: OnTermEnded,
-        renewed: OnLeaseRenewed,
+        on_granted: OnLeaseGranted,
+        on_ended: OnTermEnded,
+        on_renewed: OnLeaseRenewed,
     ) -> None:
         self._store = store
         self._controller_lease_s = controller_lease_s
-        self._granted = granted
-        self._ended = ended
-        self._renewed = renewed
+        self._on_granted = on_granted
+        self._on_ended = on_ended
+        self._on_renewed = on_renewed
         self.id: int | None = None
         self.valid_until = 0.0  # steady clock, seconds: it can't have ended before
 
-    def lease_is_valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether the lease can't have ended yet, so that nobody else can be leader."""
         return now < self.valid_until
 
@@ -121,19 +121,19 @@
                     await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if self.id is None:
                     self.id = await self._store.grant_lease(self._controller_lease_s)
-                    self._granted()
+                    self._on_granted()
                     log.info("lease %d granted", self.id)
                 elif not await self._store.renew_lease(self.id):
                     log.info("lease %d ended", self.id)
                     self.id = None
-                    await self._ended("the lease ended")
+                    await self._on_ended("the lease ended")
                     continue
                 self.valid_until = sent + self._controller_lease_s * (1 - DRIFT)
             except KeyValueStoreError as exc:
                 log.debug("lease: %s", exc)
                 await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
                 continue
-            await self._renewed()
+            await self._on_renewed()
             await curio.sleep(RENEW_CONTROLLER_LEASES * self._controller_lease_s)
 
     def _unconfirmed(self, now: float) -> bool:
@@ -141,7 +141,7 @@
 
         In an outage refusals come, and the lease keeps its time.
         """
-        if self.id is None or self.lease_is_valid(now):
+        if self.id is None or self.is_valid(now):
             return False
         return self._store.unanswered_requests >= UNANSWERED
 
@@ -156,9 +156,9 @@
 
 
 class Election:
-    """Follows the leadership key, and stands when it is free.
+    """Follows the leadership key, and is a candidate when it is free.
 
-    `elected` is called with the term and the key's revision, `superseded` with the reason when
+    `on_elected` is called once this controller has won, `on_superseded` with the reason when
     another leader is seen.
     """
 
@@ -168,30 +168,30 @@
         leadership: Leadership,
         lease: ControllerLease,
         controller_lease_s: float,
-        elected: OnElected,
-        superseded: OnTermEnded,
+        on_elected: OnElected,
+        on_superseded: OnTermEnded,
     ) -> None:
         self._store = store
         self._leadership = leadership
         self._lease = lease
         self._controller_lease_s = controller_lease_s
-        self._begin_term = elected
-        self._on_deposed = superseded
+        self._on_elected = on_elected
+        self._on_superseded = on_superseded
         self._barred_until = 0.0
 
     def bar(self, until: float) -> None:
-        """Don't stand before `until`, by the steady clock in seconds."""
+        """Be no candidate before `until`, by the steady clock in seconds."""
         self._barred_until = until
 
     async def loop(self) -> None:
-        """Follow the leadership key; stand when it is free."""
+        """Follow the leadership key; be a candidate when it is free."""
         while True:
             try:
                 entry = await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if entry is None:
-                    await self._meet_vacancy()
-                elif not await self._end_former_self(entry):
-                    await self._see_leader(entry.data)
+                    await self._on_vacancy()
+                elif not await self._revoke_former_lease(entry):
+                    await self._on_leader(entry.data)
                     await self._follow(entry.revision)
             except WatchCompactedError:
                 continue
@@ -199,16 +199,16 @@
                 log.debug("leadership: %s", exc)
                 await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
 
-    async def _meet_vacancy(self) -> None:
+    async def _on_vacancy(self) -> None:
         self._leadership.vacant()
         free = self._leadership.role is Role.FOLLOWER
         barred = await curio.clock() < self._barred_until
         if self._lease.id is not None and free and not barred:
-            await self._stand(self._lease.id)
+            await self._run_for_leader(self._lease.id)
         else:
             await curio.sleep(VACANT_CONTROLLER_LEASES * self._controller_lease_s)
 
-    async def _end_former_self(self, entry: Entry) -> bool:
+    async def _revoke_former_lease(self, entry: Entry) -> bool:
         """End a term left over from an earlier process of this controller.
 
         That process is dead and nobody commands in its name, so there is no
@@ -240,9 +240,9 @@
                 if data is None:
                     log.info("the leadership is vacant")
                     return
-                await self._see_leader(data)
+                await self._on_leader(data)
 
-    async def _see_leader(self, data: Any) -> None:
+    async def _on_leader(self, data: Any) -> None:
         value = read_value(data)
         if value is None:
             return
@@ -250,17 +250,17 @@
         if leader == self._leadership.node:
             return
         if self._leadership.learn(leader, term):
-            await self._on_deposed("another leader was elected")
+            await self._on_superseded("another leader was elected")
 
-    async def _stand(self, lease_id: int) -> None:
+    async def _run_for_leader(self, lease_id: int) -> None:
         """Try for the key with the next term."""
-        lead = self._leadership
-        lead.become_candidate()
+        leadership = self._leadership
+        leadership.become_candidate()
         try:
             last = await self._store.get(TERM_KEY, LEASE_PRIORITY)
-            term = max(lead.term, int(last.data["crown"]) if last is not None else 0) + 1
-            token = f"{lead.node}-{lease_id}-{term}"
-            value = {**lead.value(term), "by": token}
+            term = max(leadership.term, int(last.data["crown"]) if last is not None else 0) + 1
+            token = f"{leadership.node}-{lease_id}-{term}"
+            value = {**leadership.value(term), "by": token}
             revision = await self._store.commit(
                 [
                     Precondition(LEADER_KEY, 0),
@@ -273,14 +273,14 @@
                 give_up_s=self._controller_lease_s,
             )
         except PreconditionFailedError:
-            lead.become_follower()
+            leadership.become_follower()
             return
         except KeyValueStoreError:
-            lead.become_follower()
+            leadership.become_follower()
             raise
         if self._lease.id != lease_id:
-            lead.become_follower()
+            leadership.become_follower()
             return
-        lead.become_leader(term)
-        log.info("node %s elected leader, term %d", lead.node, term)
-        await self._begin_term(ElectionResult(term, revision, await curio.clock()))
+        leadership.become_leader(term)
+        log.info("node %s elected leader, term %d", leadership.node, term)
+        await self._on_elected(ElectionResult(term, revision, await curio.clock()))
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -30,7 +30,7 @@
     wall: float  # time of day
 
 
-async def load(context: TermContext, machine_types: dict[str, MachineType]) -> dict[str, int]:
+async def load_state(context: TermContext, machine_types: dict[str, MachineType]) -> dict[str, int]:
     """Build the term's state from the store; the revisions to watch from, by prefix.
 
     Waits until the machine types are known. Raises KeyValueStoreError; then all of it is to be
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -20,11 +20,13 @@
 
 #: A leader that has been silent for this share of a controller's lease can't be reached.
 SILENT_CONTROLLER_LEASES = 0.9
+#: Such silences after which a peer's word counts no more.
+QUIET_SILENCES = 2
 #: Steady clocks drift apart by at most this share.
 DRIFT = 0.002
 
 
-def _news(heartbeat: Heartbeat) -> bool:
+def _has_ended_task(heartbeat: Heartbeat) -> bool:
     return any(task.state == wire.ENDED for task in heartbeat.tasks)
 
 
@@ -41,38 +43,38 @@
     def __init__(self, zone: str, lease_s: float) -> None:
         self._zone = zone
         self._lease_s = lease_s
-        self._sent: dict[str, float] = {}  # workers sent ahead, and not back yet
-        self._back: dict[str, float] = {}  # those that found nobody
-        self._way_out = False
+        self._sent_ahead: dict[str, float] = {}  # workers sent ahead, and not back yet
+        self._returned: dict[str, float] = {}  # those that found nobody
+        self._has_way_out = False
 
     def end(self) -> None:
         """The controller is in touch again."""
-        self._sent.clear()
-        self._back.clear()
-        self._way_out = False
+        self._sent_ahead.clear()
+        self._returned.clear()
+        self._has_way_out = False
 
     def keeps(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer a worker here; one that is sent ahead is expected back."""
-        sent = self._sent.pop(heartbeat.machine, None)
+        sent = self._sent_ahead.pop(heartbeat.machine, None)
         if sent is not None:
-            self._back[heartbeat.machine] = now
-            self._way_out = False
-        if heartbeat.machine in self._back:
+            self._returned[heartbeat.machine] = now
+            self._has_way_out = False
+        if heartbeat.machine in self._returned:
             # It went round and found nobody. It stays for a lease time.
-            if now - self._back[heartbeat.machine] < self._lease_s:
+            if now - self._returned[heartbeat.machine] < self._lease_s:
                 return True
-            del self._back[heartbeat.machine]
+            del self._returned[heartbeat.machine]
         elif heartbeat.zone != self._zone or any(
-            now - at > self._lease_s for at in self._sent.values()
+            now - at > self._lease_s for at in self._sent_ahead.values()
         ):
-            self._way_out = True
-        if self._way_out:
-            self._sent[heartbeat.machine] = now
+            self._has_way_out = True
+        if self._has_way_out:
+            self._sent_ahead[heartbeat.machine] = now
             return False
         idle = not heartbeat.tasks
-        if idle or not (self._sent or self._back):
+        if idle or not (self._sent_ahead or self._returned):
             # Those with nothing to lose go first; else one for all.
-            self._sent[heartbeat.machine] = now
+            self._sent_ahead[heartbeat.machine] = now
             return False
         return True
 
@@ -97,7 +99,7 @@
         now: float,
     ) -> None:
         lease_s = timing.lease_s
-        self._lead = leadership
+        self._leadership = leadership
         self._zone = zone
         self._peers = peers
         self._partitioned = PartitionedControllerPolicy(zone, lease_s)
@@ -134,8 +136,12 @@
         return any(now - at < self._silence_s for at in self._last_ping_at.values())
 
     def is_alone(self, now: float) -> bool:
-        """Whether peers are served while this controller is not, or none can be heard."""
-        fresh = [peer for peer, at in self._last_ping_at.items() if now - at < 2 * self._silence_s]
+        """Whether peers are served while this controller is not, or none can be reached."""
+        fresh = [
+            peer
+            for peer, at in self._last_ping_at.items()
+            if now - at < QUIET_SILENCES * self._silence_s
+        ]
         return any(self._served[peer] for peer in fresh) or (bool(self._last_ping_at) and not fresh)
 
     def is_informed(self, now: float) -> bool:
@@ -149,14 +155,14 @@
             return True
         last = max(self._last_ping_at.values(), default=self._since)
         return (
-            now - last < 2 * self._silence_s
+            now - last < QUIET_SILENCES * self._silence_s
             or self._peers_enforce
             or now - last < self._max_silence_s
         )
 
     def is_partitioned(self, served: bool, now: float) -> bool:
         """Whether this controller reaches neither the store nor any peer."""
-        quiet_s = 2 * self._silence_s
+        quiet_s = QUIET_SILENCES * self._silence_s
         lost = (
             self._peers > 0
             and not served
@@ -169,23 +175,27 @@
 
     def keeps_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer a worker here although nothing comes of it."""
-        return heartbeat.fencing_token == self._lead.term > 0 and self._partitioned.keeps(
+        return heartbeat.fencing_token == self._leadership.term > 0 and self._partitioned.keeps(
             heartbeat, now
         )
 
     def is_leader_silent(self, now: float) -> bool:
         """Whether nothing has come from the leader for too long."""
-        leader = self._lead.leader
+        leader = self._leadership.leader
         return leader is not None and (
             now - self._last_ping_at.get(leader, self._since) > self._silence_s
         )
 
     def should_keep(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether to answer this worker here instead of sending it to the leader."""
-        lead = self._lead
-        if lead.term == 0 or heartbeat.fencing_token != lead.term:
+        leadership = self._leadership
+        if leadership.term == 0 or heartbeat.fencing_token != leadership.term:
             return False
-        if lead.leader is None or lead.leader == lead.node or self.is_leader_silent(now):
+        if (
+            leadership.leader is None
+            or leadership.leader == leadership.node
+            or self.is_leader_silent(now)
+        ):
             return True
         if heartbeat.machine not in self._silent:
             self._sent_away.pop(heartbeat.machine, None)
@@ -199,7 +209,7 @@
         return False
 
     def keep_for_forwarding(self, heartbeat: Heartbeat) -> None:
-        """Pass it on with the next; a late copy does not take a newer one's place."""
+        """Forward it with the next; a late copy does not take a newer one's place."""
         kept = self._kept.get(heartbeat.machine)
         if kept is None or (heartbeat.incarnation, heartbeat.sequence) > (
             kept.incarnation,
@@ -208,14 +218,14 @@
             self._kept[heartbeat.machine] = heartbeat
 
     def take_for_forwarding(self, limit: int) -> list[Any]:
-        """Reports to pass on, as many as fit; the others follow next time.
+        """Heartbeats to forward, as many as fit; the others follow next time.
 
         Those with ended tasks go first: the leader waits for them.
         """
         packed: list[Any] = []
         size = 0
         for machine_name in sorted(
-            self._kept, key=lambda machine_name: not _news(self._kept[machine_name])
+            self._kept, key=lambda machine_name: not _has_ended_task(self._kept[machine_name])
         ):
             item = msgspec.to_builtins(self._kept[machine_name])
             of_item = json_size(item) + 1
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -77,7 +77,7 @@
         A leader may answer for as long as its lease can't have passed on.
         """
         partitioned = self._follower_heartbeats.is_partitioned(self._store.answers(now), now)
-        return partitioned and not self._leadership_service.lease.lease_is_valid(now)
+        return partitioned and not self._leadership_service.lease.is_valid(now)
 
     def _keeps_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
         return self._is_informed(now) and self._follower_heartbeats.keeps_while_partitioned(
@@ -86,11 +86,11 @@
 
     def _answer_as_follower(self, heartbeat: Heartbeat, now: float) -> Response:
         """Keep the worker here where the leader can't be reached by it; else send it there."""
-        lead = self._leadership
+        leadership = self._leadership
         if self._is_informed(now) and self._follower_heartbeats.should_keep(heartbeat, now):
             self._follower_heartbeats.keep_for_forwarding(heartbeat)
-            return self._answer_locally(heartbeat, lead.term)
-        return _redirect(lead.leader if lead.leader != lead.node else None)
+            return self._answer_locally(heartbeat, leadership.term)
+        return _redirect(leadership.leader if leadership.leader != leadership.node else None)
 
     async def _answer_as_leader(self, leader_term: LeaderTerm, heartbeat: Heartbeat) -> Response:
         _, commands = await leader_term.on_heartbeat(heartbeat)
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -86,9 +86,8 @@
 
     def answers(self, now: float) -> bool:
         """Whether the store answers this controller, a hiccup aside."""
-        return self.failing_since is None or now - self.failing_since < (
-            HICCUP_TIMEOUTS * self._timeout_s
-        )
+        hiccup_s = HICCUP_TIMEOUTS * self._timeout_s
+        return self.failing_since is None or now - self.failing_since < hiccup_s
 
     def set_share(self, share: float) -> None:
         """Keep to this share of the store's limits from now on."""
@@ -119,7 +118,7 @@
             raise StoreUnavailableError(over)
         return now
 
-    async def _ask(self, request: _Request) -> tuple[int, bytes]:
+    async def _send(self, request: _Request) -> tuple[int, bytes]:
         """Status and body of the answer; raises StoreUnavailableError or OutcomeUnknownError."""
         sent_at = await self._take_turn(request)
         client, timeout_s = self._client, self._timeout_s
@@ -151,7 +150,7 @@
 
     async def get(self, key: str, priority: float = USER_PRIORITY) -> Entry | None:
         """A key's entry, or None if the key does not exist."""
-        status, body = await self._ask(_Request("GET", f"{wire.STORE_PATH}/{key}", priority))
+        status, body = await self._send(_Request("GET", f"{wire.STORE_PATH}/{key}", priority))
         if status == 404:
             return None
         _expect_success(status)
@@ -166,7 +165,7 @@
         seen_revision: int | None = None
         while True:
             target = wire.store_query(prefix, after, PAGE)
-            status, body = await self._ask(_Request("GET", target, priority))
+            status, body = await self._send(_Request("GET", target, priority))
             _expect_success(status)
             page = _read(body, wire.EntryPage)
             seen_revision = page.revision if seen_revision is None else seen_revision
@@ -181,7 +180,7 @@
         Raises WatchCompactedError where the store no longer has all changes since.
         """
         target = wire.watch_query(prefix, since, int(block_s * 1000))
-        status, body = await self._ask(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
+        status, body = await self._send(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
         if status == 410:
             raise WatchCompactedError(prefix)
         _expect_success(status)
@@ -200,7 +199,7 @@
         conditions = [wire.condition(key, revision) for key, revision in preconditions]
         body = wire.transaction_body(conditions, list(operations))
         request = _Request("POST", wire.TRANSACTION_PATH, priority, body, writes=len(operations))
-        status, answer = await self._ask(request)
+        status, answer = await self._send(request)
         if status == 200:
             first = wire.changed_key(operations[0]) if operations else "nothing"
             log.debug("%d changes written, the first to %s", len(operations), first)
@@ -266,14 +265,14 @@
     async def grant_lease(self, ttl_s: float) -> int:
         """The id of a new lease, which ends `ttl_s` seconds after its last renewal."""
         body = wire.lease_body(int(ttl_s * 1000))
-        status, answer = await self._ask(_Request("POST", wire.LEASES_PATH, LEASE_PRIORITY, body))
+        status, answer = await self._send(_Request("POST", wire.LEASES_PATH, LEASE_PRIORITY, body))
         _expect_success(status)
         return _read(answer, wire.LeaseGranted).lease_id
 
     async def renew_lease(self, lease_id: int) -> bool:
         """Renew a lease; False if it has ended."""
         target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
-        status, _ = await self._ask(_Request("POST", target, LEASE_PRIORITY, {}))
+        status, _ = await self._send(_Request("POST", target, LEASE_PRIORITY, {}))
         if status == 404:
             return False
         _expect_success(status)
@@ -281,7 +280,7 @@
 
     async def revoke_lease(self, lease_id: int) -> None:
         """End a lease at once, and with it the keys that are attached to it."""
-        await self._ask(_Request("DELETE", f"{wire.LEASES_PATH}/{lease_id}", LEASE_PRIORITY))
+        await self._send(_Request("DELETE", f"{wire.LEASES_PATH}/{lease_id}", LEASE_PRIORITY))
 
 
 def _expect_success(status: int) -> None:
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -12,7 +12,7 @@
 from topazhold.control.controller_services import ControllerServices, ControllerState
 from topazhold.control.direct_commands import DirectCommands
 from topazhold.control.election import ControllerLease, ElectionResult
-from topazhold.control.failover import load
+from topazhold.control.failover import load_state
 from topazhold.control.intents import Intents
 from topazhold.control.job_persistence import JobPersistence
 from topazhold.control.peer_group import Broadcast
@@ -34,7 +34,7 @@
 log = logging.getLogger(__name__)
 
 #: A heartbeat's answer waits for a plan for so many heartbeat intervals, so that it can launch.
-ANSWER_WAIT_REPORTS = 0.1
+ANSWER_WAIT_HEARTBEATS = 0.1
 
 #: One loop of a term, and the kind of work that its processor time counts as.
 TermLoop = tuple[WorkCategory, Callable[[], Awaitable[Any]]]
@@ -61,12 +61,7 @@
         self._machine_types = services.catalog.machine_types
         self.scheduler = _create_scheduler(services, state, elected)
         self.context = context = TermContext(
-            settings,
-            services.store,
-            self.scheduler,
-            elected,
-            lease.lease_is_valid,
-            state.cancellations,
+            settings, services.store, self.scheduler, elected, lease.is_valid, state.cancellations
         )
         self._intents = Intents(context)
         self.job_persistence = JobPersistence(context)
@@ -88,11 +83,11 @@
         self._planning = PlanningLoop(context, self._intents)
 
     async def run(self) -> None:
-        """Take over, then lead until cancelled or until a loop finds that the term is over.
+        """Fail over, then lead until cancelled or until a loop finds that the term is over.
 
         Raises what else ends a loop.
         """
-        await self._take_over()
+        await self._fail_over()
         async with curio.TaskGroup(wait=any) as group:
             for category, loop in self._loops():
                 await group.spawn(self._run_loop, category, loop)
@@ -101,18 +96,18 @@
         if group.exception is not None:
             raise group.exception
 
-    async def _take_over(self) -> None:
+    async def _fail_over(self) -> None:
         """Read all that earlier terms left, before any decision."""
         start = await curio.clock()
         while True:
             try:
-                operations = await read_entries(self.context)
-                self._watches.start_from(await load(self.context, self._machine_types))
+                open_operations = await read_entries(self.context)
+                self._watches.start_from(await load_state(self.context, self._machine_types))
                 break
             except KeyValueStoreError as exc:
-                log.debug("take-over waits: %s", exc)
+                log.debug("failover waits: %s", exc)
                 await curio.sleep(self.context.retry_s)
-        await self.operations.take_over(operations, self._released.names())
+        await self.operations.take_over(open_operations, self._released.names())
         log.info(
             "leader %s term %d took over in %.2f s: %d jobs, %d machines",
             self.context.node,
@@ -163,7 +158,9 @@
         if machine is None or direct:
             return machine, []
         if self._planning.is_due(now) and self.scheduler.wants_plan(machine, now):
-            await self._planning.next_round(ANSWER_WAIT_REPORTS * self.context.heartbeat_interval_s)
+            await self._planning.next_round(
+                ANSWER_WAIT_HEARTBEATS * self.context.heartbeat_interval_s
+            )
         if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
             return machine, []  # a newer one arrived while this one waited
         now = await curio.clock()
--- a/topazhold/control/leadership_service.py
+++ b/topazhold/control/leadership_service.py
@@ -137,7 +137,8 @@
         if leader_term is None or not leader_term.scheduler.is_partitioned_from_workers(now):
             return
         log.info(
-            "node %s hears too few of the workers that others hear", self._state.leadership.node
+            "node %s gets heartbeats of too few of the workers that others get",
+            self._state.leadership.node,
         )
         lease_s = self._services.settings.cluster.workers.lease_s
         self.election.bar(now + BARRED_LEASES * lease_s)
--- a/topazhold/control/peer_announcer.py
+++ b/topazhold/control/peer_announcer.py
@@ -14,7 +14,7 @@
 from topazhold.core.search import pack_names
 
 #: Time between two pings, as a share of a controller's lease.
-PING_GRANTS = 0.25
+PING_CONTROLLER_LEASES = 0.25
 
 
 class PeerAnnouncer:
@@ -35,7 +35,7 @@
 
     async def loop(self) -> None:
         """Ping a few times per lease of a controller."""
-        await work_then_wait(PING_GRANTS * self._services.controller_lease_s, self.ping)
+        await work_then_wait(PING_CONTROLLER_LEASES * self._services.controller_lease_s, self.ping)
 
     async def ping(self) -> None:
         """Tell all peers now whom this controller follows, and what it knows.
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -10,7 +10,11 @@
 
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.controller_services import ControllerState
-from topazhold.control.follower_heartbeats import SILENT_CONTROLLER_LEASES, FollowerHeartbeats
+from topazhold.control.follower_heartbeats import (
+    QUIET_SILENCES,
+    SILENT_CONTROLLER_LEASES,
+    FollowerHeartbeats,
+)
 from topazhold.control.leadership_service import LeadershipService
 from topazhold.control.peer_announcer import PeerAnnouncer
 from topazhold.control.peer_messages import (
@@ -32,9 +36,6 @@
 from topazhold.control.placement_search import PlacementSearch
 from topazhold.core.search import unpack_names
 
-#: Silences of a leader after which its word on cancellations counts no more.
-QUIET_SILENCES = 2
-
 
 @dataclass(frozen=True)
 class PeerListeners:
--- a/topazhold/control/planning_loop.py
+++ b/topazhold/control/planning_loop.py
@@ -11,7 +11,7 @@
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import wait_then_work
 
-#: Report periods: the shortest time between two looks at what time makes due, and between two
+#: Heartbeat intervals: the shortest time between two looks at what time makes due, and between two
 #: rounds of planning; without a look for so long, planning is taken to be stuck.
 TICK_HEARTBEATS = 0.1
 PLAN_HEARTBEATS = 0.06
@@ -20,7 +20,7 @@
 MAX_PLANS_PER_ROUND = 4
 #: Changes that a plan costs at the least, about.
 PLAN_WRITES = 2
-#: The pause after a round, as a multiple of the time spent on deciding.
+#: The pause after a round, as a multiple of the time that deciding lasted.
 DECIDING_PAUSE = 3.0
 
 
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -1,4 +1,4 @@
-"""What the other controllers are told of the fleet."""
+"""What the other controllers are sent of the fleet."""
 
 from __future__ import annotations
 
@@ -26,23 +26,23 @@
 
 log = logging.getLogger(__name__)
 
-#: Running counts told in the summary; they are for display.
+#: Running counts sent in the summary; they are for display.
 MAX_SENT = 60
 #: Machines in one message of where tasks may be, and the rounds in which each is named
 #: at least once.
 MAX_PLACED = 500
-RETELL_ROUNDS = 16
+RESEND_ROUNDS = 16
 #: Of a stored value: what is not one of its lists, and the shares that running counts and
 #: machines' names may take.
 OVERHEAD_BYTES = 192
 RUNNING_SHARE = 0.3
 NAMES_SHARE = 0.5
 #: Between two summaries: heartbeat intervals, and seconds at the least.
-PAUSE_REPORTS = 0.5
+PAUSE_HEARTBEATS = 0.5
 MIN_PAUSE_S = 1.0
 
 
-def _place(machine: Machine) -> list[Any]:
+def _hint(machine: Machine) -> list[Any]:
     jobs = sorted({job for job, _ in machine.attempts})
     return [machine.name, machine.endpoint, jobs]
 
@@ -65,7 +65,7 @@
 
     def placed(self) -> list[list[Any]]:
         """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
-        return [_place(machine) for machine in self._context.scheduler.machines.values()]
+        return [_hint(machine) for machine in self._context.scheduler.machines.values()]
 
     def resend_all(self) -> None:
         """Tell of every machine once more."""
@@ -79,9 +79,9 @@
         for number, machine in enumerate(machines.values()):
             state = (machine.changes, machine.endpoint)
             stale = self._sent.get(machine.name) != state
-            if stale or (number + self._rounds) % RETELL_ROUNDS == 0:
+            if stale or (number + self._rounds) % RESEND_ROUNDS == 0:
                 self._sent[machine.name] = state
-                items.append(_place(machine))
+                items.append(_hint(machine))
         for name in [name for name in self._sent if name not in machines]:
             del self._sent[name]
             items.append([name, None, None])
@@ -189,7 +189,7 @@
 
     async def loop(self) -> None:
         """Peers hear every heartbeat interval; the store has it as configured."""
-        pause_s = max(MIN_PAUSE_S, PAUSE_REPORTS * self._context.heartbeat_interval_s)
+        pause_s = max(MIN_PAUSE_S, PAUSE_HEARTBEATS * self._context.heartbeat_interval_s)
         await work_then_wait(pause_s, self._publish)
 
     async def _publish(self) -> None:
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -1,6 +1,6 @@
-"""What all duties of a term share.
+"""What all parts of a term share.
 
-Its number, the scheduler, and what is learnt from a failed condition of a transaction.
+Its number, the scheduler, and what is learnt from a failed precondition of a transaction.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class LeadershipLostError(Exception):
-    """The term is over."""
+    """The term is over: another controller may be leader."""
 
 
 class LeaseIsValid(Protocol):
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -72,18 +72,18 @@
         settings: Settings,
         store: KeyValueStore,
         machine_types: dict[str, MachineType],
-        accepted: OnAccepted,
-        running: CountRunning,
-        cancelled: ConfirmCancellation,
+        on_accepted: OnAccepted,
+        count_running: CountRunning,
+        confirm_cancellation: ConfirmCancellation,
     ) -> None:
         self._node = settings.node_name
         self._teams = {team.name: team for team in settings.cluster.teams}
         self._value_limit = settings.cluster.state.lasting_value_bytes
         self._store = store
         self._machine_types = machine_types
-        self._accepted = accepted
-        self._running = running
-        self._cancelled = cancelled
+        self._on_accepted = on_accepted
+        self._count_running = count_running
+        self._confirm_cancellation = confirm_cancellation
         self._final: OrderedDict[str, str] = OrderedDict()
         self._busy = 0
         self._sequence = 0
@@ -179,7 +179,7 @@
             spec.tasks,
             spec.team,
         )
-        await self._accepted(job)
+        await self._on_accepted(job)
         return Response(201, wire.job_answer(job.id, wire.PENDING))
 
     def _validate(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
@@ -218,7 +218,7 @@
             return Response(200, wire.job_answer(job_id, final))
         entry = await self._store.get(records.live_key(job_id))
         if entry is not None:
-            running = self._running(job_id)
+            running = self._count_running(job_id)
             stage = wire.RUNNING if running else wire.PENDING
             done = records.completed_count(entry.data)
             return Response(200, wire.job_answer(job_id, stage, done, running))
@@ -229,7 +229,7 @@
             return None
         stage = records.over_stage(entry.data)
         if stage == wire.ABORTED:
-            await self._cancelled(job_id, records.over_at(entry.data, time.time()))
+            await self._confirm_cancellation(job_id, records.over_at(entry.data, time.time()))
         self._keep_final(job_id, stage)
         return Response(200, wire.job_answer(job_id, stage))
 
@@ -261,7 +261,7 @@
                 )
             except PreconditionFailedError:
                 continue  # the leader saved progress, or another cancel came first
-            await self._cancelled(job_id, at)
+            await self._confirm_cancellation(job_id, at)
             self._keep_final(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
             return Response(200, wire.job_answer(job_id, wire.ABORTED))
