--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -97,7 +97,7 @@
         )
 
     async def write(self, lease_id: int, now: float) -> bool:
-        """Write what has changed; False if another's booking came between, or on trouble."""
+        """Write what has changed; False if another controller's came between, or on trouble."""
         self._cut_to_size()
         packed = [reservation.pack() for reservation in self.mine.values()]
         if packed == self._written:
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 #: Jobs moved to `over` at the same time.
-MAX_MOVED_TOGETHER = 8
+MAX_MOVED_JOBS = 8
 #: Longest time between two looks for what is to be written, in seconds.
 MAX_PAUSE_S = 0.25
 
@@ -38,7 +38,7 @@
         while scheduler.finished:
             # Several at a time: users expect `done` within seconds, and one slow answer of
             # the store must not keep all others waiting.
-            batch = scheduler.finished[:MAX_MOVED_TOGETHER]
+            batch = scheduler.finished[:MAX_MOVED_JOBS]
             async with curio.TaskGroup() as group:
                 for job in batch:
                     await group.spawn(self.finish, job)
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -24,10 +24,10 @@
     node: str
     term: int
     leader: str
-    silent: Any  # packed names of machines that the leader does not hear; None: not the leader
+    silent: Any  # packed names of machines without heartbeats; None: not the leader
     served: bool  # whether the store answers it
     enforces: bool  # whether it could end tasks that others keep
-    record: list[Any]  # its record of cancellations: boot, last number, whether it knows all
+    record: list[Any]  # of cancellations: incarnation, last number, whether it knows all
     receipts: dict[str, list[Any]]
 
 
@@ -60,7 +60,7 @@
 
 
 class Relay(NamedTuple):
-    """Workers' reports that a follower took in for the leader."""
+    """Workers' heartbeats that a follower took in for the leader."""
 
     tag: str
     term: int
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -7,7 +7,6 @@
 
 import logging
 import time
-from collections.abc import Callable
 from typing import Protocol
 
 import curio
@@ -42,6 +41,12 @@
     def __call__(self, now: float, /) -> bool: ...
 
 
+class CleanUp(Protocol):
+    """Called with each job that is over, so that what it left in the store is removed."""
+
+    def __call__(self, job: Job, /) -> None: ...
+
+
 class TermContext:
     """One term's common ground: its number, its scheduler, and its access to the store."""
 
@@ -74,8 +79,8 @@
         self.shards = IntentShards(self.value_limit)
         self.wake = curio.Event()
         self.commands_due = curio.Event()  # set where direct commands should not wait
-        #: Told of each job that is over, so that what it left is removed.
-        self.clean_up: Callable[[Job], None] = lambda job: None
+        #: What removes a job's remains; set by whoever does.
+        self.clean_up: CleanUp = lambda job: None
         self._sequence = 0
 
     def token(self) -> str:
@@ -131,7 +136,7 @@
         await self.request_plan()
 
     async def learn_cancellations(self) -> None:
-        """All that the record names; what was read at a take-over may be older."""
+        """All that the record names; what was read in the failover may be older."""
         for job_id, at in self.cancellations.since(0.0):
             await self.cancelled(job_id, at)
 
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -30,7 +30,7 @@
 #: Final answers kept in memory.
 MAX_FINAL_ANSWERS = 5000
 #: User requests under way at once; what comes on top is refused at once.
-MAX_AT_ONCE = 24
+MAX_CONCURRENT_REQUESTS = 24
 #: How long an open outcome is looked into; users wait 5 s for a submission.
 OUTCOME_S = 3.0
 #: Retry-After while the store is out of reach.
@@ -104,7 +104,7 @@
             return Response(405)
         if rest and not wire.valid_job_id(job):
             return Response(404)
-        if self._busy >= MAX_AT_ONCE:
+        if self._busy >= MAX_CONCURRENT_REQUESTS:
             return Response(503, retry_after=await self._busy_wait())
         self._busy += 1
         try:
