--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -49,7 +49,7 @@
 #: Looks under way at once, as a share of the sockets, and at the least.
 LOOKING_SHARE = 1 / 32
 MIN_LOOKS = 4
-#: Report periods between two rounds, and before a release that failed is tried again.
+#: Heartbeat intervals between two rounds, and before a release that failed is tried again.
 ROUND_HEARTBEATS = 0.2
 RELEASE_RETRY_HEARTBEATS = 0.25
 
