--- a/tests/job_specs.py
+++ b/tests/job_specs.py
@@ -6,7 +6,8 @@
 
 import msgspec
 
-from topazhold.wire.messages import JobSpec, MachineType
+from topazhold.wire.cloud import MachineType
+from topazhold.wire.jobs import JobSpec
 
 #: The protocol's names of a job's fields.
 _BODY_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -11,8 +11,9 @@
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
-from topazhold.settings import Operator
-from topazhold.wire.messages import Command, Heartbeat, JobSpec, TaskStatus
+from topazhold.operator_settings import Operator
+from topazhold.wire.jobs import JobSpec
+from topazhold.wire.workers import Command, Heartbeat, TaskStatus
 
 
 class SchedulerHarness:
--- a/tests/test_booking.py
+++ b/tests/test_booking.py
@@ -18,7 +18,8 @@
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.resource_offer import ResourceOffer
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 
 ROOM = (16.0, 4.0, 64.0)
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -4,7 +4,7 @@
 
 from topazhold.control.follower_heartbeats import FollowerHeartbeats, FollowerTiming
 from topazhold.core.leadership import Leadership, Role
-from topazhold.wire.messages import Heartbeat, TaskStatus
+from topazhold.wire.workers import Heartbeat, TaskStatus
 
 
 def report(
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -6,7 +6,7 @@
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.jobs import GangState, Job
 from topazhold.core.task_attempts import AttemptState
-from topazhold.wire.messages import Heartbeat
+from topazhold.wire.workers import Heartbeat
 
 
 def launched(commands: list) -> list[str]:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -14,7 +14,7 @@
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import MachineState
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 
 def service_spec(number: int = 1, **changes: Any) -> JobSpec:
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -18,7 +18,7 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.peer_transport import FRAME_LIMIT, encode
-from topazhold.settings import Operator
+from topazhold.operator_settings import Operator
 from topazhold.wire.codec import json_size
 
 
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -27,7 +27,7 @@
 from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, read
-from topazhold.wire.messages import Commands, Heartbeat
+from topazhold.wire.workers import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -174,7 +174,7 @@
         """Ask a worker what it has, and kill what it must not have."""
         assert place.endpoint is not None
         try:
-            client = await self._clients.at(address(place.endpoint), len(self._looking))
+            client = await self._clients.client_for(address(place.endpoint), len(self._looking))
             status, body = await client.ask(
                 "GET", wire.STATUS_PATH, None, self._heartbeat_interval_s
             )
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -9,8 +9,8 @@
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.io.rate_limit import TokenBucket
 from topazhold.wire import messages as wire
+from topazhold.wire.cloud import ListedMachine, MachineType
 from topazhold.wire.codec import InvalidMessageError, read
-from topazhold.wire.messages import ListedMachine, MachineType
 
 #: Most machines in a page of the list.
 PAGE = 500
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -35,7 +35,8 @@
 from topazhold.io.http import Request, Response
 from topazhold.io.peer_transport import PeerListener
 from topazhold.io.server import Server
-from topazhold.settings import Operator, Settings, address
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings, address
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -23,7 +23,8 @@
 from topazhold.io.client import Client
 from topazhold.io.cpu_accounting import CpuAccounting
 from topazhold.operations.released_machines import ReleasedMachines
-from topazhold.settings import Operator, Settings, address
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings, address
 
 #: Time limits of a request: of the store as a share of the controller's lease, so
 #: that a renewal can be tried again in time, and of the cloud in seconds.
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -23,7 +23,7 @@
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -20,7 +20,7 @@
 from topazhold.io.http import Response
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, read
-from topazhold.wire.messages import Commands, Heartbeat
+from topazhold.wire.workers import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/instance_catalog.py
+++ b/topazhold/control/instance_catalog.py
@@ -7,7 +7,7 @@
 import curio
 
 from topazhold.control.cloud import Cloud, CloudUnavailableError
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -25,7 +25,7 @@
 from topazhold.settings import State as StateLimits
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError, json_size, read
-from topazhold.wire.messages import Entry
+from topazhold.wire.key_value_store import Entry
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -25,11 +25,11 @@
 from topazhold.core.machines import Machine
 from topazhold.core.scheduler import Scheduler
 from topazhold.io.cpu_accounting import WorkCategory
-from topazhold.operations.failover import read_entries
+from topazhold.operations.failover import load_operations
 from topazhold.operations.scale_in import AnnounceReleased
-from topazhold.operations.term_operations import TermOperations
+from topazhold.operations.term_operations import OperationSettings, TermOperations
 from topazhold.wire.codec import InvalidMessageError, convert
-from topazhold.wire.messages import Command, Heartbeat
+from topazhold.wire.workers import Command, Heartbeat
 
 log = logging.getLogger(__name__)
 
@@ -69,9 +69,7 @@
             context,
             services.cloud,
             self._intents,
-            settings,
-            operator,
-            services.controller_lease_s,
+            OperationSettings.of(settings, operator, services.controller_lease_s),
             elected.at,
             announce_released,
         )
@@ -101,13 +99,13 @@
         start = await curio.clock()
         while True:
             try:
-                open_operations = await read_entries(self.context)
+                open_operations = await load_operations(self.context)
                 self._watches.start_from(await load_state(self.context, self._machine_types))
                 break
             except KeyValueStoreError as exc:
                 log.debug("failover waits: %s", exc)
                 await curio.sleep(self.context.retry_s)
-        await self.operations.take_over(open_operations, self._released.names())
+        await self.operations.rebuild(open_operations, self._released.names())
         log.info(
             "leader %s term %d took over in %.2f s: %d jobs, %d machines",
             self.context.node,
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -14,8 +14,9 @@
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import NOT_AGED, QueueKey, Reservation, ReservationTable
 from topazhold.core.resource_offer import AGED, Priority
-from topazhold.settings import Operator, Settings
-from topazhold.wire.messages import JobSpec
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
+from topazhold.wire.jobs import JobSpec
 
 #: Gangs searched for in one round; the rest wait their turn. A controller that is not leader
 #: has time for more, as its share of a core allows: a search lasts about `SEARCH_S` on a whole
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -23,9 +23,10 @@
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 from topazhold.wire.codec import InvalidMessageError
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -16,7 +16,7 @@
 from topazhold.core.reservations import RESERVATION_PREFIX
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError
-from topazhold.wire.messages import WatchPage
+from topazhold.wire.key_value_store import WatchPage
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -22,8 +22,9 @@
 from topazhold.io.http import Request, Response
 from topazhold.settings import Settings, Team
 from topazhold.wire import messages as wire
+from topazhold.wire.cloud import MachineType
 from topazhold.wire.codec import InvalidMessageError, convert, json_size, unpack
-from topazhold.wire.messages import JobSpec, MachineType
+from topazhold.wire.jobs import JobSpec
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -19,7 +19,7 @@
     fits_some_type,
 )
 from topazhold.core.machines import Machine, MachineState
-from topazhold.wire.messages import MachineType
+from topazhold.wire.cloud import MachineType
 
 __all__ = [
     "MAX_RELEASED_MACHINES",
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Command, Heartbeat, TaskStatus
+from topazhold.wire.workers import Command, Heartbeat, TaskStatus
 
 #: A cancellation is kept for so many times `cancel_s` and a lease together: by then
 #: its tasks are long gone, and so are late copies of reports that show them.
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -12,7 +12,8 @@
 from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
 from topazhold.settings import Team
-from topazhold.wire.messages import JobSpec, MachineType
+from topazhold.wire.cloud import MachineType
+from topazhold.wire.jobs import JobSpec
 
 #: More tasks than fit any machine.
 UNLIMITED_TASKS = 1 << 20
--- a/topazhold/core/placement_constraints.py
+++ b/topazhold/core/placement_constraints.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazhold.wire.messages import JobSpec
+from topazhold.wire.jobs import JobSpec
 
 
 def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
--- a/topazhold/core/placement_hints.py
+++ b/topazhold/core/placement_hints.py
@@ -11,7 +11,8 @@
 from typing import Any
 
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Heartbeat, ListedMachine
+from topazhold.wire.cloud import ListedMachine
+from topazhold.wire.workers import Heartbeat
 
 #: Machines known; the leader's list is bounded by what it can use.
 MAX_MACHINES_KNOWN = 10_000
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -11,7 +11,7 @@
 from topazhold.core.machines import Machine
 from topazhold.core.task_attempts import ON_MACHINE, AttemptState, TaskAttempt
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Heartbeat, TaskStatus
+from topazhold.wire.workers import Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/core/timing.py
+++ b/topazhold/core/timing.py
@@ -4,7 +4,8 @@
 
 from dataclasses import dataclass
 
-from topazhold.settings import Operator, Settings
+from topazhold.operator_settings import Operator
+from topazhold.settings import Settings
 
 
 @dataclass(frozen=True, slots=True)
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -10,7 +10,7 @@
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.task_attempts import UNSENT, AttemptState
 from topazhold.wire import messages as wire
-from topazhold.wire.messages import Command, Heartbeat, TaskStatus
+from topazhold.wire.workers import Command, Heartbeat, TaskStatus
 
 log = logging.getLogger(__name__)
 
