--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -68,8 +68,8 @@
 
     operator = version.load("settings", "Operator")()
     controller = version.load("control.controller", "Controller")(settings, operator, dial)
-    member(controller, "rng").seed(simulation.rng.random())
-    member(controller, "peer_connections").update(
+    member(controller, "services.rng").seed(simulation.rng.random())
+    member(controller, "peers.connections").update(
         {
             other: PeerLink(simulation, name, other)
             for other in simulation.controller_names
--- a/tests/test_cancellation_records.py
+++ b/tests/test_cancellation_records.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import time
+from dataclasses import replace
 from typing import Any
 
 import curio
@@ -11,6 +12,7 @@
 from tests.fakes.controllers import make_settings
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from topazhold.control.cancellation_enforcer import CancellationEnforcer
+from topazhold.control.controller_services import initial_state
 from topazhold.core.cancellations import MAX_SENT, Cancellations
 from topazhold.core.placement_hints import PlacementHints
 from topazhold.wire.workers import Heartbeat, TaskStatus
@@ -91,10 +93,9 @@
         )
         cancellation_enforcer = CancellationEnforcer(
             settings,
-            record,
-            placement_hints,
             Cloud(),
             None,  # type: ignore[arg-type]
+            replace(initial_state(settings), cancellations=record, placement_hints=placement_hints),
             lambda job, now: seen_to[job],
             announce_released,
         )
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -17,7 +17,7 @@
 from tests.scenarios import SITES, Scenario, assert_no_violations, run_scenario
 from topazhold.control.cancellation_enforcer import CancellationEnforcer
 from topazhold.control.cancellation_exchange import CancellationExchange
-from topazhold.control.controller import Controller
+from topazhold.control.heartbeat_service import HeartbeatService
 from topazhold.control.leader_term import LeaderTerm
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.cluster_state import ClusterState
@@ -330,7 +330,7 @@
     async def silent(self: Any, peer: str) -> None:
         pass
 
-    monkeypatch.setattr(CancellationExchange, "_broadcast", silent)
+    monkeypatch.setattr(CancellationExchange, "_send_missing", silent)
     monkeypatch.setattr(Cancellations, "informed", True, raising=False)
     assert breaks_on_some_seed(confirmer_ends, monkeypatch)
 
@@ -353,7 +353,7 @@
     no_enforcer(monkeypatch)
     assert cancel_before_outage(leader_ends, monkeypatch, "hive").violations == []
     monkeypatch.setattr(
-        Controller,
+        HeartbeatService,
         "_answer_locally",
         lambda self, heartbeat, term: Response(200, Commands(term, [])),
     )
@@ -368,5 +368,5 @@
 def test_checker_catches_workers_kept_by_who_knows_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Controller, "_informed", lambda self, now: True)
+    monkeypatch.setattr(HeartbeatService, "_is_informed", lambda self, now: True)
     assert breaks_on_some_seed(all_restart, monkeypatch)
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -190,7 +190,7 @@
         assert leader is not None
         scenario.network.lost_directions.add((FakeKeyValueStore.HOST, leader))
         new = await scenario.wait_for_new_leader(
-            leader, 10 * scenario.controllers[leader].controller_lease_s
+            leader, 10 * scenario.controllers[leader].services.controller_lease_s
         )
         await scenario.submit_running_jobs(1, new)
         scenario.network.lost_directions.clear()
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -236,7 +236,7 @@
         await curio.sleep(1.0)
         assert scenario.cloud.operations.forced == [worker.name]
         for node in scenario.controllers.values():
-            assert worker.name in node.released.names()
+            assert worker.name in node.state.released.names()
         await curio.sleep(20.0)
         scenario.store.set_down(False)
         await scenario.stop(leader)
