--- a/tests/test_compat.py
+++ b/tests/test_compat.py
@@ -121,7 +121,7 @@
         sorted(member(member(controller, "follower_heartbeats"), "_silent")),
         sorted(member(cancelled, "_entries").items()),
         member(cancelled, "receipts")(),
-        member(cancelled, "_acked"),
+        member(cancelled, "_acknowledged"),
         {
             name: (member(place, "endpoint"), sorted(member(place, "jobs")))
             for name, place in member(member(controller, "placement_hints"), "places").items()
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -43,6 +43,7 @@
     "Heartbeat": "Report",
     "NoResponseError": "NoAnswer",
     "RequestNotSentError": "NotSent",
+    "_acknowledged": "_acked",
     "cluster_view": "view",
     "completed": "done",
     "completed_count": "done_count",
--- a/topazhold/core/intent_shards.py
+++ b/topazhold/core/intent_shards.py
@@ -1,8 +1,7 @@
-"""Which machines' intents share a value of the state service.
+"""Which machines' intents share a value of the key-value store.
 
-A value per machine made a launch on each of seventy machines cost seventy of
-the twenty changes that the state service takes in a second. Machines of a zone
-share a shard, so a gang or a burst costs a few.
+With a value per machine, launches on many machines would cost as many changes, of which the
+store takes few in a second. Machines of a zone share a shard, so a gang or a burst costs a few.
 """
 
 from __future__ import annotations
@@ -19,13 +18,13 @@
 
 
 class IntentShard:
-    """One value: its mark, and the machines whose intents it holds."""
+    """One value: its revision, and the machines whose intents it has."""
 
     __slots__ = ("name", "revision", "machines")
 
     def __init__(self, name: str, revision: int = 0) -> None:
         self.name = name
-        self.revision = revision
+        self.revision = revision  # 0 if the value was never written
         self.machines: set[str] = set()
 
 
@@ -33,39 +32,39 @@
     """All shards of a term."""
 
     def __init__(self, limit: int) -> None:
-        self._limit = limit  # size of a value
+        self._limit = limit  # bytes of a value
         self._shards: dict[str, IntentShard] = {}
-        self._of: dict[str, IntentShard] = {}
-        self._unwritten: set[IntentShard] = set()  # took machines over, not written since
-        self._last = 0
+        self._by_machine: dict[str, IntentShard] = {}
+        self._unwritten: set[IntentShard] = set()  # with machines of others, not written since
+        self._last_number = 0  # names of shards are numbers
 
     def found(self, name: str, revision: int, machines: Iterable[str]) -> None:
         """A shard that an earlier term has left."""
         assert name not in self._shards
         shard = self._shards[name] = IntentShard(name, revision)
         if name.isdecimal():
-            self._last = max(self._last, int(name))
+            self._last_number = max(self._last_number, int(name))
         for machine in machines:
-            old = self._of.get(machine)
+            old = self._by_machine.get(machine)
             if old is None or old.revision < revision:
                 self._put(machine, shard)
 
     def _put(self, machine: str, shard: IntentShard) -> None:
-        old = self._of.get(machine)
+        old = self._by_machine.get(machine)
         if old is not None:
             old.machines.discard(machine)
         shard.machines.add(machine)
-        self._of[machine] = shard
+        self._by_machine[machine] = shard
 
     def _new(self) -> IntentShard:
-        self._last += 1
-        name = f"{self._last:04d}"
+        self._last_number += 1
+        name = f"{self._last_number:04d}"
         shard = self._shards[name] = IntentShard(name)
         return shard
 
     def of(self, machine: Machine, machines: Mapping[str, Machine]) -> IntentShard:
         """The machine's shard; it gets one of its zone's with a free place."""
-        shard = self._of.get(machine.name)
+        shard = self._by_machine.get(machine.name)
         if shard is None:
             for other in self._shards.values():
                 if len(other.machines) >= MAX_MACHINES:
@@ -80,14 +79,14 @@
         return shard
 
     def gone(self, machine: str) -> IntentShard | None:
-        """A machine is gone; the shard that still holds its intents, if any does."""
-        shard = self._of.pop(machine, None)
+        """A machine is gone; the shard that still has its intents, if any does."""
+        shard = self._by_machine.pop(machine, None)
         if shard is not None:
             shard.machines.discard(machine)
         return shard
 
     def marked(self, name: str, revision: int) -> None:
-        """A shard was written, or read again after its guard failed."""
+        """A shard was written, or read again after its precondition failed."""
         shard = self._shards.get(name)
         if shard is not None:
             shard.revision = revision
@@ -95,7 +94,7 @@
                 self._unwritten.discard(shard)
 
     def unwritten(self) -> list[IntentShard]:
-        """Shards that took machines over and have not been written since."""
+        """Shards that have got machines of others and were not written since, by name."""
         return sorted(self._unwritten, key=lambda shard: shard.name)
 
     @staticmethod
@@ -107,32 +106,32 @@
     def values(
         self, shards: Iterable[IntentShard], machines: Mapping[str, Machine], token: str
     ) -> dict[str, tuple[int, Any]]:
-        """Mark and new value of each shard; one that is too full gives machines away.
+        """Revision and new value of each shard; one that is too full gives machines away.
 
         A shard whose only machine is too large for a value has none here: it can't be
-        written, and what the state service has of it stays.
+        written, and what the key-value store has of it stays.
 
-        A shard that took machines over goes along until it is written: if a
-        transaction with both failed and the next one had the old shard alone,
-        the intents of the machines that left it would be nowhere.
+        A shard that has got machines of another goes along until it is written: if a
+        transaction with both failed and the next one had the old shard alone, the intents
+        of the machines that left it would be nowhere.
         """
-        found: dict[str, tuple[int, Any]] = {}
+        values: dict[str, tuple[int, Any]] = {}
         waiting = sorted({*shards, *self._unwritten}, key=lambda shard: shard.name)
         while waiting:
             shard = waiting.pop(0)
             value = self.value(shard, machines, token)
             if json_size(value) <= self._limit:
-                found[shard.name] = (shard.revision, value)
+                values[shard.name] = (shard.revision, value)
                 continue
             other = self._split(shard, machines)
             if other is not None:
                 waiting += [shard, other]
-        return found
+        return values
 
     def _split(self, shard: IntentShard, machines: Mapping[str, Machine]) -> IntentShard | None:
         """Give half of a shard's machines to a new one; None if that is no help.
 
-        The old value still names them: a new leader takes both as they are. A machine
+        The old value still names them: a new leader reads both as they are. A machine
         whose intents alone are too large, as an earlier version left them under larger
         limits, stays: that value names it already, and no other could.
         """
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -1,4 +1,7 @@
-"""What the service keeps in the state service, key by key."""
+"""Records of jobs and intents in the key-value store, key by key.
+
+Keys and fields keep the names of the first version, so that versions work side by side.
+"""
 
 from __future__ import annotations
 
@@ -20,33 +23,36 @@
 SUMMARY_PREFIX = "sum/"
 RELAY_PREFIX = "relay/"
 
-#: The share of a value's limit that is used.
+#: Share of a value's size limit that is used.
 VALUE_SHARE = 0.9
-#: Names in the spec of a job that is over are cut to so many characters.
+#: Characters; names in the spec of a job that is over are cut to so many.
 OVER_NAME_LENGTH = 40
-
-#: Intents of one machine that fit a value, by the size of one packed run.
+#: Size of one packed attempt, for the number of those on one machine that a value takes.
 ATTEMPT_BYTES = 64
 
 
 def live_key(job: str) -> str:
+    """Of a live job."""
     return LIVE_PREFIX + job
 
 
 def over_key(job: str) -> str:
+    """Of a job that is done or aborted."""
     return OVER_PREFIX + job
 
 
 def part_key(job: str, part: int) -> str:
+    """Of the completion bitmap of a part, from the second on; the first is in the live value."""
     return f"{PART_PREFIX}{job}/{part:03d}"
 
 
 def on_key(shard: str) -> str:
+    """Of a shard's intents."""
     return ON_PREFIX + shard
 
 
 def live_value(job: Job, token: str) -> dict[str, Any]:
-    """A live job: its spec and the done marks of its first part."""
+    """A live job: its spec and the completion bitmap of its first part."""
     value = {
         "by": token,
         "spec": msgspec.to_builtins(job.spec),
@@ -54,21 +60,25 @@
         "node": job.node,
         "count": job.completed_count,
     }
-    done = job.part_text(0)
-    if done:
-        value["done"] = done
+    bitmap = job.part_text(0)
+    if bitmap:
+        value["done"] = bitmap
     return value
 
 
 def marks_size(spec: JobSpec) -> int:
-    """How much a live value may grow by the done marks of its first part."""
+    """Bytes by which a live value may grow with the completion bitmap of its first part."""
     if spec.service:
         return 0
     return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
 
 
 def read_live(data: Any, revision: int, now: float, clock: float) -> Job:
-    """A job out of its live value; `now` is the time of day, `clock` the steady one."""
+    """A job out of its live value; `now` is the time of day, `clock` the steady one.
+
+    Raises:
+        InvalidMessageError, TypeError, ValueError: it is none.
+    """
     if not isinstance(data, dict):
         raise InvalidMessageError("not a live job")
     spec = convert(data.get("spec"), JobSpec)
@@ -84,7 +94,7 @@
     """A job that is over; the spec stays for tasks still on machines.
 
     Of the spec, only what those tasks take of machines and of their team's limit is
-    needed, so the rest is cut: a live value may be larger than the state service takes
+    needed, so the rest is cut: a live value may be larger than the key-value store takes
     by the time the job ends.
     """
     return {"by": token, "spec": _cut_spec(spec), "stage": stage, "at": at}
@@ -101,7 +111,11 @@
 
 
 def read_over(data: Any, now: float, clock: float) -> Job:
-    """A job that is over, for tasks that may still be on machines."""
+    """A job that is over, for tasks that may still be on machines; clocks as in `read_live`.
+
+    Raises:
+        InvalidMessageError, TypeError, ValueError: it is none.
+    """
     if not isinstance(data, dict):
         raise InvalidMessageError("not a job that is over")
     spec = convert(data.get("spec"), JobSpec)
@@ -115,12 +129,13 @@
 
 
 def completed_count(data: Any) -> int:
-    """Tasks done, for display; a record that can't be read still is an accepted job."""
+    """Completed tasks, for display; a record that can't be read still is an accepted job."""
     count = data.get("count", 0) if isinstance(data, dict) else 0
     return count if isinstance(count, int) else 0
 
 
 def over_stage(data: Any) -> str:
+    """The protocol's stage of a job that is over; aborted if the record can't be read."""
     done = isinstance(data, dict) and data.get("stage") == wire.DONE
     return wire.DONE if done else wire.ABORTED
 
@@ -132,7 +147,7 @@
 
 
 def on_value(machines: Iterable[Machine], token: str) -> Any:
-    """A shard's intents: everything that may be, or may come to be, on its machines."""
+    """A shard's intents: all attempts that may be, or may come to be, on its machines."""
     intents = {}
     for machine in machines:
         if machine.attempts:
@@ -150,38 +165,50 @@
     return {"by": token, "boxes": intents}
 
 
+class AttemptIntent(NamedTuple):
+    """One attempt that may be on a machine."""
+
+    job: str
+    task_index: int
+    attempt_number: int
+
+
 class Intents(NamedTuple):
-    """What may be on one machine."""
+    """All attempts that may be on one machine."""
 
     machine: str
     incarnation: int
     zone: str
     spot: bool
     machine_type: str
-    attempts: list[tuple[str, int, int]]
+    attempts: list[AttemptIntent]
 
 
 def read_on(data: Any) -> tuple[list[Intents], list[str]]:
     """The machines of a shard, and the names of those that can't be read."""
-    found: list[Intents] = []
+    readable: list[Intents] = []
     unreadable: list[str] = []
     boxes = data.get("boxes") if isinstance(data, dict) else None
     for name, item in boxes.items() if isinstance(boxes, dict) else ():
         try:
             incarnation, zone, spot, machine_type, attempts = item
-            packed = [
-                (str(job), int(index), int(attempt_number))
-                for job, index, attempt_number in attempts
-            ]
-            found.append(
-                Intents(
-                    str(name), int(incarnation), str(zone), bool(spot), str(machine_type), packed
-                )
+            intents = Intents(
+                str(name),
+                int(incarnation),
+                str(zone),
+                bool(spot),
+                str(machine_type),
+                [
+                    AttemptIntent(str(job), int(index), int(attempt_number))
+                    for job, index, attempt_number in attempts
+                ],
             )
+            readable.append(intents)
         except (TypeError, ValueError):
             unreadable.append(str(name))
-    return found, unreadable
+    return readable, unreadable
 
 
 def parts_of(job: Job) -> int:
+    """Into how many parts the job's completions are divided."""
     return (job.spec.tasks + TASKS_PER_PART - 1) // TASKS_PER_PART
