--- a/topazhold/core/estimates.py
+++ b/topazhold/core/estimates.py
@@ -1,13 +1,15 @@
-"""Run times: the owner's estimate, corrected by what its class has shown."""
+"""Run times: the owner's estimate, corrected by the observed ones of the job's class."""
 
 from __future__ import annotations
 
 import math
 
 #: A class may be corrected by this factor at the most, either way.
-BOUND = 3.0
-#: Weight of one more observed run.
-LEARNING = 0.15
+MAX_CORRECTION = 3.0
+#: Weight of one more observed run time.
+OBSERVATION_WEIGHT = 0.15
+#: Share of the whole run time that a task is taken to need at least until its end.
+MIN_REMAINING_SHARE = 0.15
 
 
 class Estimates:
@@ -17,20 +19,23 @@
         self._log_ratio: dict[str, float] = {}
 
     def learn(self, job_class: str, estimated_s: float, actual_s: float) -> None:
+        """A task has run for `actual_s` seconds; times that are not positive are ignored."""
         if estimated_s <= 0 or actual_s <= 0:
             return
-        limit = math.log(BOUND)
-        seen = max(-limit, min(limit, math.log(actual_s / estimated_s)))
+        limit = math.log(MAX_CORRECTION)
+        observed = max(-limit, min(limit, math.log(actual_s / estimated_s)))
         old = self._log_ratio.get(job_class, 0.0)
-        self._log_ratio[job_class] = old + LEARNING * (seen - old)
+        self._log_ratio[job_class] = old + OBSERVATION_WEIGHT * (observed - old)
 
     def correction(self, job_class: str) -> float:
+        """The factor by which estimates of the class are multiplied."""
         return math.exp(self._log_ratio.get(job_class, 0.0))
 
     def run_s(self, job_class: str, estimated_s: float) -> float:
+        """The corrected run time in seconds."""
         return estimated_s * self.correction(job_class)
 
     def remaining_s(self, job_class: str, estimated_s: float, elapsed_s: float) -> float:
-        """Never near zero: a task that outlives its estimate has some way to go."""
+        """Seconds until the end, never near zero: a task may outlive its estimate."""
         whole = self.run_s(job_class, estimated_s)
-        return max(whole - elapsed_s, 0.15 * whole, 0.0)
+        return max(whole - elapsed_s, MIN_REMAINING_SHARE * whole, 0.0)
--- a/topazhold/core/leadership.py
+++ b/topazhold/core/leadership.py
@@ -1,10 +1,9 @@
 """Who is leader, as one controller knows it.
 
-The leader holds a leased key in the state service. Its terms are numbered; the
-number is the fencing token that workers check. It is kept in a second key that is
-never leased: both are written in one conditional transaction, so a number is given
-once. Every transaction of a term guards the leased key's mark, so a late one fails
-once the term is over.
+The leader has a leased key in the key-value store. Its terms are numbered; the number is the
+fencing token that workers check. It is kept in a second key that is never leased: both are
+written in one compare-and-swap, so a number is given once. Every transaction of a term has the
+leased key's revision as a precondition, so a late one fails once the term is over.
 
 The stored keys and fields keep the names of the first version.
 """
@@ -19,26 +18,29 @@
 
 
 class Role(Enum):
+    """What a controller is in the election."""
+
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
-    LEADER = "queen"
+    LEADER = "leader"
 
 
 class Leadership:
-    """The controller's role, and the newest term that it has heard of."""
+    """The controller's role, and the newest term that it knows of."""
 
     def __init__(self, node: str) -> None:
         self.node = node
         self.role = Role.FOLLOWER
-        self.leader: str | None = None
-        self.term = 0  # newest term heard of
+        self.leader: str | None = None  # name of the controller that leads
+        self.term = 0  # newest term known
 
     @property
     def is_leader(self) -> bool:
+        """Whether this controller leads."""
         return self.role is Role.LEADER
 
     def become_candidate(self) -> None:
-        """The key is free: try for it."""
+        """The leased key is free: try for it."""
         if self.role is Role.FOLLOWER:
             self.role = Role.CANDIDATE
 
@@ -49,15 +51,15 @@
         self.term = max(term, self.term)
 
     def become_follower(self) -> bool:
-        """Give up the role; whether there was one."""
-        was = self.role is Role.LEADER
+        """Give up the role; whether this controller has led."""
+        was_leader = self.role is Role.LEADER
         self.role = Role.FOLLOWER
         if self.leader == self.node:
             self.leader = None
-        return was
+        return was_leader
 
     def learn(self, leader: str, term: int) -> bool:
-        """Hear of a term; True if it ends this node's own."""
+        """Take note of a term; True if it ends this controller's own."""
         if term < self.term or (term == self.term and self.is_leader):
             return False
         ended = self.is_leader and term > self.term
@@ -68,18 +70,19 @@
         return ended
 
     def vacant(self, term: int | None = None) -> None:
-        """The key of term `term` (or of any) is gone."""
+        """The leased key of term `term`, or of any, is gone."""
         if self.role is Role.LEADER:
             return
         if term is None or term >= self.term:
             self.leader = None
 
     def value(self, term: int) -> dict[str, Any]:
+        """The leased key's value."""
         return {"node": self.node, "crown": term}
 
 
 def read_value(data: Any) -> tuple[str, int] | None:
-    """Name and term out of the leased key's value."""
+    """The leader's name and term out of the leased key's value; None if it is none."""
     if not isinstance(data, dict):
         return None
     node, term = data.get("node"), data.get("crown")
--- a/topazhold/core/placement_hints.py
+++ b/topazhold/core/placement_hints.py
@@ -1,8 +1,8 @@
-"""Where tasks may be, as a controller knows it that does not lead.
+"""Where tasks may be, as a follower knows it.
 
-Hints, for one purpose: to end the tasks of cancelled jobs when no leader can.
-They come from what the leader tells of the machines that change, and from the
-reports that this controller answers itself.
+Hints, for one purpose: to end the tasks of cancelled jobs when no leader can. They come from
+the leader's messages about machines that change, and from the heartbeats that this controller
+answers itself.
 """
 
 from __future__ import annotations
@@ -18,23 +18,23 @@
 
 
 class PlacementHint:
-    """One machine: how to reach it, and whose tasks may be on it."""
+    """One machine: how to reach its worker, and whose tasks may be on it."""
 
     __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "looks")
 
     def __init__(self, endpoint: str | None) -> None:
         self.endpoint = endpoint
         self.jobs: frozenset[str] = frozenset()
-        self.incarnation = 0
+        self.incarnation = 0  # of the newest heartbeat, as is the sequence
         self.sequence = -1
-        self.looks = 0.0  # when it was last looked at, on the steady clock
+        self.looks = 0.0  # when its worker was last probed, on the steady clock
 
 
 class PlacementHints:
-    """All machines of which this controller has heard."""
+    """All machines of which this controller knows, by name."""
 
     def __init__(self) -> None:
-        self.term = 0
+        self.term = 0  # of the newest leader whose message has come
         self.places: dict[str, PlacementHint] = {}
 
     def _hint(self, name: str, endpoint: str | None) -> PlacementHint:
@@ -48,7 +48,7 @@
         return hint
 
     def update_from_leader(self, term: int, items: Iterable[Any]) -> None:
-        """What a leader tells: machine, endpoint, and jobs, or None if it is gone."""
+        """A leader's items: machine, endpoint, and jobs, or None if the machine is gone."""
         if term < self.term:
             return
         self.term = term
@@ -59,7 +59,7 @@
                 self._hint(str(name), endpoint).jobs = frozenset(map(str, jobs))
 
     def update_from_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """A worker's own word; an older one than is known says nothing."""
+        """A worker's own heartbeat; one that is not newer than the last changes nothing."""
         hint = self._hint(heartbeat.machine, heartbeat.endpoint)
         if (heartbeat.incarnation, heartbeat.sequence) <= (hint.incarnation, hint.sequence):
             return
@@ -69,16 +69,17 @@
         )
 
     def listed(self, listed_machines: Iterable[ListedMachine]) -> None:
-        """The cloud's list: machines that nobody has told of."""
+        """The cloud's list, for machines that no message and no heartbeat has named."""
         for item in listed_machines:
             if item.endpoint is not None:
                 self._hint(item.id, item.endpoint)
 
     def gone(self, name: str) -> None:
+        """The machine is proven gone."""
         self.places.pop(name, None)
 
     def machines_of(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
-        """Machines that may hold tasks of these jobs, with which."""
+        """Machines that may have tasks of these jobs, with which of the jobs."""
         return {
-            name: reserved for name, hint in self.places.items() if (reserved := hint.jobs & jobs)
+            name: present for name, hint in self.places.items() if (present := hint.jobs & jobs)
         }
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -1,48 +1,60 @@
-"""Who may be stopped for whom, and whom it costs least to stop."""
+"""Who may be preempted for whom, and whom it costs least to preempt."""
 
 from __future__ import annotations
 
 from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, add_resources, fits
 from topazhold.core.quota import Usage
-from topazhold.core.reservations import NOT_AGED, QueueKey
-from topazhold.core.resource_offer import AGED
+from topazhold.core.reservations import NOT_AGED, URGENCY_LEVELS, QueueKey
+from topazhold.core.resource_offer import AGED, Priority
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
+#: Seconds of work; what preempting a replica costs: it is the last to be chosen.
+SERVICE_LOSS_S = 1e5
+#: Seconds of work that every preempted task costs beside what it loses.
+TASK_LOSS_S = 1.0
+#: Seconds of work that each level above the least urgent one adds.
+URGENCY_LOSS_S = 10.0
+#: Seconds of work that each level above the preempting work's adds.
+MORE_URGENT_LOSS_S = 60.0
+LEAST_URGENT_LEVEL = URGENCY_LEVELS - 1
+
 
-def priority(job: Job) -> tuple[int, int]:
-    """The order in which work goes: within a guarantee first, then by urgency.
+def priority(job: Job) -> Priority:
+    """The order in which work is scheduled: within a guaranteed quota first, then by urgency.
 
-    A gang that has waited long is as good as within a guarantee. Without that,
-    work within guarantees fills every machine that a large gang needs, task by
-    task, and the gang never begins.
+    An aged gang counts as within its guaranteed quota. Without that, work within such quotas
+    fills every machine that a large gang needs, task by task, and the gang never begins.
     """
     return (0 if job.within_guarantee or job.is_aged else 1, job.urgency_level)
 
 
 def queue_key(job: Job) -> QueueKey:
-    """Whose holds bind whom: those of one class bind each other, first come first served.
+    """The job's place in the queue: by priority, then by the wait objective of its class.
 
-    A class that is to start within ten seconds goes before one that has a minute.
-    A gang that has waited long goes before them all, by its submission.
+    An aged gang goes before all others of its priority, by the time of its submission.
     """
     return (*priority(job), job.submitted if job.is_aged else NOT_AGED + job.wait_objective_s)
 
 
-def behind(first: tuple[int, int], victim: Job) -> bool:
-    """Whether work of rank `first` might stop the victim, teams left aside."""
-    if first[0] == AGED:
-        return victim.urgency_level > first[1]
-    if first >= priority(victim):
+def behind(preempting: Priority, victim: Job) -> bool:
+    """Whether work of a priority might preempt the victim, teams left aside."""
+    outside_quota, urgency_level = preempting
+    if outside_quota == AGED:
+        return victim.urgency_level > urgency_level
+    if preempting >= priority(victim):
         return False
-    return victim.urgency_level > first[1] or (first[0] == 0 and not victim.within_guarantee)
+    return victim.urgency_level > urgency_level or (
+        outside_quota == 0 and not victim.within_guarantee
+    )
 
 
 def may_stop(job: Job, victim: Job, usage: Usage) -> bool:
-    """Higher priority, or a guarantee against what another team borrows.
+    """Whether the job may preempt the victim.
 
-    Both only against work that ranks behind: else urgent work beyond a
-    guarantee and low work within one stop each other in turn for ever.
+    It may with the higher urgency, or within its guaranteed quota what another team uses
+    beyond its own. Both only against work of lower priority: else urgent work beyond a quota
+    and less urgent work within one would preempt each other in turn for ever.
     """
     if priority(job) >= priority(victim):
         return False
@@ -55,14 +67,10 @@
     )
 
 
-#: What stopping a replica costs, in seconds of work: it is the last to be chosen.
-SERVICE_LOSS_S = 1e5
-
-
 def loss(attempt: TaskAttempt, now: float, urgency_level: int = 0) -> float:
-    """Seconds of work, over all tasks told to stop with it, that a stop costs.
+    """Seconds of work that preempting the attempt costs, over all tasks that stop with it.
 
-    `level` is the urgency of the work that it would be stopped for.
+    `urgency_level` is that of the work that it would be preempted for.
     """
     job = attempt.job
     tasks = len(job.attempts) if job.gang else 1
@@ -71,13 +79,20 @@
     more_urgent = max(0, urgency_level - job.urgency_level)
     if job.service:
         return SERVICE_LOSS_S + elapsed
-    return (lost + 1.0) * tasks + 10.0 * (3 - job.urgency_level) + 60.0 * more_urgent
+    return (
+        (lost + TASK_LOSS_S) * tasks
+        + URGENCY_LOSS_S * (LEAST_URGENT_LEVEL - job.urgency_level)
+        + MORE_URGENT_LOSS_S * more_urgent
+    )
 
 
 def victims(
     machine: Machine, need: Resources, job: Job, usage: Usage, reserved: Resources, now: float
 ) -> list[TaskAttempt] | None:
-    """Runs to stop so that `need` fits; [] if it will fit anyhow, None if it can't."""
+    """Attempts to preempt so that `need` fits; [] if it will fit anyhow, None if it can't.
+
+    `reserved` is what is kept for others on the machine.
+    """
     available = add_resources(machine.free(), reserved, -1.0)
     candidates: list[TaskAttempt] = []
     for attempt in machine.attempts.values():
@@ -87,7 +102,7 @@
             available = add_resources(available, attempt.job.need)
         elif may_stop(job, attempt.job, usage) and attempt.job is not job:
             if attempt.job.gang and attempt.job.gang_state is GangState.STARTING:
-                continue  # it has not begun to run; its own clock decides first
+                continue  # not running yet: its own time limit decides first
             if attempt.state is not AttemptState.INTENDED:
                 candidates.append(attempt)
     if fits(need, available):
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -1,4 +1,7 @@
-"""What teams use, may use and are guaranteed."""
+"""What teams use, their quota limits and their guaranteed quotas.
+
+A limit or a guaranteed quota of 0 means that there is none.
+"""
 
 from __future__ import annotations
 
@@ -10,31 +13,35 @@
 
 
 def team_limit_allows(team: Team, cpus: float, gpus: float) -> bool:
-    """Whether so much may be in use at once; a limit of 0 means none."""
+    """Whether the team may use so much at once."""
     if team.cpus_max and cpus > team.cpus_max + SLACK:
         return False
     return not team.gpus_max or gpus <= team.gpus_max + SLACK
 
 
 class Usage:
-    """Counts, per team, what every run takes from its intent until it is gone."""
+    """Counts, per team, the CPUs and GPUs of every attempt from its intent until it is gone."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
         self.teams = {team.name: team for team in teams}
-        self._used: dict[str, list[float]] = {name: [0.0, 0.0] for name in self.teams}
+        self._used: dict[str, list[float]] = {  # [CPUs, GPUs]
+            name: [0.0, 0.0] for name in self.teams
+        }
 
     def add(self, job: Job, count: int = 1) -> None:
+        """Count so many more tasks of the job."""
         used = self._used.setdefault(job.spec.team, [0.0, 0.0])
         used[0] += job.need[0] * count
         used[1] += job.need[1] * count
 
     def remove(self, job: Job, count: int = 1) -> None:
+        """Count so many tasks of the job less."""
         self.add(job, -count)
 
     def allows(self, job: Job, count: int = 1, claimed: tuple[float, float] = (0.0, 0.0)) -> bool:
         """Whether `count` more tasks of the job stay within its team's limit.
 
-        `claimed` is what others of the team are to have first; a negative
+        `claimed` is the CPUs and GPUs that others of the team are to have first; a negative
         amount is what some of them would give up.
         """
         team = self.teams.get(job.spec.team)
@@ -48,48 +55,51 @@
         )
 
     def beyond_guarantee(self, team_name: str) -> bool:
-        """Whether the team borrows."""
+        """Whether the team uses more than its guaranteed quota; a team without one always does."""
         team = self.teams.get(team_name)
         used = self._used.get(team_name)
         if team is None or used is None:
             return True
-        for least, amount in ((team.cpus, used[0]), (team.gpus, used[1])):
-            if least and amount > least + SLACK:
+        for guaranteed, amount in ((team.cpus, used[0]), (team.gpus, used[1])):
+            if guaranteed and amount > guaranteed + SLACK:
                 return True
         return not team.cpus and not team.gpus
 
     def used(self, team_name: str) -> tuple[float, float]:
+        """CPUs and GPUs that the team uses now."""
         used = self._used.get(team_name, (0.0, 0.0))
         return (used[0], used[1])
 
 
 def mark_guaranteed(jobs: Iterable[Job], teams: dict[str, Team]) -> None:
-    """Set `within` on jobs that fit their team's guarantee with its earlier ones."""
-    sums: dict[str, list[float]] = {}
+    """Set `within_guarantee` on jobs that fit their team's quota with its earlier ones."""
+    totals: dict[str, list[float]] = {}
     for job in sorted(jobs, key=lambda job: (job.submitted, job.id)):
         team = teams.get(job.spec.team)
-        total = sums.setdefault(job.spec.team, [0.0, 0.0])
+        total = totals.setdefault(job.spec.team, [0.0, 0.0])
         total[0] += job.need[0] * job.spec.tasks
         total[1] += job.need[1] * job.spec.tasks
         job.within_guarantee = team is not None and (
-            _takes_nothing(team, job) or _fits_guarantee(team, total)
+            _needs_nothing_guaranteed(team, job) or _fits_guarantee(team, total)
         )
 
 
-def _takes_nothing(team: Team, job: Job) -> bool:
-    """Whether the job needs nothing of what its team is guaranteed, so that it borrows nothing.
+def _needs_nothing_guaranteed(team: Team, job: Job) -> bool:
+    """Whether the job needs nothing of what its team is guaranteed, so that it exceeds nothing.
 
     Services beside work on GPUs are like that: without this a team's training jobs would
-    put its services outside a guarantee that counts GPUs only.
+    put its services outside a quota that counts GPUs only.
     """
-    guaranteed = [
-        need for least, need in zip((team.cpus, team.gpus), job.need, strict=False) if least
+    needs = [
+        need
+        for guaranteed, need in zip((team.cpus, team.gpus), job.need, strict=False)
+        if guaranteed
     ]
-    return bool(guaranteed) and not any(guaranteed)
+    return bool(needs) and not any(needs)
 
 
 def _fits_guarantee(team: Team, total: list[float]) -> bool:
-    """A guarantee of 0 cards means none, so work on cards is never within it."""
+    """Whether so many CPUs and GPUs are guaranteed; without a quota of GPUs, none of these is."""
     if not team.gpus and not team.cpus:
         return False
     if team.gpus and total[1] > team.gpus + SLACK:
