--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -132,6 +132,7 @@
     open_zones: list[str]
 
     def machines_in(self, zone: str) -> int:
+        """Machines of this kind that the zone has, now or soon."""
         return self.fleet.zones.get((zone, self.spot), 0)
 
     def shortfall(self, zone: str, machines: float) -> int:
@@ -139,6 +140,21 @@
         return math.ceil(machines) - self.machines_in(zone)
 
 
+def _supply(
+    machine_type: MachineType,
+    spot: bool,
+    fleet: Fleet,
+    capacity_backoff: CapacityBackoff,
+    now: float,
+) -> _Supply:
+    open_zones = [
+        zone
+        for zone in machine_type.zones
+        if capacity_backoff.may_request(machine_type.name, zone, spot, now)
+    ]
+    return _Supply(machine_type.name, spot, fleet, open_zones)
+
+
 class _ScaleOutPlan(NamedTuple):
     """Requests of one kind, and the machines that can't be requested: in all, and by zone."""
 
@@ -159,23 +175,16 @@
     Spot instances are requested first; what the cloud won't give of them is made up by
     ordinary machines.
     """
-
-    def supply(spot: bool) -> _Supply:
-        open_zones = [
-            zone
-            for zone in machine_type.zones
-            if capacity_backoff.may_request(machine_type.name, zone, spot, now)
-        ]
-        return _Supply(machine_type.name, spot, fleet, open_zones)
-
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
     ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
     # Ordinary machines beyond the demand for them serve spot work too.
     spare = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
-    spot_plan = _plan_scale_out(supply(True), math.ceil(spot_demand.total) - spare, spot_demand)
+    spot_supply = _supply(machine_type, True, fleet, capacity_backoff, now)
+    spot_plan = _plan_scale_out(spot_supply, math.ceil(spot_demand.total) - spare, spot_demand)
     substitutes = _with_substitutes(ordinary_demand, spot_demand, spot_plan, fleet)
+    ordinary_supply = _supply(machine_type, False, fleet, capacity_backoff, now)
     ordinary_total = math.ceil(ordinary_demand.total) + spot_plan.missing
-    ordinary_plan = _plan_scale_out(supply(False), ordinary_total, substitutes)
+    ordinary_plan = _plan_scale_out(ordinary_supply, ordinary_total, substitutes)
     return spot_plan.requests + ordinary_plan.requests
 
 
--- a/topazhold/core/completion_bitmap.py
+++ b/topazhold/core/completion_bitmap.py
@@ -1,4 +1,4 @@
-"""The stored form of completion marks: a bitmap as text, since values carry no binary data."""
+"""The stored form of completions: a bitmap as text, since values carry no binary data."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
     if not any(completed):
         return ""
     bits = 0
-    for offset, mark in enumerate(completed):
-        if mark:
+    for offset, is_completed in enumerate(completed):
+        if is_completed:
             bits |= 1 << offset
     return base64.b64encode(bits.to_bytes((len(completed) + 7) // 8, "little")).decode("ascii")
 
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -166,22 +166,22 @@
 
 
 def score_reserved(
-    reserved: Mapping[str, int],
+    slots: Mapping[str, int],
     caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
     priority: Priority,
-    taken: Mapping[str, Resources],
+    reserved: Mapping[str, Resources],
     rules: SearchRules,
 ) -> float:
     """What a group that is reserved already would score by what is known now.
 
-    `reserved` has its tasks by machine, `taken` what is kept for others.
+    `slots` has its tasks by machine, `reserved` what is kept for others.
     """
-    context = SearchContext(spec, priority, taken, rules)
+    context = SearchContext(spec, priority, reserved, rules)
     group: list[Slot] = []
     for offers in caches.values():
         for offer in offers:
-            count = reserved.get(offer.name, 0)
+            count = slots.get(offer.name, 0)
             if count:
                 group += offer_slots(offer, context, count)
     if len(group) != spec.tasks:
@@ -195,16 +195,16 @@
     caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
     priority: Priority,
-    taken: Mapping[str, Resources],
+    reserved: Mapping[str, Resources],
     rules: SearchRules,
     tries: int,
 ) -> Group | None:
     """The best group of a few independent searches, each from its own pivot.
 
-    `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone, `taken`
-    what is kept for others by machine.
+    `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone,
+    `reserved` what is kept for others by machine.
     """
-    context = SearchContext(spec, priority, taken, rules)
+    context = SearchContext(spec, priority, reserved, rules)
     best: Group | None = None
     slots_by_zone: dict[str, list[Slot]] = {}
     exhausted_zones: set[str] = set()
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -88,7 +88,7 @@
         return self.spec.tasks - self.completed_count - len(self.attempts)
 
     def running_count(self) -> int:
-        """Tasks whose attempt runs."""
+        """Tasks that are running."""
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def waiting_tasks(self) -> Iterator[int]:
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -192,7 +192,7 @@
             for reservation in reservation_table.all()
             if (queue_key := queue_key_of(reservation)) is not None
         ]
-        #: Those whose turn has not come, the next one last.
+        #: Those that are still behind in the queue, the next one last.
         self._waiting = sorted(queued, key=lambda item: item[:2], reverse=True)
         self._own: dict[str, list[_QueuedReservation]] = {}  # by job
         #: By the urgency level that must leave them alone, then by machine.
--- a/topazhold/core/resource_offer.py
+++ b/topazhold/core/resource_offer.py
@@ -59,7 +59,7 @@
         """What work of a priority may preempt.
 
         An aged gang has steps of its own only where it may preempt less than work within its
-        guaranteed quota; elsewhere the steps of such work hold for it.
+        guaranteed quota; elsewhere the steps of such work apply to it.
         """
         steps = [
             (delay, available)
