--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -236,8 +236,9 @@
 
 def _spread(machines: int, counts: dict[str, int], supply: _Supply) -> None:
     """Add machines one by one to the zone that will have the fewest."""
+    present = {zone: supply.machines_in(zone) for zone in counts}
     for _ in range(machines):
-        zone = min(counts, key=lambda zone: (supply.machines_in(zone) + counts[zone], zone))
+        zone = min(counts, key=lambda zone: (present[zone] + counts[zone], zone))
         counts[zone] += 1
 
 
