--- a/tests/versions.py
+++ b/tests/versions.py
@@ -45,6 +45,7 @@
     "Heartbeat": "Report",
     "NoResponseError": "NoAnswer",
     "RequestNotSentError": "NotSent",
+    "_acknowledged": "_acked",
     "completed": "done",
     "completed_count": "done_count",
     "follower_heartbeats": "fallback",
