--- a/tests/random_days.py
+++ b/tests/random_days.py
@@ -28,7 +28,7 @@
 ALL = CONTROLLERS + NETWORK + OUTSIDE + MACHINES
 
 
-def play(
+def play(  # noqa: PLR0913 - a day has many settings, all named where it is called
     seed: int,
     kinds: list[str],
     monkeypatch: Any,
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -211,7 +211,7 @@
             known = sorted(self._simulation.rules.reported_stages)
             kind = self._rng.choice(UNUSUAL_REQUESTS)
             if kind in ("huge", "lacking"):
-                status = await self._submit_impossible(kind, number)
+                status: int | None = await self._submit_impossible(kind, number)
             elif known:
                 status = await self._ask_unusually(kind, self._rng.choice(known))
             else:
--- a/tests/test_cancellation_records.py
+++ b/tests/test_cancellation_records.py
@@ -93,7 +93,7 @@
         )
         cancellation_enforcer = CancellationEnforcer(
             settings,
-            Cloud(),
+            Cloud(),  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
             replace(initial_state(settings), cancellations=record, placement_hints=placement_hints),
             lambda job, now: seen_to[job],
--- a/tests/test_compound_failures_requests.py
+++ b/tests/test_compound_failures_requests.py
@@ -56,7 +56,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Whoever writes first wins, and stays."""
-    outcomes = set()
+    outcomes: set[str] = set()
     for seed in range(4):
 
         async def act(scenario: Scenario) -> None:
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -342,7 +342,7 @@
 
 def order_before_record(patch: pytest.MonkeyPatch) -> None:
     """Orders are sent though they are not recorded."""
-    init = OperationLog.__init__
+    init: Any = OperationLog.__init__
     patch.setattr(
         OperationLog, "__init__", lambda self, *args, **kwargs: init(self, *args[:3], 20.0, False)
     )
--- a/tests/test_heads.py
+++ b/tests/test_heads.py
@@ -33,7 +33,7 @@
 def exchange(pieces: list[bytes], answers: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
     """All requests of a connection as the server sees them, and all that it sends."""
     sock = ScriptedSocket(list(pieces))
-    connection = Connection(sock, None, 0.0)  # type: ignore[arg-type]
+    connection = Connection(sock, None, 0.0)
     seen: list[Any] = []
     while True:
         try:
--- a/tests/test_scheduler_failover.py
+++ b/tests/test_scheduler_failover.py
@@ -7,7 +7,7 @@
 from topazhold.core import failover
 from topazhold.core.autoscaling import counts_as_capacity
 from topazhold.core.jobs import GangState, Job, JobState
-from topazhold.core.records import Intents
+from topazhold.core.records import AttemptIntent, Intents
 from topazhold.wire.cloud import ListedMachine
 from topazhold.wire.workers import TaskStatus
 
@@ -16,7 +16,7 @@
     """An intent may be running until its machine has reported under this term."""
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
-    intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
+    intents = [Intents("host-0", 1, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     harness.heartbeat("host-1")
     assert harness.plan_and_commit() == []
@@ -30,7 +30,7 @@
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
     job.abort(harness.now)
-    intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
+    intents = [Intents("host-0", 1, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     assert harness.scheduler.usage.used("red") == (4.0, 2.0)
     harness.scheduler.tick(harness.now)
@@ -44,7 +44,7 @@
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
     job.abort(harness.now - 0.7 * harness.scheduler.cancel_s)
-    intents = [Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)])]
+    intents = [Intents("host-0", 1, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     harness.scheduler.tick(harness.now)
     assert harness.scheduler.releases == {}
@@ -57,8 +57,8 @@
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(tasks=2), harness.now, 1e9, "hive-0")
     intents = [
-        Intents("host-0", 1, "a", False, "b1", [("wk-000001", 0, 77)]),
-        Intents("host-2", 1, "a", False, "b1", [("wk-000001", 1, 77)]),
+        Intents("host-0", 1, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)]),
+        Intents("host-2", 1, "a", False, "b1", [AttemptIntent("wk-000001", 1, 77)]),
     ]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     for index, name in enumerate(("host-0", "host-2")):
@@ -80,7 +80,7 @@
     """A machine that no command reaches never reports under the new term."""
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
-    intents = [Intents("host-0", 3, "a", False, "b1", [("wk-000001", 0, 77)])]
+    intents = [Intents("host-0", 3, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     harness.heartbeat("host-1")
     harness.heartbeat("host-0", term=7, incarnation=3)
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -44,7 +44,9 @@
 def test_every_task_of_a_stopped_gang_gets_time_to_save(harness: SchedulerHarness) -> None:
     job = running_gang(harness)
     harness.scheduler.preempt(job.attempts[0], "test", harness.now)
-    assert {attempt.stop_grace >= job.spec.save_s for attempt in job.attempts.values()} == {True}
+    graces = [attempt.stop_grace for attempt in job.attempts.values()]
+    assert graces
+    assert all(grace is not None and grace >= job.spec.save_s for grace in graces)
     assert harness.scheduler.to_command >= {"host-0", "host-2"}
     assert all(harness.scheduler.kills(harness.scheduler.machines[n]) for n in ("host-0", "host-2"))
 
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -6,10 +6,10 @@
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core.jobs import GangState, Job
 from topazhold.core.task_attempts import AttemptState
-from topazhold.wire.workers import Heartbeat
+from topazhold.wire.workers import Command, Heartbeat
 
 
-def launched(commands: list) -> list[str]:
+def launched(commands: list[Command]) -> list[str]:
     return [command.task_name for command in commands if command.kind == "launch"]
 
 
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -7,7 +7,7 @@
 from topazhold.core import failover
 from topazhold.core.jobs import Job
 from topazhold.core.machines import MachineState
-from topazhold.core.records import Intents
+from topazhold.core.records import AttemptIntent, Intents
 from topazhold.core.task_attempts import AttemptState
 from topazhold.wire.cloud import ListedMachine
 
@@ -132,7 +132,7 @@
     harness = SchedulerHarness(machines=0, term=8)
     names = [f"host-{number}" for number in range(8)]
     intents = [
-        Intents(name, 1, "a", False, "b1", [("wk-000001", number, 77)])
+        Intents(name, 1, "a", False, "b1", [AttemptIntent("wk-000001", number, 77)])
         for number, name in enumerate(names)
     ]
     job = Job(make_spec(shape="batch", tasks=8), harness.now, 1e9, "hive-0")
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -3,10 +3,14 @@
 from __future__ import annotations
 
 from random import Random
+from typing import Any
+
+import pytest
 
 from tests.job_specs import make_spec
 from topazhold.core import candidate_slots, group_search, zone_summary
 from topazhold.core.candidate_slots import SearchContext, SearchRules
+from topazhold.core.jobs import Resources
 from topazhold.core.reservations import (
     QueueKey,
     Reservation,
@@ -16,6 +20,7 @@
 )
 from topazhold.core.resource_offer import ResourceOffer, unpack_offer
 from topazhold.wire.codec import json_size
+from topazhold.wire.jobs import JobSpec
 
 RULES = SearchRules(2.0, 16, 20, distance_s=1.0, preference_s=0.5)
 ROOM = (16.0, 4.0, 64.0)
@@ -32,9 +37,16 @@
     return [(item.name, item.zone) for item in offers], caches
 
 
-def find(spec, directory, caches, seed: int = 1, taken=None, tries: int = 2):
+def find(
+    spec: JobSpec,
+    directory: list[tuple[str, str]],
+    caches: dict[str, list[ResourceOffer]],
+    seed: int = 1,
+    taken: dict[str, Resources] | None = None,
+    tries: int = 2,
+) -> group_search.Group | None:
     return group_search.search(
-        Random(seed), directory, caches, spec, (1, 2), taken or {}, RULES, tries
+        Random(seed), directory, caches, SearchContext(spec, (1, 2), taken or {}, RULES), tries
     )
 
 
@@ -213,14 +225,14 @@
         assert zone_summary.unpack_names(zone_summary.pack_names(few)) == few
 
 
-def test_small_gang_gets_the_best_of_all_groups() -> None:
+def test_small_gang_gets_the_best_of_all_groups(monkeypatch: pytest.MonkeyPatch) -> None:
     """A swap loop tried some 70 groups of four candidates, which make six, and half the
     processor time of a full fleet went there: a day took over 400 s of it."""
     rng = Random(3)
     scored: list[int] = []
     score_group = group_search.score_group
 
-    def counted(*args):
+    def counted(*args: Any) -> Any:
         scored.append(1)
         return score_group(*args)
 
@@ -228,12 +240,10 @@
         offers = [offer(f"m{n}", "a", rng.uniform(0.0, 60.0)) for n in range(12)]
         directory, caches = fleet(*offers)
         spec = make_spec(tasks=size, gpus=4.0)
-        group_search.score_group = counted
-        try:
-            scored.clear()
+        scored.clear()
+        with monkeypatch.context() as patch:
+            patch.setattr(group_search, "score_group", counted)
             group = find(spec, directory, caches, tries=6)
-        finally:
-            group_search.score_group = score_group
         soonest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
         assert group is not None and set(group.slots) == {item.name for item in soonest}
         assert len(scored) <= 73, "each group once, however many tries"
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -26,7 +26,7 @@
 from topazhold.control.election import ElectionResult
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
-from topazhold.core.candidate_slots import SearchRules
+from topazhold.core.candidate_slots import SearchContext, SearchRules
 from topazhold.core.group_search import search
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import priority, queue_key
@@ -149,7 +149,7 @@
 def http_exchange(body: bytes) -> Callable[[], None]:
     """Receives a heartbeat and sends an answer without commands."""
     head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
-    connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)  # type: ignore[arg-type]
+    connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)
     answer = Response(200, Commands(TERM, []))
 
     def exchange() -> None:
@@ -190,7 +190,8 @@
 
     def one() -> None:
         """One search."""
-        search(fleet.rng, directory, caches, job.spec, priority(job), {}, rules, SEARCH_TRIES)
+        context = SearchContext(job.spec, priority(job), {}, rules)
+        search(fleet.rng, directory, caches, context, SEARCH_TRIES)
 
     return one
 
--- a/tools/pauses.py
+++ b/tools/pauses.py
@@ -28,7 +28,7 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             return play_pause(Path(folder), point, kind, seed, operator)
-        except Exception as exc:  # a scene that hangs or crashes is a result, too
+        except Exception as exc:  # noqa: BLE001 - a scene that hangs or crashes is a result, too
             return f"{kind}, {point}, seed {seed}: {type(exc).__name__}: {exc}"
 
 
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -8,7 +8,7 @@
 
 from topazhold.control.cluster_view import ClusterView
 from topazhold.control.gang_reservations import GangReservations
-from topazhold.core.candidate_slots import SearchRules
+from topazhold.core.candidate_slots import SearchContext, SearchRules
 from topazhold.core.group_search import Group, score_reserved, search
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
@@ -146,10 +146,7 @@
             self._rng,
             cluster_view.directory,
             cluster_view.caches,
-            pending.spec,
-            pending.priority,
-            taken,
-            self.rules,
+            SearchContext(pending.spec, pending.priority, taken, self.rules),
             self._tries,
         )
 
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -193,18 +193,14 @@
     rng: Random,
     directory: Sequence[tuple[str, str]],
     caches: Mapping[str, Sequence[ResourceOffer]],
-    spec: JobSpec,
-    priority: Priority,
-    reserved: Mapping[str, Resources],
-    rules: SearchRules,
+    context: SearchContext,
     tries: int,
 ) -> Group | None:
     """The best group of a few independent searches, each from its own pivot.
 
-    `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone,
-    `reserved` what is kept for others by machine.
+    `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone.
     """
-    context = SearchContext(spec, priority, reserved, rules)
+    spec, rules = context.spec, context.rules
     best: Group | None = None
     slots_by_zone: dict[str, list[Slot]] = {}
     exhausted_zones: set[str] = set()
--- a/topazhold/io/peer_transport.py
+++ b/topazhold/io/peer_transport.py
@@ -56,7 +56,7 @@
         return None
     try:
         message = cbor2.loads(body)
-    except Exception:  # a peer of another version may send anything
+    except Exception:  # noqa: BLE001 - a peer of another version may send anything
         return None
     if not isinstance(message, list) or not message or not isinstance(message[0], str):
         return None
--- a/topazhold/wire/codec.py
+++ b/topazhold/wire/codec.py
@@ -26,7 +26,7 @@
     """Decode a CBOR body to plain values; raises InvalidMessageError."""
     try:
         return cbor2.loads(body)
-    except Exception as exc:  # the decoder raises many kinds on hostile input
+    except Exception as exc:  # noqa: BLE001 - the decoder raises many kinds on hostile input
         raise InvalidMessageError(f"not CBOR: {type(exc).__name__}") from None
 
 
