--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -105,6 +105,7 @@
         return min(
             int((size - sum(each[name] for each in there) + EPSILON) // spec[name])
             for name, size in MACHINE_SIZE.items()
+            if spec[name] > 0
         )
 
     def present(self) -> list[FakeTask]:
