--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -186,10 +186,10 @@
             if not commands:
                 return
             # Kills are safe from anybody, and a token equal to the worker's is accepted.
-            orders = Commands(heartbeat.fencing_token, commands, heartbeat.incarnation)
+            message = Commands(heartbeat.fencing_token, commands, heartbeat.incarnation)
             log.info("%d tasks of cancelled jobs on %s killed from here", len(commands), name)
             status, body = await client.ask(
-                "POST", wire.COMMANDS_PATH, orders, self._heartbeat_interval_s
+                "POST", wire.COMMANDS_PATH, message, self._heartbeat_interval_s
             )
             if status in (200, 409):
                 self._placement_hints.update_from_heartbeat(read(body, Heartbeat))
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -111,9 +111,9 @@
         assert machine.endpoint is not None
         try:
             client = await self._clients.client_for(address(machine.endpoint), len(self._under_way))
-            orders = Commands(self._context.term, commands, machine.incarnation)
+            message = Commands(self._context.term, commands, machine.incarnation)
             status, body = await client.ask(
-                "POST", wire.COMMANDS_PATH, orders, self._context.heartbeat_interval_s
+                "POST", wire.COMMANDS_PATH, message, self._context.heartbeat_interval_s
             )
             if status in (200, 409):
                 heartbeat = read(body, Heartbeat)
--- a/topazhold/control/instance_catalog.py
+++ b/topazhold/control/instance_catalog.py
@@ -11,9 +11,9 @@
 
 log = logging.getLogger(__name__)
 
-#: Report periods between two reads of the catalog; prices move slowly.
+#: Heartbeat intervals between two reads of the catalog; prices move slowly.
 CATALOG_HEARTBEATS = 60
-#: Report periods, and seconds at the least, before a read that failed is tried again.
+#: Heartbeat intervals, and seconds at the least, before a read that failed is tried again.
 RETRY_HEARTBEATS = 0.5
 MIN_RETRY_S = 1.0
 
--- a/topazhold/io/cpu_accounting.py
+++ b/topazhold/io/cpu_accounting.py
@@ -33,14 +33,14 @@
 class WorkCategory(Enum):
     """What a task works for; the values are shown in the statements."""
 
-    HEARTBEATS = "reports"
+    HEARTBEATS = "heartbeats"
     USERS = "users"
     HEALTH = "health checks"
     PLANNING = "planning"
     SEARCHES = "searches"
     SUMMARIES = "summaries"
     COMMANDS = "direct commands"
-    STATE = "state service"
+    STATE = "key-value store"
     CLOUD = "cloud"
     PEERS = "peers"
     OTHER = "other"
