--- a/tests/test_compat.py
+++ b/tests/test_compatibility.py
@@ -27,7 +27,7 @@
 #: Every kind of value and message that the two versions share.
 STORED = {"crown", "hold", "live", "on", "over", "queen", "relay", "sum", "sum/*"}
 #: Kinds that production does not know and leaves alone: records of open orders, which an old
-#: leader does without, and which the next new one completes or drops (`test_duties`).
+#: leader does without, and which the next new one completes or drops (`test_operations`).
 NEW_STORED = {"duty"}
 #: Tags that production drops: they are hints for controllers that know them.
 NEW_MESSAGES = {"released"}
@@ -313,7 +313,7 @@
     pytest.fail("the mixed days missed it")
 
 
-def test_only_orders_are_stored_under_a_new_key(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_only_operations_are_stored_under_a_new_key(monkeypatch: pytest.MonkeyPatch) -> None:
     """Production ignores what it does not know, so what it needs must not be in a new key."""
 
     async def main(clock: VirtualTime) -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -62,7 +62,7 @@
         monkeypatch.undo()
 
 
-def test_room_for_gangs_of_one_shape_is_counted_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_capacity_for_gangs_of_one_shape_is_counted_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each pressing gang looked at every machine, once a second."""
     looks = []
     for gangs in (1, 12):
--- a/tests/test_account.py
+++ b/tests/test_cpu_accounting.py
@@ -68,7 +68,7 @@
     )
 
 
-def test_a_piece_of_work_counts_for_the_duty_that_it_turns_out_to_be_of(clock: Clock) -> None:
+def test_a_piece_of_work_counts_for_the_category_that_it_turns_out_to_be_of(clock: Clock) -> None:
     """A connection does not know what it serves before it has read the request."""
     cpu_accounting = CpuAccounting()
 
--- a/tests/test_relay.py
+++ b/tests/test_follower_heartbeats.py
@@ -54,7 +54,7 @@
     assert not follower_heartbeats.should_keep(report(), 30.0)
 
 
-def test_reports_are_passed_on_in_parts_that_fit() -> None:
+def test_heartbeats_are_forwarded_in_parts_that_fit() -> None:
     follower_heartbeats, _ = follower()
     for number in range(10):
         follower_heartbeats.keep_for_forwarding(report(machine=f"host-{number}"))
@@ -154,7 +154,7 @@
     }
 
 
-def test_report_that_fits_no_value_holds_no_other_back() -> None:
+def test_heartbeat_that_fits_no_value_delays_no_other() -> None:
     follower_heartbeats, _ = follower()
     big = report(machine="host-1", busy=True)
     big.tasks *= 100
@@ -164,7 +164,7 @@
     assert follower_heartbeats.take_for_forwarding(500) == []
 
 
-def test_late_copy_does_not_take_a_newer_reports_place() -> None:
+def test_late_copy_does_not_take_a_newer_heartbeats_place() -> None:
     follower_heartbeats, _ = follower()
     newer, older = report(busy=True), report()
     newer.sequence = 9
--- a/tests/test_booking.py
+++ b/tests/test_gang_reservations.py
@@ -59,7 +59,7 @@
     return set(found.reservations.mine["wk-000001"].slots)
 
 
-def test_hold_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
+def test_reservation_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
     """Gangs of eight changed machines every few seconds and never had them all."""
     clock = Clock(monkeypatch)
     found = pending_gangs(clock)
@@ -72,7 +72,7 @@
     assert reserved(found) == {"m2"}
 
 
-def test_held_machine_that_frees_late_loses_to_one_that_is_free(monkeypatch: Any) -> None:
+def test_reserved_machine_that_frees_late_loses_to_one_that_is_free(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
     found = pending_gangs(clock)
     found.search_round(cluster_view(m1=10.0), 0.0)
@@ -81,7 +81,7 @@
     assert reserved(found) == {"m2"}
 
 
-def test_lapsed_hold_is_booked_anew_only_if_it_is_still_the_best(monkeypatch: Any) -> None:
+def test_expired_reservation_is_renewed_only_if_it_is_still_the_best(monkeypatch: Any) -> None:
     clock = Clock(monkeypatch)
     found = pending_gangs(clock)
     found.search_round(cluster_view(m1=100.0), 0.0)
@@ -108,7 +108,7 @@
     assert reserved(found) == {"m2"}
 
 
-def test_conflict_costs_only_what_the_other_booking_touched(monkeypatch: Any) -> None:
+def test_conflict_costs_only_what_the_other_reservation_touched(monkeypatch: Any) -> None:
     """All holds were thrown away at a conflict, those that stood before included."""
     found = pending_gangs(Clock(monkeypatch))
     found.search_round(cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
--- a/tests/test_heads.py
+++ b/tests/test_http_heads.py
@@ -113,7 +113,7 @@
     )
 
 
-def test_a_report_costs_one_receive_one_send_and_no_parsing() -> None:
+def test_a_heartbeat_costs_one_receive_one_send_and_no_parsing() -> None:
     """However many come: h11 took a third of a leader's time for heads that were the same."""
     for count in (10, 200):
         pieces = [report(number) for number in range(count)]
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -54,7 +54,7 @@
     assert sorted(named) == sorted(machines)
 
 
-def test_take_over_begun_anew_keeps_one_shard_a_name() -> None:
+def test_failover_begun_anew_keeps_one_shard_a_name() -> None:
     """Two of one name overwrote each other: a task ran twice after the next take-over."""
     harness = fleet(4)
     first = IntentShards(7000)
--- a/tests/test_loopback_duties.py
+++ b/tests/test_loopback_operations.py
@@ -19,7 +19,9 @@
         ("after_answer", "rental"),
     ],
 )
-def test_stopped_holder_goes_on_after_its_successor(point: str, kind: str, tmp_path: Path) -> None:
+def test_stopped_executor_goes_on_after_its_successor(
+    point: str, kind: str, tmp_path: Path
+) -> None:
     outcome = play_pause(tmp_path, point, kind)
     assert outcome.executed > 0
     assert outcome.broken == []
--- a/tests/test_duties.py
+++ b/tests/test_operations.py
@@ -106,7 +106,7 @@
 @pytest.mark.parametrize("successors", [1, 2])
 @pytest.mark.parametrize("kind", ["return", "rental"])
 @pytest.mark.parametrize("point", POINTS)
-def test_paused_holder_does_no_harm_when_it_goes_on_after_its_successors(
+def test_paused_executor_does_no_harm_when_it_goes_on_after_its_successors(
     point: str, kind: str, successors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
@@ -410,7 +410,7 @@
     assert one.state is OperationState.CLOSED
 
 
-def test_orders_do_not_pile_up() -> None:
+def test_operations_do_not_pile_up() -> None:
     """Closed ones are forgotten, kept ones are bounded, open rentals too."""
     operation_log = OperationLog("hive-0", 7, value_limit=2048, keep_s=1e9)
     for number in range(2 * MAX_CLOSED_SCALE_INS):
@@ -428,7 +428,7 @@
     assert len(operation_log.scale_outs_due()) < 10
 
 
-def test_holder_doubts_itself_after_a_pause_or_a_jump() -> None:
+def test_executor_doubts_its_lease_after_a_pause_or_a_jump() -> None:
     lease_confidence = LeaseConfidenceTracker(longest_gap_s=1.0, now=0.0, wall=1000.0)
     assert lease_confidence.check(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
     assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
--- a/tests/test_duties_model.py
+++ b/tests/test_operations_model.py
@@ -336,7 +336,7 @@
     run_state_machine_as_test(model, settings=limits)
 
 
-def test_no_order_of_events_breaks_the_duties() -> None:
+def test_no_sequence_of_events_breaks_the_operations() -> None:
     check(DutiesModel, 1500)
 
 
--- a/tests/test_scheduler_failover.py
+++ b/tests/test_scheduler_failover.py
@@ -76,7 +76,7 @@
     assert job.gang_state is GangState.WAITING
 
 
-def test_newer_session_of_a_machine_settles_an_earlier_terms_intents() -> None:
+def test_newer_incarnation_of_a_machine_settles_an_earlier_terms_intents() -> None:
     """A machine that no command reaches never reports under the new term."""
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -93,7 +93,7 @@
     assert [attempt.job for attempt in harness.plan_and_commit()] == [array]
 
 
-def test_gang_is_not_offered_the_room_of_a_service() -> None:
+def test_gang_is_not_offered_the_capacity_of_a_service() -> None:
     """A service's tasks, of 0 s by the estimate, don't end by themselves."""
     harness = SchedulerHarness(machines=0)
     for name in ("host-0", "host-1"):
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -115,7 +115,7 @@
     assert [new.machine != attempt.machine for new in harness.plan_and_commit()] == [True]
 
 
-def test_task_is_launched_only_in_the_session_that_its_intent_names(
+def test_task_is_launched_only_in_the_incarnation_that_its_intent_names(
     harness: SchedulerHarness,
 ) -> None:
     """So a newer session proves that a task of an older intent is gone."""
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -126,7 +126,7 @@
     assert "host-3" not in harness.scheduler.machines
 
 
-def test_zone_that_comes_back_is_neither_deaf_nor_released() -> None:
+def test_zone_that_comes_back_is_neither_unreachable_nor_released() -> None:
     """After a partition of minutes a zone's first heartbeats name the old term; some
     machines are a moment later than others."""
     harness = SchedulerHarness(machines=0, term=8)
--- a/tests/test_plan_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -161,7 +161,7 @@
     assert day.serial > 10, "hardly a gang was booked"
 
 
-def test_reports_that_say_nothing_new_are_not_counted() -> None:
+def test_heartbeats_that_say_nothing_new_are_not_counted() -> None:
     """However many machines report, an unchanged fleet gives no reason to plan."""
     for machines in (6, 60):
         harness = SchedulerHarness(machines)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -108,7 +108,7 @@
     assert group is not None and set(group.slots) == {"m00", "m01", "m02", "m03"}
 
 
-def test_held_room_is_left_alone() -> None:
+def test_reserved_capacity_is_left_alone() -> None:
     directory, caches = fleet(offer("m1", "a"), offer("m2", "a", 5.0))
     group = find(make_spec(tasks=1, gpus=4.0), directory, caches, taken={"m1": ROOM})
     assert group is not None and group.slots == {"m2": 1}
@@ -118,7 +118,7 @@
     return Reservation(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, queue_key)
 
 
-def test_hold_round_trip_and_unreadable_ones() -> None:
+def test_reservation_round_trip_and_unreadable_ones() -> None:
     reservation_table = ReservationTable("hive-0")
     value = pack_value([reservation("wk-1", "m1")], "t")
     value["holds"].append(["nonsense"])
@@ -132,7 +132,7 @@
     assert reservation_table.taken("wk-2", (0, 2, 6.0), lambda reservation: True) == {}
 
 
-def test_holds_bind_only_those_whose_turn_comes_later() -> None:
+def test_reservations_bind_only_work_later_in_the_queue() -> None:
     """Else a stream of small gangs keeps a large one, that came first, from its machines."""
     reservation_table = ReservationTable("hive-0")
     reservation_table.read(
@@ -152,7 +152,7 @@
     assert reserved.taken("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
 
 
-def test_booking_guards_all_other_holds() -> None:
+def test_reservation_guards_all_other_reservations() -> None:
     reservation_table = ReservationTable("hive-0")
     reservation_table.read("hive-1", pack_value([], "t"), 7)
     assert reservation_table.conditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
@@ -176,7 +176,7 @@
     assert [delay for delay, _ in again.availability_for((1, 1), None)] == [0.0, 2.0, 9.5]
 
 
-def test_held_group_is_judged_by_what_is_known_now() -> None:
+def test_reserved_group_is_judged_by_what_is_known_now() -> None:
     """A hold on machines that free late must lose against a better group."""
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
@@ -185,7 +185,7 @@
     assert group_search.score_reserved({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
 
 
-def test_work_that_yields_uses_room_of_gangs_that_still_wait() -> None:
+def test_work_that_yields_uses_capacity_of_gangs_that_still_wait() -> None:
     """Gangs that waited for their last machine kept a quarter of a fleet idle."""
     reservation_table = ReservationTable("hive-0")
     reservation_table.read(
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -208,7 +208,7 @@
     assert hindrances == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
 
 
-def test_room_is_made_for_a_replica_at_once() -> None:
+def test_work_is_preempted_for_a_replica_at_once() -> None:
     harness = SchedulerHarness(machines=1)
     filler = harness.add_job(make_spec(5, shape="batch", tasks=4, gpus=1.0, urgency="best_effort"))
     run_all(harness)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -277,7 +277,7 @@
 
 
 @pytest.mark.parametrize("tasks", [1, 7, 4096, 100_000])
-def test_room_is_kept_for_the_done_marks(tasks: int) -> None:
+def test_space_is_kept_for_the_completion_bitmap(tasks: int) -> None:
     """A job is taken only if its record still fits when all its tasks are done."""
     spec = make_spec(shape="batch", tasks=tasks)
     job = Job(spec, 0.0, 0.0, "hive-0")
