--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -20,11 +20,7 @@
 from topazhold.cli import main
 from topazhold.control.election import ElectionResult
 from topazhold.control.intents import Intents
-from topazhold.control.key_value_store import (
-    DECISION_PRIORITY,
-    KeyValueStore,
-)
-from topazhold.control.store_errors import PreconditionFailedError, StoreUnavailableError
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core import records
@@ -33,6 +29,8 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
+from topazhold.interfaces.store import DECISION_PRIORITY
+from topazhold.interfaces.store_errors import PreconditionFailedError, StoreUnavailableError
 from topazhold.operator_settings import Operator
 from topazhold.settings import LaterLimits
 from topazhold.wire import messages as wire
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -103,10 +103,16 @@
     settings, _ = read_settings(config, operator)
     import msgspec
 
+    from topazhold.control.key_value_store import KeyValueStore
+    from topazhold.io.client import Client
     from topazhold.operations.inspection import StoreUnreachableError, as_text, read_report
 
+    def open_store(client: Client, timeout_s: float) -> KeyValueStore:
+        """Access to the key-value store, within the limits that the settings name."""
+        return KeyValueStore(client, client, settings.cluster.state, timeout_s)
+
     try:
-        report = read_report(settings)
+        report = read_report(settings, open_store)
     except StoreUnreachableError as exc:
         click.echo(f"topazhold: state service at {settings.outside.state}: {exc}", err=True)
         sys.exit(UNREACHABLE_STATUS)
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -16,11 +16,12 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudUnavailableError
+from topazhold.control.cloud import Cloud
 from topazhold.control.controller_services import ControllerState, Dial
 from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.placement_hints import PlacementHint
+from topazhold.interfaces.cloud import CloudUnavailableError
 from topazhold.io.client import Clients
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.operations.scale_in import AnnounceReleased
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -5,6 +5,11 @@
 import curio
 
 from topazhold.core.autoscaling import ScaleOutRequest
+from topazhold.interfaces.cloud import (
+    CloudCapacityError,
+    CloudRequestRejectedError,
+    CloudUnavailableError,
+)
 from topazhold.io.client import Client
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.io.rate_limit import TokenBucket
@@ -16,18 +21,6 @@
 PAGE = 500
 
 
-class CloudUnavailableError(Exception):
-    """No use could be made of the cloud just now."""
-
-
-class CloudRequestRejectedError(CloudUnavailableError):
-    """The cloud calls the request malformed; it need not be repeated."""
-
-
-class CloudCapacityError(Exception):
-    """Nothing to rent of that type, zone and kind."""
-
-
 class Cloud:
     """One controller's access, within its rate; every request can be repeated as it is."""
 
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -8,8 +8,9 @@
 import curio
 
 from topazhold.control.controller_services import Dial
-from topazhold.control.term_context import LeadershipLostError, TermContext
+from topazhold.control.term_context import TermContext
 from topazhold.core.machines import Machine
+from topazhold.interfaces.term import LeadershipLostError
 from topazhold.io.client import Clients
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import address
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -7,13 +7,14 @@
 
 import curio
 
-from topazhold.control.key_value_store import LEASE_PRIORITY, KeyValueStore, Precondition
-from topazhold.control.store_errors import (
+from topazhold.control.key_value_store import KeyValueStore
+from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
+from topazhold.interfaces.store import LEASE_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import (
     KeyValueStoreError,
     PreconditionFailedError,
     WatchCompactedError,
 )
-from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.key_value_store import Entry
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -8,12 +8,12 @@
 
 import curio
 
-from topazhold.control.key_value_store import LEASE_PRIORITY
 from topazhold.control.term_context import TermContext
 from topazhold.core import failover, records
 from topazhold.core.intent_shards import IntentShards
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.reservations import RESERVATION_PREFIX
+from topazhold.interfaces.store import LEASE_PRIORITY
 from topazhold.wire.cloud import MachineType
 from topazhold.wire.codec import InvalidMessageError
 
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -9,8 +9,7 @@
 
 import curio
 
-from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore, Precondition
-from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.core import records
 from topazhold.core.group_search import Group
 from topazhold.core.reservations import (
@@ -20,6 +19,8 @@
     ReservationTable,
     pack_value,
 )
+from topazhold.interfaces.store import DECISION_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -8,14 +8,15 @@
 
 from topazhold.control.election import ControllerLease
 from topazhold.control.follower_heartbeats import FollowerHeartbeats
-from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.control.peer_group import PeerGroup
 from topazhold.control.peer_messages import RELAY, Relay
-from topazhold.control.store_errors import KeyValueStoreError
-from topazhold.control.term_context import TXN_BYTES
 from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core import records
 from topazhold.core.leadership import Leadership
+from topazhold.interfaces.store import DECISION_PRIORITY
+from topazhold.interfaces.store_errors import KeyValueStoreError
+from topazhold.interfaces.term import TXN_BYTES
 from topazhold.io.peer_transport import FRAME_LIMIT
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
--- a/topazhold/control/instance_catalog.py
+++ b/topazhold/control/instance_catalog.py
@@ -6,7 +6,8 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudUnavailableError
+from topazhold.control.cloud import Cloud
+from topazhold.interfaces.cloud import CloudUnavailableError
 from topazhold.wire.cloud import MachineType
 
 log = logging.getLogger(__name__)
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -8,18 +8,19 @@
 
 import curio
 
-from topazhold.control.key_value_store import DECISION_PRIORITY, Precondition
-from topazhold.control.store_errors import (
+from topazhold.control.term_context import TermContext
+from topazhold.core import records
+from topazhold.core.intent_shards import IntentShard
+from topazhold.core.task_attempts import TaskAttempt
+from topazhold.interfaces.store import DECISION_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import (
     KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
     StoreUnavailableError,
     UnreadableAnswerError,
 )
-from topazhold.control.term_context import TXN_BYTES, TermContext
-from topazhold.core import records
-from topazhold.core.intent_shards import IntentShard
-from topazhold.core.task_attempts import TaskAttempt
+from topazhold.interfaces.term import TXN_BYTES
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -7,12 +7,12 @@
 
 import curio
 
-from topazhold.control.key_value_store import DECISION_PRIORITY, LEASE_PRIORITY, Precondition
-from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core import records
 from topazhold.core.jobs import Job, JobState
+from topazhold.interfaces.store import DECISION_PRIORITY, LEASE_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -12,14 +12,20 @@
 
 import curio
 
-from topazhold.control.store_errors import (
+from topazhold.control.store_limits import StoreLimits
+from topazhold.interfaces.store import (
+    DECISION_PRIORITY,
+    LEASE_PRIORITY,
+    USER_PRIORITY,
+    Precondition,
+)
+from topazhold.interfaces.store_errors import (
     OutcomeUnknownError,
     PreconditionFailedError,
     StoreUnavailableError,
     UnreadableAnswerError,
     WatchCompactedError,
 )
-from topazhold.control.store_limits import StoreLimits
 from topazhold.io.client import Client
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.settings import State as StateLimits
@@ -31,11 +37,6 @@
 
 T = TypeVar("T")
 
-#: Shares of the request limit that lower ranks must leave to higher ones.
-LEASE_PRIORITY = 0.0
-DECISION_PRIORITY = 0.1
-USER_PRIORITY = 0.3
-
 #: Entries in a page of a list.
 PAGE = 500
 #: Trouble shorter than this share of a request's time limit is taken for a hiccup.
@@ -50,13 +51,6 @@
 OUTCOME_TRIES = 8
 
 
-class Precondition(NamedTuple):
-    """A key must have this revision, 0 for a key that does not exist."""
-
-    key: str
-    revision: int
-
-
 class _Request(NamedTuple):
     """One request, and what it takes of the limits."""
 
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -15,19 +15,25 @@
 from topazhold.control.failover import load_state
 from topazhold.control.intents import Intents
 from topazhold.control.job_persistence import JobPersistence
+from topazhold.control.machine_list import MachineList
 from topazhold.control.peer_group import Broadcast
 from topazhold.control.planning_loop import PlanningLoop
-from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.control.summaries import SummaryPublisher
-from topazhold.control.term_context import LeadershipLostError, TermContext
+from topazhold.control.term_context import TermContext
 from topazhold.control.term_watches import TermWatches
 from topazhold.core.jobs import Job
 from topazhold.core.machines import Machine
 from topazhold.core.scheduler import Scheduler
+from topazhold.interfaces.store_errors import KeyValueStoreError
+from topazhold.interfaces.term import LeadershipLostError
 from topazhold.io.cpu_accounting import WorkCategory
 from topazhold.operations.failover import load_operations
 from topazhold.operations.scale_in import AnnounceReleased
-from topazhold.operations.term_operations import OperationSettings, TermOperations
+from topazhold.operations.term_operations import (
+    OperationServices,
+    OperationSettings,
+    TermOperations,
+)
 from topazhold.wire.codec import InvalidMessageError, convert
 from topazhold.wire.workers import Command, Heartbeat
 
@@ -65,13 +71,14 @@
         )
         self._intents = Intents(context)
         self.job_persistence = JobPersistence(context)
+        self._machine_list = MachineList(context, services.cloud)
         self.operations = TermOperations(
             context,
-            services.cloud,
-            self._intents,
+            OperationServices(
+                services.cloud, self._intents, self._machine_list.listed, announce_released
+            ),
             OperationSettings.of(settings, operator, services.controller_lease_s),
             elected.at,
-            announce_released,
         )
         self._direct_commands = DirectCommands(
             context, settings.cluster.limits.sockets, services.dial, self._on_direct_heartbeat
@@ -129,6 +136,7 @@
             (WorkCategory.STATE, self._watches.forwarded_loop),
             (WorkCategory.STATE, self.job_persistence.loop),
             (WorkCategory.SUMMARIES, self._summaries.loop),
+            (WorkCategory.CLOUD, self._machine_list.loop),
             *((WorkCategory.CLOUD, loop) for loop in self.operations.loops()),
         )
 
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -6,9 +6,10 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudUnavailableError
+from topazhold.control.cloud import Cloud
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import work_then_wait
+from topazhold.interfaces.cloud import CloudUnavailableError
 
 log = logging.getLogger(__name__)
 
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -11,7 +11,7 @@
 from topazhold.control.cluster_view import ClusterView
 from topazhold.control.election import ControllerLease
 from topazhold.control.gang_reservations import WRITE_PERIOD_S
-from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.control.leader_term import CurrentTerm, LeaderTerm
 from topazhold.control.pending_gangs import (
     MAX_SEARCHES,
@@ -19,10 +19,11 @@
     PendingGangs,
     max_follower_searches,
 )
-from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
+from topazhold.interfaces.store import DECISION_PRIORITY
+from topazhold.interfaces.store_errors import KeyValueStoreError
 from topazhold.operator_settings import Operator
 from topazhold.settings import Settings
 from topazhold.wire.codec import InvalidMessageError
--- a/topazhold/control/planning_loop.py
+++ b/topazhold/control/planning_loop.py
@@ -7,9 +7,9 @@
 import curio
 
 from topazhold.control.intents import Intents
-from topazhold.control.key_value_store import DECISION_PRIORITY
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import wait_then_work
+from topazhold.interfaces.store import DECISION_PRIORITY
 
 #: Heartbeat intervals: the shortest time between two looks at what time makes due, and between two
 #: rounds of planning; without a look for so long, planning is taken to be stuck.
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -10,11 +10,9 @@
 import curio
 
 from topazhold.control.cluster_view import ClusterView
-from topazhold.control.key_value_store import DECISION_PRIORITY
 from topazhold.control.peer_group import Broadcast
 from topazhold.control.peer_messages import PLACED, SUMMARY, Placed, Summary
-from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
-from topazhold.control.term_context import TXN_BYTES, TermContext
+from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import work_then_wait
 from topazhold.core import records
 from topazhold.core.jobs import JobState
@@ -22,6 +20,9 @@
 from topazhold.core.preemption import queue_key
 from topazhold.core.task_attempts import AttemptState
 from topazhold.core.zone_summary import cut_names, cut_summary, pack_names
+from topazhold.interfaces.store import DECISION_PRIORITY
+from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
+from topazhold.interfaces.term import TXN_BYTES
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
 
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -7,19 +7,20 @@
 
 import logging
 import time
-from typing import Protocol
 
 import curio
 
 from topazhold.control.election import ElectionResult
-from topazhold.control.key_value_store import DECISION_PRIORITY, KeyValueStore, Precondition
-from topazhold.control.store_errors import KeyValueStoreError
+from topazhold.control.key_value_store import KeyValueStore
 from topazhold.core import records
 from topazhold.core.cancellations import Cancellations
 from topazhold.core.intent_shards import IntentShards
-from topazhold.core.jobs import Job, JobState
+from topazhold.core.jobs import JobState
 from topazhold.core.leadership import LEADER_KEY
 from topazhold.core.scheduler import Scheduler
+from topazhold.interfaces.store import DECISION_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import KeyValueStoreError
+from topazhold.interfaces.term import CleanUp, LeadershipLostError, LeaseIsValid
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
@@ -27,24 +28,6 @@
 
 #: Seconds between tries of whatever failed, as a share of the heartbeat interval.
 RETRY_HEARTBEATS = 0.25
-#: What values may take of a transaction, whose limit is 64 KiB in all.
-TXN_BYTES = 48 * 1024
-
-
-class LeadershipLostError(Exception):
-    """The term is over: another controller may be leader."""
-
-
-class LeaseIsValid(Protocol):
-    """Whether, at a steady clock's time in seconds, nobody else can be leader yet."""
-
-    def __call__(self, now: float, /) -> bool: ...
-
-
-class CleanUp(Protocol):
-    """Called with each job that is over, so that what it left in the store is removed."""
-
-    def __call__(self, job: Job, /) -> None: ...
 
 
 class TermContext:
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -9,11 +9,12 @@
 
 import curio
 
-from topazhold.control.store_errors import KeyValueStoreError, WatchCompactedError
-from topazhold.control.term_context import LeadershipLostError, TermContext
+from topazhold.control.term_context import TermContext
 from topazhold.core import records
 from topazhold.core.jobs import JobState
 from topazhold.core.reservations import RESERVATION_PREFIX
+from topazhold.interfaces.store_errors import KeyValueStoreError, WatchCompactedError
+from topazhold.interfaces.term import LeadershipLostError
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import InvalidMessageError
 from topazhold.wire.key_value_store import WatchPage
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -10,15 +10,16 @@
 import curio
 import msgspec
 
-from topazhold.control.key_value_store import USER_PRIORITY, KeyValueStore, Precondition
-from topazhold.control.store_errors import (
+from topazhold.control.key_value_store import KeyValueStore
+from topazhold.core import autoscaling, records
+from topazhold.core.jobs import Job
+from topazhold.core.quota import team_limit_allows
+from topazhold.interfaces.store import USER_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import (
     KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
 )
-from topazhold.core import autoscaling, records
-from topazhold.core.jobs import Job
-from topazhold.core.quota import team_limit_allows
 from topazhold.io.http import Request, Response
 from topazhold.settings import Settings, Team
 from topazhold.wire import messages as wire
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -13,12 +13,12 @@
 
 import curio
 
-from topazhold.control.key_value_store import USER_PRIORITY, Precondition
-from topazhold.control.store_errors import KeyValueStoreError, PreconditionFailedError
-from topazhold.control.term_context import LeadershipLostError, TermContext
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.core.leadership import LEADER_KEY
+from topazhold.interfaces.store import USER_PRIORITY, Precondition
+from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
+from topazhold.interfaces.term import LeadershipLostError, Term
 from topazhold.operations.cloud_operations import CleanupOperation, OperationState
 from topazhold.operations.fenced_executor import FencedExecutor
 from topazhold.wire import messages as wire
@@ -32,7 +32,7 @@
 class CleanupExecutor:
     """Removes what jobs that are over have left in the key-value store."""
 
-    def __init__(self, context: TermContext, executor: FencedExecutor) -> None:
+    def __init__(self, context: Term, executor: FencedExecutor) -> None:
         self._context = context
         self._executor = executor
         self._swept = False
--- a/topazhold/operations/failover.py
+++ b/topazhold/operations/failover.py
@@ -8,10 +8,10 @@
 
 import logging
 
-from topazhold.control.key_value_store import LEASE_PRIORITY
-from topazhold.control.term_context import TermContext
 from topazhold.core.cluster_state import ATTEMPTS_PER_TERM
 from topazhold.core.scheduler import Scheduler
+from topazhold.interfaces.store import LEASE_PRIORITY
+from topazhold.interfaces.term import Term
 from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.records import (
     OPERATION_PREFIX,
@@ -25,7 +25,7 @@
 log = logging.getLogger(__name__)
 
 
-async def load_operations(context: TermContext) -> list[Entry]:
+async def load_operations(context: Term) -> list[Entry]:
     """All stored operations; raises what the key-value store raises."""
     entries, _ = await context.store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
     return entries
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -14,19 +14,19 @@
 
 import curio
 
-from topazhold.control.key_value_store import (
+from topazhold.core.leadership import LEADER_KEY
+from topazhold.interfaces.store import (
     DECISION_PRIORITY,
     LEASE_PRIORITY,
     USER_PRIORITY,
     Precondition,
 )
-from topazhold.control.store_errors import (
+from topazhold.interfaces.store_errors import (
     KeyValueStoreError,
     OutcomeUnknownError,
     PreconditionFailedError,
 )
-from topazhold.control.term_context import TXN_BYTES, LeadershipLostError, TermContext
-from topazhold.core.leadership import LEADER_KEY
+from topazhold.interfaces.term import TXN_BYTES, LeadershipLostError, Term
 from topazhold.operations.cloud_operations import AnyOperation
 from topazhold.operations.lease_confidence import LeaseConfidence, LeaseConfidenceTracker
 from topazhold.operations.operation_log import OperationLog
@@ -57,7 +57,7 @@
 
     def __init__(
         self,
-        context: TermContext,
+        context: Term,
         operation_log: OperationLog,
         controller_lease_s: float,
         now: float,
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -7,14 +7,15 @@
 from __future__ import annotations
 
 import time
+from collections.abc import Callable
 from typing import Any
 
 import curio
 import msgspec
 
-from topazhold.control.key_value_store import LEASE_PRIORITY, KeyValueStore
-from topazhold.control.store_errors import KeyValueStoreError
 from topazhold.core.leadership import LEADER_KEY, read_value
+from topazhold.interfaces.store import LEASE_PRIORITY, Store
+from topazhold.interfaces.store_errors import KeyValueStoreError
 from topazhold.io.client import Client
 from topazhold.operations.records import (
     OPERATION_PREFIX,
@@ -69,14 +70,18 @@
     orders: list[OpenOperation]
 
 
-async def inspect(settings: Settings) -> OperationsReport:
+#: Opens access to the key-value store over a client, with a time limit of a request in seconds.
+OpenStore = Callable[[Client, float], Store]
+
+
+async def inspect(settings: Settings, open_store: OpenStore) -> OperationsReport:
     """Read the leader and all operations.
 
     Raises:
         StoreUnreachableError: the key-value store gave no usable answer.
     """
     client = Client(address(settings.outside.state), 1)
-    store = KeyValueStore(client, client, settings.cluster.state, TIMEOUT_S)
+    store = open_store(client, TIMEOUT_S)
     try:
         leader = await store.get(LEADER_KEY, LEASE_PRIORITY)
         entries, _ = await store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
@@ -93,9 +98,9 @@
     )
 
 
-def read_report(settings: Settings) -> OperationsReport:
+def read_report(settings: Settings, open_store: OpenStore) -> OperationsReport:
     """`inspect`, for a program that runs nothing else; raises the same."""
-    report: OperationsReport = curio.run(inspect, settings)
+    report: OperationsReport = curio.run(inspect, settings, open_store)
     return report
 
 
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -12,10 +12,9 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud, CloudUnavailableError
-from topazhold.control.intents import Intents
-from topazhold.control.term_context import TermContext
 from topazhold.core.intent_shards import IntentShard
+from topazhold.interfaces.cloud import CloudRequests, CloudUnavailableError
+from topazhold.interfaces.term import IntentTidier, Term
 from topazhold.operations.cloud_operations import OperationState
 from topazhold.operations.fenced_executor import FencedExecutor
 from topazhold.operations.requests import ReleaseRequest
@@ -31,10 +30,10 @@
 
     def __init__(
         self,
-        context: TermContext,
+        context: Term,
         executor: FencedExecutor,
-        cloud: Cloud,
-        intents: Intents,
+        cloud: CloudRequests,
+        intents: IntentTidier,
         announce_released: AnnounceReleased,
     ) -> None:
         self._context = context
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -7,14 +7,14 @@
 
 import curio
 
-from topazhold.control.cloud import (
-    Cloud,
+from topazhold.core.autoscaling import MAX_SCALE_OUT_MACHINES, ScaleOutRequest
+from topazhold.interfaces.cloud import (
     CloudCapacityError,
     CloudRequestRejectedError,
+    CloudRequests,
     CloudUnavailableError,
 )
-from topazhold.control.term_context import TermContext
-from topazhold.core.autoscaling import MAX_SCALE_OUT_MACHINES, ScaleOutRequest
+from topazhold.interfaces.term import Term
 from topazhold.operations.cloud_operations import ScaleOutOperation
 from topazhold.operations.fenced_executor import FencedExecutor
 
@@ -28,7 +28,7 @@
     """Requests the machines that the scheduler wants, and completes what was left open."""
 
     def __init__(
-        self, context: TermContext, executor: FencedExecutor, cloud: Cloud, listed: curio.Event
+        self, context: Term, executor: FencedExecutor, cloud: CloudRequests, listed: curio.Event
     ) -> None:
         self._context = context
         self._executor = executor
--- a/topazhold/operations/term_operations.py
+++ b/topazhold/operations/term_operations.py
@@ -8,10 +8,8 @@
 
 import curio
 
-from topazhold.control.cloud import Cloud
-from topazhold.control.intents import Intents
-from topazhold.control.machine_list import MachineList
-from topazhold.control.term_context import TermContext
+from topazhold.interfaces.cloud import CloudRequests
+from topazhold.interfaces.term import IntentTidier, Term
 from topazhold.operations.cleanup import CleanupExecutor
 from topazhold.operations.cloud_operations import ScaleInOperation
 from topazhold.operations.failover import rebuild_operations
@@ -49,17 +47,25 @@
         return cls(controller_lease_s, keep_s, operator.record_orders)
 
 
+@dataclass(frozen=True)
+class OperationServices:
+    """What operations reach outside their package, besides the term itself."""
+
+    cloud: CloudRequests
+    intents: IntentTidier
+    machines_listed: curio.Event  # set once a machine list of this term has arrived
+    announce_released: AnnounceReleased
+
+
 class TermOperations:
     """What the leader of one term does outside the cluster's state, by recorded operations."""
 
     def __init__(
         self,
-        context: TermContext,
-        cloud: Cloud,
-        intents: Intents,
+        context: Term,
+        services: OperationServices,
         settings: OperationSettings,
         now: float,
-        announce_released: AnnounceReleased,
     ) -> None:
         self._context = context
         self.operation_log = OperationLog(
@@ -72,9 +78,16 @@
         self.executor = FencedExecutor(
             context, self.operation_log, settings.controller_lease_s, now
         )
-        self._machine_list = MachineList(context, cloud)
-        self.scale_in = ScaleInExecutor(context, self.executor, cloud, intents, announce_released)
-        self._scale_out = ScaleOutExecutor(context, self.executor, cloud, self._machine_list.listed)
+        self.scale_in = ScaleInExecutor(
+            context,
+            self.executor,
+            services.cloud,
+            services.intents,
+            services.announce_released,
+        )
+        self._scale_out = ScaleOutExecutor(
+            context, self.executor, services.cloud, services.machines_listed
+        )
         self._cleanup = CleanupExecutor(context, self.executor)
         context.clean_up = self._cleanup.on_job_ended
 
@@ -99,7 +112,6 @@
     def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
         """The loops to run while the term lasts."""
         return (
-            self._machine_list.loop,
             self._scale_out.loop,
             self.scale_in.loop,
             self._cleanup.loop,
