--- a/tests/test_scheduler_scale_out.py
+++ b/tests/test_scheduler_scale_out.py
@@ -71,3 +71,11 @@
     harness.scheduler.last_arrival = -1e9
     requests = harness.scheduler.scale_out(harness.now)
     assert [(ask.zone, ask.count) for ask in requests] == [("b", 1)]
+
+
+def test_machines_are_rented_for_a_team_without_a_gpu_limit(harness: SchedulerHarness) -> None:
+    """A limit of 0 means none (deployment page, `gpus_max`)."""
+    harness.scheduler.usage.teams["red"].gpus_max = 0.0
+    harness.add_job(make_spec(1, shape="batch", tasks=6, gpus=4.0, same_place=False))
+    requests = harness.scheduler.scale_out(harness.now)
+    assert sum(request.count for request in requests) >= 2, "six tasks, four machines"
