--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -6,14 +6,15 @@
 from typing import NamedTuple
 
 from topazhold.core import preemption
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
 from topazhold.core.failure_attribution import BAD_JOB_MACHINES
 from topazhold.core.fleet_survey import FleetSurvey
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import Job, Resources
-from topazhold.core.machines import Machine, add_resources, count_fitting
+from topazhold.core.machines import Machine
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting
 from topazhold.core.start_objectives import StartObjectives
 
 #: Tasks of an array that get room back from other teams at once.
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -7,13 +7,14 @@
 from typing import NamedTuple
 
 from topazhold.core import preemption
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import GangState, Job, JobState
-from topazhold.core.machines import Machine, MachineState, add_resources, count_fitting, fits
+from topazhold.core.machines import Machine, MachineState
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.reservations import QueueKey, Reservation, ReservationTable, ReservedResources
 from topazhold.core.resource_offers import ResourceOffers
+from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting, fits
 from topazhold.core.team_limits import TeamLimits
 
 log = logging.getLogger(__name__)
@@ -186,7 +187,7 @@
         if offer is None:
             return False
         if machine.state is MachineState.STARTING:
-            if now - machine.rented_at > LATE_BOOTS * machine.boot_s:
+            if now - machine.rented_at > LATE_BOOTS * machine.machine_type.boot_s:
                 return False
         # Natural ends only: whether others can be stopped, `GangPlacement` finds out.
         whole = add_resources(NO_RESOURCES, job.need, float(count))
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -12,9 +12,9 @@
 from random import Random
 
 from topazhold.core.jobs import Resources
-from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
 from topazhold.core.resource_offer import Priority, ResourceOffer
+from topazhold.core.resources import count_fitting
 from topazhold.wire.jobs import JobSpec
 
 #: What the first task on an empty machine costs, in full preferences.
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -9,8 +9,8 @@
 from typing import NamedTuple
 
 from topazhold.core.jobs import Job, JobState, Resources
-from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.resources import count_fitting
 from topazhold.settings import Team
 from topazhold.wire.cloud import MachineType
 from topazhold.wire.jobs import JobSpec
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -7,7 +7,7 @@
 
 from topazhold.core import quota, records
 from topazhold.core.estimates import Estimates
-from topazhold.core.jobs import Job, JobState, Resources
+from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.recent_names import RecentNames
 from topazhold.core.start_objectives import StartObjectives
@@ -23,8 +23,6 @@
 #: A machine takes new work only if its last heartbeat here is at most so many intervals old.
 USABLE_HEARTBEATS = 2.5
 
-NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
-
 #: States of a machine whose worker has been heard.
 UP = (MachineState.UNSYNCED, MachineState.READY, MachineState.DRAINING)
 
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -4,8 +4,9 @@
 
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
-from topazhold.core.machines import QUARANTINED, Machine, fits
+from topazhold.core.machines import QUARANTINED, Machine
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.resources import fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -11,7 +11,6 @@
 from topazhold.core import gangs
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState
-from topazhold.core.machines import MachineState
 from topazhold.core.records import Intents
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
@@ -34,10 +33,7 @@
             cluster.queue_if_complete(job)
     for each in sorted(intents, key=lambda each: each.incarnation):
         machine = cluster.add_machine(each.machine, each.zone, each.spot, each.machine_type, now)
-        machine.incarnation = each.incarnation
-        if machine.state is MachineState.STARTING and each.incarnation:
-            machine.hear(False, now)
-            machine.last_heartbeat_at = None
+        machine.resume(each.incarnation, now)
         for job_id, index, attempt_number in each.attempts:
             _adopt(cluster, job_id, index, attempt_number, machine.name, each.incarnation, now)
     for job in list(cluster.jobs.values()):
--- a/topazhold/core/failure_attribution.py
+++ b/topazhold/core/failure_attribution.py
@@ -40,7 +40,7 @@
         if len(job.failed_on) >= BAD_JOB_MACHINES:
             # A job that fails everywhere must not take the machines with it.
             for other in self._cluster.machines.values():
-                other.error_jobs.discard(job.id)
+                other.forget_error(job.id)
             doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_DOUBLINGS)
             job.not_before = now + self._lease_s * 2**doublings
         else:
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -118,7 +118,7 @@
             self.needs_term_announcement(machine, now)
             and now - machine.term_announced_at > self._heartbeat_interval_s
         ):
-            machine.term_announced_at = now
+            machine.announce_term(now)
             self._cluster.request_command(machine.name)
         is_unreachable = machine.command_unreachable_since is not None
         if is_unreachable and self._is_single_unreachable(machine, now):
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -5,10 +5,11 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState, Resources
-from topazhold.core.machines import Machine, add_resources, count_fitting, fits
+from topazhold.core.machines import Machine
 from topazhold.core.reservations import ReservedResources
+from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting, fits
 from topazhold.core.task_attempts import TaskAttempt
 
 #: Attempts planned in one round.
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -8,12 +8,13 @@
 
 from topazhold.core import gangs, preemption
 from topazhold.core.binding_reservations import BindingReservations
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
 from topazhold.core.fleet_survey import NO_CLAIM, FleetSurvey
 from topazhold.core.jobs import Job, Resources
-from topazhold.core.machines import Machine, add_resources, fits
+from topazhold.core.machines import Machine
 from topazhold.core.reservations import Reservation
+from topazhold.core.resources import NO_RESOURCES, add_resources, fits
 from topazhold.core.task_attempts import TaskAttempt
 from topazhold.core.team_limits import TeamLimits
 
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -76,9 +76,9 @@
             )
             # A late copy may tell of a machine that is long gone. Until it is
             # listed, or heard under this term, it is not counted on.
-            machine.unconfirmed = True
+            machine.mark_unconfirmed()
         if machine.machine_type is None:
-            machine.machine_type = self._cluster.machine_types.get(heartbeat.machine_type)
+            machine.learn_type(self._cluster.machine_types.get(heartbeat.machine_type))
         return machine
 
     def _availability(self, machine: Machine, now: float) -> tuple[MachineState, bool, bool]:
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -54,5 +54,5 @@
             machine = self._cluster.add_machine(
                 item.id, item.zone, item.spot, item.machine_type, now
             )
-            machine.rented_at = now - item.age_s
+            machine.learn_age(item.age_s, now)
         return machine
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -6,11 +6,10 @@
 from enum import Enum
 
 from topazhold.core.jobs import Resources
+from topazhold.core.resources import NO_RESOURCES, add_resources
 from topazhold.core.task_attempts import WITH_IMAGE, TaskAttempt
 from topazhold.wire.cloud import MachineType
 
-#: Amounts closer than this are equal; sums of decimal fractions drift.
-SLACK = 1e-6
 #: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
 QUARANTINED = "sick"
 
@@ -51,7 +50,7 @@
         self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
         self.gone_at: float | None = None  # end announced by a notice
         self.attempts: dict[tuple[str, int], TaskAttempt] = {}
-        self.used: Resources = (0.0, 0.0, 0.0)
+        self.used: Resources = NO_RESOURCES
         self.orphans: dict[tuple[str, int], str] = {}  # (name, attempt) -> stage; of no job here
         self.images: OrderedDict[str, float] = OrderedDict()
         self.error_jobs: set[str] = set()
@@ -120,7 +119,31 @@
         """It is proven that the machine and everything on it are gone."""
         self._enter(MachineState.GONE, now)
 
-    # -- what is seen of it ------------------------------------------------
+    # -- what is learnt of it ----------------------------------------------
+
+    def resume(self, incarnation: int, now: float) -> None:
+        """Intents of an earlier term name the machine: it was up, and is not heard yet."""
+        self.incarnation = incarnation
+        if self.state is MachineState.STARTING and incarnation:
+            self.hear(False, now)
+            self.last_heartbeat_at = None
+
+    def mark_unconfirmed(self) -> None:
+        """Nothing but a heartbeat that may be a late copy tells of the machine."""
+        self.unconfirmed = True
+
+    def learn_type(self, machine_type: MachineType | None) -> None:
+        """Take the machine's type from the catalog, if that has it by now."""
+        if self.machine_type is None:
+            self.machine_type = machine_type
+
+    def learn_age(self, age_s: float, now: float) -> None:
+        """The cloud says that the machine was rented `age_s` seconds ago."""
+        self.rented_at = now - age_s
+
+    def announce_term(self, now: float) -> None:
+        """The worker is about to be told of this term directly."""
+        self.term_announced_at = now
 
     def note_listed(self, endpoint: str | None) -> None:
         """The cloud's list names the machine."""
@@ -170,6 +193,18 @@
         self.error_jobs.add(job_id)
         return len(self.error_jobs)
 
+    def forget_error(self, job_id: str) -> None:
+        """The errors of a job count no more: it is at fault itself."""
+        self.error_jobs.discard(job_id)
+
+    def forget_errors(self) -> None:
+        """A task has completed here: earlier errors count no more."""
+        self.error_jobs.clear()
+
+    def keep_orphans(self, orphans: dict[tuple[str, int], str]) -> None:
+        """What the newest heartbeat names that no intent explains."""
+        self.orphans = orphans
+
     def quarantine_until(self, at: float) -> None:
         """A launch found no room: take no new work before `at`."""
         self.quarantined_until = at
@@ -178,8 +213,6 @@
         """Something changed that the machine's resource offer says."""
         self.changes += 1
 
-    # -- tasks to wake its worker with --------------------------------------
-
     def keep_wake_tasks(self, tasks: list[tuple[str, int]]) -> None:
         """Ended tasks (name, attempt) that are left uncleared, to wake the worker with."""
         self.changes += bool(self.wake_tasks) is not bool(tasks)
@@ -197,7 +230,7 @@
     def total(self) -> Resources:
         """Resources of the whole machine; none while its type is not known."""
         if self.machine_type is None:
-            return (0.0, 0.0, 0.0)
+            return NO_RESOURCES
         return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
 
     def attach(self, attempt: TaskAttempt) -> None:
@@ -215,7 +248,7 @@
         self.changes += 1
         # Sums drift; an empty machine is exactly empty again.
         self.used = (
-            add_resources(self.used, attempt.job.need, -1.0) if self.attempts else (0.0, 0.0, 0.0)
+            add_resources(self.used, attempt.job.need, -1.0) if self.attempts else NO_RESOURCES
         )
         return True
 
@@ -223,7 +256,7 @@
         """Resources that nothing on the machine, or on its way there, takes."""
         machine_type = self.machine_type
         if machine_type is None:
-            return (0.0, 0.0, 0.0)
+            return NO_RESOURCES
         used = self.used
         return (
             machine_type.cpus - used[0],
@@ -236,13 +269,6 @@
         """Whether no task is, or may come to be, on the machine."""
         return not self.orphans and not self.attempts
 
-    @property
-    def boot_s(self) -> float:
-        """The usual boot time of the machine's type, in seconds; 0 while that is not known."""
-        return self.machine_type.boot_s if self.machine_type is not None else 0.0
-
-    # -- images ----------------------------------------------------------
-
     def fetched(self, image: str, size_gb: float) -> None:
         """Keep the least recently used images out, as the worker does."""
         if image not in self.images:
@@ -266,34 +292,3 @@
                 if spec.image not in self.images:
                     queue.setdefault(spec.image, spec.image_gb)
         return sum(queue.values()) / self.machine_type.fetch_gb_per_s
-
-
-def fits(need: Resources, available: Resources) -> bool:
-    """Whether enough of every resource is available."""
-    return (
-        need[0] <= available[0] + SLACK
-        and need[1] <= available[1] + SLACK
-        and need[2] <= available[2] + SLACK
-    )
-
-
-def count_fitting(need: Resources, available: Resources, limit: int) -> int:
-    """How many tasks of this size the available resources take, up to `limit`."""
-    # Written out: called for each machine, waiting job and scheduling round.
-    count: float = limit
-    if need[0] > SLACK:
-        count = min(count, (available[0] + SLACK) // need[0])
-    if need[1] > SLACK:
-        count = min(count, (available[1] + SLACK) // need[1])
-    if need[2] > SLACK:
-        count = min(count, (available[2] + SLACK) // need[2])
-    return max(0, int(count))
-
-
-def add_resources(available: Resources, other: Resources, factor: float = 1.0) -> Resources:
-    """The sum of `available` and `factor` times `other`."""
-    return (
-        available[0] + other[0] * factor,
-        available[1] + other[1] * factor,
-        available[2] + other[2] * factor,
-    )
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -3,10 +3,11 @@
 from __future__ import annotations
 
 from topazhold.core.jobs import GangState, Job, Resources
-from topazhold.core.machines import Machine, add_resources, fits
+from topazhold.core.machines import Machine
 from topazhold.core.quota import Usage
 from topazhold.core.reservations import NOT_AGED, URGENCY_LEVELS, QueueKey
 from topazhold.core.resource_offer import AGED, Priority
+from topazhold.core.resources import add_resources, fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: Seconds of work; what preempting a replica costs: it is the last to be chosen.
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable
 
 from topazhold.core.jobs import Job
-from topazhold.core.machines import SLACK
+from topazhold.core.resources import SLACK
 from topazhold.settings import Team
 
 
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -9,12 +9,13 @@
 
 from topazhold.core import preemption
 from topazhold.core.array_placement import ArrayCandidate, zone_of_group
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
 from topazhold.core.fleet_survey import FleetSurvey
 from topazhold.core.jobs import Job, Resources
-from topazhold.core.machines import Machine, add_resources, count_fitting
+from topazhold.core.machines import Machine
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting
 from topazhold.core.task_attempts import TaskAttempt
 
 #: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
--- a/topazhold/core/resource_offer.py
+++ b/topazhold/core/resource_offer.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from topazhold.core.jobs import Resources
-from topazhold.core.machines import SLACK, add_resources, fits
+from topazhold.core.resources import SLACK, add_resources, fits
 
 #: (outside its guaranteed quota, urgency level): the smaller one is scheduled first.
 Priority = tuple[int, int]
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -6,11 +6,12 @@
 from typing import NamedTuple
 
 from topazhold.core import autoscaling, preemption
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import GangState, Job, Resources
-from topazhold.core.machines import Machine, MachineState, add_resources
+from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import ReservationTable, add_reservation
 from topazhold.core.resource_offer import AGED, Priority, ResourceOffer
+from topazhold.core.resources import NO_RESOURCES, add_resources
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.core.zone_summary import CACHE_LENGTH, sooner
 from topazhold.wire import messages as wire
--- /dev/null
+++ b/topazhold/core/resources.py
@@ -0,0 +1,41 @@
+"""Amounts of CPUs, GPUs and memory, and which fit into which."""
+
+from __future__ import annotations
+
+from topazhold.core.jobs import Resources
+
+#: Amounts closer than this are equal; sums of decimal fractions drift.
+SLACK = 1e-6
+
+NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
+
+
+def fits(need: Resources, available: Resources) -> bool:
+    """Whether enough of every resource is available."""
+    return (
+        need[0] <= available[0] + SLACK
+        and need[1] <= available[1] + SLACK
+        and need[2] <= available[2] + SLACK
+    )
+
+
+def count_fitting(need: Resources, available: Resources, limit: int) -> int:
+    """How many tasks of this size the available resources take, up to `limit`."""
+    # Written out: called for each machine, waiting job and scheduling round.
+    count: float = limit
+    if need[0] > SLACK:
+        count = min(count, (available[0] + SLACK) // need[0])
+    if need[1] > SLACK:
+        count = min(count, (available[1] + SLACK) // need[1])
+    if need[2] > SLACK:
+        count = min(count, (available[2] + SLACK) // need[2])
+    return max(0, int(count))
+
+
+def add_resources(available: Resources, other: Resources, factor: float = 1.0) -> Resources:
+    """The sum of `available` and `factor` times `other`."""
+    return (
+        available[0] + other[0] * factor,
+        available[1] + other[1] * factor,
+        available[2] + other[2] * factor,
+    )
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -13,13 +13,14 @@
 
 from topazhold.core.array_placement import ArrayPlacement
 from topazhold.core.binding_reservations import BindingReservations
-from topazhold.core.cluster_state import NO_RESOURCES, ClusterState
+from topazhold.core.cluster_state import ClusterState
 from topazhold.core.fleet_survey import FleetSurvey
 from topazhold.core.gang_placement import GangPlacement
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import GangState, Job, Resources
-from topazhold.core.machines import Machine, fits
+from topazhold.core.machines import Machine
 from topazhold.core.replica_placement import ReplicaPlacement
+from topazhold.core.resources import NO_RESOURCES, fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.core.worker_commands import WorkerCommands
 
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -59,7 +59,7 @@
                     self._cluster.record_success(*key)
             else:
                 self._on_orphan(machine, key, task, orphans, now)
-        machine.orphans = orphans
+        machine.keep_orphans(orphans)
         lost = False
         for key, attempt in list(machine.attempts.items()):
             if key not in seen:
@@ -151,7 +151,7 @@
 
     def _on_done(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         job, spec = attempt.job, attempt.job.spec
-        machine.error_jobs.clear()
+        machine.forget_errors()
         machine.fetched(spec.image, spec.image_gb)
         is_whole = job.progress_s == 0.0 and not attempt.stopping and not job.service
         if attempt.running_since is not None and is_whole:
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -8,8 +8,8 @@
 from topazhold.core import autoscaling
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState
-from topazhold.core.machines import count_fitting
 from topazhold.core.placement_constraints import allowed
+from topazhold.core.resources import count_fitting
 from topazhold.core.team_limits import TeamLimits
 from topazhold.wire.cloud import MachineType
 
