--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -83,7 +83,7 @@
         for machine in scheduler.command_order(due, now):
             if len(self._under_way) >= self._max_under_way:
                 return
-            is_silent = not scheduler.heard_recently(machine, now)
+            is_silent = not scheduler.is_responsive(machine, now)
             if is_silent and silent >= self._max_silent:
                 return  # the living come first in this order
             scheduler.to_command.discard(machine.name)
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -17,9 +17,9 @@
 from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting
 from topazhold.core.start_objectives import StartObjectives
 
-#: Tasks of an array that get room back from other teams at once.
+#: Tasks of an array that get capacity back from other teams at once.
 MAX_PREEMPTED = 16
-#: An array without room gets it back from other teams every so many heartbeat intervals.
+#: An array without capacity gets it back from other teams every so many heartbeat intervals.
 RECLAIM_HEARTBEATS = 2
 #: What a place costs on top of the time until a task starts there, in heartbeat intervals:
 #: where the job asked for a spot machine and this is none, where the machine is empty and
@@ -32,14 +32,14 @@
 
 
 class ArrayCandidate(NamedTuple):
-    """A machine with room for so many tasks of one job."""
+    """A machine with capacity for so many tasks of one job."""
 
     machine: Machine
     slots: int
 
 
 class ReclaimChoice(NamedTuple):
-    """What it costs (in seconds of work) to get room for a task on a machine."""
+    """What it costs (in seconds of work) to get capacity for a task on a machine."""
 
     cost_s: float
     name: str
@@ -58,7 +58,7 @@
 class ArrayPlacement:
     """Plans arrays' tasks.
 
-    Owns, by job, since when an array has found no room or was last given some back.
+    Owns, by job, since when an array has found no capacity or was last given some back.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._starved_since.pop(job_id, None)
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
-        """Plan as many tasks of an array as there is room for, and as its team may run."""
+        """Plan as many tasks of an array as there is capacity for, and as its team may run."""
         if not survey.allows_one_more(job):
             return
         taken = survey.reserved.taken(job.id, preemption.queue_key(job), job.spec.checkpoint_s > 0)
@@ -122,7 +122,7 @@
         patient: bool,
         survey: FleetSurvey,
     ) -> bool:
-        """Whether one more task may go to a machine that has room for it."""
+        """Whether one more task may go to a machine that has capacity for it."""
         if survey.is_full or not self._cluster.recordable(machine, 1):
             return False
         if patient and not machine.spot and not survey.has_plain_gpus(job.need):
@@ -149,10 +149,10 @@
     def _places(
         self, job: Job, taken: Mapping[str, Resources], survey: FleetSurvey
     ) -> list[ArrayCandidate]:
-        """Machines with room, the ones where tasks start soonest first.
+        """Machines with capacity, the ones where tasks start soonest first.
 
         Where an array finds none, one of the same kind whose turn comes later finds none
-        in this round: reservations keep the more from it, and room only gets less.
+        in this round: reservations keep the more from it, and capacity only gets less.
         """
         spec = job.spec
         urgency_level = job.urgency_level if spec.checkpoint_s > 0 else None
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -19,7 +19,7 @@
 
 log = logging.getLogger(__name__)
 
-#: A reservation whose room is all there within so many heartbeat intervals binds work that
+#: A reservation whose capacity is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
 SOON_HEARTBEATS = 6.0
 LATE_BOOTS = 1.5
@@ -33,7 +33,7 @@
 
 
 class JudgedAvailability(NamedTuple):
-    """Whether all room of a reservation is there soon: its serial, when that was judged."""
+    """Whether all capacity of a reservation is there soon: its serial, when that was judged."""
 
     serial: int
     at: float
@@ -44,7 +44,7 @@
     """What the leader makes of the reservations that all controllers have booked.
 
     Owns, by gang: `rejected` (the serial of a reservation that can't be honoured), the last
-    check, the last judgement of whether all room is there soon, and since when the gang has
+    check, the last judgement of whether all capacity is there soon, and since when the gang has
     been without a reservation.
     """
 
@@ -77,7 +77,7 @@
     # -- gangs without a reservation ---------------------------------------
 
     def waiting_gangs(self, now: float) -> list[Job]:
-        """Gangs that wait, and whose teams may use the room."""
+        """Gangs that wait, and whose teams may use the capacity."""
         self._limits.refresh()
         return [
             job for job in self._queue.waiting_jobs(now) if job.gang and self._limits.reachable(job)
@@ -119,7 +119,7 @@
         )
 
     def binding(self, reservation: Reservation) -> bool:
-        """Whether a reservation still keeps room: its gang waits and may start."""
+        """Whether a reservation still keeps capacity: its gang waits and may start."""
         job = self._cluster.jobs.get(reservation.job)
         return (
             job is not None
@@ -130,7 +130,7 @@
         )
 
     def reserved_machines(self) -> set[str]:
-        """Machines on which a reservation keeps room."""
+        """Machines on which a reservation keeps capacity."""
         self._limits.refresh()
         return {
             name
@@ -166,7 +166,7 @@
         return job.gathering_until > now or self._is_available_soon(reservation, job, now)
 
     def _is_available_soon(self, reservation: Reservation, job: Job, now: float) -> bool:
-        """Whether all room of a reservation is likely there within a few heartbeat intervals."""
+        """Whether all capacity of a reservation is likely there within a few heartbeats."""
         known = self._soon_judged.get(job.id)
         if known is not None and known.serial == reservation.serial:
             if now - known.at < self._heartbeat_interval_s:
@@ -243,7 +243,7 @@
     if machine.state in (MachineState.DRAINING, MachineState.RELEASING):
         return "leaving"
     if machine.command_unreachable:
-        return "deaf"
+        return "out of reach of commands"
     if not allowed(job.spec, machine_type, machine.zone, machine.spot):
         return "not allowed"
     if count_fitting(job.need, machine.total, count) < count:
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -221,10 +221,7 @@
 
     def silence_s(self, machine: Machine, now: float) -> float:
         """Seconds since the machine's last heartbeat, or since this term began."""
-        heard = (
-            machine.last_heartbeat_at if machine.last_heartbeat_at is not None else machine.since
-        )
-        return now - max(heard, self.since)
+        return now - max(machine.last_seen_at, self.since)
 
     def usable(self, machine: Machine, now: float) -> bool:
         """Whether new work may be planned there."""
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -43,7 +43,7 @@
             self._cluster.release(machine, QUARANTINED, now)
         elif all(attempt.job.service for attempt in machine.attempts.values()):
             # Replicas never end: without a move it would be kept, and paid, for good.
-            self._move_replicas(machine, "machine is sick", now)
+            self._move_replicas(machine, "machine is quarantined", now)
 
     def _leave_before(self, machine: Machine, left_s: float, now: float) -> None:
         """The machine will be taken in `left_s` seconds."""
@@ -74,7 +74,7 @@
                 self._eviction.preempt(attempt, reason, now)
 
     def _has_other_place(self, attempt: TaskAttempt, now: float) -> bool:
-        """Whether some other machine has room for a replica."""
+        """Whether some other machine has capacity for a replica."""
         job = attempt.job
         zones = job.zones_used(self._cluster.zone_of)
         here = self._cluster.zone_of.get(attempt.machine)
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -122,9 +122,9 @@
         past = age_s > self._cancel_s
         hearing_s = self._lease_s if past else 2.5 * self._heartbeat_interval_s
         no_time = not past and age_s > 0.8 * self._cancel_s
-        heard_out = now - self._cluster.since > hearing_s or no_time
+        workers_heard = now - self._cluster.since > hearing_s or no_time
         machine = self._cluster.machines.get(attempt.machine)
-        if age_s > 0.6 * self._cancel_s and heard_out and machine is not None:
+        if age_s > 0.6 * self._cancel_s and workers_heard and machine is not None:
             # A task that nobody can be shown to have stopped takes its
             # machine with it: after cancel_s it must not be anywhere.
             self._cluster.release(machine, f"can't stop {attempt.task_name}", now)
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -8,7 +8,7 @@
 
 from topazhold.core.cluster_state import UP, ClusterState
 from topazhold.core.draining import Draining
-from topazhold.core.machines import Machine, MachineState
+from topazhold.core.machines import COMMANDS_LOST, Machine, MachineState
 from topazhold.core.task_attempts import AttemptState
 
 log = logging.getLogger(__name__)
@@ -74,12 +74,12 @@
         """Whether others hear most of the workers, and this controller hardly any."""
         if now - self._cluster.since < self._lease_s:
             return False
-        heard = reached = 0
+        heard_by_any = heard_here = 0
         for machine in self._cluster.machines.values():
             if machine.state in UP and self._cluster.silence_s(machine, now) < 0.5 * self._lease_s:
-                heard += 1
-                reached += now - machine.last_own_heartbeat_at < 0.5 * self._lease_s
-        return heard >= 2 and reached < 0.3 * heard
+                heard_by_any += 1
+                heard_here += now - machine.last_own_heartbeat_at < 0.5 * self._lease_s
+        return heard_by_any >= 2 and heard_here < 0.3 * heard_by_any
 
     def needs_term_announcement(self, machine: Machine, now: float) -> bool:
         """Whether a worker has to be told of this term directly.
@@ -122,7 +122,7 @@
             self._cluster.request_command(machine.name)
         is_unreachable = machine.command_unreachable_since is not None
         if is_unreachable and self._is_single_unreachable(machine, now):
-            self._cluster.release(machine, "deaf", now)
+            self._cluster.release(machine, COMMANDS_LOST, now)
             return
         self._watch_silence(machine, now)
 
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -71,8 +71,8 @@
 
     What many jobs ask for is added up once per round, so that its cost does not grow with
     jobs times machines times reservations. Owns `planned` (the round's attempts), `with_capacity`
-    (usable machines with room for some waiting task), `reserved` (what reservations keep),
-    `full_kinds` (kinds of arrays that found no room), the teams' claims, the GPUs that are
+    (usable machines with capacity for some waiting task), `reserved` (what reservations keep),
+    `full_kinds` (kinds of arrays that found no capacity), the teams' claims, the GPUs that are
     free beyond the reserve, and the sizes of other work.
     """
 
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -20,13 +20,13 @@
 
 log = logging.getLogger(__name__)
 
-#: While a gang's room is made, not even work that yields comes in between for so many
+#: While a gang's capacity is made, not even work that yields comes in between for so many
 #: heartbeat intervals.
 GATHERING_HEARTBEATS = 2
 
 
 class ShortMachine(NamedTuple):
-    """A reserved machine that lacks room, and what the gang needs there in all."""
+    """A reserved machine that lacks capacity, and what the gang needs there in all."""
 
     machine: Machine
     whole: Resources
@@ -120,4 +120,4 @@
         job.gathering_until = now + self._gathering_s
         for attempt in chosen:
             if not attempt.stopping:
-                self._eviction.preempt(attempt, f"room for {job.id}", now)
+                self._eviction.preempt(attempt, f"capacity for {job.id}", now)
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -51,7 +51,7 @@
         term_before = machine.term
         machine.note_heartbeat(heartbeat.sequence, heartbeat.endpoint, heartbeat.fencing_token)
         synced = heartbeat.fencing_token == self._term
-        machine.hear(synced, now)
+        machine.on_heartbeat(synced, now)
         self._check_command_reachability(machine, term_before, now)
         if not direct:
             machine.answered(not forwarded, now)
@@ -102,11 +102,11 @@
 
     def _check_command_reachability(self, machine: Machine, term_before: int, now: float) -> None:
         """Whether answers reach the worker, as far as its heartbeat shows it."""
-        heard = (
+        reached = (
             machine.term == self._term != term_before
             or now - machine.incarnation_since > REACHED_LEASES * self._lease_s
         )
-        if heard and machine.mark_command_reachable():
+        if reached and machine.mark_command_reachable():
             log.info("machine %s gets commands again", machine.name)
 
     def _on_command_unreachable(self, machine: Machine, reason: str, now: float) -> None:
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -38,14 +38,9 @@
         for machine in list(self._cluster.machines.values()):
             if machine.name in names or now - machine.rented_at < LISTED_LAGS * self._lag_s:
                 continue
-            heard = (
-                machine.last_heartbeat_at
-                if machine.last_heartbeat_at is not None
-                else machine.since
-            )
             # Only a list asked for well after the machine was last heard says anything
             # about it.
-            if asked_at - heard > LIST_AGE_LAGS * self._lag_s:
+            if asked_at - machine.last_seen_at > LIST_AGE_LAGS * self._lag_s:
                 machine.count_missed_list()
 
     def _listed_machine(self, item: ListedMachine, now: float) -> Machine:
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -12,6 +12,8 @@
 
 #: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
 QUARANTINED = "sick"
+#: The same, as it is recorded: its heartbeats arrive, and no command reaches it.
+COMMANDS_LOST = "deaf"
 
 
 class MachineState(Enum):
@@ -72,7 +74,12 @@
             self.since = now
             self.changes += 1
 
-    def hear(self, synced: bool, now: float) -> None:
+    @property
+    def last_seen_at(self) -> float:
+        """When the last heartbeat arrived; without any, when the machine entered its state."""
+        return self.last_heartbeat_at if self.last_heartbeat_at is not None else self.since
+
+    def on_heartbeat(self, synced: bool, now: float) -> None:
         """A heartbeat arrived; `synced`: it was written under this term."""
         self.last_heartbeat_at = now
         self.missed_lists = 0
@@ -125,7 +132,7 @@
         """Intents of an earlier term name the machine: it was up, and is not heard yet."""
         self.incarnation = incarnation
         if self.state is MachineState.STARTING and incarnation:
-            self.hear(False, now)
+            self.on_heartbeat(False, now)
             self.last_heartbeat_at = None
 
     def mark_unconfirmed(self) -> None:
@@ -206,7 +213,7 @@
         self.orphans = orphans
 
     def quarantine_until(self, at: float) -> None:
-        """A launch found no room: take no new work before `at`."""
+        """A launch found no capacity: take no new work before `at`."""
         self.quarantined_until = at
 
     def count_change(self) -> None:
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class ReplicaCandidate:
-    """A machine with room for so many more replicas of one job, and what the next one costs."""
+    """A machine with capacity for so many more replicas of one job, and what the next one costs."""
 
     machine: Machine
     cost_s: float
@@ -53,7 +53,7 @@
 class ReplicaPlacement:
     """Plans services' replicas, first ones and replacements alike.
 
-    Owns, by job, when room was last made for a service that had none.
+    Owns, by job, when capacity was last made for a service that had none.
     """
 
     def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
@@ -67,7 +67,7 @@
         self._preempted_at.pop(job_id, None)
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
-        """Plan as many replicas as there is room for; make room for those that have none."""
+        """Plan as many replicas as there is capacity for, and preempt for those that have none."""
         if not survey.allows_one_more(job):
             return
         taken = survey.reserved.taken(job.id, preemption.queue_key(job))
@@ -122,7 +122,7 @@
     def _places(
         self, job: Job, taken: Mapping[str, Resources], survey: FleetSurvey
     ) -> list[ReplicaCandidate]:
-        """Machines that have room now."""
+        """Machines that have capacity now."""
         spec = job.spec
         places = []
         for machine in survey.with_capacity:
@@ -184,7 +184,7 @@
         for choice in choices[: max(0, job.waiting_count - coming)]:
             for attempt in choice.victims:
                 if not attempt.stopping:
-                    self._eviction.preempt(attempt, f"room for {job.id}", now)
+                    self._eviction.preempt(attempt, f"capacity for {job.id}", now)
 
     def _preemptible(
         self, job: Job, taken: Mapping[str, Resources], zones: Mapping[str, int], now: float
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -106,7 +106,7 @@
         )
 
     def _availability(self, machine: Machine, now: float) -> list[tuple[float, Resources]]:
-        """Seconds from now, and the room that is free by then as tasks end."""
+        """Seconds from now, and the capacity that is free by then as tasks end."""
         available = machine.free()
         # A worker that can be woken takes a launch at once, others at their
         # next heartbeat.
@@ -136,7 +136,7 @@
         return left_s
 
     def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
-        """Room that work of each priority could take from work behind it."""
+        """Capacity that work of each priority could take from work behind it."""
         kinds = self._preemptible_work(machine)
         found = []
         for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
@@ -183,7 +183,7 @@
     # -- a zone ------------------------------------------------------------
 
     def of_zone(self, zone: str, now: float, largest: Job | None) -> list[ResourceOffer]:
-        """The zone's cache: machines with room, soonest free first.
+        """The zone's cache: machines with capacity, soonest free first.
 
         It is as long as the largest waiting gang needs, for its alpha·N candidates; every
         other place in it goes to the machines that are soonest free for its tasks, since in
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -195,9 +195,9 @@
         """Whom to command directly first: the living, and those with cancelled work."""
         return self._commands.command_order(names, now)
 
-    def heard_recently(self, machine: Machine, now: float) -> bool:
+    def is_responsive(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
-        return self._commands.heard_recently(machine, now)
+        return self._commands.is_responsive(machine, now)
 
     # -- what time brings about ------------------------------------------------
 
@@ -227,7 +227,7 @@
     # -- searches for gangs' machines ------------------------------------------
 
     def waiting_gangs(self, now: float) -> list[Job]:
-        """Gangs that wait, and whose teams may use the room."""
+        """Gangs that wait, and whose teams may use the capacity."""
         return self._reservations.waiting_gangs(now)
 
     def largest_gang(self, now: float) -> Job | None:
@@ -247,7 +247,7 @@
         return self._reservations.spent(job, reservation)
 
     def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
-        """A zone's machines with room, soonest free first: enough for the `largest` gang."""
+        """A zone's machines with capacity, soonest free first: enough for the `largest` gang."""
         return self.parts.resource_offers.of_zone(zone, now, largest)
 
     def directory(self) -> list[tuple[str, str]]:
--- a/topazhold/core/start_objectives.py
+++ b/topazhold/core/start_objectives.py
@@ -39,7 +39,7 @@
     def ageing_threshold_s(self, job: Job) -> float:
         """How long, in seconds, a gang waits like any other before it is aged.
 
-        The larger it is, the more seldom its room comes free by chance, and the sooner
+        The larger it is, the more seldom its capacity comes free by chance, and the sooner
         it has to be preferred.
         """
         _, longest = self.wait_objectives.get(job.spec.job_class, (0.0, self._longest_wait_s))
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -15,7 +15,7 @@
 
 log = logging.getLogger(__name__)
 
-#: For so many heartbeat intervals nothing is placed on a machine that had no room, and no
+#: For so many heartbeat intervals nothing is placed on a machine that had no capacity, and no
 #: task of a job whose image is unknown.
 PAUSE_HEARTBEATS = 2
 
--- a/topazhold/core/team_limits.py
+++ b/topazhold/core/team_limits.py
@@ -21,7 +21,7 @@
 
 
 class TeamLimits:
-    """Room under the limits of teams, their own lower work stopped.
+    """Capacity under the limits of teams, their own lower work stopped.
 
     Owns the memo of what each team's jobs have on machines; it is kept until `refresh`,
     so that a round adds it up once.
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -138,7 +138,7 @@
                 ):
                     self._wake_now(name)
 
-    def heard_recently(self, machine: Machine, now: float) -> bool:
+    def is_responsive(self, machine: Machine, now: float) -> bool:
         """Whether the worker was heard not long ago, so that it is likely to answer."""
         return (
             machine.last_heartbeat_at is not None
@@ -153,7 +153,7 @@
             if machine is not None and machine.endpoint is not None:
                 must_be_released = self._cluster.must_be_released(name)
                 key = (
-                    not self.heard_recently(machine, now),
+                    not self.is_responsive(machine, now),
                     not must_be_released,
                     machine.commanded_at,
                     name,
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -1,4 +1,4 @@
-"""Machines for jobs whose room is there, but in the wrong zones."""
+"""Machines for jobs whose capacity is there, but in the wrong zones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ZoneShortage(NamedTuple):
-    """A zone that lacks room for so many tasks of a job."""
+    """A zone that lacks capacity for so many tasks of a job."""
 
     zone: str
     tasks: int
@@ -41,7 +41,7 @@
     ) -> None:
         """Demand more machines of one zone for the first job that lacks them: one at a time."""
         waiting = [job for job in self._cluster.jobs.values() if self._is_bound_and_waits(job, now)]
-        # Gangs of one shape find the same room: counted once for all of them.
+        # Gangs of one shape find the same capacity: counted once for all of them.
         counted: dict[object, dict[str, int]] = {}
         for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
             machine_type = autoscaling.best_type(job.spec, machine_types)
@@ -91,7 +91,7 @@
         return job.service and job.waiting_count > 0 and late
 
     def _shortage(self, job: Job, zones: list[str], free: dict[str, int]) -> ZoneShortage | None:
-        """A zone in which room for so many more tasks would let the job run, if zones alone
+        """A zone in which capacity for so many more tasks would let the job run, if zones alone
         are in the way."""
         wanted = job.waiting_count
         if sum(free.values()) < wanted:
@@ -112,7 +112,7 @@
         return ZoneShortage(zone, min(missing, allowed_more[zone] - free[zone]))
 
     def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
-        """Zone by zone, how many tasks of a job the machines have room for now or soon."""
+        """Zone by zone, how many tasks of a job the machines have capacity for now or soon."""
         free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
         for machine in self._cluster.machines.values():
             if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
