--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -69,7 +69,7 @@
             yield batch
 
     def _by_shard(self, attempts: list[TaskAttempt]) -> dict[str, list[TaskAttempt]]:
-        """The runs by the name of their machine's shard; those of unknown machines fall out."""
+        """The attempts by the name of their machine's shard; those of unknown machines fall out."""
         context = self._context
         machines = context.scheduler.machines
         by_shard: dict[str, list[TaskAttempt]] = {}
@@ -86,7 +86,7 @@
         return every - len(context.preconditions()) - context.txn_ops
 
     async def _write_batch(self, batch: list[TaskAttempt], retried: bool = False) -> None:
-        """Commit the intents of some runs; `retried`: all that was too much is written apart."""
+        """Commit the intents of some attempts; `retried`: what was too much is written apart."""
         context = self._context
         scheduler = context.scheduler
         token = context.token()
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -1,7 +1,8 @@
 """The consensus-backed key-value store: reads, compare-and-swap, leases, watches.
 
-Every request keeps within this controller's share of the store's limits. A rank, one of
-`LEASES`, `DECISIONS` and `USERS`, says which requests go first when the limits are near.
+Every request keeps within this controller's share of the store's limits. A priority, one of
+`LEASE_PRIORITY`, `DECISION_PRIORITY` and `USER_PRIORITY`, says which requests go first when
+the limits are near.
 """
 
 from __future__ import annotations
--- a/topazhold/core/start_objectives.py
+++ b/topazhold/core/start_objectives.py
@@ -16,7 +16,7 @@
 class StartObjectives:
     """Waits that are aimed at for the start of jobs, in seconds.
 
-    Owns `aimed_waits`: by job class, the shortest and the longest objective for a start.
+    Owns `wait_objectives`: by job class, the shortest and the longest objective for a start.
     """
 
     def __init__(
