--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -55,11 +55,11 @@
 
 
 def any_place(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(binding_reservations, "allowed", lambda *args: True)
-    patch.setattr(array_placement, "allowed", lambda *args: True)
+    patch.setattr(binding_reservations, "placement_allowed", lambda *args: True)
+    patch.setattr(array_placement, "placement_allowed", lambda *args: True)
     patch.setattr(BindingReservations, "_reservation_fault", lambda *args: None)
-    patch.setattr(array_placement, "zone_of_group", lambda *args: None)
-    patch.setattr(replica_placement, "zone_of_group", lambda *args: None)
+    patch.setattr(array_placement, "choose_shared_zone", lambda *args: None)
+    patch.setattr(replica_placement, "choose_shared_zone", lambda *args: None)
 
 
 def no_kills(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_scheduler_priorities.py
+++ b/tests/test_scheduler_priorities.py
@@ -89,7 +89,7 @@
 def test_wrong_estimates_are_corrected_within_bounds(harness: SchedulerHarness) -> None:
     estimates = harness.scheduler.estimates
     for _ in range(200):
-        estimates.learn("train", 10.0, 1000.0)
+        estimates.observe("train", 10.0, 1000.0)
     assert 2.5 < estimates.correction("train") <= 3.0
     assert estimates.correction("other") == 1.0
 
@@ -102,7 +102,7 @@
     urgent.within_guarantee, low.within_guarantee = False, True
     for job in (urgent, low):
         harness.scheduler.usage.add(job, 20)
-    may = preemption.may_stop
+    may = preemption.may_preempt
     assert may(low, urgent, harness.scheduler.usage)
     assert not may(urgent, low, harness.scheduler.usage)
 
@@ -130,11 +130,11 @@
     harness.scheduler.refresh_guarantees()
     assert filler.within_guarantee and gang.within_guarantee and not other.within_guarantee
     assert preemption.priority(other) > preemption.priority(filler)
-    assert not preemption.may_stop(other, filler, harness.scheduler.usage)
+    assert not preemption.may_preempt(other, filler, harness.scheduler.usage)
     harness.now += harness.scheduler.ageing_threshold_s(other) + 1.0
     harness.scheduler.tick(harness.now)
-    assert other.is_aged and preemption.may_stop(other, filler, harness.scheduler.usage)
-    assert not preemption.may_stop(filler, other, harness.scheduler.usage), "never both ways"
+    assert other.is_aged and preemption.may_preempt(other, filler, harness.scheduler.usage)
+    assert not preemption.may_preempt(filler, other, harness.scheduler.usage), "never both ways"
 
 
 def test_urgent_and_large_gangs_age_sooner(harness: SchedulerHarness) -> None:
--- a/tests/test_scheduling_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -219,7 +219,7 @@
 
             def forget(self: SchedulingRounds, *args: Any) -> FleetSurvey:
                 found = survey(self, *args)
-                found.full_kinds = Forgetful()
+                found.unplaceable_requests = Forgetful()
                 return found
 
             if forgets:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -10,7 +10,7 @@
 from tests.job_specs import make_spec
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.scheduler_harness import SchedulerHarness
-from topazhold.core.fleet_survey import OtherWork
+from topazhold.core.fleet_survey import NonServiceSizes
 from topazhold.core.jobs import Job, JobState
 from topazhold.core.machines import MachineState
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
@@ -200,9 +200,9 @@
     job = harness.add_job(service_spec(tasks=1, cpus=6.0))
     (attempt,) = harness.plan_and_commit()
     assert attempt.machine == "host-2", "the empty machines could be given back"
-    other_work = OtherWork(harness.scheduler.jobs.values())
+    non_service_sizes = NonServiceSizes(harness.scheduler.jobs.values())
     hindrances = {
-        name: other_work.hindered_share(machine, job.need)
+        name: non_service_sizes.displaced_share(machine, job.need)
         for name, machine in harness.scheduler.machines.items()
     }
     assert hindrances == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -11,7 +11,7 @@
 from topazhold.core.job_queue import JobQueue
 from topazhold.core.jobs import GangState, Job, JobState
 from topazhold.core.machines import Machine, MachineState
-from topazhold.core.placement_constraints import allowed
+from topazhold.core.placement_constraints import placement_allowed
 from topazhold.core.reservations import QueueKey, Reservation, ReservationTable, ReservedResources
 from topazhold.core.resource_offers import ResourceOffers
 from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting, fits
@@ -78,9 +78,11 @@
 
     def waiting_gangs(self, now: float) -> list[Job]:
         """Gangs that wait, and whose teams may use the capacity."""
-        self._limits.refresh()
+        self._limits.invalidate()
         return [
-            job for job in self._queue.waiting_jobs(now) if job.gang and self._limits.reachable(job)
+            job
+            for job in self._queue.waiting_jobs(now)
+            if job.gang and self._limits.fits_with_preemption(job)
         ]
 
     def largest_gang(self, now: float) -> Job | None:
@@ -126,12 +128,12 @@
             and job.state is JobState.LIVE
             and job.gang_state is GangState.WAITING
             and not self.spent(job, reservation)
-            and self._limits.reachable(job)
+            and self._limits.fits_with_preemption(job)
         )
 
     def reserved_machines(self) -> set[str]:
         """Machines on which a reservation keeps capacity."""
-        self._limits.refresh()
+        self._limits.invalidate()
         return {
             name
             for reservation in self._reservation_table.all()
@@ -141,7 +143,7 @@
 
     def reserved_resources(self, now: float) -> ReservedResources:
         """What reservations keep, for a round whose turns go by in order."""
-        self._limits.refresh()
+        self._limits.invalidate()
         return ReservedResources(
             self._reservation_table,
             self._queue_key_of,
@@ -244,7 +246,7 @@
         return "leaving"
     if machine.command_unreachable:
         return "out of reach of commands"
-    if not allowed(job.spec, machine_type, machine.zone, machine.spot):
+    if not placement_allowed(job.spec, machine_type, machine.zone, machine.spot):
         return "not allowed"
     if count_fitting(job.need, machine.total, count) < count:
         return "too small"
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -13,7 +13,7 @@
 
 from topazhold.core.estimates import fetch_s
 from topazhold.core.jobs import Resources
-from topazhold.core.placement_constraints import allowed
+from topazhold.core.placement_constraints import placement_allowed
 from topazhold.core.resource_offer import Priority, ResourceOffer
 from topazhold.core.resources import count_fitting
 from topazhold.wire.jobs import JobSpec
@@ -68,7 +68,7 @@
 def offer_slots(offer: ResourceOffer, context: SearchContext, limit: int) -> list[Slot]:
     """Up to `limit` slots of one machine, soonest first."""
     spec, rules = context.spec, context.rules
-    if not allowed(spec, offer.machine_type, offer.zone, offer.spot):
+    if not placement_allowed(spec, offer.machine_type, offer.zone, offer.spot):
         return []
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     missing_gb = 0.0 if spec.image in offer.images else spec.image_gb
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from topazhold.core.jobs import Job, JobState, Resources
-from topazhold.core.placement_constraints import allowed
+from topazhold.core.placement_constraints import placement_allowed
 from topazhold.core.quota import RemainingQuota
 from topazhold.core.resources import count_fitting
 from topazhold.settings import Team
@@ -99,7 +99,9 @@
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     return any(
         count_fitting(need, _resources_of(machine_type), 1) == 1
-        and any(allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones)
+        and any(
+            placement_allowed(spec, machine_type.name, zone, False) for zone in machine_type.zones
+        )
         for machine_type in machine_types
     )
 
@@ -128,7 +130,7 @@
         machine_type = best_type(job.spec, machine_types)
         if machine_type is None:
             continue
-        tasks = remaining.take(job, job.spec.tasks - job.completed_count)
+        tasks = remaining.consume(job, job.spec.tasks - job.completed_count)
         if tasks <= 0:
             continue
         machines = tasks / count_fitting(job.need, _resources_of(machine_type), UNLIMITED_TASKS)
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -5,7 +5,7 @@
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.eviction import Eviction
 from topazhold.core.machines import QUARANTINED, Machine
-from topazhold.core.placement_constraints import allowed
+from topazhold.core.placement_constraints import placement_allowed
 from topazhold.core.resources import fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
@@ -83,7 +83,9 @@
                 continue
             if not self._cluster.usable(machine, now) or not fits(job.need, machine.free()):
                 continue
-            if not allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+            if not placement_allowed(
+                job.spec, machine.machine_type.name, machine.zone, machine.spot
+            ):
                 continue
             if machine.zone == here:
                 return True
--- a/topazhold/core/estimates.py
+++ b/topazhold/core/estimates.py
@@ -26,24 +26,24 @@
     def __init__(self) -> None:
         self._log_ratio: dict[str, float] = {}
 
-    def learn(self, job_class: str, estimated_s: float, actual_s: float) -> None:
+    def observe(self, job_class: str, estimated_s: float, actual_s: float) -> None:
         """A task has run for `actual_s` seconds; times that are not positive are ignored."""
         if estimated_s <= 0 or actual_s <= 0:
             return
         limit = math.log(MAX_CORRECTION)
         observed = max(-limit, min(limit, math.log(actual_s / estimated_s)))
-        old = self._log_ratio.get(job_class, 0.0)
-        self._log_ratio[job_class] = old + OBSERVATION_WEIGHT * (observed - old)
+        previous = self._log_ratio.get(job_class, 0.0)
+        self._log_ratio[job_class] = previous + OBSERVATION_WEIGHT * (observed - previous)
 
     def correction(self, job_class: str) -> float:
         """The factor by which estimates of the class are multiplied."""
         return math.exp(self._log_ratio.get(job_class, 0.0))
 
-    def run_s(self, job_class: str, estimated_s: float) -> float:
+    def corrected_run_s(self, job_class: str, estimated_s: float) -> float:
         """The corrected run time in seconds."""
         return estimated_s * self.correction(job_class)
 
     def remaining_s(self, job_class: str, estimated_s: float, elapsed_s: float) -> float:
         """Seconds until the end, never near zero: a task may outlive its estimate."""
-        whole = self.run_s(job_class, estimated_s)
-        return max(whole - elapsed_s, MIN_REMAINING_SHARE * whole, 0.0)
+        expected_s = self.corrected_run_s(job_class, estimated_s)
+        return max(expected_s - elapsed_s, MIN_REMAINING_SHARE * expected_s, 0.0)
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -12,17 +12,27 @@
 
 log = logging.getLogger(__name__)
 
+#: Heartbeat intervals for which a new leader waits for the workers' heartbeats before it releases
+#: a machine to enforce a cancellation.
+SYNC_HEARTBEATS = 2.5
+#: Share of `cancel_s` after which a machine that still has a cancelled task is released.
+CANCEL_RELEASE_SHARE = 0.6
+#: Share of `cancel_s` after which a new leader no longer waits for the workers' heartbeats.
+CANCEL_DEADLINE_SHARE = 0.8
+
 
 class Eviction:
     """Stops tasks, and whole gangs together, as the rules for each allow.
 
-    Owns no state but the `GangClock`: what is to stop is marked on the attempts themselves.
+    Owns no state but the `GangTimeouts`: what is to stop is marked on the attempts themselves.
     """
 
     def __init__(self, cluster: ClusterState, objectives: StartObjectives) -> None:
         self._cluster = cluster
         self._objectives = objectives
-        self._clock = gangs.GangClock(cluster.heartbeat_interval_s, cluster.timing.gang_wait_s)
+        self._timeouts = gangs.GangTimeouts(
+            cluster.heartbeat_interval_s, cluster.timing.gang_wait_s
+        )
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
         self._lease_s = cluster.lease_s
         self._cancel_s = cluster.timing.cancel_s
@@ -84,26 +94,26 @@
     def _checkpoint_grace_s(self, job: Job) -> float:
         return job.spec.save_s + self._heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
 
-    def step_gang(self, job: Job, now: float) -> None:
+    def advance_gang(self, job: Job, now: float) -> None:
         """What time brings about for a live gang: ageing, progress of its start, a stop."""
-        before = job.gang_state
-        if before is GangState.WAITING and not job.is_aged:
+        previous_state = job.gang_state
+        if previous_state is GangState.WAITING and not job.is_aged:
             # For good: else the work that gave way to it would stop it in turn.
             job.is_aged = now - job.arrived > self._objectives.ageing_threshold_s(job)
             self._cluster.count_changes(job.is_aged)
-        reason = gangs.step(job, self._clock, now)
-        if job.gang_state is GangState.RUNNING and before is GangState.STARTING:
+        reason = gangs.advance(job, self._timeouts, now)
+        if job.gang_state is GangState.RUNNING and previous_state is GangState.STARTING:
             log.info("gang %s runs, %.1f s after it came", job.id, now - job.arrived)
         if reason is not None and not job.complete:
             # A gang found saving at a failover must be let finish that: a second
             # kill without grace would cost what it is about to have saved.
-            has_run = before is GangState.RUNNING or any(
+            has_run = previous_state is GangState.RUNNING or any(
                 attempt.state is AttemptState.FLUSHING for attempt in job.attempts.values()
             )
             grace_s = self._checkpoint_grace_s(job) if has_run else 0.0
             self.stop_gang(job, grace_s, reason, now)
-            gangs.step(job, self._clock, now)
-        self._cluster.count_changes(job.gang_state is not before)
+            gangs.advance(job, self._timeouts, now)
+        self._cluster.count_changes(job.gang_state is not previous_state)
 
     def stop_ended_job(self, job: Job, now: float) -> None:
         """Tasks of a job that is over must leave their machines."""
@@ -113,18 +123,18 @@
                     self.stop_attempt(attempt, 0.0, "job done", now)
             elif job.cancelled_at is not None:
                 self.stop_attempt(attempt, 0.0, "job aborted", now)
-                self._insist(attempt, now - job.cancelled_at, now)
+                self._enforce_cancellation(attempt, now - job.cancelled_at, now)
 
-    def _insist(self, attempt: TaskAttempt, age_s: float, now: float) -> None:
+    def _enforce_cancellation(self, attempt: TaskAttempt, age_s: float, now: float) -> None:
         """Repeat a cancelled job's kill, or release the machine if it is of no avail."""
         # A new leader first hears the workers, unless there is no time; past
         # `cancel_s` nothing is gained by haste, and the tasks may long be killed.
-        past = age_s > self._cancel_s
-        hearing_s = self._lease_s if past else 2.5 * self._heartbeat_interval_s
-        no_time = not past and age_s > 0.8 * self._cancel_s
-        workers_heard = now - self._cluster.since > hearing_s or no_time
+        overdue = age_s > self._cancel_s
+        sync_s = self._lease_s if overdue else SYNC_HEARTBEATS * self._heartbeat_interval_s
+        deadline_near = not overdue and age_s > CANCEL_DEADLINE_SHARE * self._cancel_s
+        workers_synced = now - self._cluster.since > sync_s or deadline_near
         machine = self._cluster.machines.get(attempt.machine)
-        if age_s > 0.6 * self._cancel_s and workers_heard and machine is not None:
+        if age_s > CANCEL_RELEASE_SHARE * self._cancel_s and workers_synced and machine is not None:
             # A task that nobody can be shown to have stopped takes its
             # machine with it: after cancel_s it must not be anywhere.
             self._cluster.release(machine, f"can't stop {attempt.task_name}", now)
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -38,7 +38,7 @@
             _adopt(cluster, job_id, index, attempt_number, machine.name, each.incarnation, now)
     for job in list(cluster.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
-            gangs.resume(job, now)
+            gangs.restore(job, now)
         cluster.forget_if_ended(job)
 
 
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -15,7 +15,7 @@
 #: Attempts planned in one round.
 MAX_PLACED_TASKS = 96
 #: Kinds of other work that are looked at to tell whether a replica is in their way.
-MAX_KINDS = 24
+MAX_TASK_SIZES = 24
 
 
 class TeamClaim(NamedTuple):
@@ -28,7 +28,7 @@
 NO_CLAIM = TeamClaim()
 
 
-class OtherWork:
+class NonServiceSizes:
     """Sizes of the tasks of unfinished jobs other than services, and what replicas cost them.
 
     Owns the memo of shares by what services take of a machine of one type.
@@ -37,10 +37,10 @@
     def __init__(self, jobs: Iterable[Job]) -> None:
         sizes = {job.need for job in jobs if job.state is JobState.LIVE and not job.service}
         largest_first = sorted(sizes, key=lambda need: (need[1], need[0], need[2]), reverse=True)
-        self._kinds = largest_first[:MAX_KINDS]
+        self._sizes = largest_first[:MAX_TASK_SIZES]
         self._shares: dict[object, float] = {}
 
-    def hindered_share(self, machine: Machine, need: Resources) -> float:
+    def displaced_share(self, machine: Machine, need: Resources) -> float:
         """Of the kinds of other work, the share of which the machine would take fewer tasks
         beside one more replica of this size."""
         assert machine.machine_type is not None
@@ -52,18 +52,20 @@
         found = self._shares.get(key)
         if found is None:
             before = add_resources(machine.total, services, -1.0)
-            found = self._shares[key] = self._lost_share(before, add_resources(before, need, -1.0))
+            found = self._shares[key] = self._share_displaced(
+                before, add_resources(before, need, -1.0)
+            )
         return found
 
-    def _lost_share(self, before: Resources, after: Resources) -> float:
-        kinds = self._kinds
-        lost = [
-            kind
-            for kind in kinds
-            if count_fitting(kind, after, MAX_PLACED_TASKS)
-            < count_fitting(kind, before, MAX_PLACED_TASKS)
+    def _share_displaced(self, before: Resources, after: Resources) -> float:
+        sizes = self._sizes
+        displaced = [
+            size
+            for size in sizes
+            if count_fitting(size, after, MAX_PLACED_TASKS)
+            < count_fitting(size, before, MAX_PLACED_TASKS)
         ]
-        return len(lost) / len(kinds) if kinds else 0.0
+        return len(displaced) / len(sizes) if sizes else 0.0
 
 
 class FleetSurvey:
@@ -72,15 +74,15 @@
     What many jobs ask for is added up once per round, so that its cost does not grow with
     jobs times machines times reservations. Owns `planned` (the round's attempts), `with_capacity`
     (usable machines with capacity for some waiting task), `reserved` (what reservations keep),
-    `full_kinds` (kinds of arrays that found no capacity), the teams' claims, the GPUs that are
-    free beyond the reserve, and the sizes of other work.
+    `unplaceable_requests` (kinds of arrays that found no capacity), the teams' claims, the GPUs
+    that are free beyond the reserve, and the sizes of other work.
     """
 
     def __init__(
         self,
         cluster: ClusterState,
         reserved: ReservedResources,
-        least: Resources,
+        smallest_need: Resources,
         reserve_share: float,
         now: float,
     ) -> None:
@@ -88,10 +90,10 @@
         self.planned: list[TaskAttempt] = []
         self.reserved = reserved
         self.with_capacity: list[Machine] = []
-        self.full_kinds: set[object] = set()
+        self.unplaceable_requests: set[object] = set()
         self._cluster = cluster
         self._claims: dict[str, TeamClaim] = {}
-        self._other_work: OtherWork | None = None
+        self._non_service_sizes: NonServiceSizes | None = None
         free = total = 0.0
         for machine in cluster.machines.values():
             if cluster.usable(machine, now):
@@ -99,11 +101,11 @@
                 if not machine.spot:
                     free += available[1]
                     total += machine.total[1]
-                if fits(least, available):
+                if fits(smallest_need, available):
                     self.with_capacity.append(machine)
         # Classes that are to start within seconds can't wait for others to save and leave;
         # so work that can wait does not fill the last ordinary machines.
-        self._free_plain_gpus = free - reserve_share * total
+        self._spare_on_demand_gpus = free - reserve_share * total
 
     @property
     def is_full(self) -> bool:
@@ -144,19 +146,19 @@
     def on_gang_placed(self, job: Job, attempts: list[TaskAttempt]) -> None:
         """A gang starts: its reservation keeps nothing any more."""
         self.reserved.release(job.id)
-        self.full_kinds.clear()
+        self.unplaceable_requests.clear()
         self.planned += attempts
 
-    def has_plain_gpus(self, need: Resources) -> bool:
+    def has_spare_on_demand_gpus(self, need: Resources) -> bool:
         """Whether a task leaves the reserve of ordinary machines untouched."""
-        return self._free_plain_gpus >= need[1]
+        return self._spare_on_demand_gpus >= need[1]
 
-    def take_plain_gpus(self, need: Resources) -> None:
+    def use_on_demand_gpus(self, need: Resources) -> None:
         """A task was placed on an ordinary machine."""
-        self._free_plain_gpus -= need[1]
+        self._spare_on_demand_gpus -= need[1]
 
-    def other_work(self) -> OtherWork:
+    def non_service_sizes(self) -> NonServiceSizes:
         """The sizes of other work, looked at once per round."""
-        if self._other_work is None:
-            self._other_work = OtherWork(self._cluster.jobs.values())
-        return self._other_work
+        if self._non_service_sizes is None:
+            self._non_service_sizes = NonServiceSizes(self._cluster.jobs.values())
+        return self._non_service_sizes
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -25,11 +25,11 @@
 GATHERING_HEARTBEATS = 2
 
 
-class ShortMachine(NamedTuple):
+class Shortfall(NamedTuple):
     """A reserved machine that lacks capacity, and what the gang needs there in all."""
 
     machine: Machine
-    whole: Resources
+    total_need: Resources
 
 
 class GangPlacement:
@@ -51,12 +51,12 @@
     def place(self, job: Job, survey: FleetSurvey) -> None:
         """Plan all tasks of a gang, or do what brings its start nearer."""
         reservation = self._reservations.in_force(job)
-        if reservation is None or not self._limits.reachable(job):
+        if reservation is None or not self._limits.fits_with_preemption(job):
             return
-        taken = survey.reserved.taken(job.id, preemption.queue_key(job))
-        short = self._short_machines(job, reservation, taken, survey.now)
-        if short:
-            self._preempt_for(job, short, taken, survey.now)
+        reserved_by_machine = survey.reserved.taken(job.id, preemption.queue_key(job))
+        shortfalls = self._shortfalls(job, reservation, reserved_by_machine, survey.now)
+        if shortfalls:
+            self._preempt_for(job, shortfalls, reserved_by_machine, survey.now)
             return
         claimed = survey.claimed(job)
         if not self._cluster.usage.allows(job, job.spec.tasks, claimed):
@@ -67,21 +67,28 @@
             return
         machines = self._cluster.machines
         if all(
-            self._cluster.recordable(machines[n], count) for n, count in reservation.slots.items()
+            self._cluster.recordable(machines[name], count)
+            for name, count in reservation.slots.items()
         ):
             self._start(job, reservation, survey)
 
-    def _short_machines(
-        self, job: Job, reservation: Reservation, taken: Mapping[str, Resources], now: float
-    ) -> list[ShortMachine]:
-        short = []
+    def _shortfalls(
+        self,
+        job: Job,
+        reservation: Reservation,
+        reserved_by_machine: Mapping[str, Resources],
+        now: float,
+    ) -> list[Shortfall]:
+        shortfalls = []
         for name, count in reservation.slots.items():
             machine = self._cluster.machines[name]
-            available = add_resources(machine.free(), taken.get(name, NO_RESOURCES), -1.0)
-            whole = add_resources(NO_RESOURCES, job.need, float(count))
-            if not self._cluster.usable(machine, now) or not fits(whole, available):
-                short.append(ShortMachine(machine, whole))
-        return short
+            available = add_resources(
+                machine.free(), reserved_by_machine.get(name, NO_RESOURCES), -1.0
+            )
+            total_need = add_resources(NO_RESOURCES, job.need, float(count))
+            if not self._cluster.usable(machine, now) or not fits(total_need, available):
+                shortfalls.append(Shortfall(machine, total_need))
+        return shortfalls
 
     def _start(self, job: Job, reservation: Reservation, survey: FleetSurvey) -> None:
         attempt_number = self._cluster.next_attempt_number()
@@ -93,7 +100,7 @@
                 attempts.append(
                     self._cluster.new_attempt(job, index, machine, attempt_number, survey.now)
                 )
-        gangs.begin(job, attempts, survey.now)
+        gangs.start(job, attempts, survey.now)
         survey.on_gang_placed(job, attempts)
         job.starting_reservation = reservation.serial
         log.info(
@@ -105,18 +112,24 @@
         )
 
     def _preempt_for(
-        self, job: Job, short: list[ShortMachine], taken: Mapping[str, Resources], now: float
+        self,
+        job: Job,
+        shortfalls: list[Shortfall],
+        reserved_by_machine: Mapping[str, Resources],
+        now: float,
     ) -> None:
         """Stop others for a reserved group, all of it or nothing."""
         chosen: list[TaskAttempt] = []
-        for machine, whole in short:
+        for machine, total_need in shortfalls:
             if not self._cluster.usable(machine, now):
                 return
-            reserved = taken.get(machine.name, NO_RESOURCES)
-            found = preemption.victims(machine, whole, job, self._cluster.usage, reserved, now)
-            if found is None:
+            reserved = reserved_by_machine.get(machine.name, NO_RESOURCES)
+            victims = preemption.select_victims(
+                machine, total_need, job, self._cluster.usage, reserved, now
+            )
+            if victims is None:
                 return
-            chosen += found
+            chosen += victims
         job.gathering_until = now + self._gathering_s
         for attempt in chosen:
             if not attempt.stopping:
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -5,17 +5,24 @@
 from topazhold.core.jobs import GangState, Job
 from topazhold.core.task_attempts import ON_MACHINE, AttemptState, TaskAttempt
 
+#: Heartbeat intervals from the last fetched image until all tasks must run.
+START_HEARTBEATS = 1.5
+#: Heartbeat intervals from the intents until all launches must have been observed.
+LAUNCH_HEARTBEATS = 3.5
+#: Share of the workers' own limit for a gang's start, which must not expire first.
+WAIT_SHARE = 0.8
 
-class GangClock:
+
+class GangTimeouts:
     """Time limits of a gang's start in seconds, as ratios to the workers' settings."""
 
     def __init__(self, heartbeat_interval_s: float, gang_wait_s: float) -> None:
-        self.start_s = 1.5 * heartbeat_interval_s  # from the last image to all running
-        self.launch_s = 3.5 * heartbeat_interval_s  # from the intents to all launches seen
-        self.wait_s = 0.8 * gang_wait_s  # the workers' own limit must not come first
+        self.start_s = START_HEARTBEATS * heartbeat_interval_s
+        self.launch_s = LAUNCH_HEARTBEATS * heartbeat_interval_s
+        self.wait_s = WAIT_SHARE * gang_wait_s
 
 
-def begin(job: Job, attempts: list[TaskAttempt], now: float) -> None:
+def start(job: Job, attempts: list[TaskAttempt], now: float) -> None:
     """The gang's intents are planned."""
     assert job.gang_state is GangState.WAITING and not job.attempts
     for attempt in attempts:
@@ -39,7 +46,7 @@
     return newly_stopped
 
 
-def step(job: Job, clock: GangClock, now: float) -> str | None:
+def advance(job: Job, timeouts: GangTimeouts, now: float) -> str | None:
     """Move on with what is known of the tasks; a reason if the gang must stop."""
     attempts = job.attempts
     if job.gang_state is GangState.STOPPING:
@@ -54,40 +61,44 @@
         if any(attempt.state is AttemptState.RUNNING for attempt in attempts.values()):
             job.enter_gang_state(GangState.RUNNING, now)
             return None
-        return _start_fault(job, clock, now)
+        return _start_failure(job, timeouts, now)
     return None
 
 
-def _start_fault(job: Job, clock: GangClock, now: float) -> str | None:
-    last_image = 0.0
-    pulling = False
+def _start_failure(job: Job, timeouts: GangTimeouts, now: float) -> str | None:
+    last_image_at = 0.0
+    still_pulling = False
     for attempt in job.attempts.values():
         if attempt.state is AttemptState.PULLING:
-            pulling = True
+            still_pulling = True
         elif attempt.state is AttemptState.GATHERING:
-            last_image = max(last_image, attempt.since)
-        elif attempt.state not in ON_MACHINE and now - job.gang_since > clock.launch_s:
+            last_image_at = max(last_image_at, attempt.since)
+        elif attempt.state not in ON_MACHINE and now - job.gang_since > timeouts.launch_s:
             return f"{attempt.machine} did not take its task"
-    if not pulling and last_image and now - max(last_image, job.gang_since) > clock.start_s:
+    if (
+        not still_pulling
+        and last_image_at
+        and now - max(last_image_at, job.gang_since) > timeouts.start_s
+    ):
         return "not running a heartbeat interval after its images"
-    if now - job.gang_since > clock.wait_s:
-        waited = [
+    if now - job.gang_since > timeouts.wait_s:
+        gathering_since = [
             attempt.since
             for attempt in job.attempts.values()
             if attempt.state is AttemptState.GATHERING
         ]
-        if waited and now - min(waited) > clock.wait_s:
+        if gathering_since and now - min(gathering_since) > timeouts.wait_s:
             return "waited too long for an image"
     return None
 
 
-def resume(job: Job, now: float) -> None:
+def restore(job: Job, now: float) -> None:
     """A new leader's first view of a gang: its intents are its tasks."""
     if not job.attempts:
         job.enter_gang_state(GangState.WAITING, now)
     elif (
         len(job.attempts) < job.spec.tasks
-        or len({r.attempt_number for r in job.attempts.values()}) > 1
+        or len({attempt.attempt_number for attempt in job.attempts.values()}) > 1
     ):
         job.enter_gang_state(GangState.STOPPING, now)
     else:
--- a/topazhold/core/job_queue.py
+++ b/topazhold/core/job_queue.py
@@ -31,8 +31,8 @@
         spec = job.spec
         if spec.deadline_s is None:
             return job.arrived
-        return job.arrived + spec.deadline_s - self.run_s(job)
+        return job.arrived + spec.deadline_s - self.expected_run_s(job)
 
-    def run_s(self, job: Job) -> float:
+    def expected_run_s(self, job: Job) -> float:
         """How long a task of the job is expected to run, in seconds."""
-        return self._cluster.estimates.run_s(job.spec.job_class, job.spec.estimated_run_s)
+        return self._cluster.estimates.corrected_run_s(job.spec.job_class, job.spec.estimated_run_s)
--- a/topazhold/core/placement_constraints.py
+++ b/topazhold/core/placement_constraints.py
@@ -5,7 +5,7 @@
 from topazhold.wire.jobs import JobSpec
 
 
-def allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
+def placement_allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
     """Whether the job may be placed on machines of this type, zone and kind."""
     if spec.machine_types is not None and machine_type not in spec.machine_types:
         return False
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -11,13 +11,13 @@
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: Seconds of work; what preempting a replica costs: it is the last to be chosen.
-SERVICE_LOSS_S = 1e5
+SERVICE_COST_S = 1e5
 #: Seconds of work that every preempted task costs beside what it loses.
-TASK_LOSS_S = 1.0
+TASK_COST_S = 1.0
 #: Seconds of work that each level above the least urgent one adds.
-URGENCY_LOSS_S = 10.0
+URGENCY_LEVEL_COST_S = 10.0
 #: Seconds of work that each level above the preempting work's adds.
-MORE_URGENT_LOSS_S = 60.0
+MORE_URGENT_COST_S = 60.0
 LEAST_URGENT_LEVEL = URGENCY_LEVELS - 1
 
 
@@ -38,7 +38,7 @@
     return (*priority(job), job.submitted if job.is_aged else NOT_AGED + job.wait_objective_s)
 
 
-def behind(preempting: Priority, victim: Job) -> bool:
+def priority_may_preempt(preempting: Priority, victim: Job) -> bool:
     """Whether work of a priority might preempt the victim, teams left aside."""
     outside_quota, urgency_level = preempting
     if outside_quota == AGED:
@@ -50,7 +50,7 @@
     )
 
 
-def may_stop(job: Job, victim: Job, usage: Usage) -> bool:
+def may_preempt(job: Job, victim: Job, usage: Usage) -> bool:
     """Whether the job may preempt the victim.
 
     It may with the higher urgency, or within its guaranteed quota what another team uses
@@ -64,30 +64,30 @@
     return (
         job.within_guarantee
         and victim.spec.team != job.spec.team
-        and usage.beyond_guarantee(victim.spec.team)
+        and usage.exceeds_guarantee(victim.spec.team)
     )
 
 
-def loss(attempt: TaskAttempt, now: float, urgency_level: int = 0) -> float:
+def preemption_cost_s(attempt: TaskAttempt, now: float, urgency_level: int = 0) -> float:
     """Seconds of work that preempting the attempt costs, over all tasks that stop with it.
 
     `urgency_level` is that of the work that it would be preempted for.
     """
     job = attempt.job
     tasks = len(job.attempts) if job.gang else 1
-    elapsed = now - attempt.running_since if attempt.running_since is not None else 0.0
-    lost = job.spec.save_s if job.spec.checkpoint_s > 0 else elapsed
+    elapsed_s = now - attempt.running_since if attempt.running_since is not None else 0.0
+    lost_work_s = job.spec.save_s if job.spec.checkpoint_s > 0 else elapsed_s
     more_urgent = max(0, urgency_level - job.urgency_level)
     if job.service:
-        return SERVICE_LOSS_S + elapsed
+        return SERVICE_COST_S + elapsed_s
     return (
-        (lost + TASK_LOSS_S) * tasks
-        + URGENCY_LOSS_S * (LEAST_URGENT_LEVEL - job.urgency_level)
-        + MORE_URGENT_LOSS_S * more_urgent
+        (lost_work_s + TASK_COST_S) * tasks
+        + URGENCY_LEVEL_COST_S * (LEAST_URGENT_LEVEL - job.urgency_level)
+        + MORE_URGENT_COST_S * more_urgent
     )
 
 
-def victims(
+def select_victims(
     machine: Machine, need: Resources, job: Job, usage: Usage, reserved: Resources, now: float
 ) -> list[TaskAttempt] | None:
     """Attempts to preempt so that `need` fits; [] if it will fit anyhow, None if it can't.
@@ -101,7 +101,7 @@
             continue
         if attempt.stopping:
             available = add_resources(available, attempt.job.need)
-        elif may_stop(job, attempt.job, usage) and attempt.job is not job:
+        elif may_preempt(job, attempt.job, usage) and attempt.job is not job:
             if attempt.job.gang and attempt.job.gang_state is GangState.STARTING:
                 continue  # not running yet: its own time limit decides first
             if attempt.state is not AttemptState.INTENDED:
@@ -109,7 +109,9 @@
     if fits(need, available):
         return []
     chosen: list[TaskAttempt] = []
-    for attempt in sorted(candidates, key=lambda attempt: loss(attempt, now, job.urgency_level)):
+    for attempt in sorted(
+        candidates, key=lambda attempt: preemption_cost_s(attempt, now, job.urgency_level)
+    ):
         chosen.append(attempt)
         available = add_resources(available, attempt.job.need)
         if fits(need, available):
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -37,28 +37,28 @@
             for name, team in teams.items()
         }
 
-    def take(self, job: Job, tasks: int) -> int:
+    def consume(self, job: Job, tasks: int) -> int:
         """How many of the job's tasks the limits still take; they leave less to later jobs.
 
         None of a team that the settings don't name: it may use nothing.
         """
-        left = self._remaining.get(job.spec.team)
-        if left is None:
+        remaining = self._remaining.get(job.spec.team)
+        if remaining is None:
             return 0
         cpus, gpus = job.need[0], job.need[1]
-        taken = _count_within(left.gpus, gpus, _count_within(left.cpus, cpus, tasks))
-        if left.cpus is not None:
-            left.cpus -= taken * cpus
-        if left.gpus is not None:
-            left.gpus -= taken * gpus
-        return taken
+        count = _count_within(remaining.gpus, gpus, _count_within(remaining.cpus, cpus, tasks))
+        if remaining.cpus is not None:
+            remaining.cpus -= count * cpus
+        if remaining.gpus is not None:
+            remaining.gpus -= count * gpus
+        return count
 
 
-def _count_within(left: float | None, need: float, tasks: int) -> int:
+def _count_within(remaining: float | None, need: float, tasks: int) -> int:
     """How many of so many tasks find what each needs in what is left; None is no limit."""
-    if left is None or need <= SLACK:
+    if remaining is None or need <= SLACK:
         return tasks
-    return max(0, min(tasks, int((left + SLACK) // need)))
+    return max(0, min(tasks, int((remaining + SLACK) // need)))
 
 
 class Usage:
@@ -96,7 +96,7 @@
             used[1] + claimed[1] + job.need[1] * count,
         )
 
-    def beyond_guarantee(self, team_name: str) -> bool:
+    def exceeds_guarantee(self, team_name: str) -> bool:
         """Whether the team uses more than its guaranteed quota; a team without one always does."""
         team = self.teams.get(team_name)
         used = self._used.get(team_name)
@@ -122,11 +122,11 @@
         total[0] += job.need[0] * job.spec.tasks
         total[1] += job.need[1] * job.spec.tasks
         job.within_guarantee = team is not None and (
-            _needs_nothing_guaranteed(team, job) or _fits_guarantee(team, total)
+            _needs_no_guaranteed_resource(team, job) or _fits_guarantee(team, total)
         )
 
 
-def _needs_nothing_guaranteed(team: Team, job: Job) -> bool:
+def _needs_no_guaranteed_resource(team: Team, job: Job) -> bool:
     """Whether the job needs nothing of what its team is guaranteed, so that it exceeds nothing.
 
     Services beside work on GPUs are like that: without this a team's training jobs would
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -175,7 +175,7 @@
         available = NO_RESOURCES
         delay_s = 0.0
         for kind in kinds:
-            if preemption.behind(priority, kind.job):
+            if preemption.priority_may_preempt(priority, kind.job):
                 available = add_resources(available, kind.resources)
                 delay_s = max(delay_s, kind.save_s)
         return self._heartbeat_interval_s + delay_s, available
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -207,7 +207,7 @@
             if job.state is not JobState.LIVE:
                 self._eviction.stop_ended_job(job, now)
             elif job.gang:
-                self._eviction.step_gang(job, now)
+                self._eviction.advance_gang(job, now)
         for machine in list(self.machines.values()):
             self._failure_detection.watch(machine, now)
         self._commands.wake_remaining(now)
@@ -258,7 +258,7 @@
 
     def wants_plan(self, machine: Machine, now: float) -> bool:
         """Whether a round might place something on this machine."""
-        return self._rounds.wants_plan(machine, now)
+        return self._rounds.could_place_on(machine, now)
 
     def plan(self, now: float) -> list[TaskAttempt]:
         """New attempts; their intents are to be written before anything else."""
--- a/topazhold/core/scheduler_parts.py
+++ b/topazhold/core/scheduler_parts.py
@@ -18,7 +18,7 @@
 from topazhold.core.replica_placement import ReplicaPlacement
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.resource_offers import ResourceOffers
-from topazhold.core.scheduling_round import Placement, SchedulingRounds
+from topazhold.core.scheduling_round import PlacementStrategies, SchedulingRounds
 from topazhold.core.start_objectives import StartObjectives
 from topazhold.core.task_reconciliation import TaskReconciliation
 from topazhold.core.team_limits import TeamLimits
@@ -72,7 +72,7 @@
         self.reservations = BindingReservations(
             cluster, reservation_table, queue, limits, self.resource_offers
         )
-        placement = Placement(
+        placement = PlacementStrategies(
             GangPlacement(cluster, self.reservations, limits, eviction),
             ArrayPlacement(cluster, queue, self.objectives, eviction),
             ReplicaPlacement(cluster, eviction),
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -25,7 +25,7 @@
 from topazhold.core.worker_commands import WorkerCommands
 
 
-class Placement(NamedTuple):
+class PlacementStrategies(NamedTuple):
     """What places the tasks of jobs of each shape."""
 
     gangs: GangPlacement
@@ -44,7 +44,7 @@
         cluster: ClusterState,
         queue: JobQueue,
         reservations: BindingReservations,
-        placement: Placement,
+        placement: PlacementStrategies,
         commands: WorkerCommands,
         reserve_share: float,
     ) -> None:
@@ -55,24 +55,24 @@
         self._placement = placement
         self._commands = commands
         self._reserve_share = reserve_share
-        self._needs: set[Resources] = set()
-        self._least = NO_RESOURCES
+        self._waiting_needs: set[Resources] = set()
+        self._smallest_need = NO_RESOURCES
 
-    def wants_plan(self, machine: Machine, now: float) -> bool:
+    def could_place_on(self, machine: Machine, now: float) -> bool:
         """Whether a round might place something on this machine.
 
         Asked at every heartbeat: of the sizes that waited in the last round, not of all jobs.
         """
         available = machine.free()
-        if not fits(self._least, available) or not self._cluster.usable(machine, now):
+        if not fits(self._smallest_need, available) or not self._cluster.usable(machine, now):
             return False
-        return any(fits(need, available) for need in self._needs)
+        return any(fits(need, available) for need in self._waiting_needs)
 
     def plan(self, now: float) -> list[TaskAttempt]:
         """New attempts; their intents are to be written before anything else."""
         self._cluster.refresh_guarantees()
         jobs = self._queue.waiting_jobs(now)
-        self._needs = {job.need for job in jobs}
+        self._waiting_needs = {job.need for job in jobs}
         if not jobs:
             return []
         survey = self._survey(now)
@@ -84,12 +84,12 @@
 
     def _survey(self, now: float) -> FleetSurvey:
         reserved = self._reservations.reserved_resources(now)
-        self._least = (
-            min(need[0] for need in self._needs),
-            min(need[1] for need in self._needs),
-            min(need[2] for need in self._needs),
+        self._smallest_need = (
+            min(need[0] for need in self._waiting_needs),
+            min(need[1] for need in self._waiting_needs),
+            min(need[2] for need in self._waiting_needs),
         )
-        return FleetSurvey(self._cluster, reserved, self._least, self._reserve_share, now)
+        return FleetSurvey(self._cluster, reserved, self._smallest_need, self._reserve_share, now)
 
     def _place(self, job: Job, survey: FleetSurvey) -> None:
         if job.gang:
--- a/topazhold/core/start_objectives.py
+++ b/topazhold/core/start_objectives.py
@@ -27,14 +27,16 @@
     ) -> None:
         self.wait_objectives = wait_objectives
         self._longest_wait_s = longest_wait_s
-        shortest = min((short for short, _ in wait_objectives.values()), default=math.inf)
+        shortest_objective_s = min(
+            (shortest_wait_s for shortest_wait_s, _ in wait_objectives.values()), default=math.inf
+        )
         # Where preempted work has left well before, nothing need be kept free.
-        self.keeps_reserve = shortest < RESERVE_HEARTBEATS * heartbeat_interval_s
+        self.keeps_reserve = shortest_objective_s < RESERVE_HEARTBEATS * heartbeat_interval_s
 
     def shortest_s(self, job: Job) -> float | None:
         """The strictest objective for the start of a job of this class; None if it has none."""
-        found = self.wait_objectives.get(job.spec.job_class)
-        return found[0] if found is not None else None
+        objective = self.wait_objectives.get(job.spec.job_class)
+        return objective[0] if objective is not None else None
 
     def ageing_threshold_s(self, job: Job) -> float:
         """How long, in seconds, a gang waits like any other before it is aged.
@@ -42,6 +44,8 @@
         The larger it is, the more seldom its capacity comes free by chance, and the sooner
         it has to be preferred.
         """
-        _, longest = self.wait_objectives.get(job.spec.job_class, (0.0, self._longest_wait_s))
-        longest = min(longest, self._longest_wait_s)
-        return AGEING_SHARES[job.urgency_level] * longest / math.sqrt(job.spec.tasks)
+        _, longest_wait_s = self.wait_objectives.get(
+            job.spec.job_class, (0.0, self._longest_wait_s)
+        )
+        longest_wait_s = min(longest_wait_s, self._longest_wait_s)
+        return AGEING_SHARES[job.urgency_level] * longest_wait_s / math.sqrt(job.spec.tasks)
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -155,7 +155,7 @@
         machine.fetched(spec.image, spec.image_gb)
         is_whole = job.progress_s == 0.0 and not attempt.stopping and not job.service
         if attempt.running_since is not None and is_whole:
-            self._cluster.estimates.learn(
+            self._cluster.estimates.observe(
                 spec.job_class, spec.estimated_run_s, now - attempt.running_since
             )
         self._cluster.record_success(job.id, attempt.index)
--- a/topazhold/core/team_limits.py
+++ b/topazhold/core/team_limits.py
@@ -11,7 +11,7 @@
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
-class TeamWork(NamedTuple):
+class JobUsage(NamedTuple):
     """What one job of a team has on machines."""
 
     urgency_level: int
@@ -23,38 +23,40 @@
 class TeamLimits:
     """Capacity under the limits of teams, their own lower work stopped.
 
-    Owns the memo of what each team's jobs have on machines; it is kept until `refresh`,
+    Owns the memo of what each team's jobs have on machines; it is kept until `invalidate`,
     so that a round adds it up once.
     """
 
     def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
         self._cluster = cluster
         self._eviction = eviction
-        self._work: dict[str, list[TeamWork]] = {}
+        self._job_usage: dict[str, list[JobUsage]] = {}
 
-    def refresh(self) -> None:
+    def invalidate(self) -> None:
         """Add up anew what teams have on machines when that is next asked for."""
-        self._work = {}
+        self._job_usage = {}
 
-    def reachable(self, job: Job) -> bool:
+    def fits_with_preemption(self, job: Job) -> bool:
         """Whether the gang fits its team's limit, lower work of the team stopped."""
         usage = self._cluster.usage
         if usage.allows(job, job.spec.tasks):
             return True
         cpus = gpus = 0.0
         priority = preemption.priority(job)
-        for work in self._work_of(job.spec.team):
-            if work.urgency_level > job.urgency_level and work.priority > priority:
-                cpus += work.cpus
-                gpus += work.gpus
+        for job_usage in self._job_usage_of(job.spec.team):
+            if job_usage.urgency_level > job.urgency_level and job_usage.priority > priority:
+                cpus += job_usage.cpus
+                gpus += job_usage.gpus
         return usage.allows(job, job.spec.tasks, (-cpus, -gpus))
 
     def preempt_for(self, job: Job, now: float) -> None:
         """Stop the team's own lower work until the gang fits the limit."""
         usage = self._cluster.usage
         cpus = gpus = 0.0
-        attempts = self._lower_attempts(job)
-        attempts.sort(key=lambda attempt: (not attempt.stopping, preemption.loss(attempt, now)))
+        attempts = self._preemptible_attempts(job)
+        attempts.sort(
+            key=lambda attempt: (not attempt.stopping, preemption.preemption_cost_s(attempt, now))
+        )
         for attempt in attempts:
             if usage.allows(job, job.spec.tasks, (-cpus, -gpus)):
                 return
@@ -63,11 +65,11 @@
             if not attempt.stopping and attempt.state is not AttemptState.INTENDED:
                 self._eviction.preempt(attempt, f"limit of {job.spec.team} for {job.id}", now)
 
-    def _work_of(self, team_name: str) -> list[TeamWork]:
-        found = self._work.get(team_name)
-        if found is not None:
-            return found
-        found = self._work[team_name] = []
+    def _job_usage_of(self, team_name: str) -> list[JobUsage]:
+        usages = self._job_usage.get(team_name)
+        if usages is not None:
+            return usages
+        usages = self._job_usage[team_name] = []
         for job in self._cluster.jobs.values():
             if job.spec.team != team_name or not job.attempts:
                 continue
@@ -76,10 +78,10 @@
             count = sum(attempt.present for attempt in job.attempts.values())
             if count:
                 cpus, gpus = job.need[0] * count, job.need[1] * count
-                found.append(TeamWork(job.urgency_level, preemption.priority(job), cpus, gpus))
-        return found
+                usages.append(JobUsage(job.urgency_level, preemption.priority(job), cpus, gpus))
+        return usages
 
-    def _lower_attempts(self, job: Job) -> list[TaskAttempt]:
+    def _preemptible_attempts(self, job: Job) -> list[TaskAttempt]:
         """Attempts of the same team that a gang may stop to get at its limit."""
         return [
             attempt
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -8,7 +8,7 @@
 from topazhold.core import autoscaling
 from topazhold.core.cluster_state import ClusterState
 from topazhold.core.jobs import Job, JobState
-from topazhold.core.placement_constraints import allowed
+from topazhold.core.placement_constraints import placement_allowed
 from topazhold.core.resources import count_fitting
 from topazhold.core.team_limits import TeamLimits
 from topazhold.wire.cloud import MachineType
@@ -45,7 +45,7 @@
         counted: dict[object, dict[str, int]] = {}
         for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
             machine_type = autoscaling.best_type(job.spec, machine_types)
-            if machine_type is None or not self._limits.reachable(job):
+            if machine_type is None or not self._limits.fits_with_preemption(job):
                 continue
             types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
             shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
@@ -117,7 +117,7 @@
         for machine in self._cluster.machines.values():
             if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
                 continue
-            if allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
+            if placement_allowed(job.spec, machine.machine_type.name, machine.zone, machine.spot):
                 slots = count_fitting(job.need, machine.free(), job.spec.tasks)
                 free[machine.zone] = free.get(machine.zone, 0) + slots
         return free
