--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -308,7 +308,7 @@
     async def ignore(self: Any, job_id: str, at: float) -> None:
         pass
 
-    monkeypatch.setattr(LeaderTerm, "cancelled", ignore)
+    monkeypatch.setattr(LeaderTerm, "on_job_cancelled", ignore)
     monkeypatch.setattr(
         LeaderTerm, "_may_launch", lambda self, now: self.context.lease_is_valid(now)
     )
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -89,7 +89,7 @@
         for number, name in enumerate(scheduler.machines):
             cancelled_run(scheduler, number, name, clock.now)
         to_command = DirectCommands(context, 640, DeadClient, lambda heartbeat: None)  # type: ignore[arg-type]
-        await to_command.round()
+        await to_command.send_due()
         await curio.sleep(0.01)
         assert "10.0.1.49" in DeadClient.asked
         assert len(DeadClient.asked) < 20, "places stay free for those who answer"
--- a/tests/test_gang_reservations.py
+++ b/tests/test_gang_reservations.py
@@ -11,7 +11,7 @@
 from tests.fakes.controllers import make_settings
 from tests.job_specs import make_spec
 from topazhold.control.cluster_view import ClusterView
-from topazhold.control.election import CONTROLLER_LEASE_BOUNDS, lease_time_s
+from topazhold.control.election import CONTROLLER_LEASE_BOUNDS_S, controller_lease_duration_s
 from topazhold.control.gang_reservations import GangReservations
 from topazhold.control.pending_gangs import PendingGang, PendingGangs, max_follower_searches
 from topazhold.core.jobs import Job
@@ -190,8 +190,8 @@
     lasts = []
     for share in (2.0, 0.43, 0.065, 0.0):
         settings.cluster.limits.cpu_share = share
-        lasts.append(lease_time_s(settings))
-    low, high = CONTROLLER_LEASE_BOUNDS
+        lasts.append(controller_lease_duration_s(settings))
+    low, high = CONTROLLER_LEASE_BOUNDS_S
     assert lasts[0] == lasts[1] == low
     assert low * 2 < lasts[2] < high
     assert lasts[3] == high
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -253,7 +253,7 @@
         elected = ElectionResult(3, 7, 0.0)
         context = TermContext(settings, Taking(), scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
-        told.append(summaries._stored(summaries.summary(1.0)))
+        told.append(summaries._store_operations(summaries.summary(1.0)))
         await summaries._write(told[0])
 
     run_virtual(act, monkeypatch)
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -43,7 +43,7 @@
         context = TermContext(settings, None, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
         told.append(summaries.summary(1.0))
-        told.append(summaries._stored(told[0]))
+        told.append(summaries._store_operations(told[0]))
 
     run_virtual(main, monkeypatch)
     values, operations = told
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import curio
 
 from topazhold.core.autoscaling import ScaleOutRequest
@@ -18,9 +20,9 @@
 from topazhold.wire.codec import InvalidMessageError, read
 
 #: Most machines in a page of the list.
-PAGE = 500
+PAGE_MACHINES = 500
 #: Longest wait for the rate, in seconds.
-MAX_TURN_WAIT_S = 1.0
+MAX_RATE_WAIT_S = 1.0
 
 
 class Cloud:
@@ -35,7 +37,7 @@
         """Let time pass until the rate allows a request, within bounds."""
         wait_s = self._bucket.wait_s(await curio.clock())
         if wait_s > 0:
-            await curio.sleep(min(MAX_TURN_WAIT_S, wait_s))
+            await curio.sleep(min(MAX_RATE_WAIT_S, wait_s))
 
     async def _send(self, method: str, target: str, message: object) -> tuple[int, bytes]:
         now = await curio.clock()
@@ -49,25 +51,25 @@
     async def catalog(self) -> list[MachineType]:
         """The machine types with their present prices; raises CloudUnavailableError."""
         status, body = await self._send("GET", wire.CATALOG_PATH, None)
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
         try:
             return read(body, wire.Catalog).machine_types
         except InvalidMessageError as exc:
             raise CloudUnavailableError(f"catalog: {exc}") from None
 
-    async def rent(self, name: str, ask: ScaleOutRequest) -> list[str]:
+    async def rent(self, name: str, request: ScaleOutRequest) -> list[str]:
         """Rent machines; repeating the name gives the same ones.
 
         Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
         """
-        body = wire.rent_body(name, ask.machine_type, ask.zone, ask.spot, ask.count)
+        body = wire.rent_body(name, request.machine_type, request.zone, request.spot, request.count)
         status, answer = await self._send("POST", wire.MACHINES_PATH, body)
-        if status == 503 and b"no capacity" in answer:
+        if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in answer:
             raise CloudCapacityError
-        if status == 400:
+        if status == HTTPStatus.BAD_REQUEST:
             raise CloudRequestRejectedError(f"status {status}")
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
         try:
             return read(answer, wire.Rented).machines
@@ -77,16 +79,16 @@
     async def release(self, names: list[str]) -> None:
         """Returns only once the machines are gone; raises CloudUnavailableError."""
         status, _ = await self._send("POST", wire.RELEASE_PATH, wire.release_body(names))
-        if status != 200:
+        if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
 
     async def machines(self) -> list[ListedMachine]:
         """The whole list, as late as it is; raises CloudUnavailableError."""
         listed: list[ListedMachine] = []
-        after: str | None = None
+        last_id: str | None = None
         while True:
-            status, body = await self._send("GET", wire.list_query(after, PAGE), None)
-            if status != 200:
+            status, body = await self._send("GET", wire.list_query(last_id, PAGE_MACHINES), None)
+            if status != HTTPStatus.OK:
                 raise CloudUnavailableError(f"status {status}")
             try:
                 page = read(body, wire.MachinePage)
@@ -95,4 +97,4 @@
             listed += page.machines
             if not page.truncated or not page.machines:
                 return listed
-            after = page.machines[-1].id
+            last_id = page.machines[-1].id
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -103,7 +103,7 @@
             state.cancellations,
             self.peers,
             self.follower_heartbeats.reaches_peers,
-            self._current.cancelled,
+            self._current.on_job_cancelled,
         )
         self.placement_search = PlacementSearch(
             self.settings, self.operator, services.store, self.pending_gangs, self._current, lease
@@ -233,12 +233,12 @@
         """
         if not self.services.catalog.machine_types:
             return False
-        return self.services.store.answers(now) or not self.follower_heartbeats.is_alone(now)
+        return self.services.store.is_available(now) or not self.follower_heartbeats.is_alone(now)
 
     async def _on_accepted(self, job: Job) -> None:
         """A user's job is accepted here: a leader schedules it, and a gang is searched for."""
         if self._current.leader_term is not None:
-            await self._current.leader_term.accepted(job)
+            await self._current.leader_term.on_job_accepted(job)
         if job.gang:
             waits = self.settings.cluster.wait_objectives()
             job.wait_objective_s = waits.get(job.spec.job_class, (NO_OBJECTIVE, NO_OBJECTIVE))[0]
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from topazhold.control.cloud import Cloud
-from topazhold.control.election import lease_time_s
+from topazhold.control.election import controller_lease_duration_s
 from topazhold.control.instance_catalog import InstanceCatalog
 from topazhold.control.key_value_store import KeyValueStore
 from topazhold.core.cancellations import Cancellations
@@ -66,7 +66,7 @@
     Raises ValueError for an address in the settings that is none.
     """
     cluster = settings.cluster
-    controller_lease_s = lease_time_s(settings)
+    controller_lease_s = controller_lease_duration_s(settings)
     state = address(settings.outside.state)
     store = KeyValueStore(
         dial(state, STORE_CONNECTIONS),
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import logging
+from http import HTTPStatus
 from typing import Protocol
 
 import curio
@@ -22,17 +23,17 @@
 
 #: Direct commands under way at once, and idle connections kept for them, as shares
 #: of the sockets.
-COMMANDING_SHARE = 1 / 32
-KEPT_SHARE = 1 / 16
+IN_FLIGHT_SOCKET_SHARE = 1 / 32
+IDLE_SOCKET_SHARE = 1 / 16
 #: Of each, so many at the least.
 MIN_CONNECTIONS = 4
 #: Of those under way, the share that may wait for workers that are silent.
-SILENT_SHARE = 0.5
+SILENT_WORKER_SHARE = 0.5
 #: Heartbeat intervals between two rounds at the most.
-ROUND_HEARTBEATS = 0.05
+MAX_ROUND_INTERVAL_HEARTBEATS = 0.05
 
 
-class OnAnswer(Protocol):
+class OnHeartbeat(Protocol):
     """Takes in the heartbeat with which a worker answers direct commands."""
 
     async def __call__(self, heartbeat: Heartbeat, /) -> None: ...
@@ -46,14 +47,14 @@
         context: TermContext,
         sockets: int,
         dial: Dial,
-        on_heartbeat: OnAnswer,
+        on_heartbeat: OnHeartbeat,
     ) -> None:
-        self._max_under_way = max(MIN_CONNECTIONS, int(sockets * COMMANDING_SHARE))
-        self._max_silent = max(1, int(self._max_under_way * SILENT_SHARE))
-        self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * KEPT_SHARE)))
+        self._max_in_flight = max(MIN_CONNECTIONS, int(sockets * IN_FLIGHT_SOCKET_SHARE))
+        self._max_silent = max(1, int(self._max_in_flight * SILENT_WORKER_SHARE))
+        self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * IDLE_SOCKET_SHARE)))
         self._context = context
         self._on_heartbeat = on_heartbeat
-        self._under_way: dict[str, bool] = {}  # under way; whether the worker is silent
+        self._in_flight: dict[str, bool] = {}  # under way; whether the worker is silent
         self.superseded = curio.Event()  # set once a worker knows a higher term
 
     async def close(self) -> None:
@@ -65,12 +66,12 @@
         while True:
             due = self._context.commands_due
             await curio.ignore_after(
-                ROUND_HEARTBEATS * self._context.heartbeat_interval_s, due.wait
+                MAX_ROUND_INTERVAL_HEARTBEATS * self._context.heartbeat_interval_s, due.wait
             )
             due.clear()
-            await self.round()
+            await self.send_due()
 
-    async def round(self) -> None:
+    async def send_due(self) -> None:
         """Send what is due, the living and cancelled work first.
 
         In another order, dead machines would keep every place for a heartbeat interval each,
@@ -78,10 +79,10 @@
         """
         scheduler = self._context.scheduler
         now = await curio.clock()
-        due = [name for name in scheduler.to_command if name not in self._under_way]
-        silent = sum(self._under_way.values())
+        due = [name for name in scheduler.to_command if name not in self._in_flight]
+        silent = sum(self._in_flight.values())
         for machine in scheduler.command_order(due, now):
-            if len(self._under_way) >= self._max_under_way:
+            if len(self._in_flight) >= self._max_in_flight:
                 return
             is_silent = not scheduler.is_responsive(machine, now)
             if is_silent and silent >= self._max_silent:
@@ -91,19 +92,19 @@
             if commands or scheduler.needs_term_announcement(machine, now):
                 silent += is_silent
                 machine.commanded_at = now
-                self._under_way[machine.name] = is_silent
+                self._in_flight[machine.name] = is_silent
                 await curio.spawn(self._command, machine, commands, daemon=True)
 
     async def _command(self, machine: Machine, commands: list[Command]) -> None:
         try:
-            await self.direct(machine, commands)
+            await self.send(machine, commands)
         except LeadershipLostError as exc:
             log.info("term %d ends: %s", self._context.term, exc)
             await self.superseded.set()
         finally:
-            del self._under_way[machine.name]
+            del self._in_flight[machine.name]
 
-    async def direct(self, machine: Machine, commands: list[Command]) -> None:
+    async def send(self, machine: Machine, commands: list[Command]) -> None:
         """POST /commands; whatever comes back is a heartbeat.
 
         Raises LeadershipLostError where the worker knows a higher term; what gets no answer is
@@ -111,12 +112,12 @@
         """
         assert machine.endpoint is not None
         try:
-            client = await self._clients.client_for(address(machine.endpoint), len(self._under_way))
+            client = await self._clients.client_for(address(machine.endpoint), len(self._in_flight))
             message = Commands(self._context.term, commands, machine.incarnation)
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, message, self._context.heartbeat_interval_s
             )
-            if status in (200, 409):
+            if status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
                 heartbeat = read(body, Heartbeat)
                 if heartbeat.fencing_token > self._context.term:
                     raise LeadershipLostError("a worker knows a higher term")
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -22,34 +22,32 @@
 log = logging.getLogger(__name__)
 
 #: A lease's time, as a share of the workers' lease, and its bounds in seconds.
-CONTROLLER_LEASE_SHARE = 0.15
-CONTROLLER_LEASE_BOUNDS = (1.5, 3.5)
+WORKER_LEASE_SHARE = 0.15
+CONTROLLER_LEASE_BOUNDS_S = (1.5, 3.5)
 #: Seconds of a whole core that a lease outlasts at the least: a few pieces of work may come
 #: before its renewal, and a leader whose lease ends for that is followed by one that fares no
 #: better.
-CONTROLLER_LEASE_CORE_S = 0.2
+MIN_LEASE_CPU_S = 0.2
 #: Steady clocks drift; a lease is taken to end this much earlier.
-DRIFT = 0.002
+MAX_CLOCK_DRIFT = 0.002
 #: Shares of a lease's time: between renewals, between tries of what failed, and between
 #: looks at a leadership that is vacant while this controller may be no candidate.
-RENEW_CONTROLLER_LEASES = 0.25
-RETRY_CONTROLLER_LEASES = 0.1
-VACANT_CONTROLLER_LEASES = 0.05
+RENEWAL_LEASE_SHARE = 0.25
+RETRY_LEASE_SHARE = 0.1
+VACANCY_POLL_LEASE_SHARE = 0.05
 #: So many requests in a row without any answer are silence.
-UNANSWERED = 2
+UNANSWERED_THRESHOLD = 2
 #: Lease times that a watch of the leadership key waits.
-WATCH_CONTROLLER_LEASES = 4
+WATCH_TIMEOUT_LEASES = 4
 
 
-def lease_time_s(settings: Settings) -> float:
+def controller_lease_duration_s(settings: Settings) -> float:
     """How long a controller's lease lasts; the leadership and the reservations hang on it."""
-    low, high = CONTROLLER_LEASE_BOUNDS
+    shortest_s, longest_s = CONTROLLER_LEASE_BOUNDS_S
     cluster = settings.cluster
-    by_workers = CONTROLLER_LEASE_SHARE * cluster.workers.lease_s
-    by_processor = CONTROLLER_LEASE_CORE_S / max(
-        cluster.limits.cpu_share, CONTROLLER_LEASE_CORE_S / high
-    )
-    return min(high, max(low, by_workers, by_processor))
+    from_worker_lease_s = WORKER_LEASE_SHARE * cluster.workers.lease_s
+    from_cpu_share_s = MIN_LEASE_CPU_S / max(cluster.limits.cpu_share, MIN_LEASE_CPU_S / longest_s)
+    return min(longest_s, max(shortest_s, from_worker_lease_s, from_cpu_share_s))
 
 
 class ElectionResult(NamedTuple):
@@ -57,7 +55,7 @@
 
     term: int
     revision: int  # of the leadership key; while it stands, the term goes on
-    at: float  # seconds, by this controller's steady clock
+    elected_at: float  # seconds, by this controller's steady clock
 
 
 class OnElected(Protocol):
@@ -114,9 +112,9 @@
     async def loop(self) -> None:
         """Keep a lease; the leadership and the reservations hang on it."""
         while True:
-            sent = await curio.clock()
+            sent_at = await curio.clock()
             try:
-                if self._unconfirmed(sent):
+                if self._needs_confirmation(sent_at):
                     # Our requests may arrive though no answer does. Renewed blindly, the
                     # lease would keep the leadership from everybody for good.
                     await self._store.get(LEADER_KEY, LEASE_PRIORITY)
@@ -129,24 +127,24 @@
                     self.id = None
                     await self._on_ended("the lease ended")
                     continue
-                self.valid_until = sent + self._controller_lease_s * (1 - DRIFT)
+                self.valid_until = sent_at + self._controller_lease_s * (1 - MAX_CLOCK_DRIFT)
             except KeyValueStoreError as exc:
                 log.debug("lease: %s", exc)
-                await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
+                await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
                 continue
             await self._on_renewed()
-            await curio.sleep(RENEW_CONTROLLER_LEASES * self._controller_lease_s)
+            await curio.sleep(RENEWAL_LEASE_SHARE * self._controller_lease_s)
 
-    def _unconfirmed(self, now: float) -> bool:
+    def _needs_confirmation(self, now: float) -> bool:
         """Whether the lease may have ended, and nothing but silence has come since.
 
         In an outage refusals come, and the lease keeps its time.
         """
         if self.id is None or self.is_valid(now):
             return False
-        return self._store.unanswered_requests >= UNANSWERED
+        return self._store.unanswered_requests >= UNANSWERED_THRESHOLD
 
-    async def drop(self) -> None:
+    async def revoke(self) -> None:
         """End the lease, so that others need not wait for it to expire."""
         lease_id, self.id = self.id, None
         if lease_id is not None:
@@ -178,11 +176,11 @@
         self._controller_lease_s = controller_lease_s
         self._on_elected = on_elected
         self._on_superseded = on_superseded
-        self._barred_until = 0.0
+        self._suspended_until = 0.0
 
-    def bar(self, until: float) -> None:
+    def suspend_candidacy(self, until: float) -> None:
         """Be no candidate before `until`, by the steady clock in seconds."""
-        self._barred_until = until
+        self._suspended_until = until
 
     async def loop(self) -> None:
         """Follow the leadership key; be a candidate when it is free."""
@@ -192,22 +190,22 @@
                 if entry is None:
                     await self._on_vacancy()
                 elif not await self._revoke_former_lease(entry):
-                    await self._on_leader(entry.data)
-                    await self._follow(entry.revision)
+                    await self._on_leader_value(entry.data)
+                    await self._watch_until_vacant(entry.revision)
             except WatchCompactedError:
                 continue
             except KeyValueStoreError as exc:
                 log.debug("leadership: %s", exc)
-                await curio.sleep(RETRY_CONTROLLER_LEASES * self._controller_lease_s)
+                await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
 
     async def _on_vacancy(self) -> None:
         self._leadership.vacant()
-        free = self._leadership.role is Role.FOLLOWER
-        barred = await curio.clock() < self._barred_until
-        if self._lease.id is not None and free and not barred:
+        is_follower = self._leadership.role is Role.FOLLOWER
+        suspended = await curio.clock() < self._suspended_until
+        if self._lease.id is not None and is_follower and not suspended:
             await self._run_for_leader(self._lease.id)
         else:
-            await curio.sleep(VACANT_CONTROLLER_LEASES * self._controller_lease_s)
+            await curio.sleep(VACANCY_POLL_LEASE_SHARE * self._controller_lease_s)
 
     async def _revoke_former_lease(self, entry: Entry) -> bool:
         """End a term left over from an earlier process of this controller.
@@ -227,11 +225,11 @@
             self._lease.id = None
         return True
 
-    async def _follow(self, seen_revision: int) -> None:
+    async def _watch_until_vacant(self, seen_revision: int) -> None:
         """Wait until the leadership key is free."""
         while True:
             page = await self._store.watch(
-                LEADER_KEY, seen_revision, WATCH_CONTROLLER_LEASES * self._controller_lease_s
+                LEADER_KEY, seen_revision, WATCH_TIMEOUT_LEASES * self._controller_lease_s
             )
             seen_revision = max(seen_revision, page.revision)
             for event in page.events:
@@ -241,9 +239,9 @@
                 if data is None:
                     log.info("the leadership is vacant")
                     return
-                await self._on_leader(data)
+                await self._on_leader_value(data)
 
-    async def _on_leader(self, data: Any) -> None:
+    async def _on_leader_value(self, data: Any) -> None:
         value = read_value(data)
         if value is None:
             return
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -20,13 +20,13 @@
 log = logging.getLogger(__name__)
 
 #: Time between two looks for the catalog, as a share of the time between tries.
-CATALOG_RETRIES = 0.1
+CATALOG_POLL_RETRY_SHARE = 0.1
 
 
-class _ReadAt(NamedTuple):
+class _ReadTime(NamedTuple):
     """When the state was read, in seconds."""
 
-    clock: float  # steady clock
+    monotonic: float  # steady clock
     wall: float  # time of day
 
 
@@ -37,15 +37,15 @@
     begun anew.
     """
     while not machine_types:
-        await curio.sleep(CATALOG_RETRIES * context.retry_s)
+        await curio.sleep(CATALOG_POLL_RETRY_SHARE * context.retry_s)
     reservations_revision = await _load_reservations(context)
-    live, live_revision = await context.store.entries(records.LIVE_PREFIX, LEASE_PRIORITY)
-    read_at = _ReadAt(await curio.clock(), time.time())
+    live_entries, live_revision = await context.store.entries(records.LIVE_PREFIX, LEASE_PRIORITY)
+    read_time = _ReadTime(await curio.clock(), time.time())
     jobs = []
-    for entry in live:
+    for entry in live_entries:
         # One odd record must not keep all others from being seen.
         try:
-            job = records.read_live(entry.data, entry.revision, read_at.wall, read_at.clock)
+            job = records.read_live(entry.data, entry.revision, read_time.wall, read_time.monotonic)
         except (InvalidMessageError, ValueError, TypeError) as exc:
             log.error("%s unreadable: %s", entry.key, exc)
             continue
@@ -54,12 +54,12 @@
         jobs.append(job)
     intents, unreadable = await _load_intents(context)
     for job_id in failover.missing_jobs([job.id for job in jobs], intents):
-        over = await _read_over(context, job_id, read_at)
-        if over is not None:
-            jobs.append(over)
+        ended = await _read_ended_job(context, job_id, read_time)
+        if ended is not None:
+            jobs.append(ended)
     failover.rebuild(context.scheduler, jobs, intents, await curio.clock())
-    for name in unreadable:
-        await _release_unreadable(context, name)
+    for machine_name in unreadable:
+        await _release_unreadable(context, machine_name)
     return {
         RESERVATION_PREFIX: reservations_revision,
         records.LIVE_PREFIX: live_revision,
@@ -99,30 +99,30 @@
     intents: list[records.Intents] = []
     unreadable: list[str] = []
     for entry in entries:
-        found, odd = records.read_on(entry.data)
-        intents += found
-        unreadable += odd
-        names = [each.machine for each in found]
+        shard_intents, unreadable_names = records.read_on(entry.data)
+        intents += shard_intents
+        unreadable += unreadable_names
+        names = [each.machine for each in shard_intents]
         context.shards.found(entry.key[len(records.ON_PREFIX) :], entry.revision, names)
     return intents, unreadable
 
 
-async def _read_over(context: TermContext, job_id: str, read_at: _ReadAt) -> Job | None:
+async def _read_ended_job(context: TermContext, job_id: str, read_time: _ReadTime) -> Job | None:
     """A job that intents name though it is over; None if it can't be read."""
-    over = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
-    if over is None:
+    entry = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
+    if entry is None:
         return None
     try:
-        job = records.read_over(over.data, read_at.wall, read_at.clock)
+        job = records.read_over(entry.data, read_time.wall, read_time.monotonic)
     except (InvalidMessageError, ValueError, TypeError) as exc:
-        log.error("%s unreadable: %s", over.key, exc)
+        log.error("%s unreadable: %s", entry.key, exc)
         return None
     if job.state is JobState.ABORTED:
-        context.cancellations.add(job.id, job.submitted, read_at.wall)
+        context.cancellations.add(job.id, job.submitted, read_time.wall)
     return job
 
 
-async def _release_unreadable(context: TermContext, name: str) -> None:
+async def _release_unreadable(context: TermContext, machine_name: str) -> None:
     """Anything may be on such a machine: only its release proves otherwise."""
-    machine = context.scheduler.add_machine(name, "", False, "", await curio.clock())
+    machine = context.scheduler.add_machine(machine_name, "", False, "", await curio.clock())
     context.scheduler.release(machine, "its intents are unreadable", await curio.clock())
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -76,7 +76,7 @@
 
         A leader may answer for as long as its lease can't have passed on.
         """
-        partitioned = self._follower_heartbeats.is_partitioned(self._store.answers(now), now)
+        partitioned = self._follower_heartbeats.is_partitioned(self._store.is_available(now), now)
         return partitioned and not self._leadership_service.lease.is_valid(now)
 
     def _keeps_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
--- a/topazhold/control/instance_catalog.py
+++ b/topazhold/control/instance_catalog.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 #: Heartbeat intervals between two reads of the catalog; prices move slowly.
-CATALOG_HEARTBEATS = 60
+REFRESH_INTERVAL_HEARTBEATS = 60
 #: Heartbeat intervals, and seconds at the least, before a read that failed is tried again.
 RETRY_HEARTBEATS = 0.5
 MIN_RETRY_S = 1.0
@@ -41,4 +41,4 @@
                 await curio.sleep(max(MIN_RETRY_S, RETRY_HEARTBEATS * self._heartbeat_interval_s))
             else:
                 self.machine_types.update({each.name: each for each in listed})
-                await curio.sleep(CATALOG_HEARTBEATS * self._heartbeat_interval_s)
+                await curio.sleep(REFRESH_INTERVAL_HEARTBEATS * self._heartbeat_interval_s)
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -26,10 +26,10 @@
 log = logging.getLogger(__name__)
 
 #: Preconditions that a transaction takes, per change.
-PRECONDITIONS_PER_OPERATION = 4
+MAX_PRECONDITIONS_PER_OPERATION = 4
 #: Bytes that all preconditions of a transaction may take beside `TXN_BYTES` of values, and one.
-PRECONDITIONS_BYTES = 15 * 1024
-PRECONDITION_BYTES = 80
+MAX_PRECONDITIONS_BYTES = 15 * 1024
+MAX_PRECONDITION_BYTES = 80
 
 #: The values of shards that are to be written, by the shard's name: its revision and its value.
 ShardValues = dict[str, tuple[int, dict[str, Any]]]
@@ -59,10 +59,10 @@
         batch: list[TaskAttempt] = []
         shards: set[str] = set()
         jobs: set[str] = set()
-        for shard, of_shard in self._by_shard(attempts).items():
-            for attempt in of_shard:
-                full = attempt.job.id not in jobs and len(jobs) >= max_jobs
-                if full or (shard not in shards and len(shards) >= self._planned_values):
+        for shard, shard_attempts in self._by_shard(attempts).items():
+            for attempt in shard_attempts:
+                too_many_jobs = attempt.job.id not in jobs and len(jobs) >= max_jobs
+                if too_many_jobs or (shard not in shards and len(shards) >= self._planned_values):
                     yield batch
                     batch, shards, jobs = [], set(), set()
                 batch.append(attempt)
@@ -85,10 +85,16 @@
     def _max_jobs(self) -> int:
         """Jobs whose precondition fits beside the leader's, and those of all values put."""
         context = self._context
-        of_term = len(context.preconditions())
-        by_count = PRECONDITIONS_PER_OPERATION * context.txn_ops - of_term - context.txn_ops
-        by_size = PRECONDITIONS_BYTES // PRECONDITION_BYTES - of_term - self._max_values
-        return min(by_count, by_size)
+        term_preconditions = len(context.preconditions())
+        max_by_count = (
+            MAX_PRECONDITIONS_PER_OPERATION * context.txn_ops - term_preconditions - context.txn_ops
+        )
+        max_by_size = (
+            MAX_PRECONDITIONS_BYTES // MAX_PRECONDITION_BYTES
+            - term_preconditions
+            - self._max_values
+        )
+        return min(max_by_count, max_by_size)
 
     async def _write_batch(self, batch: list[TaskAttempt], retried: bool = False) -> None:
         """Commit the intents of some attempts; `retried`: what was too much is written apart."""
@@ -117,7 +123,7 @@
 
     async def _write_in_halves(self, batch: list[TaskAttempt], retried: bool) -> None:
         """Shards that were too full have given machines to new ones: write these apart first."""
-        if not await self._write_apart() or (len(batch) == 1 and retried):
+        if not await self._write_split_shards() or (len(batch) == 1 and retried):
             self._context.scheduler.intents_failed(batch, await curio.clock())
             await curio.sleep(self._context.retry_s)
             return
@@ -151,12 +157,17 @@
         while True:
             try:
                 return await context.store.commit(
-                    preconditions, operations, DECISION_PRIORITY, probe, token, context.block_s
+                    preconditions,
+                    operations,
+                    DECISION_PRIORITY,
+                    probe,
+                    token,
+                    context.worker_lease_s,
                 )
             except PreconditionFailedError as exc:
                 log.debug("intents not written, changed: %s", exc)
                 context.scheduler.intents_failed(batch, await curio.clock())
-                await context.repair(exc.keys)
+                await context.refresh_after_conflict(exc.keys)
                 return None
             except StoreUnavailableError as exc:
                 log.debug("intents not written: %s", exc)
@@ -166,7 +177,7 @@
             except (OutcomeUnknownError, UnreadableAnswerError):
                 continue
 
-    async def _write_apart(self) -> bool:
+    async def _write_split_shards(self) -> bool:
         """Shards that took machines over, by themselves; their old shards still name them.
 
         False if the store does not take them now.
@@ -181,7 +192,7 @@
                     preconditions, [wire.put(key, value)], DECISION_PRIORITY
                 )
             except PreconditionFailedError as exc:
-                await context.repair(exc.keys)
+                await context.refresh_after_conflict(exc.keys)
             except KeyValueStoreError as exc:
                 log.debug("shard %s not written apart: %s", shard.name, exc)
                 return False
@@ -197,21 +208,23 @@
         if context.shards.unwritten():
             # Written first, and by themselves: machines that a shard has given away would
             # for a moment stand in no value.
-            if not await self._write_apart():
+            if not await self._write_split_shards():
                 return
             values = context.shards.values(shards, machines, context.token())
         for name, (revision, value) in values.items():
-            await self._write_tidied(name, revision, value)
+            await self._write_remaining(name, revision, value)
 
-    async def _write_tidied(self, name: str, revision: int, value: dict[str, Any]) -> None:
+    async def _write_remaining(self, name: str, revision: int, value: dict[str, Any]) -> None:
         """Write what is left in a shard, or drop it; what fails is tidied another time."""
         context = self._context
         key = records.on_key(name)
-        change = wire.put(key, value) if value["boxes"] else wire.drop(key)
+        operation = wire.put(key, value) if value["boxes"] else wire.drop(key)
         preconditions = [*context.preconditions(), Precondition(key, revision)]
         try:
-            done = await context.store.compare_and_swap(preconditions, [change], DECISION_PRIORITY)
+            new_revision = await context.store.compare_and_swap(
+                preconditions, [operation], DECISION_PRIORITY
+            )
         except KeyValueStoreError as exc:
             log.debug("intents on %s stay: %s", name, exc)
         else:
-            context.shards.marked(name, done if value["boxes"] else 0)
+            context.shards.marked(name, new_revision if value["boxes"] else 0)
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -18,11 +18,11 @@
 log = logging.getLogger(__name__)
 
 #: Jobs moved to `over` at the same time.
-MAX_MOVED_JOBS = 8
+MAX_CONCURRENT_MOVES = 8
 #: Tries of a move in a row: the second one with the revision that the first has found.
-MAX_MOVE_TRIES = 2
+MAX_MOVE_ATTEMPTS = 2
 #: Longest time between two looks for what is to be written, in seconds.
-MAX_PAUSE_S = 0.25
+MAX_SAVE_INTERVAL_S = 0.25
 
 
 class JobPersistence:
@@ -33,14 +33,14 @@
 
     async def loop(self) -> None:
         """Move jobs that are complete, and save the progress of others, again and again."""
-        await wait_then_work(min(MAX_PAUSE_S, self._context.retry_s), self._save_all)
+        await wait_then_work(min(MAX_SAVE_INTERVAL_S, self._context.retry_s), self._save_all)
 
     async def _save_all(self) -> None:
         await self._finish_all()
         now = await curio.clock()
         for job in list(self._context.scheduler.jobs.values()):
             if job.unsaved_parts and job.state is JobState.LIVE and not job.complete:
-                if now - job.saved_at > self._context.block_s:
+                if now - job.saved_at > self._context.worker_lease_s:
                     await self.save(job, now)
 
     async def _finish_all(self) -> None:
@@ -49,16 +49,16 @@
         while finished:
             # Several at a time: users expect `done` within seconds, and one slow answer of
             # the store must not keep all others waiting.
-            batch = finished[:MAX_MOVED_JOBS]
+            batch = finished[:MAX_CONCURRENT_MOVES]
             async with curio.TaskGroup() as group:
                 for job in batch:
                     await group.spawn(self.finish, job)
             if group.exception is not None:
                 raise group.exception
             del finished[: len(batch)]
-            left = [job for job in batch if job.state is JobState.LIVE]
-            if left:
-                finished += left  # behind the others, which may fare better
+            unmoved = [job for job in batch if job.state is JobState.LIVE]
+            if unmoved:
+                finished += unmoved  # behind the others, which may fare better
                 await curio.sleep(self._context.retry_s)
                 return
 
@@ -67,9 +67,9 @@
 
         Raises LeadershipLostError where the term is over.
         """
-        tries = 0
-        while job.state is JobState.LIVE and tries < MAX_MOVE_TRIES:
-            tries += 1
+        attempts = 0
+        while job.state is JobState.LIVE and attempts < MAX_MOVE_ATTEMPTS:
+            attempts += 1
             try:
                 moved = await self._move(job)
             except KeyValueStoreError as exc:
@@ -83,7 +83,7 @@
     async def _move(self, job: Job) -> bool:
         """Try to move a job to `over`; False if it, or its end, has changed."""
         context = self._context
-        live, over = records.live_key(job.id), records.over_key(job.id)
+        live_key, over_key = records.live_key(job.id), records.over_key(job.id)
         token = context.token()
         spec = records.live_value(job, token)["spec"]
         value = records.over_value(spec, wire.DONE, time.time(), token)
@@ -91,18 +91,18 @@
             await context.store.commit(
                 [
                     *context.preconditions(),
-                    Precondition(live, job.revision),
-                    Precondition(over, 0),
+                    Precondition(live_key, job.revision),
+                    Precondition(over_key, 0),
                 ],
-                [wire.drop(live), wire.put(over, value)],
+                [wire.drop(live_key), wire.put(over_key, value)],
                 LEASE_PRIORITY,
-                over,
+                over_key,
                 token,
-                give_up_s=context.block_s,
+                give_up_s=context.worker_lease_s,
             )
         except PreconditionFailedError as exc:
-            await context.repair(exc.keys)
-            if over in exc.keys:
+            await context.refresh_after_conflict(exc.keys)
+            if over_key in exc.keys:
                 await context.on_job_ended(job.id)
             return False
         return True
@@ -115,21 +115,26 @@
         """
         context = self._context
         token = context.token()
-        live = records.live_key(job.id)
+        live_key = records.live_key(job.id)
         parts = sorted(job.unsaved_parts)[: context.txn_ops - 1]
-        operations = [wire.put(live, records.live_value(job, token))]
+        operations = [wire.put(live_key, records.live_value(job, token))]
         for part in parts:
             if part > 0:
                 data = {"by": token, "done": job.part_text(part)}
                 operations.append(wire.put(records.part_key(job.id, part), data))
         saved = {part: job.part_text(part) for part in parts}
-        preconditions = [*context.preconditions(), Precondition(live, job.revision)]
+        preconditions = [*context.preconditions(), Precondition(live_key, job.revision)]
         try:
             job.revision = await context.store.commit(
-                preconditions, operations, DECISION_PRIORITY, live, token, give_up_s=context.block_s
+                preconditions,
+                operations,
+                DECISION_PRIORITY,
+                live_key,
+                token,
+                give_up_s=context.worker_lease_s,
             )
         except PreconditionFailedError as exc:
-            await context.repair(exc.keys)
+            await context.refresh_after_conflict(exc.keys)
             return
         except KeyValueStoreError as exc:
             log.debug("job %s not saved: %s", job.id, exc)
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -9,6 +9,7 @@
 
 import logging
 from collections.abc import Sequence
+from http import HTTPStatus
 from typing import Any, NamedTuple, TypeVar
 
 import curio
@@ -39,17 +40,21 @@
 T = TypeVar("T")
 
 #: Entries in a page of a list.
-PAGE = 500
+PAGE_ENTRIES = 500
 #: Trouble shorter than this share of a request's time limit is taken for a hiccup.
-HICCUP_TIMEOUTS = 0.75
+TRANSIENT_FAILURE_TIMEOUTS = 0.75
 #: Longest wait of a decision for the limits, in seconds.
-MAX_TURN_WAIT_S = 1.0
+MAX_LIMIT_WAIT_S = 1.0
 #: Seconds between two tries while the outcome of a transaction is open, and between two reads
 #: that look for it.
-MAX_OUTCOME_RETRY_S = 0.25
-OUTCOME_READ_RETRY_S = 0.1
+MAX_COMMIT_RETRY_S = 0.25
+PROBE_RETRY_S = 0.1
 #: Tries of a transaction within the time after which its outcome is given up, at the least.
-OUTCOME_TRIES = 8
+MIN_COMMIT_ATTEMPTS = 8
+#: Bytes of an answer that go into the log.
+MAX_LOGGED_BYTES = 200
+
+MS_PER_S = 1000
 
 
 class _Request(NamedTuple):
@@ -70,19 +75,19 @@
     """
 
     def __init__(
-        self, client: Client, watching: Client, limits: StateLimits, timeout_s: float
+        self, client: Client, watch_client: Client, limits: StateLimits, timeout_s: float
     ) -> None:
         self._client = client
-        self._watching = watching
+        self._watch_client = watch_client
         self._limits = StoreLimits(limits)
         self._timeout_s = timeout_s
         self.failing_since: float | None = None  # steady clock, seconds
         self.unanswered_requests = 0  # in a row, without even a refusal
 
-    def answers(self, now: float) -> bool:
+    def is_available(self, now: float) -> bool:
         """Whether the store answers this controller, a hiccup aside."""
-        hiccup_s = HICCUP_TIMEOUTS * self._timeout_s
-        return self.failing_since is None or now - self.failing_since < hiccup_s
+        transient_s = TRANSIENT_FAILURE_TIMEOUTS * self._timeout_s
+        return self.failing_since is None or now - self.failing_since < transient_s
 
     def set_share(self, share: float) -> None:
         """Keep to this share of the store's limits from now on."""
@@ -90,13 +95,13 @@
 
     async def wait_for_limits(self, priority: float, writes: int) -> None:
         """Let time pass until the limits allow a request, within bounds."""
-        await curio.sleep(min(MAX_TURN_WAIT_S, await self.wait_s(priority, writes)))
+        await curio.sleep(min(MAX_LIMIT_WAIT_S, await self.wait_s(priority, writes)))
 
     async def wait_s(self, priority: float, writes: int) -> float:
         """Seconds until the limits allow a request with so many puts and deletes."""
         return self._limits.wait_s(await curio.clock(), priority, writes)
 
-    async def _take_turn(self, request: _Request) -> float:
+    async def _acquire_limits(self, request: _Request) -> float:
         """Wait until the limits allow a request; the time at which it goes out.
 
         Raises StoreUnavailableError where they do not allow it in time.
@@ -104,49 +109,49 @@
         now = await curio.clock()
         if request.priority < USER_PRIORITY:
             # Decisions wait for their turn; users are told at once to come again.
-            wait = min(MAX_TURN_WAIT_S, await self.wait_s(request.priority, request.writes))
-            if wait > 0:
-                await curio.sleep(wait)
+            wait_s = min(MAX_LIMIT_WAIT_S, await self.wait_s(request.priority, request.writes))
+            if wait_s > 0:
+                await curio.sleep(wait_s)
                 now = await curio.clock()
-        over = self._limits.take(now, request.priority, request.writes)
-        if over is not None:
-            raise StoreUnavailableError(over)
+        exceeded_limit = self._limits.take(now, request.priority, request.writes)
+        if exceeded_limit is not None:
+            raise StoreUnavailableError(exceeded_limit)
         return now
 
     async def _send(self, request: _Request) -> tuple[int, bytes]:
         """Status and body of the answer; raises StoreUnavailableError or OutcomeUnknownError."""
-        sent_at = await self._take_turn(request)
+        sent_at = await self._acquire_limits(request)
         client, timeout_s = self._client, self._timeout_s
         if request.block_s is not None:
-            client, timeout_s = self._watching, request.block_s + self._timeout_s
+            client, timeout_s = self._watch_client, request.block_s + self._timeout_s
         try:
             status, body = await client.ask(
                 request.method, request.target, request.message, timeout_s
             )
         except (RequestNotSentError, NoResponseError) as exc:
             self.unanswered_requests += 1
-            self._failed(sent_at)
+            self._record_failure(sent_at)
             if isinstance(exc, RequestNotSentError):
                 raise StoreUnavailableError(str(exc)) from None
             raise OutcomeUnknownError(str(exc)) from None
         self.unanswered_requests = 0
-        if status == 429:
-            self._limits.on_refused()
-        elif status == 503:
-            self._failed(sent_at)
+        if status == HTTPStatus.TOO_MANY_REQUESTS:
+            self._limits.on_rate_limited()
+        elif status == HTTPStatus.SERVICE_UNAVAILABLE:
+            self._record_failure(sent_at)
         else:
             self.failing_since = None
             return status, body
         raise StoreUnavailableError(f"status {status}")
 
-    def _failed(self, now: float) -> None:
+    def _record_failure(self, now: float) -> None:
         if self.failing_since is None:
             self.failing_since = now
 
     async def get(self, key: str, priority: float = USER_PRIORITY) -> Entry | None:
         """A key's entry, or None if the key does not exist."""
         status, body = await self._send(_Request("GET", f"{wire.STORE_PATH}/{key}", priority))
-        if status == 404:
+        if status == HTTPStatus.NOT_FOUND:
             return None
         _expect_success(status)
         return _read(body, Entry)
@@ -156,10 +161,10 @@
     ) -> tuple[list[Entry], int]:
         """All entries under a prefix, and the revision of the first page."""
         entries: list[Entry] = []
-        after: str | None = None
+        last_key: str | None = None
         seen_revision: int | None = None
         while True:
-            target = wire.store_query(prefix, after, PAGE)
+            target = wire.store_query(prefix, last_key, PAGE_ENTRIES)
             status, body = await self._send(_Request("GET", target, priority))
             _expect_success(status)
             page = _read(body, wire.EntryPage)
@@ -167,16 +172,16 @@
             entries += page.entries
             if not page.truncated or not page.entries:
                 return entries, seen_revision
-            after = page.entries[-1].key
+            last_key = page.entries[-1].key
 
     async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
         """Changes under a prefix after a revision; waits up to `block_s` seconds for one.
 
         Raises WatchCompactedError where the store no longer has all changes since.
         """
-        target = wire.watch_query(prefix, since, int(block_s * 1000))
+        target = wire.watch_query(prefix, since, int(block_s * MS_PER_S))
         status, body = await self._send(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
-        if status == 410:
+        if status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix)
         _expect_success(status)
         return _read(body, wire.WatchPage)
@@ -195,21 +200,21 @@
         body = wire.transaction_body(conditions, list(operations))
         request = _Request("POST", wire.TRANSACTION_PATH, priority, body, writes=len(operations))
         status, answer = await self._send(request)
-        if status == 200:
+        if status == HTTPStatus.OK:
             first = wire.changed_key(operations[0]) if operations else "nothing"
             log.debug("%d changes written, the first to %s", len(operations), first)
             return _read(answer, wire.Committed).revision
-        if status == 409:
+        if status == HTTPStatus.CONFLICT:
             raise PreconditionFailedError(_read(answer, wire.Committed).failed)
         # 400 comes where a lease ended while the transaction was on its way, and for a
         # value or a transaction that is too large.
         log.info(
             "store answered %d to a transaction: %r; changes: %s",
             status,
-            answer[:200],
+            answer[:MAX_LOGGED_BYTES],
             ", ".join(f"{wire.changed_key(each)} ({json_size(each)})" for each in operations),
         )
-        raise StoreUnavailableError(f"status {status}", malformed=status == 400)
+        raise StoreUnavailableError(f"status {status}", malformed=status == HTTPStatus.BAD_REQUEST)
 
     async def commit(
         self,
@@ -227,26 +232,26 @@
         Raises PreconditionFailedError, StoreUnavailableError (nothing was done), or
         OutcomeUnknownError when the outcome stays open for `give_up_s` seconds.
         """
-        unknown = False
+        outcome_unknown = False
         start = await curio.clock()
         while True:
             try:
                 return await self.compare_and_swap(preconditions, operations, priority)
             except PreconditionFailedError:
-                if not unknown:
+                if not outcome_unknown:
                     raise
                 entry = await self._read_probe(probe, start, give_up_s)
                 if entry is not None and _token(entry) == token:
                     return entry.revision
                 raise
             except OutcomeUnknownError:
-                unknown = True
+                outcome_unknown = True
             except StoreUnavailableError:
-                if not unknown:
+                if not outcome_unknown:
                     raise
             if await curio.clock() - start > give_up_s:
                 raise OutcomeUnknownError("outcome open")
-            await curio.sleep(min(MAX_OUTCOME_RETRY_S, give_up_s / OUTCOME_TRIES))
+            await curio.sleep(min(MAX_COMMIT_RETRY_S, give_up_s / MIN_COMMIT_ATTEMPTS))
 
     async def _read_probe(self, key: str, start: float, give_up_s: float) -> Entry | None:
         while True:
@@ -255,11 +260,11 @@
             except (StoreUnavailableError, OutcomeUnknownError):
                 if await curio.clock() - start > give_up_s:
                     raise OutcomeUnknownError("outcome open") from None
-                await curio.sleep(OUTCOME_READ_RETRY_S)
+                await curio.sleep(PROBE_RETRY_S)
 
     async def grant_lease(self, ttl_s: float) -> int:
         """The id of a new lease, which ends `ttl_s` seconds after its last renewal."""
-        body = wire.lease_body(int(ttl_s * 1000))
+        body = wire.lease_body(int(ttl_s * MS_PER_S))
         status, answer = await self._send(_Request("POST", wire.LEASES_PATH, LEASE_PRIORITY, body))
         _expect_success(status)
         return _read(answer, wire.LeaseGranted).lease_id
@@ -268,7 +273,7 @@
         """Renew a lease; False if it has ended."""
         target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
         status, _ = await self._send(_Request("POST", target, LEASE_PRIORITY, {}))
-        if status == 404:
+        if status == HTTPStatus.NOT_FOUND:
             return False
         _expect_success(status)
         return True
@@ -280,13 +285,13 @@
 
 def _expect_success(status: int) -> None:
     """Raises StoreUnavailableError for any status but 200."""
-    if status != 200:
+    if status != HTTPStatus.OK:
         raise StoreUnavailableError(f"status {status}")
 
 
-def _read(body: bytes, kind: type[T]) -> T:
+def _read(body: bytes, message_type: type[T]) -> T:
     try:
-        return read(body, kind)
+        return read(body, message_type)
     except InvalidMessageError as exc:
         raise UnreadableAnswerError(str(exc)) from None
 
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -40,7 +40,7 @@
 log = logging.getLogger(__name__)
 
 #: A heartbeat's answer waits for a plan for so many heartbeat intervals, so that it can launch.
-ANSWER_WAIT_HEARTBEATS = 0.1
+MAX_PLAN_WAIT_HEARTBEATS = 0.1
 
 #: One loop of a term, and the kind of work that its processor time counts as.
 TermLoop = tuple[WorkCategory, Callable[[], Awaitable[Any]]]
@@ -56,18 +56,23 @@
         announce_released: AnnounceReleased,
         broadcast: Broadcast,
         lease: ControllerLease,
-        elected: ElectionResult,
+        election_result: ElectionResult,
     ) -> None:
-        """`elected.at` is the steady clock's time at which the term begins, in seconds."""
+        """Create a term that begins at `election_result.elected_at`."""
         settings, operator = services.settings, services.operator
-        self.term = elected.term
+        self.term = election_result.term
         self.loaded = False  # whether all state has been read: only then may it decide
         self._cpu_accounting = services.cpu_accounting
         self._released = state.released
         self._machine_types = services.catalog.machine_types
-        self.scheduler = _create_scheduler(services, state, elected)
+        self.scheduler = _create_scheduler(services, state, election_result)
         self.context = context = TermContext(
-            settings, services.store, self.scheduler, elected, lease.is_valid, state.cancellations
+            settings,
+            services.store,
+            self.scheduler,
+            election_result,
+            lease.is_valid,
+            state.cancellations,
         )
         self._intents = Intents(context)
         self.job_persistence = JobPersistence(context)
@@ -75,10 +80,10 @@
         self.operations = TermOperations(
             context,
             OperationServices(
-                services.cloud, self._intents, self._machine_list.listed, announce_released
+                services.cloud, self._intents, self._machine_list.list_received, announce_released
             ),
             OperationSettings.of(settings, operator, services.controller_lease_s),
-            elected.at,
+            election_result.elected_at,
         )
         self._direct_commands = DirectCommands(
             context, settings.cluster.limits.sockets, services.dial, self._on_direct_heartbeat
@@ -86,7 +91,7 @@
         self._summaries = SummaryPublisher(
             context, operator.summary_s, broadcast, self.operations.operation_log.refused
         )
-        self._watches = TermWatches(context, self.forwarded)
+        self._watches = TermWatches(context, self.on_forwarded_heartbeats)
         self._planning = PlanningLoop(context, self._intents)
 
     async def run(self) -> None:
@@ -123,7 +128,7 @@
             len(self.scheduler.jobs),
             len(self.scheduler.machines),
         )
-        await self.context.learn_cancellations()
+        await self.context.apply_known_cancellations()
         self.context.cancellations.informed = True
         self.loaded = True
 
@@ -159,15 +164,15 @@
         was overtaken by a newer one, or that can't be placed, gets none either.
         """
         now = await curio.clock()
-        before = self.scheduler.changes
+        changes_before = self.scheduler.changes
         machine = self.scheduler.on_heartbeat(heartbeat, direct, now)
-        if self.scheduler.changes != before:
+        if self.scheduler.changes != changes_before:
             await self.context.request_plan()
         if machine is None or direct:
             return machine, []
         if self._planning.is_due(now) and self.scheduler.wants_plan(machine, now):
-            await self._planning.next_round(
-                ANSWER_WAIT_HEARTBEATS * self.context.heartbeat_interval_s
+            await self._planning.wait_for_round(
+                MAX_PLAN_WAIT_HEARTBEATS * self.context.heartbeat_interval_s
             )
         if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
             return machine, []  # a newer one arrived while this one waited
@@ -178,15 +183,15 @@
 
     def _may_launch(self, now: float) -> bool:
         """While the store does not answer, nobody can know what was cancelled."""
-        return self.context.lease_is_valid(now) and self.context.store.answers(now)
+        return self.context.lease_is_valid(now) and self.context.store.is_available(now)
 
     async def _on_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
         await self.on_heartbeat(heartbeat, direct=True)
 
-    async def forwarded(self, heartbeats: Any) -> None:
+    async def on_forwarded_heartbeats(self, heartbeats: Any) -> None:
         """Heartbeats, packed, that a follower took in while this controller can't be reached."""
         now = await curio.clock()
-        before = self.scheduler.changes
+        changes_before = self.scheduler.changes
         for item in heartbeats:
             try:
                 heartbeat = convert(item, Heartbeat)
@@ -194,23 +199,23 @@
                 log.debug("forwarded heartbeat unreadable: %s", exc)
                 continue
             self.scheduler.on_heartbeat(heartbeat, False, now, forwarded=True)
-        if self.scheduler.changes != before:
+        if self.scheduler.changes != changes_before:
             await self.context.request_plan()
 
     # -- what the controller learns otherwise ------------------------------------
 
-    async def accepted(self, job: Job) -> None:
+    async def on_job_accepted(self, job: Job) -> None:
         """A user's job was accepted by this controller."""
         if self.loaded:
             self.scheduler.add_job(job)
             await self.context.request_plan()
 
-    async def cancelled(self, job_id: str, at: float) -> None:
+    async def on_job_cancelled(self, job_id: str, at: float) -> None:
         """A user was told, at a time of day, that the job is cancelled, here or by a peer."""
         if self.loaded:
-            await self.context.cancelled(job_id, at)
+            await self.context.on_job_cancelled(job_id, at)
 
-    async def released(self, machines: list[str]) -> None:
+    async def on_peer_release(self, machines: list[str]) -> None:
         """Another controller's release of these machines was answered."""
         if self.loaded:
             await self.operations.scale_in.released_by_peer(machines, await curio.clock())
@@ -225,25 +230,25 @@
         """The fleet for this controller's own searches, fresh."""
         return self._summaries.cluster_view(now)
 
-    def placed(self) -> list[list[Any]]:
+    def placements(self) -> list[list[Any]]:
         """Where tasks may be, for whoever has no scheduler."""
-        return self._summaries.placed()
+        return self._summaries.placements()
 
-    def resend_all(self) -> None:
+    def resend_placements(self) -> None:
         """A peer has just started: it knows of no machine."""
-        self._summaries.resend_all()
+        self._summaries.resend_placements()
 
 
 def _create_scheduler(
-    services: ControllerServices, state: ControllerState, elected: ElectionResult
+    services: ControllerServices, state: ControllerState, election_result: ElectionResult
 ) -> Scheduler:
     scheduler = Scheduler(
         services.settings,
         services.operator,
-        elected.term,
+        election_result.term,
         state.reservation_table,
         services.rng,
-        elected.at,
+        election_result.elected_at,
     )
     scheduler.machine_types = services.catalog.machine_types
     return scheduler
@@ -264,7 +269,7 @@
         term = self.leader_term
         return term if term is not None and term.loaded else None
 
-    async def cancelled(self, job_id: str, at: float) -> None:
+    async def on_job_cancelled(self, job_id: str, at: float) -> None:
         """A job was cancelled at this time of day: the term, if any, is to know."""
         if self.leader_term is not None:
-            await self.leader_term.cancelled(job_id, at)
+            await self.leader_term.on_job_cancelled(job_id, at)
--- a/topazhold/control/leadership_service.py
+++ b/topazhold/control/leadership_service.py
@@ -22,10 +22,10 @@
 MIN_FOLLOWER_STORE_SHARE = 0.35
 #: Shares of a controller's lease: between looks at whether the term goes on, and between
 #: looks at whether the leader is partitioned from the workers.
-TERM_CHECK_CONTROLLER_LEASES = 0.25
-PARTITION_CHECK_CONTROLLER_LEASES = 0.5
+TERM_CHECK_LEASE_SHARE = 0.25
+PARTITION_CHECK_LEASE_SHARE = 0.5
 #: Lease times of the workers for which a leader that resigned is no candidate.
-BARRED_LEASES = 2
+RESIGNATION_BACKOFF_LEASES = 2
 
 
 class LeadershipService:
@@ -77,7 +77,7 @@
             share = max(MIN_FOLLOWER_STORE_SHARE, 1.0 / controllers)
         self._services.store.set_share(share)
 
-    async def begin_term(self, elected: ElectionResult) -> None:
+    async def begin_term(self, result: ElectionResult) -> None:
         """This controller was elected."""
         self._set_store_share(True)
         self.current.leader_term = LeaderTerm(
@@ -86,20 +86,20 @@
             self._announcer.machines_released,
             self._peers.broadcast,
             self.lease,
-            elected,
+            result,
         )
         await self._changed.set()
         await self._announcer.ping()
 
     async def end_term(self, reason: str) -> None:
         """End this controller's term, if it leads one."""
-        ended = self.current.leader_term
-        if ended is None:
+        ended_term = self.current.leader_term
+        if ended_term is None:
             return
         log.info("node %s is leader no more: %s", self._state.leadership.node, reason)
         self._state.leadership.become_follower()
-        if ended.loaded:
-            self._state.placement_hints.update_from_leader(ended.term, ended.placed())
+        if ended_term.loaded:
+            self._state.placement_hints.update_from_leader(ended_term.term, ended_term.placements())
         self.current.leader_term = None
         self._set_store_share(False)
         await self._changed.set()
@@ -116,18 +116,18 @@
     async def _run_term(self, leader_term: LeaderTerm) -> None:
         task = await curio.spawn(leader_term.run)
         while self.current.leader_term is leader_term and not task.terminated:
-            pause_s = TERM_CHECK_CONTROLLER_LEASES * self._services.controller_lease_s
+            pause_s = TERM_CHECK_LEASE_SHARE * self._services.controller_lease_s
             await curio.ignore_after(pause_s, self._changed.wait)
             self._changed.clear()
         await task.cancel()
         if self.current.leader_term is leader_term:
             await self.end_term("its loops ended")
-            await self.lease.drop()
+            await self.lease.revoke()
 
     async def resign_loop(self) -> None:
         """A leader that few heartbeats reach, while others get them, resigns."""
         await wait_then_work(
-            PARTITION_CHECK_CONTROLLER_LEASES * self._services.controller_lease_s,
+            PARTITION_CHECK_LEASE_SHARE * self._services.controller_lease_s,
             self._resign_if_partitioned,
         )
 
@@ -140,7 +140,7 @@
             "node %s gets heartbeats of too few of the workers that others get",
             self._state.leadership.node,
         )
-        lease_s = self._services.settings.cluster.workers.lease_s
-        self.election.bar(now + BARRED_LEASES * lease_s)
+        worker_lease_s = self._services.settings.cluster.workers.lease_s
+        self.election.suspend_candidacy(now + RESIGNATION_BACKOFF_LEASES * worker_lease_s)
         await self.end_term("cut from the workers")
-        await self.lease.drop()
+        await self.lease.revoke()
--- a/topazhold/control/peer_announcer.py
+++ b/topazhold/control/peer_announcer.py
@@ -76,4 +76,4 @@
         for name in names:
             self._state.placement_hints.gone(name)
         if self._current.leader_term is not None:
-            await self._current.leader_term.released(names)
+            await self._current.leader_term.on_peer_release(names)
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -123,7 +123,7 @@
         if self._peer_incarnations.get(peer) != incarnation:
             self._peer_incarnations[peer] = str(incarnation)
             if self._current.leader_term is not None:
-                self._current.leader_term.resend_all()
+                self._current.leader_term.resend_placements()
         of_incarnation, upto = receipts.get(self._state.leadership.node, ("", -1))
         await self._listeners.cancellation_exchange.on_receipt(peer, str(of_incarnation), int(upto))
 
@@ -148,7 +148,7 @@
         relay = Relay(*message)
         leader_term = self._current.leader_term
         if leader_term is not None and leader_term.term == int(relay.term):
-            await leader_term.forwarded(relay.heartbeats)
+            await leader_term.on_forwarded_heartbeats(relay.heartbeats)
 
     async def _on_summary(self, message: tuple[Any, ...]) -> None:
         summary = Summary(*message)
--- a/topazhold/control/store_limits.py
+++ b/topazhold/control/store_limits.py
@@ -18,7 +18,8 @@
 
     def __init__(self, limits: StateLimits) -> None:
         self._limits = limits
-        self._lowered = False  # whether the store has shown that its limits may be lower
+        # True once the store has shown that its limits may have fallen to the lasting ones.
+        self._uses_lasting_limits = False
         self._share = 1.0
         self._requests = TokenBucket(limits.rps)
         self._writes = TokenBucket(limits.write_rps)
@@ -27,19 +28,19 @@
         """Keep to this share of the limits from now on."""
         self._share = share
         limits = self._limits
-        rps = limits.lasting_rps if self._lowered else limits.rps
-        write_rps = limits.lasting_write_rps if self._lowered else limits.write_rps
+        rps = limits.lasting_rps if self._uses_lasting_limits else limits.rps
+        write_rps = limits.lasting_write_rps if self._uses_lasting_limits else limits.write_rps
         self._requests.set_rate(rps * share)
         self._writes.set_rate(write_rps * share)
 
-    def on_refused(self) -> None:
+    def on_rate_limited(self) -> None:
         """The store refused a request that the present limits allow: they may have fallen.
 
         They fall without notice and for good, so from now on this controller keeps to the
         lower ones. Where the refusal had another reason, that costs little.
         """
-        if not self._lowered:
-            self._lowered = True
+        if not self._uses_lasting_limits:
+            self._uses_lasting_limits = True
             self.set_share(self._share)
             log.info("store refuses for its rate: keeping to the lower limits")
 
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -30,23 +30,23 @@
 log = logging.getLogger(__name__)
 
 #: Running counts sent in the summary; they are for display.
-MAX_SENT = 60
+MAX_RUNNING_COUNTS = 60
 #: Machines in one message of where tasks may be, and the rounds in which each is named
 #: at least once.
-MAX_PLACED = 500
+MAX_PLACEMENTS_PER_MESSAGE = 500
 RESEND_ROUNDS = 16
 #: Of a stored value: what is not one of its lists, and the shares that running counts, refused
 #: operations and machines' names may take.
-OVERHEAD_BYTES = 192
+VALUE_OVERHEAD_BYTES = 192
 RUNNING_SHARE = 0.3
 REFUSED_SHARE = 0.2
 NAMES_SHARE = 0.5
 #: Between two summaries: heartbeat intervals, and seconds at the least.
-PAUSE_HEARTBEATS = 0.5
-MIN_PAUSE_S = 1.0
+PUBLISH_INTERVAL_HEARTBEATS = 0.5
+MIN_PUBLISH_INTERVAL_S = 1.0
 
 
-def _hint(machine: Machine) -> list[Any]:
+def _placement_hint(machine: Machine) -> list[Any]:
     jobs = sorted({job for job, _ in machine.attempts})
     return [machine.name, machine.endpoint, jobs]
 
@@ -69,11 +69,11 @@
         self._rounds = 0
         self._written_at = -1e9  # steady clock, seconds
 
-    def placed(self) -> list[list[Any]]:
+    def placements(self) -> list[list[Any]]:
         """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
-        return [_hint(machine) for machine in self._context.scheduler.machines.values()]
+        return [_placement_hint(machine) for machine in self._context.scheduler.machines.values()]
 
-    def resend_all(self) -> None:
+    def resend_placements(self) -> None:
         """Tell of every machine once more."""
         self._sent.clear()
 
@@ -84,10 +84,10 @@
         items: list[list[Any]] = []
         for number, machine in enumerate(machines.values()):
             state = (machine.changes, machine.endpoint)
-            stale = self._sent.get(machine.name) != state
-            if stale or (number + self._rounds) % RESEND_ROUNDS == 0:
+            changed = self._sent.get(machine.name) != state
+            if changed or (number + self._rounds) % RESEND_ROUNDS == 0:
                 self._sent[machine.name] = state
-                items.append(_hint(machine))
+                items.append(_placement_hint(machine))
         for name in [name for name in self._sent if name not in machines]:
             del self._sent[name]
             items.append([name, None, None])
@@ -108,15 +108,15 @@
 
     def summary(self, now: float) -> dict[str, Any]:
         """What the other controllers are told: a value per zone, one for jobs."""
-        return dict(self._parts(now))
+        return dict(self._summary_values(now))
 
-    def _parts(self, now: float) -> Iterator[tuple[str, dict[str, Any]]]:
+    def _summary_values(self, now: float) -> Iterator[tuple[str, dict[str, Any]]]:
         scheduler = self._context.scheduler
         largest = scheduler.largest_gang(now)
         directory = scheduler.directory()
         for zone in self._context.zones:
             cache = [offer.pack() for offer in scheduler.offers(zone, now, largest)]
-            names = [name for name, of_zone in directory if of_zone == zone]
+            names = [name for name, machine_zone in directory if machine_zone == zone]
             yield zone, {"cache": cache, "all": pack_names(names)}
         yield "", self._jobs_value(now)
 
@@ -126,7 +126,7 @@
         In one piece it would keep the lease, and the workers' answers, waiting.
         """
         values: dict[str, Any] = {}
-        for key, value in self._parts(now):
+        for key, value in self._summary_values(now):
             values[key] = value
             await curio.sleep(0)
         return values
@@ -140,7 +140,7 @@
         ]
         running: dict[str, int] = {}
         for job in scheduler.jobs.values():
-            if job.state is JobState.LIVE and len(running) < MAX_SENT:
+            if job.state is JobState.LIVE and len(running) < MAX_RUNNING_COUNTS:
                 count = sum(
                     attempt.state is AttemptState.RUNNING for attempt in job.attempts.values()
                 )
@@ -153,22 +153,22 @@
             "running": running,
         }
 
-    def _stored(self, values: dict[str, Any]) -> list[dict[str, Any]]:
+    def _store_operations(self, values: dict[str, Any]) -> list[dict[str, Any]]:
         """The puts of a summary, cut to what the store's values take.
 
         Whoever reads a cut list of waiting gangs is told so: a gang that is left out
         must not look as if it waited no more.
         """
         # Of all values together, a transaction takes no more than its bytes.
-        each = min(self._context.value_limit, TXN_BYTES // (len(self._context.zones) + 1))
-        limit = each - OVERHEAD_BYTES
+        value_bytes = min(self._context.value_limit, TXN_BYTES // (len(self._context.zones) + 1))
+        limit = value_bytes - VALUE_OVERHEAD_BYTES
         jobs = values[""]
         running = dict(cut_summary(jobs["running"].items(), int(limit * RUNNING_SHARE), json_size))
         refused = self._packed_refused(int(limit * REFUSED_SHARE))
         available = limit - json_size(running) - json_size(refused)
         waiting = cut_summary(jobs["waiting"], available, json_size)
-        cut = len(waiting) < len(jobs["waiting"])
-        jobs = {**jobs, "running": running, "waiting": waiting, "cut": cut, **refused}
+        is_truncated = len(waiting) < len(jobs["waiting"])
+        jobs = {**jobs, "running": running, "waiting": waiting, "cut": is_truncated, **refused}
         operations = [wire.put(records.SUMMARY_KEY, jobs)]
         for zone in self._context.zones:
             names = cut_names(values[zone]["all"], int(limit * NAMES_SHARE), self._rounds)
@@ -194,7 +194,7 @@
                     context.preconditions(), part, DECISION_PRIORITY
                 )
             except PreconditionFailedError as exc:
-                await context.repair(exc.keys)
+                await context.refresh_after_conflict(exc.keys)
                 return
             except KeyValueStoreError as exc:
                 log.debug("summary not written: %s", exc)
@@ -202,7 +202,9 @@
 
     async def loop(self) -> None:
         """Peers hear every heartbeat interval; the store has it as configured."""
-        pause_s = max(MIN_PAUSE_S, PAUSE_HEARTBEATS * self._context.heartbeat_interval_s)
+        pause_s = max(
+            MIN_PUBLISH_INTERVAL_S, PUBLISH_INTERVAL_HEARTBEATS * self._context.heartbeat_interval_s
+        )
         await work_then_wait(pause_s, self._publish)
 
     async def _publish(self) -> None:
@@ -211,10 +213,10 @@
         await self._broadcast(Summary(SUMMARY, self._context.term, values))
         await curio.sleep(0)
         items = self.placement_changes()
-        for start in range(0, len(items), MAX_PLACED):
-            part = items[start : start + MAX_PLACED]
+        for start in range(0, len(items), MAX_PLACEMENTS_PER_MESSAGE):
+            part = items[start : start + MAX_PLACEMENTS_PER_MESSAGE]
             await self._broadcast(Placed(PLACED, self._context.term, part))
             await curio.sleep(0)
         if now - self._written_at >= self._summary_s:
             self._written_at = now
-            await self._write(self._stored(values))
+            await self._write(self._store_operations(values))
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -38,7 +38,7 @@
         settings: Settings,
         store: KeyValueStore,
         scheduler: Scheduler,
-        elected: ElectionResult,
+        election_result: ElectionResult,
         lease_is_valid: LeaseIsValid,
         cancellations: Cancellations | None = None,
     ) -> None:
@@ -47,8 +47,8 @@
         self.zones = cluster.zones
         self.store = store
         self.scheduler = scheduler
-        self.term = elected.term
-        self.revision = elected.revision
+        self.term = election_result.term
+        self.revision = election_result.revision
         if cancellations is None:
             workers = cluster.workers
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
@@ -56,11 +56,11 @@
         self.lease_is_valid = lease_is_valid
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
-        self.block_s = cluster.workers.lease_s
+        self.worker_lease_s = cluster.workers.lease_s
         self.value_limit = int(cluster.state.lasting_value_bytes * records.VALUE_SHARE)
         self.txn_ops = cluster.state.lasting_txn_ops
         self.shards = IntentShards(self.value_limit)
-        self.wake = curio.Event()
+        self.plan_requested = curio.Event()
         self.commands_due = curio.Event()  # set where direct commands should not wait
         #: What removes a job's remains; set by whoever does.
         self.clean_up: CleanUp = lambda job: None
@@ -77,9 +77,9 @@
 
     async def request_plan(self) -> None:
         """Something changed: plan soon."""
-        await self.wake.set()
+        await self.plan_requested.set()
 
-    async def repair(self, keys: list[str]) -> None:
+    async def refresh_after_conflict(self, keys: list[str]) -> None:
         """Preconditions on these keys failed: learn what has changed.
 
         Raises LeadershipLostError where the leadership has. What can't be read now stays
@@ -107,21 +107,21 @@
             if job is not None:
                 job.revision = entry.revision
 
-    async def cancelled(self, job_id: str, at: float) -> None:
+    async def on_job_cancelled(self, job_id: str, at: float) -> None:
         """A job is cancelled since `at`, by the time of day; a committed fact.
 
         Nothing here waits for the store: in an outage, kills of cancelled jobs must not be
         kept back.
         """
-        wall, now = time.time(), await curio.clock()
-        self.cancellations.add(job_id, at, wall)
-        self.scheduler.on_job_ended(job_id, False, now - max(0.0, wall - at), now)
+        wall_time, now = time.time(), await curio.clock()
+        self.cancellations.add(job_id, at, wall_time)
+        self.scheduler.on_job_ended(job_id, False, now - max(0.0, wall_time - at), now)
         await self.request_plan()
 
-    async def learn_cancellations(self) -> None:
+    async def apply_known_cancellations(self) -> None:
         """All that the record names; what was read in the failover may be older."""
         for job_id, at in self.cancellations.since(0.0):
-            await self.cancelled(job_id, at)
+            await self.on_job_cancelled(job_id, at)
 
     async def on_job_ended(self, job_id: str) -> None:
         """A live job's key is gone: find out how it ended.
@@ -133,7 +133,7 @@
         job = self.scheduler.jobs.get(job_id)
         if job is not None and job.state is JobState.LIVE and not job.complete:
             at = self.cancellations.at(job_id)
-            await self.cancelled(job_id, time.time() if at is None else at)
+            await self.on_job_cancelled(job_id, time.time() if at is None else at)
             self.clean_up(job)
             return
         try:
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -59,7 +59,7 @@
         """Follow heartbeats that followers leave in the store while no link reaches here."""
         await self._watch(records.RELAY_PREFIX, self._on_forwarded_changed)
 
-    async def _watch(self, prefix: str, apply: ApplyChange) -> None:
+    async def _watch(self, prefix: str, apply_change: ApplyChange) -> None:
         while True:
             page = await self._next_page(prefix)
             if page is None:
@@ -67,7 +67,7 @@
                 continue
             for event in page.events:
                 key, data, revision = wire.event_key(event)
-                await apply(key[len(prefix) :], data, revision)
+                await apply_change(key[len(prefix) :], data, revision)
             self._seen_revisions[prefix] = max(self._seen_revisions[prefix], page.revision)
             if page.events:
                 await self._context.request_plan()
@@ -76,7 +76,7 @@
         """The next changes under a prefix; None if the store did not answer."""
         since = self._seen_revisions[prefix]
         try:
-            return await self._context.store.watch(prefix, since, self._context.block_s)
+            return await self._context.store.watch(prefix, since, self._context.worker_lease_s)
         except WatchCompactedError:
             raise LeadershipLostError("changes were missed") from None
         except KeyValueStoreError as exc:
@@ -103,10 +103,10 @@
                 await self._context.on_job_ended(job_id)
         elif job is None:
             try:
-                new = records.read_live(data, revision, time.time(), await curio.clock())
+                new_job = records.read_live(data, revision, time.time(), await curio.clock())
             except (InvalidMessageError, ValueError, TypeError) as exc:
                 log.error("job %s unreadable: %s", job_id, exc)
                 return
-            scheduler.add_job(new)
+            scheduler.add_job(new_job)
         else:
             job.revision = max(job.revision, revision)
--- a/topazhold/control/waiting_loops.py
+++ b/topazhold/control/waiting_loops.py
@@ -8,20 +8,20 @@
 import curio
 
 
-class Work(Protocol):
+class LoopBody(Protocol):
     """One pass of a loop; what it raises ends the loop."""
 
     def __call__(self) -> Awaitable[object]: ...
 
 
-async def wait_then_work(pause_s: float, work: Work) -> NoReturn:
+async def wait_then_work(pause_s: float, work: LoopBody) -> NoReturn:
     """Wait `pause_s` seconds, work, and so on; raises what `work` raises."""
     while True:
         await curio.sleep(pause_s)
         await work()
 
 
-async def work_then_wait(pause_s: float, work: Work) -> NoReturn:
+async def work_then_wait(pause_s: float, work: LoopBody) -> NoReturn:
     """Work, wait `pause_s` seconds, and so on; raises what `work` raises."""
     while True:
         await work()
