--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -41,13 +41,13 @@
 def trust_silence(patch: pytest.MonkeyPatch) -> None:
     """Tasks of a silent machine are placed again without proof."""
 
-    def watch(self: FailureDetection, machine: Any, now: float) -> None:
+    def check_machine(self: FailureDetection, machine: Any, now: float) -> None:
         cluster = self._cluster
         if cluster.silence_s(machine, now) > 2 * cluster.heartbeat_interval_s:
             for run in list(machine.attempts.values()):
                 cluster.remove_attempt(run, now)
 
-    patch.setattr(FailureDetection, "watch", watch)
+    patch.setattr(FailureDetection, "check_machine", check_machine)
 
 
 def no_limit(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -66,7 +66,7 @@
     assert_within_protocol(requests)
     counts = by_zone(requests)
     assert counts.total() == demand.total
-    bound = demand.demand().bound
+    bound = demand.demand().bound_by_zone
     assert all(counts[zone] >= machines for zone, machines in bound.items())
 
 
--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -16,8 +16,8 @@
     CapacityDemand,
     CapacityDemands,
     ScalingPolicy,
-    best_type,
     capacity_demands,
+    cheapest_type,
     fits_some_type,
 )
 from topazhold.core.machines import Machine, MachineState
@@ -32,8 +32,8 @@
     "Fleet",
     "ScaleOutRequest",
     "ScalingPolicy",
-    "best_type",
     "capacity_demands",
+    "cheapest_type",
     "counts_as_capacity",
     "fits_some_type",
     "scale_in",
@@ -45,7 +45,7 @@
 #: Most machines that the cloud takes back at one request.
 MAX_RELEASED_MACHINES = 100
 #: Share of the usual idle time before scale-in when no jobs come any more.
-QUIET_IDLE_SHARE = 0.2
+NO_ARRIVALS_IDLE_SHARE = 0.2
 
 
 @dataclass(slots=True, eq=False)
@@ -76,16 +76,16 @@
             and machine.machine_type is not None
             and machine.machine_type.name == machine_type.name
         ]
-        self.zones: dict[tuple[str, bool], int] = {
+        self.counts: dict[tuple[str, bool], int] = {
             (zone, spot): 0 for zone in machine_type.zones for spot in (True, False)
         }
         for machine in self.machines:
             key = (machine.zone, machine.spot)
-            self.zones[key] = self.zones.get(key, 0) + 1
+            self.counts[key] = self.counts.get(key, 0) + 1
 
     def count(self, spot: bool) -> int:
         """Machines of one kind in all zones."""
-        return sum(number for (_, kind), number in self.zones.items() if kind is spot)
+        return sum(count for (_, is_spot), count in self.counts.items() if is_spot is spot)
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,14 +99,14 @@
 
     def machines_in(self, zone: str) -> int:
         """Machines of this kind that the zone has, now or soon."""
-        return self.fleet.zones.get((zone, self.spot), 0)
+        return self.fleet.counts.get((zone, self.spot), 0)
 
     def shortfall(self, zone: str, machines: float) -> int:
         """How many of the demanded machines the zone lacks; negative if it has more."""
         return math.ceil(machines) - self.machines_in(zone)
 
 
-def _supply(
+def _supply_of(
     machine_type: MachineType,
     spot: bool,
     fleet: Fleet,
@@ -144,11 +144,13 @@
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
     ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
     # Ordinary machines beyond the demand for them serve spot work too.
-    spare = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
-    spot_supply = _supply(machine_type, True, fleet, capacity_backoff, now)
-    spot_plan = _plan_scale_out(spot_supply, math.ceil(spot_demand.total) - spare, spot_demand)
+    spare_ordinary = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
+    spot_supply = _supply_of(machine_type, True, fleet, capacity_backoff, now)
+    spot_plan = _plan_scale_out(
+        spot_supply, math.ceil(spot_demand.total) - spare_ordinary, spot_demand
+    )
     substitutes = _with_substitutes(ordinary_demand, spot_demand, spot_plan, fleet)
-    ordinary_supply = _supply(machine_type, False, fleet, capacity_backoff, now)
+    ordinary_supply = _supply_of(machine_type, False, fleet, capacity_backoff, now)
     ordinary_total = math.ceil(ordinary_demand.total) + spot_plan.missing
     ordinary_plan = _plan_scale_out(ordinary_supply, ordinary_total, substitutes)
     return spot_plan.requests + ordinary_plan.requests
@@ -158,12 +160,16 @@
     ordinary: CapacityDemand, spot: CapacityDemand, spot_plan: _ScaleOutPlan, fleet: Fleet
 ) -> CapacityDemand:
     """Zone by zone, ordinary machines for their own work and for missing spot instances."""
-    demand = CapacityDemand(zones=dict(ordinary.zones), bound=dict(ordinary.bound))
+    demand = CapacityDemand(
+        minimum_by_zone=dict(ordinary.minimum_by_zone), bound_by_zone=dict(ordinary.bound_by_zone)
+    )
     for zone, missing in spot_plan.missing_by_zone.items():
-        demand.zones[zone] = demand.zones.get(zone, 0.0) + missing
-        bound_shortfall = math.ceil(spot.bound.get(zone, 0.0)) - fleet.zones.get((zone, True), 0)
+        demand.minimum_by_zone[zone] = demand.minimum_by_zone.get(zone, 0.0) + missing
+        bound_shortfall = math.ceil(spot.bound_by_zone.get(zone, 0.0)) - fleet.counts.get(
+            (zone, True), 0
+        )
         bound_missing = max(0, min(missing, bound_shortfall))
-        demand.bound[zone] = demand.bound.get(zone, 0.0) + bound_missing
+        demand.bound_by_zone[zone] = demand.bound_by_zone.get(zone, 0.0) + bound_missing
     return demand
 
 
@@ -175,7 +181,7 @@
     """
     counts = dict.fromkeys(supply.open_zones, 0)
     missing_by_zone: dict[str, int] = {}
-    for zone, machines in demand.zones.items():
+    for zone, machines in demand.minimum_by_zone.items():
         shortfall = supply.shortfall(zone, machines)
         if shortfall > 0 and zone in counts:
             counts[zone] = shortfall
@@ -186,10 +192,10 @@
     if counts:
         shortfall -= sum(
             max(0, supply.shortfall(zone, machines))
-            for zone, machines in demand.bound.items()
+            for zone, machines in demand.bound_by_zone.items()
             if zone not in counts
         )
-        _spread(shortfall, counts, supply)
+        _spread_evenly(shortfall, counts, supply)
     else:
         missing = max(shortfall, missing, 0)
     return _ScaleOutPlan(_split_requests(supply, counts), missing, missing_by_zone)
@@ -198,18 +204,18 @@
 def _split_requests(supply: _Supply, counts: dict[str, int]) -> list[ScaleOutRequest]:
     """Requests within the protocol's limit, the zones taking turns: no zone waits for another."""
     requests = []
-    left = {zone: count for zone, count in counts.items() if count > 0}
-    while left:
-        for zone, count in list(left.items()):
-            part = min(count, MAX_SCALE_OUT_MACHINES)
-            requests.append(ScaleOutRequest(supply.machine_type, zone, supply.spot, part))
-            left[zone] -= part
-            if not left[zone]:
-                del left[zone]
+    outstanding = {zone: count for zone, count in counts.items() if count > 0}
+    while outstanding:
+        for zone, count in list(outstanding.items()):
+            batch_size = min(count, MAX_SCALE_OUT_MACHINES)
+            requests.append(ScaleOutRequest(supply.machine_type, zone, supply.spot, batch_size))
+            outstanding[zone] -= batch_size
+            if not outstanding[zone]:
+                del outstanding[zone]
     return requests
 
 
-def _spread(machines: int, counts: dict[str, int], supply: _Supply) -> None:
+def _spread_evenly(machines: int, counts: dict[str, int], supply: _Supply) -> None:
     """Add machines as if one by one, each to the zone that will have the fewest."""
     if machines <= 0:
         return
@@ -227,10 +233,10 @@
     """What every zone with fewer can be brought up to; `planned` is in ascending order."""
     total = 0
     level = 0
-    for number, lowest in enumerate(planned, start=1):
-        total += lowest
-        level = (machines + total) // number
-        if number == len(planned) or level <= planned[number]:
+    for filled_zones, lowest_count in enumerate(planned, start=1):
+        total += lowest_count
+        level = (machines + total) // filled_zones
+        if filled_zones == len(planned) or level <= planned[filled_zones]:
             break
     return level
 
@@ -240,13 +246,13 @@
     machine_type: MachineType,
     fleet: Fleet,
     policy: ScalingPolicy,
-    growing: bool,
+    jobs_arriving: bool,
     now: float,
 ) -> list[Machine]:
     """Idle machines beyond the demand, the longest idle first.
 
     An idle machine is kept for about as long as a new one would take to boot: what it costs
-    till then is what requesting it anew would cost. When no jobs come any more (`growing` is
+    till then is what requesting it anew would cost. When no jobs come any more (`jobs_arriving` is
     false) there is less to wait for.
     """
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
@@ -256,10 +262,16 @@
         False: fleet.count(False) - math.ceil(ordinary_demand.total + spot_shortfall),
         True: fleet.count(True) - math.ceil(spot_demand.total),
     }
-    minimums = {(zone, False): machines for zone, machines in ordinary_demand.zones.items()}
-    minimums.update({(zone, True): machines for zone, machines in spot_demand.zones.items()})
-    max_idle_s = policy.idle_boots * machine_type.boot_s * (1.0 if growing else QUIET_IDLE_SHARE)
-    remaining = dict(fleet.zones)
+    minimums = {
+        (zone, False): machines for zone, machines in ordinary_demand.minimum_by_zone.items()
+    }
+    minimums.update(
+        {(zone, True): machines for zone, machines in spot_demand.minimum_by_zone.items()}
+    )
+    max_idle_s = (
+        policy.idle_boots * machine_type.boot_s * (1.0 if jobs_arriving else NO_ARRIVALS_IDLE_SHARE)
+    )
+    remaining = dict(fleet.counts)
     chosen = []
     for machine in _idle_longer_than(max_idle_s, fleet, now):
         key = (machine.zone, machine.spot)
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -36,27 +36,27 @@
     """
 
     total: float = 0.0
-    zones: dict[str, float] = field(default_factory=dict)
-    bound: dict[str, float] = field(default_factory=dict)
+    minimum_by_zone: dict[str, float] = field(default_factory=dict)
+    bound_by_zone: dict[str, float] = field(default_factory=dict)
 
     def add(self, machines: float, zone: str | None) -> None:
         """Demand more machines, bound to a zone if one is given."""
         self.total += machines
         if zone is not None:
-            self.zones[zone] = self.zones.get(zone, 0.0) + machines
-            self.bound[zone] = self.bound.get(zone, 0.0) + machines
+            self.minimum_by_zone[zone] = self.minimum_by_zone.get(zone, 0.0) + machines
+            self.bound_by_zone[zone] = self.bound_by_zone.get(zone, 0.0) + machines
 
     def at_least(self, machines: float, zone: str) -> None:
         """A zone must be able to take so much at once; others may use it in turn."""
-        self.zones[zone] = max(self.zones.get(zone, 0.0), machines)
+        self.minimum_by_zone[zone] = max(self.minimum_by_zone.get(zone, 0.0), machines)
 
     def scale(self, factor: float) -> None:
         """Multiply all that is demanded."""
         self.total *= factor
-        for zone in self.zones:
-            self.zones[zone] *= factor
-        for zone in self.bound:
-            self.bound[zone] *= factor
+        for zone in self.minimum_by_zone:
+            self.minimum_by_zone[zone] *= factor
+        for zone in self.bound_by_zone:
+            self.bound_by_zone[zone] *= factor
 
 
 #: Demands by machine type and kind (True: spot instances).
@@ -76,11 +76,11 @@
     return (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
 
 
-def best_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> MachineType | None:
+def cheapest_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> MachineType | None:
     """The cheapest type per task that may run the job."""
     need = (spec.cpus, spec.gpus, spec.memory_gb)
-    best: tuple[float, str] | None = None
-    chosen: MachineType | None = None
+    best_key: tuple[float, str] | None = None
+    cheapest: MachineType | None = None
     for machine_type in machine_types:
         if spec.machine_types is not None and machine_type.name not in spec.machine_types:
             continue
@@ -89,9 +89,9 @@
         count = count_fitting(need, _resources_of(machine_type), spec.tasks)
         if count:
             key = (machine_type.price / count, machine_type.name)
-            if best is None or key < best:
-                best, chosen = key, machine_type
-    return chosen
+            if best_key is None or key < best_key:
+                best_key, cheapest = key, machine_type
+    return cheapest
 
 
 def fits_some_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> bool:
@@ -112,25 +112,25 @@
     teams: Mapping[str, Team],
     zone_of: Mapping[str, str],
     policy: ScalingPolicy,
-    growing: bool,
+    jobs_arriving: bool,
 ) -> CapacityDemands:
     """Machines' worth of unfinished work per type and kind, within the teams' limits.
 
     `zone_of` has the zone of every machine by name. Headroom is kept only while jobs keep
-    coming (`growing`).
+    coming (`jobs_arriving`).
     """
     demands: CapacityDemands = {}
     groups: list[_UnboundGroup] = []
-    remaining = RemainingQuota(teams)
+    remaining_quota = RemainingQuota(teams)
     for job in sorted(
         jobs, key=lambda job: (not job.within_guarantee, job.urgency_level, job.arrived)
     ):
         if job.state is not JobState.LIVE:
             continue
-        machine_type = best_type(job.spec, machine_types)
+        machine_type = cheapest_type(job.spec, machine_types)
         if machine_type is None:
             continue
-        tasks = remaining.consume(job, job.spec.tasks - job.completed_count)
+        tasks = remaining_quota.consume(job, job.spec.tasks - job.completed_count)
         if tasks <= 0:
             continue
         machines = tasks / count_fitting(job.need, _resources_of(machine_type), UNLIMITED_TASKS)
@@ -142,7 +142,7 @@
             groups.append(_UnboundGroup(job, demand, machines, machine_type))
     _add_zone_minimums(groups, Counter(zone_of.values()))
     for demand in demands.values():
-        demand.scale(1.0 + (policy.headroom_share if growing else 0.0))
+        demand.scale(1.0 + (policy.headroom_share if jobs_arriving else 0.0))
     return demands
 
 
@@ -152,11 +152,11 @@
     `machine_counts` has the machines of each zone; the largest zones are extended.
     """
     for job, demand, machines, machine_type in groups:
-        by_size = sorted(machine_type.zones, key=lambda zone: -machine_counts.get(zone, 0))
+        zones_by_size = sorted(machine_type.zones, key=lambda zone: -machine_counts.get(zone, 0))
         if job.spec.same_place:
-            demand.at_least(machines, by_size[0])
-        elif job.spec.scatter and len(by_size) > 1:
-            for zone in by_size[:2]:
+            demand.at_least(machines, zones_by_size[0])
+        elif job.spec.scatter and len(zones_by_size) > 1:
+            for zone in zones_by_size[:2]:
                 demand.at_least(machines / 2, zone)
 
 
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -10,7 +10,7 @@
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 #: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
-LAST_MOVE_HEARTBEATS = 2.0
+FORCED_STOP_HEARTBEATS = 2.0
 
 
 class Draining:
@@ -23,13 +23,13 @@
 
     def step(self, machine: Machine, now: float) -> None:
         """Do what is due on a draining machine."""
-        self._remove_unsent(machine, now)
+        self._remove_unsent_launches(machine, now)
         if machine.reason == QUARANTINED:
-            self._leave_quarantined(machine, now)
+            self._drain_quarantined(machine, now)
         elif machine.gone_at is not None:
-            self._leave_before(machine, machine.gone_at - now, now)
+            self._drain_before_preemption(machine, machine.gone_at - now, now)
 
-    def _remove_unsent(self, machine: Machine, now: float) -> None:
+    def _remove_unsent_launches(self, machine: Machine, now: float) -> None:
         """A launch that has not left won't leave any more: its task would wait here for ever."""
         for attempt in list(machine.attempts.values()):
             if attempt.state is AttemptState.WRITTEN and not attempt.possibly_running:
@@ -38,29 +38,33 @@
                 else:
                     self._cluster.remove_attempt(attempt, now)
 
-    def _leave_quarantined(self, machine: Machine, now: float) -> None:
+    def _drain_quarantined(self, machine: Machine, now: float) -> None:
         if machine.empty:
             self._cluster.release(machine, QUARANTINED, now)
         elif all(attempt.job.service for attempt in machine.attempts.values()):
             # Replicas never end: without a move it would be kept, and paid, for good.
             self._move_replicas(machine, "machine is quarantined", now)
 
-    def _leave_before(self, machine: Machine, left_s: float, now: float) -> None:
-        """The machine will be taken in `left_s` seconds."""
-        must = left_s < LAST_MOVE_HEARTBEATS * self._heartbeat_interval_s
-        self._move_replicas(machine, "machine will be taken", now, must)
+    def _drain_before_preemption(self, machine: Machine, time_left_s: float, now: float) -> None:
+        """The machine will be taken in `time_left_s` seconds."""
+        force = time_left_s < FORCED_STOP_HEARTBEATS * self._heartbeat_interval_s
+        self._move_replicas(machine, "machine will be taken", now, force)
         for attempt in list(machine.attempts.values()):
             if attempt.stopping or attempt.job.service or attempt.state is AttemptState.INTENDED:
                 continue
-            if attempt.state is not AttemptState.RUNNING or self._would_lose(attempt, left_s, now):
+            if attempt.state is not AttemptState.RUNNING or self._needs_checkpoint_now(
+                attempt, time_left_s, now
+            ):
                 self._eviction.preempt(attempt, "machine will be taken", now)
-        if machine.empty and left_s < 0:
+        if machine.empty and time_left_s < 0:
             self._cluster.release(machine, "taken", now)
 
-    def _move_replicas(self, machine: Machine, reason: str, now: float, must: bool = False) -> None:
+    def _move_replicas(
+        self, machine: Machine, reason: str, now: float, force: bool = False
+    ) -> None:
         """Stop replicas on a machine that is leaving, where they have another place.
 
-        `must`: also without one. That they are gone is known by then; of a machine that was
+        `force`: also without one. That they are gone is known by then; of a machine that was
         taken with them it would be known only after a lease.
         """
         for attempt in list(machine.attempts.values()):
@@ -70,14 +74,14 @@
                 or attempt.state is AttemptState.INTENDED
             ):
                 continue
-            if must or self._has_other_place(attempt, now):
+            if force or self._fits_elsewhere(attempt, now):
                 self._eviction.preempt(attempt, reason, now)
 
-    def _has_other_place(self, attempt: TaskAttempt, now: float) -> bool:
+    def _fits_elsewhere(self, attempt: TaskAttempt, now: float) -> bool:
         """Whether some other machine has capacity for a replica."""
         job = attempt.job
-        zones = job.zones_used(self._cluster.zone_of)
-        here = self._cluster.zone_of.get(attempt.machine)
+        replicas_by_zone = job.zones_used(self._cluster.zone_of)
+        current_zone = self._cluster.zone_of.get(attempt.machine)
         for machine in self._cluster.machines.values():
             if machine.name == attempt.machine or machine.machine_type is None:
                 continue
@@ -87,15 +91,15 @@
                 job.spec, machine.machine_type.name, machine.zone, machine.spot
             ):
                 continue
-            if machine.zone == here:
+            if machine.zone == current_zone:
                 return True
-            full = zones.get(machine.zone, 0) >= (job.spec.tasks + 1) // 2
-            if not job.spec.same_place and not (job.spec.scatter and full):
+            is_zone_full = replicas_by_zone.get(machine.zone, 0) >= (job.spec.tasks + 1) // 2
+            if not job.spec.same_place and not (job.spec.scatter and is_zone_full):
                 return True
         return False
 
-    def _would_lose(self, attempt: TaskAttempt, left_s: float, now: float) -> bool:
+    def _needs_checkpoint_now(self, attempt: TaskAttempt, time_left_s: float, now: float) -> bool:
         """Whether a task on a machine with so much time left had better save now."""
         if attempt.job.spec.checkpoint_s <= 0:
             return False
-        return self._cluster.remaining_s(attempt, now) > left_s - self._heartbeat_interval_s
+        return self._cluster.remaining_s(attempt, now) > time_left_s - self._heartbeat_interval_s
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -18,8 +18,8 @@
 
 def missing_jobs(jobs: Iterable[str], intents: Iterable[Intents]) -> list[str]:
     """Jobs named by intents that are not live: they are over, and must be read."""
-    known = set(jobs)
-    return sorted({job for each in intents for job, _, _ in each.attempts} - known)
+    loaded_jobs = set(jobs)
+    return sorted({job for record in intents for job, _, _ in record.attempts} - loaded_jobs)
 
 
 def rebuild(
@@ -31,11 +31,25 @@
         cluster.add_job(job)
         if job.state is JobState.LIVE:
             cluster.queue_if_complete(job)
-    for each in sorted(intents, key=lambda each: each.incarnation):
-        machine = cluster.add_machine(each.machine, each.zone, each.spot, each.machine_type, now)
-        machine.resume(each.incarnation, now)
-        for job_id, index, attempt_number in each.attempts:
-            _adopt(cluster, job_id, index, attempt_number, machine.name, each.incarnation, now)
+    for record in sorted(intents, key=lambda record: record.incarnation):
+        machine = cluster.add_machine(
+            record.machine,
+            record.zone,
+            record.spot,
+            record.machine_type,
+            now,
+        )
+        machine.resume(record.incarnation, now)
+        for job_id, index, attempt_number in record.attempts:
+            _adopt(
+                cluster,
+                job_id,
+                index,
+                attempt_number,
+                machine.name,
+                record.incarnation,
+                now,
+            )
     for job in list(cluster.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.restore(job, now)
@@ -54,14 +68,14 @@
     job = cluster.jobs.get(job_id)
     if job is None or index >= job.spec.tasks or job.completed[index]:
         return
-    old = job.attempts.get(index)
-    if old is not None:
+    existing = job.attempts.get(index)
+    if existing is not None:
         # An ended attempt's intent stays until its machine's next one, so a task
         # may stand at two machines. Only the newer attempt can still be there:
         # it was planned after the older one was proven gone.
-        if old.attempt_number >= attempt_number:
+        if existing.attempt_number >= attempt_number:
             return
-        cluster.remove_attempt(old, now)
+        cluster.remove_attempt(existing, now)
     attempt = TaskAttempt(job, index, attempt_number, machine, now)
     attempt.incarnation = incarnation
     cluster.adopt(attempt)
--- a/topazhold/core/failure_attribution.py
+++ b/topazhold/core/failure_attribution.py
@@ -15,11 +15,11 @@
 #: A job that failed on so many machines is taken to be at fault itself.
 BAD_JOB_MACHINES = 3
 #: How often the pause of a job that fails everywhere doubles.
-MAX_DOUBLINGS = 5
+MAX_BACKOFF_DOUBLINGS = 5
 #: For so many leases a machine on which a replica ended by itself is remembered.
-FAILURES_LEASES = 4.0
+FAILURE_WINDOW_LEASES = 4.0
 #: Errors of so many jobs that are not at fault quarantine a machine.
-QUARANTINE_JOBS = 2
+QUARANTINE_FAILED_JOBS = 2
 
 
 class FailureAttribution:
@@ -41,10 +41,10 @@
             # A job that fails everywhere must not take the machines with it.
             for other in self._cluster.machines.values():
                 other.forget_error(job.id)
-            doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_DOUBLINGS)
+            doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_BACKOFF_DOUBLINGS)
             job.not_before = now + self._lease_s * 2**doublings
         else:
-            self._record_failure(machine, job, now)
+            self._record_machine_failure(machine, job, now)
 
     def on_replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         """A replica ended by itself: it is placed again, later each time if it keeps ending.
@@ -58,19 +58,27 @@
             if now - started_at > self._lease_s:
                 return
         job.failed_on[machine.name] = now
-        for name, at in list(job.failed_on.items()):
-            if now - at > FAILURES_LEASES * self._lease_s:
+        for name, failed_at in list(job.failed_on.items()):
+            if now - failed_at > FAILURE_WINDOW_LEASES * self._lease_s:
                 del job.failed_on[name]
-        others_run = any(other.state is AttemptState.RUNNING for other in job.attempts.values())
-        failures = len(job.failed_on)
-        if attempt.cause == wire.CAUSE_ERROR and (others_run or failures < BAD_JOB_MACHINES):
-            self._record_failure(machine, job, now)
-        if failures >= BAD_JOB_MACHINES:
-            base_s = self._heartbeat_interval_s if others_run else self._lease_s
-            job.not_before = now + base_s * 2 ** min(failures - BAD_JOB_MACHINES, MAX_DOUBLINGS)
+        has_running_replica = any(
+            other.state is AttemptState.RUNNING for other in job.attempts.values()
+        )
+        failed_machines = len(job.failed_on)
+        if attempt.cause == wire.CAUSE_ERROR and (
+            has_running_replica or failed_machines < BAD_JOB_MACHINES
+        ):
+            self._record_machine_failure(machine, job, now)
+        if failed_machines >= BAD_JOB_MACHINES:
+            base_backoff_s = self._heartbeat_interval_s if has_running_replica else self._lease_s
+            job.not_before = now + base_backoff_s * 2 ** min(
+                failed_machines - BAD_JOB_MACHINES, MAX_BACKOFF_DOUBLINGS
+            )
 
-    def _record_failure(self, machine: Machine, job: Job, now: float) -> None:
+    def _record_machine_failure(self, machine: Machine, job: Job, now: float) -> None:
         """A job that is not at fault itself failed on a machine."""
-        if machine.record_error(job.id) >= QUARANTINE_JOBS:
+        if machine.record_error(job.id) >= QUARANTINE_FAILED_JOBS:
             machine.drain(QUARANTINED, now)
-            log.info("machine %s quarantined: errors of %d jobs", machine.name, QUARANTINE_JOBS)
+            log.info(
+                "machine %s quarantined: errors of %d jobs", machine.name, QUARANTINE_FAILED_JOBS
+            )
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -14,33 +14,47 @@
 log = logging.getLogger(__name__)
 
 #: A lone machine that commands don't reach is released after so many leases.
-COMMAND_UNREACHABLE_LEASES = 2.0
+UNREACHABLE_RELEASE_LEASES = 2.0
 #: So many machines of a zone with one trouble are taken one by one; more than this
 #: share of the zone, and it is a network partition.
-MAX_SINGLE_FAILURES = 2
-MASS_SHARE = 0.4
+MAX_ISOLATED_FAILURES = 2
+PARTITION_SHARE = 0.4
 #: A machine counts as silent after so many leases. A lone one is released later, one
 #: of a group later still: those that only hang are back with a new incarnation by then,
 #: long before others could be rented and booted, and meanwhile they don't count as
 #: capacity, so that dead ones are made up for.
-QUIET_LEASES = 0.6
-SILENT_LEASES = 1.25
-GROUP_LEASES = 2.0
+SUSPECT_LEASES = 0.6
+ISOLATED_RELEASE_LEASES = 1.25
+GROUP_RELEASE_LEASES = 2.0
 #: One with replicas of services is released once its worker's lease must have ended.
-SERVICE_LEASES = 1.05
+SERVICE_RELEASE_LEASES = 1.05
 #: A machine has failed to start after so many boot times, of this length if unknown (seconds).
-FAILED_BOOTS = 4.0
-UNKNOWN_BOOT_S = 60.0
+STARTUP_TIMEOUT_BOOTS = 4.0
+DEFAULT_BOOT_S = 60.0
 #: So many lists in a row without a machine that starts, or has fallen silent, prove it gone.
-UNLISTED_STARTING = 3
-UNLISTED_SILENT = 2
+STARTING_MISSED_LISTS = 3
+SILENT_MISSED_LISTS = 2
+
+#: A machine lacks a heartbeat here after this many heartbeat intervals.
+HEARTBEAT_TIMEOUT_INTERVALS = 2.2
+#: A heartbeat is recent if it is less than this many leases old.
+RECENT_LEASES = 0.5
+#: This controller is partitioned from the workers if at least this many machines sent a recent
+#: heartbeat to some controller, and less than this share of them to this one.
+MIN_SEEN_MACHINES = 2
+MIN_SEEN_HERE_SHARE = 0.3
+#: A worker that has sent no heartbeat here for this many heartbeat intervals is sent the new
+#: term directly.
+ANNOUNCEMENT_INTERVALS = 0.4
+#: Seconds; earlier than any time of the steady clock.
+NEVER = -1e9
 
 
 class ZoneCounts(NamedTuple):
     """Machines of a zone that are up; of these, the silent and those commands don't reach."""
 
     up: int = 0
-    silent: int = 0
+    suspected: int = 0
     command_unreachable: int = 0
 
 
@@ -62,24 +76,27 @@
 
     def machines_without_heartbeat(self, now: float) -> list[str]:
         """Machines whose heartbeats have not come here for a while."""
-        limit = 2.2 * self._heartbeat_interval_s
+        timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * self._heartbeat_interval_s
         since = self._cluster.since
         return [
             machine.name
             for machine in self._cluster.machines.values()
-            if machine.state in UP and now - max(machine.last_own_heartbeat_at, since) > limit
+            if machine.state in UP and now - max(machine.last_own_heartbeat_at, since) > timeout_s
         ]
 
     def is_partitioned_from_workers(self, now: float) -> bool:
         """Whether others hear most of the workers, and this controller hardly any."""
         if now - self._cluster.since < self._lease_s:
             return False
-        heard_by_any = heard_here = 0
+        seen_by_any = seen_here = 0
         for machine in self._cluster.machines.values():
-            if machine.state in UP and self._cluster.silence_s(machine, now) < 0.5 * self._lease_s:
-                heard_by_any += 1
-                heard_here += now - machine.last_own_heartbeat_at < 0.5 * self._lease_s
-        return heard_by_any >= 2 and heard_here < 0.3 * heard_by_any
+            if (
+                machine.state in UP
+                and self._cluster.silence_s(machine, now) < RECENT_LEASES * self._lease_s
+            ):
+                seen_by_any += 1
+                seen_here += now - machine.last_own_heartbeat_at < RECENT_LEASES * self._lease_s
+        return seen_by_any >= MIN_SEEN_MACHINES and seen_here < MIN_SEEN_HERE_SHARE * seen_by_any
 
     def needs_term_announcement(self, machine: Machine, now: float) -> bool:
         """Whether a worker has to be told of this term directly.
@@ -90,7 +107,7 @@
         return (
             machine.state is MachineState.UNSYNCED
             and now - max(machine.last_own_heartbeat_at, self._cluster.since)
-            > 0.4 * self._heartbeat_interval_s
+            > ANNOUNCEMENT_INTERVALS * self._heartbeat_interval_s
         )
 
     def is_missing(self, machine: Machine, now: float) -> bool:
@@ -98,22 +115,22 @@
         return (
             machine.state in UP
             and self._cluster.silence_s(machine, now) > self._lease_s
-            and not math.isinf(self._silence_limit_leases(machine, now))
+            and not math.isinf(self._release_after_leases(machine, now))
         )
 
-    def watch(self, machine: Machine, now: float) -> None:
+    def check_machine(self, machine: Machine, now: float) -> None:
         """What time brings about for one machine."""
         state = machine.state
         if state is MachineState.RELEASING:
             self._cluster.release_again(machine)
             return
         if state is MachineState.STARTING:
-            self._watch_start(machine, now)
+            self._check_startup(machine, now)
             return
         if state is MachineState.DRAINING:
             self._draining.step(machine, now)
         elif machine.attempts and not self._cluster.usable(machine, now):
-            self._place_unsent_elsewhere(machine, now)
+            self._drop_unsent_launches(machine, now)
         if (
             self.needs_term_announcement(machine, now)
             and now - machine.term_announced_at > self._heartbeat_interval_s
@@ -121,42 +138,46 @@
             machine.announce_term(now)
             self._cluster.request_command(machine.name)
         is_unreachable = machine.command_unreachable_since is not None
-        if is_unreachable and self._is_single_unreachable(machine, now):
+        if is_unreachable and self._is_isolated_unreachable(machine, now):
             self._cluster.release(machine, COMMANDS_LOST, now)
             return
-        self._watch_silence(machine, now)
+        self._check_silence(machine, now)
 
-    def _watch_start(self, machine: Machine, now: float) -> None:
-        boot_s = machine.machine_type.boot_s if machine.machine_type else UNKNOWN_BOOT_S
-        late = now - machine.rented_at > FAILED_BOOTS * boot_s
-        if late and now - self._cluster.since > self._lease_s:
+    def _check_startup(self, machine: Machine, now: float) -> None:
+        boot_s = machine.machine_type.boot_s if machine.machine_type else DEFAULT_BOOT_S
+        is_late = now - machine.rented_at > STARTUP_TIMEOUT_BOOTS * boot_s
+        if is_late and now - self._cluster.since > self._lease_s:
             self._cluster.release(machine, "never came up", now)
-        elif machine.missed_lists >= UNLISTED_STARTING:
+        elif machine.missed_lists >= STARTING_MISSED_LISTS:
             self._cluster.release(machine, "not listed", now)
 
-    def _is_single_unreachable(self, machine: Machine, now: float) -> bool:
+    def _is_isolated_unreachable(self, machine: Machine, now: float) -> bool:
         """Whether commands don't reach the machine for long, and its zone is not partitioned."""
         since = machine.command_unreachable_since
-        if since is None or now - since <= COMMAND_UNREACHABLE_LEASES * self._lease_s:
+        if since is None or now - since <= UNREACHABLE_RELEASE_LEASES * self._lease_s:
             return False
         counts = self._zone_counts(machine.zone, now)
-        many = counts.command_unreachable > MAX_SINGLE_FAILURES
-        return not (many and counts.command_unreachable > MASS_SHARE * counts.up)
+        is_group_failure = counts.command_unreachable > MAX_ISOLATED_FAILURES
+        return not (is_group_failure and counts.command_unreachable > PARTITION_SHARE * counts.up)
 
-    def _watch_silence(self, machine: Machine, now: float) -> None:
+    def _check_silence(self, machine: Machine, now: float) -> None:
         silence_s = self._cluster.silence_s(machine, now)
-        if silence_s > self._lease_s and machine.missed_lists >= UNLISTED_SILENT:
+        if silence_s > self._lease_s and machine.missed_lists >= SILENT_MISSED_LISTS:
             self._cluster.release(machine, "silent and not listed", now)
-        elif silence_s > SERVICE_LEASES * self._lease_s:
-            leases = self._silence_limit_leases(machine, now)
+        elif silence_s > SERVICE_RELEASE_LEASES * self._lease_s:
+            release_after_leases = self._release_after_leases(machine, now)
             if any(attempt.job.service for attempt in machine.attempts.values()):
                 # Its tasks ended with the worker's lease. Other work waits for the machine
                 # to come back; a service is down until its replicas are proven gone.
-                leases = leases if math.isinf(leases) else SERVICE_LEASES
-            if silence_s > leases * self._lease_s:
+                release_after_leases = (
+                    release_after_leases
+                    if math.isinf(release_after_leases)
+                    else SERVICE_RELEASE_LEASES
+                )
+            if silence_s > release_after_leases * self._lease_s:
                 self._cluster.release(machine, "silent", now)
 
-    def _place_unsent_elsewhere(self, machine: Machine, now: float) -> None:
+    def _drop_unsent_launches(self, machine: Machine, now: float) -> None:
         """Place tasks elsewhere whose launches can't leave, since the worker is not heard.
 
         No launch has left, so nothing has to be proven. Gangs have their own time limit.
@@ -170,16 +191,26 @@
                 log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
                 self._cluster.remove_attempt(attempt, now)
 
-    def _silence_limit_leases(self, machine: Machine, now: float) -> float:
+    def _release_after_leases(self, machine: Machine, now: float) -> float:
         """After how many leases of silence a machine is released; infinite in a partition."""
         counts = self._zone_counts(machine.zone, now)
-        if counts.silent > MAX_SINGLE_FAILURES and counts.silent > MASS_SHARE * counts.up:
+        if (
+            counts.suspected > MAX_ISOLATED_FAILURES
+            and counts.suspected > PARTITION_SHARE * counts.up
+        ):
             self._partition_seen_at[machine.zone] = now
         # When a partition ends they come back one by one, and the last ones look like
         # lone silent machines.
-        if now - self._partition_seen_at.get(machine.zone, -1e9) < SILENT_LEASES * self._lease_s:
+        if (
+            now - self._partition_seen_at.get(machine.zone, NEVER)
+            < ISOLATED_RELEASE_LEASES * self._lease_s
+        ):
             return math.inf
-        return GROUP_LEASES if counts.silent > MAX_SINGLE_FAILURES else SILENT_LEASES
+        return (
+            GROUP_RELEASE_LEASES
+            if counts.suspected > MAX_ISOLATED_FAILURES
+            else ISOLATED_RELEASE_LEASES
+        )
 
     def _zone_counts(self, zone: str, now: float) -> ZoneCounts:
         """The counts of a zone, made once per look at all machines."""
@@ -188,9 +219,13 @@
             self._counts = {}
             for machine in self._cluster.machines.values():
                 if machine.state in UP:
-                    up, silent, command_unreachable = self._counts.get(machine.zone, (0, 0, 0))
-                    quiet = self._cluster.silence_s(machine, now) > QUIET_LEASES * self._lease_s
+                    up, suspected, command_unreachable = self._counts.get(machine.zone, (0, 0, 0))
+                    is_suspected = (
+                        self._cluster.silence_s(machine, now) > SUSPECT_LEASES * self._lease_s
+                    )
                     self._counts[machine.zone] = ZoneCounts(
-                        up + 1, silent + quiet, command_unreachable + machine.command_unreachable
+                        up + 1,
+                        suspected + is_suspected,
+                        command_unreachable + machine.command_unreachable,
                     )
         return self._counts.get(zone, ZoneCounts())
--- a/topazhold/core/fleet_scaling.py
+++ b/topazhold/core/fleet_scaling.py
@@ -20,13 +20,13 @@
         self,
         cluster: ClusterState,
         reservations: BindingReservations,
-        failures: FailureDetection,
+        failure_detection: FailureDetection,
         zone_demand: ZoneDemand,
         policy: autoscaling.ScalingPolicy,
     ) -> None:
         self._cluster = cluster
         self._reservations = reservations
-        self._failures = failures
+        self._failure_detection = failure_detection
         self._zone_demand = zone_demand
         self._policy = policy
         self.capacity_backoff = autoscaling.CapacityBackoff()
@@ -36,9 +36,9 @@
         cluster = self._cluster
         machine_types = list(cluster.machine_types.values())
         cluster.refresh_guarantees()
-        slowest_s = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
-        growing = now - cluster.last_arrival < max(slowest_s, cluster.lease_s)
-        found = self._capacity_demands(machine_types, growing, now)
+        longest_boot_s = max((machine_type.boot_s for machine_type in machine_types), default=0.0)
+        jobs_arriving = now - cluster.last_arrival < max(longest_boot_s, cluster.lease_s)
+        demands = self._capacity_demands(machine_types, jobs_arriving, now)
         reserved = self._reservations.reserved_machines()
         requests: list[autoscaling.ScaleOutRequest] = []
         for machine_type in machine_types:
@@ -46,29 +46,33 @@
             # or not; in a partition nothing is.
             fleet = autoscaling.Fleet(
                 machine_type,
-                [m for m in cluster.machines.values() if not self._failures.is_missing(m, now)],
+                [
+                    m
+                    for m in cluster.machines.values()
+                    if not self._failure_detection.is_missing(m, now)
+                ],
             )
             requests += autoscaling.scale_out(
-                found, machine_type, fleet, self.capacity_backoff, now
+                demands, machine_type, fleet, self.capacity_backoff, now
             )
             for machine in autoscaling.scale_in(
-                found, machine_type, fleet, self._policy, growing, now
+                demands, machine_type, fleet, self._policy, jobs_arriving, now
             ):
                 if machine.name not in reserved:
                     cluster.release(machine, "idle", now)
         return requests
 
     def _capacity_demands(
-        self, machine_types: list[MachineType], growing: bool, now: float
+        self, machine_types: list[MachineType], jobs_arriving: bool, now: float
     ) -> autoscaling.CapacityDemands:
         cluster = self._cluster
-        found = autoscaling.capacity_demands(
+        demands = autoscaling.capacity_demands(
             cluster.jobs.values(),
             machine_types,
             cluster.usage.teams,
             cluster.zone_of,
             self._policy,
-            growing,
+            jobs_arriving,
         )
-        self._zone_demand.add_to(found, machine_types, now)
-        return found
+        self._zone_demand.add_to(demands, machine_types, now)
+        return demands
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -12,11 +12,11 @@
 log = logging.getLogger(__name__)
 
 #: So many answers with launches that did not arrive make a machine unreachable for commands.
-LOST_COMMANDS = 2
+LOST_LAUNCHES_THRESHOLD = 2
 #: An incarnation that ends so soon (in leases) after an answer has not heard the answer,
 #: and one that lasts so long has heard some.
-UNREACHED_LEASES = 0.7
-REACHED_LEASES = 1.3
+UNREACHABLE_LEASES = 0.7
+REACHABLE_LEASES = 1.3
 
 
 class HeartbeatReconciliation:
@@ -27,7 +27,7 @@
 
     def __init__(self, cluster: ClusterState, tasks: TaskReconciliation) -> None:
         self._cluster = cluster
-        self._tasks = tasks
+        self._task_reconciliation = tasks
         self._term = cluster.term
         self._lease_s = cluster.lease_s
 
@@ -40,10 +40,10 @@
         answer of a heartbeat that is still under way, so what it lacks proves
         nothing about a launch ordered there. `forwarded`: a follower took it in.
         """
-        machine = self._machine_of(heartbeat, direct, now)
+        machine = self._find_or_add_machine(heartbeat, direct, now)
         if machine is None or machine.state is MachineState.RELEASING:
             return None
-        before = self._availability(machine, now)
+        availability_before = self._availability(machine, now)
         if (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence):
             return None
         if heartbeat.incarnation > machine.incarnation:
@@ -57,15 +57,17 @@
             machine.answered(not forwarded, now)
         if heartbeat.notice_s is not None:
             self._on_preemption_notice(machine, heartbeat.notice_s, now)
-        if self._tasks.reconcile(machine, heartbeat, synced, direct, now):
+        if self._task_reconciliation.reconcile(machine, heartbeat, synced, direct, now):
             self._on_lost_launch(machine, now)
         if not machine.empty:
             machine.note_busy(now)
-        if self._availability(machine, now) != before:
+        if self._availability(machine, now) != availability_before:
             self._cluster.count_fleet_change()
         return machine
 
-    def _machine_of(self, heartbeat: Heartbeat, direct: bool, now: float) -> Machine | None:
+    def _find_or_add_machine(
+        self, heartbeat: Heartbeat, direct: bool, now: float
+    ) -> Machine | None:
         """The machine that a heartbeat is from; None if it is gone, or known by nothing else."""
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
@@ -96,17 +98,17 @@
                 self._cluster.remove_attempt(attempt, now)
         if machine.incarnation:
             log.info("machine %s began incarnation %d", machine.name, incarnation)
-            if now - machine.last_answered_at < UNREACHED_LEASES * self._lease_s:
+            if now - machine.last_answered_at < UNREACHABLE_LEASES * self._lease_s:
                 self._on_command_unreachable(machine, "its lease ended though it was answered", now)
         machine.begin_incarnation(incarnation, now)
 
     def _check_command_reachability(self, machine: Machine, term_before: int, now: float) -> None:
         """Whether answers reach the worker, as far as its heartbeat shows it."""
-        reached = (
+        is_reachable = (
             machine.term == self._term != term_before
-            or now - machine.incarnation_since > REACHED_LEASES * self._lease_s
+            or now - machine.incarnation_since > REACHABLE_LEASES * self._lease_s
         )
-        if reached and machine.mark_command_reachable():
+        if is_reachable and machine.mark_command_reachable():
             log.info("machine %s gets commands again", machine.name)
 
     def _on_command_unreachable(self, machine: Machine, reason: str, now: float) -> None:
@@ -121,5 +123,5 @@
         machine.expect_end(notice_s, now)
 
     def _on_lost_launch(self, machine: Machine, now: float) -> None:
-        if machine.count_lost_command() >= LOST_COMMANDS:
+        if machine.count_lost_command() >= LOST_LAUNCHES_THRESHOLD:
             self._on_command_unreachable(machine, "launches don't arrive", now)
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -10,9 +10,9 @@
 from topazhold.wire.cloud import ListedMachine
 
 #: A machine that was rented so many list lags ago is on any list that is asked for now.
-LISTED_LAGS = 4
+MIN_LISTED_AGE_LAGS = 4
 #: A list may be so many lags old.
-LIST_AGE_LAGS = 2
+MAX_LIST_AGE_LAGS = 2
 
 
 class MachineListReconciliation:
@@ -20,34 +20,37 @@
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
-        self._lag_s = cluster.timing.lag_s
+        self._list_lag_s = cluster.timing.lag_s
 
     def on_machine_list(
-        self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float
+        self, listed_machines: Iterable[ListedMachine], requested_at: float, now: float
     ) -> None:
-        """A whole machine list, asked for at `asked_at` on the same clock as `now`."""
-        names = set()
-        for item in listed_machines:
-            if self._cluster.is_removed(item.id):
+        """A whole machine list, asked for at `requested_at` on the same clock as `now`."""
+        listed_names = set()
+        for listed in listed_machines:
+            if self._cluster.is_removed(listed.id):
                 continue
-            names.add(item.id)
-            machine = self._listed_machine(item, now)
-            machine.note_listed(item.endpoint)
-            if item.state == wire.LISTED_FAILED:
+            listed_names.add(listed.id)
+            machine = self._find_or_add_machine(listed, now)
+            machine.note_listed(listed.endpoint)
+            if listed.state == wire.LISTED_FAILED:
                 self._cluster.release(machine, "failed", now)
         for machine in list(self._cluster.machines.values()):
-            if machine.name in names or now - machine.rented_at < LISTED_LAGS * self._lag_s:
+            if (
+                machine.name in listed_names
+                or now - machine.rented_at < MIN_LISTED_AGE_LAGS * self._list_lag_s
+            ):
                 continue
             # Only a list asked for well after the machine was last heard says anything
             # about it.
-            if asked_at - machine.last_seen_at > LIST_AGE_LAGS * self._lag_s:
+            if requested_at - machine.last_seen_at > MAX_LIST_AGE_LAGS * self._list_lag_s:
                 machine.count_missed_list()
 
-    def _listed_machine(self, item: ListedMachine, now: float) -> Machine:
-        machine = self._cluster.machines.get(item.id)
+    def _find_or_add_machine(self, listed: ListedMachine, now: float) -> Machine:
+        machine = self._cluster.machines.get(listed.id)
         if machine is None:
             machine = self._cluster.add_machine(
-                item.id, item.zone, item.spot, item.machine_type, now
+                listed.id, listed.zone, listed.spot, listed.machine_type, now
             )
-            machine.learn_age(item.age_s, now)
+            machine.learn_age(listed.age_s, now)
         return machine
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -181,7 +181,7 @@
         self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
     ) -> list[Command]:
         """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
-        return self._commands.answer(machine, heartbeat, now, launches)
+        return self._commands.response_commands(machine, heartbeat, now, launches)
 
     def kills(self, machine: Machine) -> list[Command]:
         """Kills for all that must leave the machine; every one can be repeated."""
@@ -209,8 +209,8 @@
             elif job.gang:
                 self._eviction.advance_gang(job, now)
         for machine in list(self.machines.values()):
-            self._failure_detection.watch(machine, now)
-        self._commands.wake_remaining(now)
+            self._failure_detection.check_machine(machine, now)
+        self._commands.wake_delayed(now)
 
     def machines_without_heartbeat(self, now: float) -> list[str]:
         """Machines whose heartbeats have not come here for a while."""
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -17,7 +17,7 @@
 
 #: For so many heartbeat intervals nothing is placed on a machine that had no capacity, and no
 #: task of a job whose image is unknown.
-PAUSE_HEARTBEATS = 2
+BACKOFF_HEARTBEATS = 2
 
 #: Orphaned tasks: (name, attempt) -> stage.
 Orphans = dict[tuple[str, int], str]
@@ -34,8 +34,8 @@
     ) -> None:
         self._cluster = cluster
         self._eviction = eviction
-        self._failures = failures
-        self._pause_s = PAUSE_HEARTBEATS * cluster.heartbeat_interval_s
+        self._failure_attribution = failures
+        self._backoff_s = BACKOFF_HEARTBEATS * cluster.heartbeat_interval_s
 
     def reconcile(
         self, machine: Machine, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
@@ -60,11 +60,11 @@
             else:
                 self._on_orphan(machine, key, task, orphans, now)
         machine.keep_orphans(orphans)
-        lost = False
+        is_launch_lost = False
         for key, attempt in list(machine.attempts.items()):
             if key not in seen:
-                lost |= self._reconcile_missing(attempt, heartbeat, synced, direct, now)
-        return lost
+                is_launch_lost |= self._reconcile_missing(attempt, heartbeat, synced, direct, now)
+        return is_launch_lost
 
     def _reconcile_attempt(
         self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
@@ -76,9 +76,9 @@
             return
         if attempt.state is AttemptState.ORDERED and not attempt.possibly_running:
             machine.mark_command_reachable()
-        before = attempt.state
+        state_before = attempt.state
         attempt.observe(task.state, now)
-        if attempt.state is not before:
+        if attempt.state is not state_before:
             machine.count_change()
         if attempt.state in (AttemptState.GATHERING, AttemptState.RUNNING):
             spec = attempt.job.spec
@@ -140,21 +140,21 @@
             " (saved)" if task.kept else "",
         )
         if attempt.cause == wire.CAUSE_DONE:
-            self._on_done(machine, attempt, now)
+            self._on_success(machine, attempt, now)
         else:
             self._on_failure(machine, attempt, now)
         job = attempt.job
         if job.service and not attempt.stopping:
             if attempt.cause in (wire.CAUSE_DONE, wire.CAUSE_ERROR):
-                self._failures.on_replica_ended(machine, attempt, now)
+                self._failure_attribution.on_replica_ended(machine, attempt, now)
         self._cluster.remove_attempt(attempt, now)
 
-    def _on_done(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
+    def _on_success(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         job, spec = attempt.job, attempt.job.spec
         machine.forget_errors()
         machine.fetched(spec.image, spec.image_gb)
-        is_whole = job.progress_s == 0.0 and not attempt.stopping and not job.service
-        if attempt.running_since is not None and is_whole:
+        is_full_run = job.progress_s == 0.0 and not attempt.stopping and not job.service
+        if attempt.running_since is not None and is_full_run:
             self._cluster.estimates.observe(
                 spec.job_class, spec.estimated_run_s, now - attempt.running_since
             )
@@ -163,11 +163,11 @@
     def _on_failure(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         job = attempt.job
         if attempt.cause == wire.CAUSE_ERROR and not job.service:
-            self._failures.on_attempt_failed(machine, job, now)
+            self._failure_attribution.on_attempt_failed(machine, job, now)
         elif attempt.cause == wire.CAUSE_NO_CAPACITY:
-            machine.quarantine_until(now + self._pause_s)
+            machine.quarantine_until(now + self._backoff_s)
         elif attempt.cause == wire.CAUSE_UNKNOWN:
-            job.not_before = now + self._pause_s
+            job.not_before = now + self._backoff_s
         if job.gang and attempt.running_since is not None:
             self._record_gang_progress(job, attempt, attempt.running_since, now)
 
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -17,34 +17,34 @@
 #: Ended tasks left on a worker to wake it with.
 MAX_WAKE_TASKS = 3
 #: The answer to a heartbeat is made within so many heartbeat intervals.
-ANSWER_HEARTBEATS = 0.1
+MAX_RESPONSE_HEARTBEATS = 0.1
 
 
 class WorkerCommands:
     """What a worker is told, in the answer to its heartbeat or directly.
 
-    Owns `to_wake`, the machines to be made to send a heartbeat at once, and `_to_wake_later`,
+    Owns `to_wake`, the machines to be made to send a heartbeat at once, and `_delayed_wakes`,
     those whose last answer is perhaps not made yet.
     """
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
         self._term = cluster.term
-        self._answer_s = ANSWER_HEARTBEATS * cluster.heartbeat_interval_s
+        self._max_response_s = MAX_RESPONSE_HEARTBEATS * cluster.heartbeat_interval_s
         self._responsive_s = USABLE_HEARTBEATS * cluster.heartbeat_interval_s
         self.to_wake: set[str] = set()
-        self._to_wake_later: set[str] = set()
+        self._delayed_wakes: set[str] = set()
 
-    def answer(
-        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool
+    def response_commands(
+        self, machine: Machine, heartbeat: Heartbeat, now: float, include_launches: bool
     ) -> list[Command]:
         """The commands for a heartbeat's answer: clears, kills, launches, in this order.
 
-        Launches only if `launches`, to a ready machine that knows this term.
+        Launches only if `include_launches`, to a ready machine that knows this term.
         """
         commands = self._clears(machine, heartbeat) + self.kills(machine)
         if (
-            launches
+            include_launches
             and machine.state is MachineState.READY
             and heartbeat.fencing_token == self._term
         ):
@@ -76,7 +76,7 @@
         commands = []
         for task in heartbeat.tasks:
             if task.state == wire.ENDED:
-                if task.cause == wire.CAUSE_DONE and self._is_only_record(task):
+                if task.cause == wire.CAUSE_DONE and self._is_completion_unsaved(task):
                     continue
                 commands.append(wire.clear(task.task_name, task.attempt_number))
         machine.keep_wake_tasks(
@@ -84,7 +84,7 @@
         )
         return commands[MAX_WAKE_TASKS:]
 
-    def _is_only_record(self, task: TaskStatus) -> bool:
+    def _is_completion_unsaved(self, task: TaskStatus) -> bool:
         """Whether nothing but the worker's heartbeat tells yet that a task has completed."""
         key = wire.split_task_name(task.task_name)
         job = self._cluster.jobs.get(key[0]) if key else None
@@ -113,7 +113,7 @@
         if not machine.wake_tasks:
             return
         if self._heartbeat_is_recent(machine, now):
-            self._to_wake_later.add(machine.name)
+            self._delayed_wakes.add(machine.name)
         else:
             self._wake_now(machine.name)
 
@@ -123,15 +123,15 @@
 
     def _heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
         """Whether the answer to the machine's last heartbeat may not be made yet."""
-        return now - (machine.last_heartbeat_at or 0.0) <= self._answer_s
+        return now - (machine.last_heartbeat_at or 0.0) <= self._max_response_s
 
-    def wake_remaining(self, now: float) -> None:
+    def wake_delayed(self, now: float) -> None:
         """Wake the workers whose launches came too late for the answer that was due."""
-        for name in list(self._to_wake_later):
+        for name in list(self._delayed_wakes):
             machine = self._cluster.machines.get(name)
             if machine is not None and self._heartbeat_is_recent(machine, now):
                 continue
-            self._to_wake_later.discard(name)
+            self._delayed_wakes.discard(name)
             if machine is not None and machine.wake_tasks:
                 if any(
                     attempt.state is AttemptState.WRITTEN for attempt in machine.attempts.values()
@@ -147,20 +147,20 @@
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
         """Whom to command directly first: the living, and those with cancelled work."""
-        found = []
+        candidates = []
         for name in names:
             machine = self._cluster.machines.get(name)
             if machine is not None and machine.endpoint is not None:
                 must_be_released = self._cluster.must_be_released(name)
-                key = (
+                priority = (
                     not self.is_responsive(machine, now),
                     not must_be_released,
                     machine.commanded_at,
                     name,
                 )
-                found.append((key, machine))
-        found.sort(key=lambda item: item[0])
-        return [machine for _, machine in found]
+                candidates.append((priority, machine))
+        candidates.sort(key=lambda item: item[0])
+        return [machine for _, machine in candidates]
 
     def kills(self, machine: Machine) -> list[Command]:
         """Kills for all that must leave the machine; every one can be repeated."""
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -37,48 +37,50 @@
         self._policy = policy
 
     def add_to(
-        self, found: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
+        self, demands: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
     ) -> None:
         """Demand more machines of one zone for the first job that lacks them: one at a time."""
-        waiting = [job for job in self._cluster.jobs.values() if self._is_bound_and_waits(job, now)]
+        waiting = [job for job in self._cluster.jobs.values() if self._waits_for_zone(job, now)]
         # Gangs of one shape find the same capacity: counted once for all of them.
-        counted: dict[object, dict[str, int]] = {}
+        free_by_shape: dict[object, dict[str, int]] = {}
         for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
-            machine_type = autoscaling.best_type(job.spec, machine_types)
+            machine_type = autoscaling.cheapest_type(job.spec, machine_types)
             if machine_type is None or not self._limits.fits_with_preemption(job):
                 continue
-            types = tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
-            shape = (job.need, job.spec.tasks, job.spec.spot, types, machine_type.name)
-            free = counted.get(shape)
+            allowed_types = (
+                tuple(job.spec.machine_types) if job.spec.machine_types is not None else None
+            )
+            shape = (job.need, job.spec.tasks, job.spec.spot, allowed_types, machine_type.name)
+            free = free_by_shape.get(shape)
             if free is None:
-                free = counted[shape] = self._free_slots(job, machine_type)
-            short = self._shortage(job, machine_type.zones, free)
-            if short is not None:
-                self._add(found, job, machine_type, short)
+                free = free_by_shape[shape] = self._free_slots(job, machine_type)
+            shortage = self._shortage(job, machine_type.zones, free)
+            if shortage is not None:
+                self._demand_machines(demands, job, machine_type, shortage)
                 return
 
-    def _add(
+    def _demand_machines(
         self,
-        found: autoscaling.CapacityDemands,
+        demands: autoscaling.CapacityDemands,
         job: Job,
         machine_type: MachineType,
-        short: ZoneShortage,
+        shortage: ZoneShortage,
     ) -> None:
-        whole = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
-        each = count_fitting(job.need, whole, job.spec.tasks)
-        more = math.ceil(short.tasks / each)
+        capacity = (machine_type.cpus, machine_type.gpus, machine_type.memory_gb)
+        tasks_per_machine = count_fitting(job.need, capacity, job.spec.tasks)
+        additional_machines = math.ceil(shortage.tasks / tasks_per_machine)
         spot = job.spec.spot and self._policy.use_spot and machine_type.spot_price is not None
-        there = sum(
-            machine.zone == short.zone
+        present_machines = sum(
+            machine.zone == shortage.zone
             and machine.spot is spot
             and autoscaling.counts_as_capacity(machine)
             for machine in self._cluster.machines.values()
             if machine.machine_type is not None
         )
-        demand = found.setdefault((machine_type.name, spot), autoscaling.CapacityDemand())
-        demand.at_least(there + more, short.zone)
+        demand = demands.setdefault((machine_type.name, spot), autoscaling.CapacityDemand())
+        demand.at_least(present_machines + additional_machines, shortage.zone)
 
-    def _is_bound_and_waits(self, job: Job, now: float) -> bool:
+    def _waits_for_zone(self, job: Job, now: float) -> bool:
         """Whether zones matter to a job, and it is an aged gang, or a service that has lacked
         replicas for longer than others."""
         if job.state is not JobState.LIVE or job.spec.zone is not None:
@@ -87,8 +89,8 @@
             return False
         if job.gang:
             return job.is_aged and not job.attempts
-        late = now - job.arrived > self._cluster.lease_s
-        return job.service and job.waiting_count > 0 and late
+        is_late = now - job.arrived > self._cluster.lease_s
+        return job.service and job.waiting_count > 0 and is_late
 
     def _shortage(self, job: Job, zones: list[str], free: dict[str, int]) -> ZoneShortage | None:
         """A zone in which capacity for so many more tasks would let the job run, if zones alone
@@ -100,16 +102,16 @@
             zone = max(zones, key=lambda zone: (free[zone], zone))
             return ZoneShortage(zone, wanted - free[zone]) if free[zone] < wanted else None
         max_in_zone = (job.spec.tasks + 1) // 2
-        there = job.zones_used(self._cluster.zone_of)
-        allowed_more = {zone: max(0, max_in_zone - there.get(zone, 0)) for zone in zones}
-        missing = wanted - sum(min(free[zone], allowed_more[zone]) for zone in zones)
+        tasks_by_zone = job.zones_used(self._cluster.zone_of)
+        allowance = {zone: max(0, max_in_zone - tasks_by_zone.get(zone, 0)) for zone in zones}
+        missing = wanted - sum(min(free[zone], allowance[zone]) for zone in zones)
         if missing <= 0:
             return None
-        open_zones = [zone for zone in zones if free[zone] < allowed_more[zone]]
+        open_zones = [zone for zone in zones if free[zone] < allowance[zone]]
         if not open_zones:
             return None
         zone = min(open_zones, key=lambda zone: (free[zone], zone))
-        return ZoneShortage(zone, min(missing, allowed_more[zone] - free[zone]))
+        return ZoneShortage(zone, min(missing, allowance[zone] - free[zone]))
 
     def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
         """Zone by zone, how many tasks of a job the machines have capacity for now or soon."""
