--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -57,7 +57,7 @@
 def any_place(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(binding_reservations, "placement_allowed", lambda *args: True)
     patch.setattr(array_placement, "placement_allowed", lambda *args: True)
-    patch.setattr(BindingReservations, "_reservation_fault", lambda *args: None)
+    patch.setattr(BindingReservations, "_rejection_reason", lambda *args: None)
     patch.setattr(array_placement, "choose_shared_zone", lambda *args: None)
     patch.setattr(replica_placement, "choose_shared_zone", lambda *args: None)
 
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -109,10 +109,10 @@
     offers = {offer.name: offer for offer in harness.scheduler.offers("a", harness.now)}
     gang = make_spec(1, tasks=1, gpus=4.0)
     need = (gang.cpus, gang.gpus, gang.memory_gb)
-    assert offers[attempt.machine].ready_for((1, service.urgency_level), need) == math.inf
+    assert offers[attempt.machine].wait_s_for((1, service.urgency_level), need) == math.inf
     (other,) = offers.keys() - {attempt.machine}
     assert (
-        offers[other].ready_for((1, service.urgency_level), need)
+        offers[other].wait_s_for((1, service.urgency_level), need)
         < harness.scheduler.heartbeat_interval_s
     )
 
@@ -144,7 +144,7 @@
     )
     by_guarantee, is_aged = (0, 3), (AGED, 3)
     soon_s = 3 * harness.scheduler.heartbeat_interval_s
-    assert offer.ready_for(by_guarantee, available) < soon_s
-    assert offer.ready_for(is_aged, available) > soon_s
+    assert offer.wait_s_for(by_guarantee, available) < soon_s
+    assert offer.wait_s_for(is_aged, available) > soon_s
     more_urgent = (AGED, 1)
-    assert offer.ready_for(more_urgent, available) < soon_s, "by its urgency it may stop that work"
+    assert offer.wait_s_for(more_urgent, available) < soon_s, "by its urgency it may stop that work"
--- a/tests/test_scheduling_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -206,15 +206,15 @@
         looks = 0
         with monkeypatch.context() as patch:
             if forgets:
-                patch.setattr(BindingReservations, "_check_due", lambda *args: True)
-            fault = BindingReservations._reservation_fault
+                patch.setattr(BindingReservations, "_is_check_due", lambda *args: True)
+            fault = BindingReservations._rejection_reason
 
             def counted(self: BindingReservations, *args: Any) -> str | None:
                 nonlocal looks
                 looks += 1
                 return fault(self, *args)
 
-            patch.setattr(BindingReservations, "_reservation_fault", counted)
+            patch.setattr(BindingReservations, "_rejection_reason", counted)
             survey = SchedulingRounds._survey
 
             def forget(self: SchedulingRounds, *args: Any) -> FleetSurvey:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -45,7 +45,7 @@
     taken: dict[str, Resources] | None = None,
     tries: int = 2,
 ) -> group_search.Group | None:
-    return group_search.search(
+    return group_search.find_group(
         Random(seed), directory, caches, SearchContext(spec, (1, 2), taken or {}, RULES), tries
     )
 
@@ -59,7 +59,7 @@
     )
     group = find(make_spec(tasks=2, gpus=4.0), directory, caches)
     assert group is not None
-    assert group.slots == {"m3": 1, "m4": 1} and group.wait == 0.0
+    assert group.slots == {"m3": 1, "m4": 1} and group.wait_s == 0.0
 
 
 def test_several_tasks_share_a_machine() -> None:
@@ -90,7 +90,7 @@
     spec = make_spec(tasks=4, gpus=4.0, same_place=False)
     seen = set()
     for seed in range(30):
-        slots = candidate_slots.gather(
+        slots = candidate_slots.gather_slots(
             Random(seed), directory, caches, SearchContext(spec, (1, 2), {}, RULES)
         )
         assert len(slots) == 8
@@ -101,10 +101,10 @@
 def test_swap_loop_beats_the_first_draw() -> None:
     directory, caches = fleet(*(offer(f"m{n:02d}", "a", float(n)) for n in range(12)))
     spec = make_spec(tasks=4, gpus=4.0)
-    slots = candidate_slots.gather(
+    slots = candidate_slots.gather_slots(
         Random(3), directory, caches, SearchContext(spec, (1, 2), {}, RULES)
     )
-    group = group_search.pick(Random(3), slots, spec, RULES)
+    group = group_search.select_group(Random(3), slots, spec, RULES)
     assert group is not None and set(group.slots) == {"m00", "m01", "m02", "m03"}
 
 
@@ -122,42 +122,48 @@
     reservation_table = ReservationTable("hive-0")
     value = pack_value([reservation("wk-1", "m1")], "t")
     value["holds"].append(["nonsense"])
-    reservation_table.read("hive-1", value, 7)
+    reservation_table.update("hive-1", value, 7)
     assert reservation_table.of_job("wk-1") is not None
-    assert reservation_table.taken("wk-2", (1, 2, 6.0), lambda reservation: True)["m1"] == (
+    assert reservation_table.reserved_for_others("wk-2", (1, 2, 6.0), lambda reservation: True)[
+        "m1"
+    ] == (
         4.0,
         4.0,
         8.0,
     )
-    assert reservation_table.taken("wk-2", (0, 2, 6.0), lambda reservation: True) == {}
+    assert (
+        reservation_table.reserved_for_others("wk-2", (0, 2, 6.0), lambda reservation: True) == {}
+    )
 
 
 def test_reservations_bind_only_work_later_in_the_queue() -> None:
     """Else a stream of small gangs keeps a large one, that came first, from its machines."""
     reservation_table = ReservationTable("hive-0")
-    reservation_table.read(
+    reservation_table.update(
         "hive-1",
         pack_value([reservation("wk-1", "m1"), reservation("wk-3", "m3", (0, 2, 9.0))], "t"),
         7,
     )
-    assert reservation_table.taken("wk-2", (1, 2, 4.0), lambda reservation: True).keys() == {"m3"}
+    assert reservation_table.reserved_for_others(
+        "wk-2", (1, 2, 4.0), lambda reservation: True
+    ).keys() == {"m3"}
     reserved = ReservedResources(
         reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
-    assert reserved.taken("wk-2", (0, 2, 8.0)) == {}
-    assert reserved.taken("wk-2", (1, 2, 4.0)).keys() == {"m3"}
-    assert reserved.taken("wk-2", (1, 2, 6.0)).keys() == {"m1", "m3"}
-    assert reserved.taken("wk-1", (1, 2, 6.0))["m1"] == (0.0, 0.0, 0.0)
+    assert reserved.reserved_for_others("wk-2", (0, 2, 8.0)) == {}
+    assert reserved.reserved_for_others("wk-2", (1, 2, 4.0)).keys() == {"m3"}
+    assert reserved.reserved_for_others("wk-2", (1, 2, 6.0)).keys() == {"m1", "m3"}
+    assert reserved.reserved_for_others("wk-1", (1, 2, 6.0))["m1"] == (0.0, 0.0, 0.0)
     reserved.release("wk-3")
-    assert reserved.taken("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
+    assert reserved.reserved_for_others("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
 
 
 def test_reservation_guards_all_other_reservations() -> None:
     reservation_table = ReservationTable("hive-0")
-    reservation_table.read("hive-1", pack_value([], "t"), 7)
-    assert reservation_table.conditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
+    reservation_table.update("hive-1", pack_value([], "t"), 7)
+    assert reservation_table.preconditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
     reservation_table.expire("hive-1", 9)
-    assert reservation_table.conditions() == [("hold/hive-0", 0)]
+    assert reservation_table.preconditions() == [("hold/hive-0", 0)]
 
 
 def test_offer_round_trip() -> None:
@@ -181,14 +187,16 @@
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
     reserved = {"m1": 1, "m2": 1}
-    assert group_search.score_reserved(reserved, caches, spec, (1, 2), {}, RULES) >= 90.0
-    assert group_search.score_reserved({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float("inf")
+    assert group_search.score_reservation(reserved, caches, spec, (1, 2), {}, RULES) >= 90.0
+    assert group_search.score_reservation({"m9": 2}, caches, spec, (1, 2), {}, RULES) == float(
+        "inf"
+    )
 
 
 def test_work_that_yields_uses_capacity_of_gangs_that_still_wait() -> None:
     """Gangs that waited for their last machine kept a quarter of a fleet idle."""
     reservation_table = ReservationTable("hive-0")
-    reservation_table.read(
+    reservation_table.update(
         "hive-1",
         pack_value([reservation("wk-1", "m1"), reservation("wk-3", "m3", (0, 2, 9.0))], "t"),
         7,
@@ -198,13 +206,15 @@
         lambda reservation: reservation.queue_key,
         lambda reservation: reservation.job == "wk-3",
     )
-    assert reserved.taken("wk-2", (1, 3, 7.0), yields=True).keys() == {"m3"}, "wk-3 gathers"
-    assert reserved.taken("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
-    assert reserved.taken("wk-2", (1, 3, 8.0), yields=True).keys() == {"m3"}
+    assert reserved.reserved_for_others("wk-2", (1, 3, 7.0), preemptible=True).keys() == {"m3"}, (
+        "wk-3 gathers"
+    )
+    assert reserved.reserved_for_others("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
+    assert reserved.reserved_for_others("wk-2", (1, 3, 8.0), preemptible=True).keys() == {"m3"}
     equal = ReservedResources(
         reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
-    assert equal.taken("wk-2", (1, 2, 7.0), yields=True).keys() == {"m1", "m3"}
+    assert equal.reserved_for_others("wk-2", (1, 2, 7.0), preemptible=True).keys() == {"m1", "m3"}
 
 
 def test_machine_without_a_free_card_is_not_free() -> None:
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -27,7 +27,7 @@
 from topazhold.control.summaries import SummaryPublisher
 from topazhold.control.term_context import TermContext
 from topazhold.core.candidate_slots import SearchContext, SearchRules
-from topazhold.core.group_search import search
+from topazhold.core.group_search import find_group
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import priority, queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
@@ -191,7 +191,7 @@
     def one() -> None:
         """One search."""
         context = SearchContext(job.spec, priority(job), {}, rules)
-        search(fleet.rng, directory, caches, context, SEARCH_TRIES)
+        find_group(fleet.rng, directory, caches, context, SEARCH_TRIES)
 
     return one
 
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -86,14 +86,14 @@
             group.score,
             self._serial,
             wall,
-            group.capacity_wait <= self._heartbeat_interval_s,
+            group.capacity_wait_s <= self._heartbeat_interval_s,
             queue_key,
         )
         log.info(
             "reservation %s on %s, wait %.1f s, score %.1f",
             spec.id,
             ",".join(group.slots),
-            group.wait,
+            group.wait_s,
             group.score,
         )
 
@@ -108,7 +108,7 @@
         token = f"{self.node}-{lease_id}-{self._sequence}"
         value = pack_value(self.mine.values(), token)
         key = RESERVATION_PREFIX + self.node
-        preconditions = [Precondition(*each) for each in self.table.conditions()]
+        preconditions = [Precondition(*each) for each in self.table.preconditions()]
         try:
             revision = await self._store.commit(
                 preconditions,
@@ -125,7 +125,7 @@
             log.debug("reservations not written: %s", exc)
             return False
         self._written = packed
-        self.table.read(self.node, value, revision)
+        self.table.update(self.node, value, revision)
         return True
 
     async def _on_conflict(self, now: float) -> None:
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -9,7 +9,7 @@
 from topazhold.control.cluster_view import ClusterView
 from topazhold.control.gang_reservations import GangReservations
 from topazhold.core.candidate_slots import SearchContext, SearchRules
-from topazhold.core.group_search import Group, score_reserved, search
+from topazhold.core.group_search import Group, find_group, score_reservation
 from topazhold.core.jobs import Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import NOT_AGED, QueueKey, Reservation, ReservationTable
@@ -141,8 +141,10 @@
     def _search(
         self, pending: PendingGang, cluster_view: ClusterView, draft: ReservationTable
     ) -> Group | None:
-        taken = draft.taken(pending.spec.id, pending.queue_key, lambda reservation: True)
-        return search(
+        taken = draft.reserved_for_others(
+            pending.spec.id, pending.queue_key, lambda reservation: True
+        )
+        return find_group(
             self._rng,
             cluster_view.directory,
             cluster_view.caches,
@@ -166,8 +168,8 @@
         better: a large gang that changes all its machines for a few seconds loses
         those that have come free for it, again and again.
         """
-        taken = draft.taken(old.job, pending.queue_key, lambda reservation: True)
-        present = score_reserved(
+        taken = draft.reserved_for_others(old.job, pending.queue_key, lambda reservation: True)
+        present = score_reservation(
             old.slots, cluster_view.caches, pending.spec, pending.priority, taken, self.rules
         )
         late = wall - old.made_at > self._expiry_s
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -153,14 +153,16 @@
             else:
                 known.queue_key = queue_key(job)
             reservation = mine.get(job.id)
-            if reservation is not None and leader_term.scheduler.spent(job, reservation):
+            if reservation is not None and leader_term.scheduler.is_consumed_or_rejected(
+                job, reservation
+            ):
                 del mine[job.id]
 
     def _is_left_to_other(self, leader_term: LeaderTerm, job: Job, now: float) -> bool:
         """Whether another controller, which accepted the gang, has time left to find a group."""
         if job.node == self._node or job.node not in self._reservations.table.revisions:
             return False
-        return leader_term.scheduler.wanting_s(job, now) < STEP_IN_SUMMARIES * self._summary_s
+        return leader_term.scheduler.unreserved_s(job, now) < STEP_IN_SUMMARIES * self._summary_s
 
     async def _pending_of_follower(self, now: float) -> None:
         """Gangs accepted here that the leader still lists as waiting."""
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -88,7 +88,7 @@
         if data is None:
             reservation_table.expire(node, revision)
         else:
-            reservation_table.read(node, data, revision)
+            reservation_table.update(node, data, revision)
 
     async def _on_forwarded_changed(self, node: str, data: Any, revision: int) -> None:
         if isinstance(data, dict) and data.get("crown") == self._context.term:
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -85,7 +85,7 @@
         """Plan as many tasks of an array as there is capacity for, and as its team may run."""
         if not survey.allows_one_more(job):
             return
-        reserved_by_machine = survey.reserved.taken(
+        reserved_by_machine = survey.reserved.reserved_for_others(
             job.id, preemption.queue_key(job), job.spec.checkpoint_s > 0
         )
         candidates = self._candidates(job, reserved_by_machine, survey)
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -21,8 +21,8 @@
 
 #: A reservation whose capacity is all there within so many heartbeat intervals binds work that
 #: yields, too; a machine that boots longer than so many boot times is not counted on.
-SOON_HEARTBEATS = 6.0
-LATE_BOOTS = 1.5
+AVAILABLE_SOON_HEARTBEATS = 6.0
+OVERDUE_BOOT_FACTOR = 1.5
 
 
 class CheckedReservation(NamedTuple):
@@ -32,12 +32,12 @@
     fleet_changes: int
 
 
-class JudgedAvailability(NamedTuple):
+class AvailabilityCheck(NamedTuple):
     """Whether all capacity of a reservation is there soon: its serial, when that was judged."""
 
     serial: int
     at: float
-    soon: bool
+    is_soon: bool
 
 
 class BindingReservations:
@@ -64,15 +64,15 @@
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
         self.rejected: dict[str, int] = {}
         self._checked: dict[str, CheckedReservation] = {}
-        self._soon_judged: dict[str, JudgedAvailability] = {}
-        self._wanting_since: dict[str, float] = {}
+        self._availability_checks: dict[str, AvailabilityCheck] = {}
+        self._unreserved_since: dict[str, float] = {}
         cluster.when_job_forgotten(self._forget)
 
     def _forget(self, job_id: str) -> None:
         self.rejected.pop(job_id, None)
         self._checked.pop(job_id, None)
-        self._soon_judged.pop(job_id, None)
-        self._wanting_since.pop(job_id, None)
+        self._availability_checks.pop(job_id, None)
+        self._unreserved_since.pop(job_id, None)
 
     # -- gangs without a reservation ---------------------------------------
 
@@ -93,41 +93,41 @@
     def needs_reservation(self, job: Job) -> bool:
         """Whether no reservation of the gang is in force."""
         reservation = self._reservation_table.of_job(job.id)
-        return reservation is None or self.spent(job, reservation)
+        return reservation is None or self.is_consumed_or_rejected(job, reservation)
 
-    def wanting_s(self, job: Job, now: float) -> float:
+    def unreserved_s(self, job: Job, now: float) -> float:
         """How long, in seconds, the gang has been without a reservation that is in force."""
         if not self.needs_reservation(job):
-            self._wanting_since.pop(job.id, None)
+            self._unreserved_since.pop(job.id, None)
             return 0.0
-        return now - self._wanting_since.setdefault(job.id, now)
+        return now - self._unreserved_since.setdefault(job.id, now)
 
     # -- whom a reservation binds --------------------------------------------
 
-    def in_force(self, job: Job) -> Reservation | None:
+    def valid_reservation(self, job: Job) -> Reservation | None:
         """The gang's reservation; None if it has none, or that is spent or can't be honoured."""
         reservation = self._reservation_table.of_job(job.id)
-        if reservation is None or self.spent(job, reservation):
+        if reservation is None or self.is_consumed_or_rejected(job, reservation):
             return None
-        if self._check_due(job, reservation) and self._refuse(job, reservation):
+        if self._is_check_due(job, reservation) and self._reject_if_invalid(job, reservation):
             return None
         return reservation
 
-    def spent(self, job: Job, reservation: Reservation) -> bool:
+    def is_consumed_or_rejected(self, job: Job, reservation: Reservation) -> bool:
         """Whether a reservation was used up or refused, so that another is needed."""
         return (
             reservation.serial <= job.used_reservation
             or self.rejected.get(job.id) == reservation.serial
         )
 
-    def binding(self, reservation: Reservation) -> bool:
+    def is_binding(self, reservation: Reservation) -> bool:
         """Whether a reservation still keeps capacity: its gang waits and may start."""
         job = self._cluster.jobs.get(reservation.job)
         return (
             job is not None
             and job.state is JobState.LIVE
             and job.gang_state is GangState.WAITING
-            and not self.spent(job, reservation)
+            and not self.is_consumed_or_rejected(job, reservation)
             and self._limits.fits_with_preemption(job)
         )
 
@@ -137,7 +137,7 @@
         return {
             name
             for reservation in self._reservation_table.all()
-            if self.binding(reservation)
+            if self.is_binding(reservation)
             for name in reservation.slots
         }
 
@@ -155,7 +155,7 @@
         binds nobody."""
         return (
             preemption.queue_key(self._cluster.jobs[reservation.job])
-            if self.binding(reservation)
+            if self.is_binding(reservation)
             else None
         )
 
@@ -169,38 +169,39 @@
 
     def _is_available_soon(self, reservation: Reservation, job: Job, now: float) -> bool:
         """Whether all capacity of a reservation is likely there within a few heartbeats."""
-        known = self._soon_judged.get(job.id)
-        if known is not None and known.serial == reservation.serial:
-            if now - known.at < self._heartbeat_interval_s:
-                return known.soon
-        soon = all(
+        last_check = self._availability_checks.get(job.id)
+        if last_check is not None and last_check.serial == reservation.serial:
+            if now - last_check.at < self._heartbeat_interval_s:
+                return last_check.is_soon
+        is_soon = all(
             self._is_slot_available_soon(self._cluster.machines.get(name), job, count, now)
             for name, count in reservation.slots.items()
         )
-        self._soon_judged[job.id] = JudgedAvailability(reservation.serial, now, soon)
-        return soon
+        self._availability_checks[job.id] = AvailabilityCheck(reservation.serial, now, is_soon)
+        return is_soon
 
     def _is_slot_available_soon(
         self, machine: Machine | None, job: Job, count: int, now: float
     ) -> bool:
         if machine is None or machine.machine_type is None:
             return False
-        offer = self._offers.present_offer(machine, now)
+        offer = self._offers.current_offer(machine, now)
         if offer is None:
             return False
         if machine.state is MachineState.STARTING:
-            if now - machine.rented_at > LATE_BOOTS * machine.machine_type.boot_s:
+            if now - machine.rented_at > OVERDUE_BOOT_FACTOR * machine.machine_type.boot_s:
                 return False
         # Natural ends only: whether others can be stopped, `GangPlacement` finds out.
-        whole = add_resources(NO_RESOURCES, job.need, float(count))
+        total_need = add_resources(NO_RESOURCES, job.need, float(count))
         wait_s = next(
-            (delay for delay, available in offer.availability if fits(whole, available)), math.inf
+            (delay_s for delay_s, available in offer.availability if fits(total_need, available)),
+            math.inf,
         )
-        return wait_s < SOON_HEARTBEATS * self._heartbeat_interval_s
+        return wait_s < AVAILABLE_SOON_HEARTBEATS * self._heartbeat_interval_s
 
     # -- whether a reservation can be honoured -------------------------------
 
-    def _check_due(self, job: Job, reservation: Reservation) -> bool:
+    def _is_check_due(self, job: Job, reservation: Reservation) -> bool:
         """Whether a reservation has to be checked: it is new, or machines have changed since."""
         checked = self._checked.get(job.id)
         return (
@@ -209,17 +210,17 @@
             or checked.fleet_changes != self._cluster.fleet_changes
         )
 
-    def _refuse(self, job: Job, reservation: Reservation) -> bool:
+    def _reject_if_invalid(self, job: Job, reservation: Reservation) -> bool:
         """Refuse a reservation that can't be honoured; whether that was so."""
         self._checked[job.id] = CheckedReservation(reservation, self._cluster.fleet_changes)
-        fault = self._reservation_fault(job, reservation)
-        if fault is None:
+        reason = self._rejection_reason(job, reservation)
+        if reason is None:
             return False
-        log.info("reservation of %s refused: %s", job.id, fault)
+        log.info("reservation of %s refused: %s", job.id, reason)
         self.rejected[job.id] = reservation.serial
         return True
 
-    def _reservation_fault(self, job: Job, reservation: Reservation) -> str | None:
+    def _rejection_reason(self, job: Job, reservation: Reservation) -> str | None:
         """Why a reservation can't be honoured, whatever time passes."""
         spec = job.spec
         if sum(reservation.slots.values()) != spec.tasks or min(reservation.slots.values()) < 1:
@@ -229,9 +230,9 @@
             machine = self._cluster.machines.get(name)
             if machine is None or machine.machine_type is None:
                 return f"{name} is not known"
-            fault = _slot_fault(job, machine, machine.machine_type.name, count)
-            if fault is not None:
-                return f"{name} is {fault}"
+            reason = _slot_rejection_reason(job, machine, machine.machine_type.name, count)
+            if reason is not None:
+                return f"{name} is {reason}"
             zones[machine.zone] = zones.get(machine.zone, 0) + count
         if spec.same_place and len(zones) > 1:
             return "more than one zone"
@@ -240,7 +241,7 @@
         return None
 
 
-def _slot_fault(job: Job, machine: Machine, machine_type: str, count: int) -> str | None:
+def _slot_rejection_reason(job: Job, machine: Machine, machine_type: str, count: int) -> str | None:
     """What a machine is that can't take so many tasks of a gang."""
     if machine.state in (MachineState.DRAINING, MachineState.RELEASING):
         return "leaving"
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -19,7 +19,9 @@
 from topazhold.wire.jobs import JobSpec
 
 #: What the first task on an empty machine costs, in full preferences.
-BREAK_PREFERENCE = 1.5
+EMPTY_MACHINE_PREFERENCES = 1.5
+#: What a slot on a machine with all its GPUs free costs, in full preferences; less in proportion.
+UNUSED_SHARE_PREFERENCES = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,23 +48,23 @@
 class Slot:
     """A place for one task: the `nth` of this job's on its machine, from 0."""
 
-    __slots__ = ("offer", "name", "zone", "nth", "delay", "ready", "cost")
+    __slots__ = ("offer", "name", "zone", "nth", "capacity_wait_s", "wait_s", "cost_s")
 
     def __init__(
-        self, offer: ResourceOffer, nth: int, delay: float, ready: float, cost: float
+        self, offer: ResourceOffer, nth: int, capacity_wait_s: float, wait_s: float, cost_s: float
     ) -> None:
         self.offer = offer
         self.name = offer.name
         self.zone = offer.zone
         self.nth = nth
-        self.delay = delay  # seconds until the resources are free
-        self.ready = ready  # seconds until the image is there too
-        self.cost = cost  # small preferences, in seconds
+        self.capacity_wait_s = capacity_wait_s  # seconds until the resources are free
+        self.wait_s = wait_s  # seconds until the image is there too
+        self.cost_s = cost_s  # small preferences, in seconds
 
 
 def by_readiness(slot: Slot) -> tuple[float, int]:
     """Sort key: soonest ready first; of one machine, the earlier slot first."""
-    return (slot.ready + slot.cost, slot.nth)
+    return (slot.wait_s + slot.cost_s, slot.nth)
 
 
 def offer_slots(offer: ResourceOffer, context: SearchContext, limit: int) -> list[Slot]:
@@ -72,29 +74,29 @@
         return []
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     missing_gb = 0.0 if spec.image in offer.images else spec.image_gb
-    fetching_s = fetch_s(missing_gb, offer.fetch_rate)
+    image_fetch_s = fetch_s(missing_gb, offer.fetch_rate)
     slots: list[Slot] = []
-    when_empty = offer.availability[-1][1] if offer.availability else need
-    for delay, available in offer.availability_for(
+    total_free = offer.availability[-1][1] if offer.availability else need
+    for delay_s, available in offer.availability_for(
         context.priority, context.reserved.get(offer.name)
     ):
         count = count_fitting(need, available, limit)
-        cost = 0.0
+        cost_s = 0.0
         if spec.spot and not offer.spot:
-            cost += rules.preference_s  # leave ordinary machines to those who need them
+            cost_s += rules.preference_s  # leave ordinary machines to those who need them
         if available[1] > 0:
             unused_share = (available[1] - need[1]) / available[1]
             # Fill machines that are in use already: gangs of whole machines find
             # none where every one has a small task on it.
-            cost += 0.5 * rules.preference_s * unused_share
-            if need[1] * count < when_empty[1] and available[1] >= when_empty[1]:
-                cost += BREAK_PREFERENCE * rules.preference_s
+            cost_s += UNUSED_SHARE_PREFERENCES * rules.preference_s * unused_share
+            if need[1] * count < total_free[1] and available[1] >= total_free[1]:
+                cost_s += EMPTY_MACHINE_PREFERENCES * rules.preference_s
         while len(slots) < count:
-            slots.append(Slot(offer, len(slots), delay, delay + fetching_s, cost))
+            slots.append(Slot(offer, len(slots), delay_s, delay_s + image_fetch_s, cost_s))
     return slots
 
 
-def gather(
+def gather_slots(
     rng: Random,
     directory: Sequence[tuple[str, str]],
     caches: Mapping[str, Sequence[ResourceOffer]],
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -50,10 +50,10 @@
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
         """Plan all tasks of a gang, or do what brings its start nearer."""
-        reservation = self._reservations.in_force(job)
+        reservation = self._reservations.valid_reservation(job)
         if reservation is None or not self._limits.fits_with_preemption(job):
             return
-        reserved_by_machine = survey.reserved.taken(job.id, preemption.queue_key(job))
+        reserved_by_machine = survey.reserved.reserved_for_others(job.id, preemption.queue_key(job))
         shortfalls = self._shortfalls(job, reservation, reserved_by_machine, survey.now)
         if shortfalls:
             self._preempt_for(job, shortfalls, reserved_by_machine, survey.now)
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -18,7 +18,7 @@
     SearchRules,
     Slot,
     by_readiness,
-    gather,
+    gather_slots,
     offer_slots,
 )
 from topazhold.core.jobs import Resources
@@ -27,9 +27,9 @@
 
 #: Up to so many possible groups are compared one by one: four of eight slots give 70, no more
 #: than a swap loop tries.
-MAX_GROUPS = 70
+MAX_EXHAUSTIVE_GROUPS = 70
 #: Random slots that one swap draws until one is outside the group.
-SWAP_DRAWS = 4
+MAX_SWAP_DRAWS = 4
 
 
 @dataclass(slots=True, eq=False)
@@ -37,25 +37,25 @@
     """Machines for a whole gang, with the number of tasks on each."""
 
     score: float  # seconds; lower is better
-    wait: float  # seconds until all tasks can run, images included
-    capacity_wait: float  # seconds until the resources of all tasks are free
+    wait_s: float  # seconds until all tasks can run, images included
+    capacity_wait_s: float  # seconds until the resources of all tasks are free
     slots: dict[str, int]
 
 
 def score_group(group: Sequence[Slot], spec: JobSpec, rules: SearchRules) -> float:
     """Seconds, lower is better; infinite if the job's placement constraints are broken."""
     zones: dict[str, int] = {}
-    wait = 0.0
-    cost = 0.0
+    wait_s = 0.0
+    cost_s = 0.0
     shares_machine = False
     for slot in group:
         zone = slot.zone
         zones[zone] = zones.get(zone, 0) + 1
         if slot.nth:
             shares_machine = True
-        if slot.ready > wait:
-            wait = slot.ready
-        cost += slot.cost
+        if slot.wait_s > wait_s:
+            wait_s = slot.wait_s
+        cost_s += slot.cost_s
     if shares_machine and _lacks_earlier_slot(group):
         return math.inf
     in_main_zone = max(zones.values())
@@ -64,7 +64,7 @@
     if spec.scatter and in_main_zone > (spec.tasks + 1) // 2:
         return math.inf
     distance = len(group) - in_main_zone
-    return wait + rules.distance_s * distance + cost / len(group)
+    return wait_s + rules.distance_s * distance + cost_s / len(group)
 
 
 def _lacks_earlier_slot(group: Sequence[Slot]) -> bool:
@@ -75,12 +75,14 @@
     return any(max(nths) >= len(nths) for nths in nths_by_machine.values())
 
 
-def pick(rng: Random, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules) -> Group | None:
+def select_group(
+    rng: Random, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules
+) -> Group | None:
     """The group of N among the candidates with the lowest score, if any is valid."""
     if len(slots) < spec.tasks:
         return None
     soonest = _soonest_group(slots, spec)
-    if math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
+    if math.comb(len(slots), spec.tasks) <= MAX_EXHAUSTIVE_GROUPS:
         return _best_of_all(soonest, slots, spec, rules)
     return _best_by_swaps(rng, soonest, slots, spec, rules)
 
@@ -134,8 +136,8 @@
     counts: dict[str, int] = {}
     for slot in best:
         counts[slot.name] = counts.get(slot.name, 0) + 1
-    wait = max(slot.ready for slot in best)
-    return Group(score, wait, max(slot.delay for slot in best), counts)
+    wait_s = max(slot.wait_s for slot in best)
+    return Group(score, wait_s, max(slot.capacity_wait_s for slot in best), counts)
 
 
 def _soonest_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
@@ -157,7 +159,7 @@
     """The group with one slot exchanged for a random one from outside, if one is drawn."""
     swapped = list(group)
     group_ids = {id(slot) for slot in group}
-    for _ in range(SWAP_DRAWS):
+    for _ in range(MAX_SWAP_DRAWS):
         other = slots[int(rng.random() * len(slots))]  # randrange is much slower
         if id(other) not in group_ids:
             swapped[int(rng.random() * len(swapped))] = other
@@ -165,7 +167,7 @@
     return swapped
 
 
-def score_reserved(
+def score_reservation(
     slots: Mapping[str, int],
     caches: Mapping[str, Sequence[ResourceOffer]],
     spec: JobSpec,
@@ -189,7 +191,7 @@
     return score_group(group, spec, rules)
 
 
-def search(
+def find_group(
     rng: Random,
     directory: Sequence[tuple[str, str]],
     caches: Mapping[str, Sequence[ResourceOffer]],
@@ -205,14 +207,14 @@
     slots_by_zone: dict[str, list[Slot]] = {}
     exhausted_zones: set[str] = set()
     for _ in range(tries):
-        slots = gather(rng, directory, caches, context, slots_by_zone)
-        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_GROUPS:
+        slots = gather_slots(rng, directory, caches, context, slots_by_zone)
+        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_EXHAUSTIVE_GROUPS:
             # All groups of this zone are compared the first time.
             zone = slots[0].zone
             if zone in exhausted_zones:
                 continue
             exhausted_zones.add(zone)
-        group = pick(rng, slots, spec, rules) if slots else None
+        group = select_group(rng, slots, spec, rules) if slots else None
         if group is not None and (best is None or group.score < best.score):
             best = group
     return best
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass
 
 from topazhold.core.jobs import Job
-from topazhold.core.resources import SLACK
+from topazhold.core.resources import AMOUNT_TOLERANCE
 from topazhold.settings import Team
 
 
 def team_limit_allows(team: Team, cpus: float, gpus: float) -> bool:
     """Whether the team may use so much at once."""
-    if team.cpus_max and cpus > team.cpus_max + SLACK:
+    if team.cpus_max and cpus > team.cpus_max + AMOUNT_TOLERANCE:
         return False
-    return not team.gpus_max or gpus <= team.gpus_max + SLACK
+    return not team.gpus_max or gpus <= team.gpus_max + AMOUNT_TOLERANCE
 
 
 @dataclass(slots=True)
@@ -56,9 +56,9 @@
 
 def _count_within(remaining: float | None, need: float, tasks: int) -> int:
     """How many of so many tasks find what each needs in what is left; None is no limit."""
-    if remaining is None or need <= SLACK:
+    if remaining is None or need <= AMOUNT_TOLERANCE:
         return tasks
-    return max(0, min(tasks, int((remaining + SLACK) // need)))
+    return max(0, min(tasks, int((remaining + AMOUNT_TOLERANCE) // need)))
 
 
 class Usage:
@@ -103,7 +103,7 @@
         if team is None or used is None:
             return True
         for guaranteed, amount in ((team.cpus, used[0]), (team.gpus, used[1])):
-            if guaranteed and amount > guaranteed + SLACK:
+            if guaranteed and amount > guaranteed + AMOUNT_TOLERANCE:
                 return True
         return not team.cpus and not team.gpus
 
@@ -144,8 +144,8 @@
     """Whether so many CPUs and GPUs are guaranteed; without a quota of GPUs, none of these is."""
     if not team.gpus and not team.cpus:
         return False
-    if team.gpus and total[1] > team.gpus + SLACK:
+    if team.gpus and total[1] > team.gpus + AMOUNT_TOLERANCE:
         return False
-    if not team.gpus and total[1] > SLACK:
+    if not team.gpus and total[1] > AMOUNT_TOLERANCE:
         return False
-    return not team.cpus or total[0] <= team.cpus + SLACK
+    return not team.cpus or total[0] <= team.cpus + AMOUNT_TOLERANCE
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -70,7 +70,7 @@
         """Plan as many replicas as there is capacity for, and preempt for those that have none."""
         if not survey.allows_one_more(job):
             return
-        reserved_by_machine = survey.reserved.taken(job.id, preemption.queue_key(job))
+        reserved_by_machine = survey.reserved.reserved_for_others(job.id, preemption.queue_key(job))
         candidates = self._candidates(job, reserved_by_machine, survey)
         zones = job.zones_used(self._cluster.zone_of)
         if job.spec.same_place:
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -19,7 +19,7 @@
 #: Urgency levels, 0 the most urgent.
 URGENCY_LEVELS = len(wire.URGENCIES)
 #: In place of an urgency level: reservations of all levels bind.
-EVERY_LEVEL = -1
+ALL_URGENCY_LEVELS = -1
 
 #: The order of the queue: (outside its guaranteed quota, urgency level, a time in seconds),
 #: smaller first. The time is that of submission for aged gangs, for others NOT_AGED and the
@@ -57,7 +57,7 @@
         ]
 
 
-def unpack(data: Any) -> Reservation:
+def unpack_reservation(data: Any) -> Reservation:
     """Read what `Reservation.pack` has made; ValueError if it is none."""
     try:
         job, slots, need, score, serial, made_at, free_now, queue_key = data
@@ -85,7 +85,7 @@
     reservations = []
     for item in data.get("holds", ()) if isinstance(data, dict) else ():
         try:
-            reservations.append(unpack(item))
+            reservations.append(unpack_reservation(item))
         except ValueError:
             continue
     return reservations
@@ -99,7 +99,7 @@
         self.revisions: dict[str, int] = {}  # by controller
         self.reservations: dict[str, dict[str, Reservation]] = {}  # by controller, then job
 
-    def read(self, node: str, data: Any, revision: int) -> None:
+    def update(self, node: str, data: Any, revision: int) -> None:
         """A controller's value was read, or seen to change."""
         if revision < self.revisions.get(node, 0):
             return
@@ -121,7 +121,7 @@
                 del self.revisions[node]
                 self.reservations.pop(node, None)
         for node, (data, revision) in entries.items():
-            self.read(node, data, revision)
+            self.update(node, data, revision)
 
     def of_job(self, job: str) -> Reservation | None:
         """The newest reservation of a job, whoever made it."""
@@ -137,8 +137,8 @@
         for by_job in self.reservations.values():
             yield from by_job.values()
 
-    def taken(
-        self, skip_job: str, queue_key: QueueKey, binding: Callable[[Reservation], bool]
+    def reserved_for_others(
+        self, skip_job: str, queue_key: QueueKey, is_binding: Callable[[Reservation], bool]
     ) -> dict[str, Resources]:
         """Reserved resources per machine that a job with this queue key must leave alone.
 
@@ -151,13 +151,13 @@
             if (
                 reservation.job == skip_job
                 or reservation.queue_key > queue_key
-                or not binding(reservation)
+                or not is_binding(reservation)
             ):
                 continue
             add_reservation(by_machine, reservation)
         return by_machine
 
-    def conditions(self) -> list[tuple[str, int]]:
+    def preconditions(self) -> list[tuple[str, int]]:
         """Keys and revisions that a reservation depends on, its own value's included."""
         revisions = dict(self.revisions)
         revisions.setdefault(self.node, 0)
@@ -193,42 +193,42 @@
             if (queue_key := queue_key_of(reservation)) is not None
         ]
         #: Those that are still behind in the queue, the next one last.
-        self._waiting = sorted(queued, key=lambda item: item[:2], reverse=True)
-        self._own: dict[str, list[_QueuedReservation]] = {}  # by job
+        self._remaining = sorted(queued, key=lambda item: item[:2], reverse=True)
+        self._added: dict[str, list[_QueuedReservation]] = {}  # by job
         #: By the urgency level that must leave them alone, then by machine.
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
     def _add(self, queued: _QueuedReservation, sign: int = 1) -> None:
         is_gathering = self._is_gathering(queued.reservation)
-        for urgency_level in range(EVERY_LEVEL, URGENCY_LEVELS):
+        for urgency_level in range(ALL_URGENCY_LEVELS, URGENCY_LEVELS):
             if urgency_level <= queued.queue_key[1] or is_gathering:
                 by_machine = self._by_machine.setdefault(urgency_level, {})
                 add_reservation(by_machine, queued.reservation, sign)
 
     def release(self, job: str) -> None:
         """The job begins: its reservations keep nothing any more."""
-        for queued in self._own.pop(job, ()):
+        for queued in self._added.pop(job, ()):
             self._add(queued, -1)
-        self._waiting = [queued for queued in self._waiting if queued.reservation.job != job]
+        self._remaining = [queued for queued in self._remaining if queued.reservation.job != job]
 
-    def taken(
-        self, skip_job: str, queue_key: QueueKey, yields: bool = False
+    def reserved_for_others(
+        self, skip_job: str, queue_key: QueueKey, preemptible: bool = False
     ) -> Mapping[str, Resources]:
-        """As `ReservationTable.taken`; queue keys must come in order.
+        """As `ReservationTable.reserved_for_others`; queue keys must come in order.
 
-        Work that `yields` may use the resources of more urgent gangs that still wait for
+        `preemptible` work may use the resources of more urgent gangs that still wait for
         other machines: it can be preempted once they have them. Else a gang that waits for
         its last machine would keep all its others idle.
         """
-        while self._waiting and self._waiting[-1].queue_key <= queue_key:
-            queued = self._waiting.pop()
-            self._own.setdefault(queued.reservation.job, []).append(queued)
+        while self._remaining and self._remaining[-1].queue_key <= queue_key:
+            queued = self._remaining.pop()
+            self._added.setdefault(queued.reservation.job, []).append(queued)
             self._add(queued)
-        urgency_level = queue_key[1] if yields else EVERY_LEVEL
+        urgency_level = queue_key[1] if preemptible else ALL_URGENCY_LEVELS
         by_machine = self._by_machine.setdefault(urgency_level, {})
         own = [
             queued.reservation
-            for queued in self._own.get(skip_job, ())
+            for queued in self._added.get(skip_job, ())
             if urgency_level <= queued.queue_key[1]
         ]
         if not own:
@@ -246,9 +246,9 @@
     need = reservation.need
     for machine, count in reservation.slots.items():
         reserved = by_machine.get(machine, (0.0, 0.0, 0.0))
-        times = count * sign
+        signed_count = count * sign
         by_machine[machine] = (
-            reserved[0] + need[0] * times,
-            reserved[1] + need[1] * times,
-            reserved[2] + need[2] * times,
+            reserved[0] + need[0] * signed_count,
+            reserved[1] + need[1] * signed_count,
+            reserved[2] + need[2] * signed_count,
         )
--- a/topazhold/core/resource_offer.py
+++ b/topazhold/core/resource_offer.py
@@ -11,10 +11,13 @@
 from typing import Any
 
 from topazhold.core.jobs import Resources
-from topazhold.core.resources import SLACK, add_resources, fits
+from topazhold.core.resources import AMOUNT_TOLERANCE, add_resources, fits
 
 #: (outside its guaranteed quota, urgency level): the smaller one is scheduled first.
 Priority = tuple[int, int]
+#: A priority's first number: work within its team's guaranteed quota, and work beyond it.
+WITHIN_GUARANTEE = 0
+OUTSIDE_GUARANTEE = 1
 #: In place of a priority's first number: an aged gang. It is scheduled first, like work within
 #: its guaranteed quota, but preempts by urgency alone.
 AGED = 2
@@ -45,12 +48,12 @@
         """Resources over time for work of a priority, less what others have reserved."""
         availability = list(self.availability)
         if availability:
-            for delay, available in self._preemptible_for(priority):
-                availability.append((delay, add_resources(availability[0][1], available)))
+            for delay_s, available in self._preemptible_for(priority):
+                availability.append((delay_s, add_resources(availability[0][1], available)))
         if reserved is not None:
             availability = [
-                (delay, add_resources(available, reserved, -1.0))
-                for delay, available in availability
+                (delay_s, add_resources(available, reserved, -1.0))
+                for delay_s, available in availability
             ]
         availability.sort(key=lambda step: step[0])
         return availability
@@ -62,15 +65,15 @@
         guaranteed quota; elsewhere the steps of such work apply to it.
         """
         steps = [
-            (delay, available)
-            for step_priority, delay, available in self.preemptible
+            (delay_s, available)
+            for step_priority, delay_s, available in self.preemptible
             if step_priority == priority
         ]
         if not steps and priority[0] == AGED:
-            return self._preemptible_for((0, priority[1]))
+            return self._preemptible_for((WITHIN_GUARANTEE, priority[1]))
         return steps
 
-    def full(self, reserved: Mapping[str, Resources]) -> bool:
+    def is_fully_reserved(self, reserved: Mapping[str, Resources]) -> bool:
         """Whether reservations, by machine, keep all that will ever be free here."""
         if not self.availability:
             return True
@@ -78,13 +81,13 @@
             self.availability[-1][1], reserved.get(self.name, (0.0, 0.0, 0.0)), -1.0
         )
         has_gpus = self.availability[-1][1][1] > 0
-        return (available[1] if has_gpus else available[0]) <= SLACK
+        return (available[1] if has_gpus else available[0]) <= AMOUNT_TOLERANCE
 
-    def ready_for(self, priority: Priority, need: Resources) -> float:
+    def wait_s_for(self, priority: Priority, need: Resources) -> float:
         """Seconds until one task of this size fits; infinite if it never does."""
-        for delay, available in self.availability_for(priority, None):
+        for delay_s, available in self.availability_for(priority, None):
             if fits(need, available):
-                return delay
+                return delay_s
         return math.inf
 
     def pack(self) -> list[Any]:
@@ -95,12 +98,12 @@
             self.spot,
             sorted(self.images),
             [
-                [round(delay, 1), *(round(amount, 3) for amount in available)]
-                for delay, available in self.availability
+                [round(delay_s, 1), *(round(amount, 3) for amount in available)]
+                for delay_s, available in self.availability
             ],
             [
-                [*priority, round(delay, 1), *(round(amount, 3) for amount in available)]
-                for priority, delay, available in self.preemptible
+                [*priority, round(delay_s, 1), *(round(amount, 3) for amount in available)]
+                for priority, delay_s, available in self.preemptible
             ],
             round(self.fetch_rate, 3),
         ]
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -10,24 +10,36 @@
 from topazhold.core.jobs import GangState, Job, Resources
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import ReservationTable, add_reservation
-from topazhold.core.resource_offer import AGED, Priority, ResourceOffer
+from topazhold.core.resource_offer import (
+    AGED,
+    OUTSIDE_GUARANTEE,
+    WITHIN_GUARANTEE,
+    Priority,
+    ResourceOffer,
+)
 from topazhold.core.resources import NO_RESOURCES, add_resources
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.core.zone_summary import CACHE_LENGTH, sooner
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
-SAME_OFFER_HEARTBEATS = 1.0
+OFFER_MAX_AGE_HEARTBEATS = 1.0
 #: The same for summaries and searches, as a share of the time between two summaries in the
 #: key-value store, if that is longer: the other controllers' searches see no newer ones.
-SAME_OFFER_SUMMARIES = 0.5
+SHARED_OFFER_MAX_AGE_SUMMARIES = 0.5
 #: How old a list of offers may be, in heartbeat intervals.
-OFFER_HEARTBEATS = 0.2
+OFFER_LIST_MAX_AGE_HEARTBEATS = 0.2
 #: Natural ends listed in an offer.
 MAX_AVAILABILITY_STEPS = 4
+#: Least expected wait for a booting machine, in heartbeat intervals.
+MIN_BOOT_WAIT_HEARTBEATS = 2
+#: Mean wait for the next heartbeat of a worker, in heartbeat intervals.
+MEAN_HEARTBEAT_WAIT = 0.5
+#: Seconds; before any time of the steady clock.
+NEVER = -1e9
 
 
-class KnownOffer(NamedTuple):
+class CachedOffer(NamedTuple):
     """A machine's offer, the count of the machine's changes it was made at, and the time."""
 
     changes: int
@@ -57,18 +69,20 @@
         self._reservation_table = reservation_table
         self._alpha = alpha
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
-        self._age_s = SAME_OFFER_HEARTBEATS * cluster.heartbeat_interval_s
-        self._shared_age_s = max(self._age_s, SAME_OFFER_SUMMARIES * cluster.timing.summary_s)
-        self._known: dict[str, KnownOffer] = {}
-        self._zones: dict[str, tuple[float, list[ResourceOffer]]] = {}
+        self._max_age_s = OFFER_MAX_AGE_HEARTBEATS * cluster.heartbeat_interval_s
+        self._max_shared_age_s = max(
+            self._max_age_s, SHARED_OFFER_MAX_AGE_SUMMARIES * cluster.timing.summary_s
+        )
+        self._cached_offers: dict[str, CachedOffer] = {}
+        self._zone_offers: dict[str, tuple[float, list[ResourceOffer]]] = {}
         cluster.when_machine_removed(self._forget)
 
     def _forget(self, name: str) -> None:
-        self._known.pop(name, None)
+        self._cached_offers.pop(name, None)
 
     # -- one machine -------------------------------------------------------
 
-    def present_offer(
+    def current_offer(
         self, machine: Machine, now: float, shared: bool = False
     ) -> ResourceOffer | None:
         """The machine's offer, made anew only where something changed on it.
@@ -77,12 +91,12 @@
         """
         if machine.state is not MachineState.STARTING and not self._cluster.usable(machine, now):
             return None
-        known = self._known.get(machine.name)
-        if known is not None and known.changes == machine.changes:
-            if now - known.at < (self._shared_age_s if shared else self._age_s):
-                return known.offer
+        cached = self._cached_offers.get(machine.name)
+        if cached is not None and cached.changes == machine.changes:
+            if now - cached.at < (self._max_shared_age_s if shared else self._max_age_s):
+                return cached.offer
         offer = self._offer(machine, now)
-        self._known[machine.name] = KnownOffer(machine.changes, now, offer)
+        self._cached_offers[machine.name] = CachedOffer(machine.changes, now, offer)
         return offer
 
     def _offer(self, machine: Machine, now: float) -> ResourceOffer:
@@ -90,7 +104,9 @@
         preemptible: list[tuple[Priority, float, Resources]] = []
         if machine.state is MachineState.STARTING:
             wait_s = machine.machine_type.boot_s - (now - machine.rented_at)
-            availability = [(max(wait_s, 2 * self._heartbeat_interval_s), machine.total)]
+            availability = [
+                (max(wait_s, MIN_BOOT_WAIT_HEARTBEATS * self._heartbeat_interval_s), machine.total)
+            ]
         else:
             availability = self._availability(machine, now)
             preemptible = self._preemptible(machine)
@@ -111,46 +127,50 @@
         # A worker that can be woken takes a launch at once, others at their
         # next heartbeat.
         availability = [
-            (0.0 if machine.wake_tasks else 0.5 * self._heartbeat_interval_s, available)
+            (
+                0.0 if machine.wake_tasks else MEAN_HEARTBEAT_WAIT * self._heartbeat_interval_s,
+                available,
+            )
         ]
         ends = []
         for attempt in machine.attempts.values():
             # A service's replica does not end by itself, and has no run time to estimate.
             if attempt.present and (attempt.stopping or not attempt.job.service):
-                ends.append((self._left_s(machine, attempt, now), attempt.job.need))
+                ends.append((self._remaining_s(machine, attempt, now), attempt.job.need))
         ends.sort(key=lambda end: end[0])
         step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
-        for number, (left_s, need) in enumerate(ends, start=1):
+        for number, (remaining_s, need) in enumerate(ends, start=1):
             available = add_resources(available, need)
             if number % step == 0 or number == len(ends):
-                availability.append((left_s, available))
+                availability.append((remaining_s, available))
         return availability
 
-    def _left_s(self, machine: Machine, attempt: TaskAttempt, now: float) -> float:
+    def _remaining_s(self, machine: Machine, attempt: TaskAttempt, now: float) -> float:
         spec = attempt.job.spec
         if attempt.stopping:
             return max(0.0, spec.save_s - (now - attempt.stop_at)) + self._heartbeat_interval_s
-        left_s = self._cluster.remaining_s(attempt, now)
+        remaining_s = self._cluster.remaining_s(attempt, now)
         if attempt.state is not AttemptState.RUNNING:
-            left_s += machine.fetch_s(spec.image, spec.image_gb)
-        return left_s
+            remaining_s += machine.fetch_s(spec.image, spec.image_gb)
+        return remaining_s
 
     def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
         """Capacity that work of each priority could take from work behind it."""
         kinds = self._preemptible_work(machine)
-        found = []
+        steps = []
         for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
             within_guarantee, outside, is_aged = (
-                self._behind((first, urgency_level), kinds) for first in (0, 1, AGED)
+                self._preemptible_by((quota_rank, urgency_level), kinds)
+                for quota_rank in (WITHIN_GUARANTEE, OUTSIDE_GUARANTEE, AGED)
             )
             if within_guarantee[1] != NO_RESOURCES:
-                found.append(((0, urgency_level), *within_guarantee))
+                steps.append(((WITHIN_GUARANTEE, urgency_level), *within_guarantee))
             if outside[1] != NO_RESOURCES:
-                found.append(((1, urgency_level), *outside))
+                steps.append(((OUTSIDE_GUARANTEE, urgency_level), *outside))
             if is_aged[1] != within_guarantee[1]:
                 # An aged gang must not count on work that only a guarantee might stop.
-                found.append(((AGED, urgency_level), *is_aged))
-        return found
+                steps.append(((AGED, urgency_level), *is_aged))
+        return steps
 
     @staticmethod
     def _preemptible_work(machine: Machine) -> list[PreemptibleWork]:
@@ -163,14 +183,18 @@
                 continue
             save_s = job.spec.save_s if job.spec.checkpoint_s > 0 else 0.0
             kind = (job.within_guarantee, job.urgency_level)
-            known = kinds.get(kind)
-            available, longest_s = (known.resources, known.save_s) if known else (NO_RESOURCES, 0.0)
+            same_kind = kinds.get(kind)
+            available, longest_s = (
+                (same_kind.resources, same_kind.save_s) if same_kind else (NO_RESOURCES, 0.0)
+            )
             kinds[kind] = PreemptibleWork(
                 job, add_resources(available, job.need), max(longest_s, save_s)
             )
         return list(kinds.values())
 
-    def _behind(self, priority: Priority, kinds: list[PreemptibleWork]) -> tuple[float, Resources]:
+    def _preemptible_by(
+        self, priority: Priority, kinds: list[PreemptibleWork]
+    ) -> tuple[float, Resources]:
         """When (in seconds), and how much, work of a priority could take from work behind it."""
         available = NO_RESOURCES
         delay_s = 0.0
@@ -193,27 +217,31 @@
         not known could not be judged. Those that are reserved whole come on top of the others:
         when many machines come up together they would fill the cache.
         """
-        found = self._all_of_zone(zone, now)
+        offers = self._offers_of_zone(zone, now)
         reserved = self._reserved_by_machine()
-        whole = {offer.name for offer in found if offer.name in reserved and offer.full(reserved)}
-        if whole:
-            found = [offer for offer in found if offer.name not in whole] + [
-                offer for offer in found if offer.name in whole
+        fully_reserved = {
+            offer.name
+            for offer in offers
+            if offer.name in reserved and offer.is_fully_reserved(reserved)
+        }
+        if fully_reserved:
+            offers = [offer for offer in offers if offer.name not in fully_reserved] + [
+                offer for offer in offers if offer.name in fully_reserved
             ]
         if largest is None:
-            return _cut(found, CACHE_LENGTH, reserved)
+            return _truncate(offers, CACHE_LENGTH, reserved)
         length = max(CACHE_LENGTH, math.ceil(self._alpha * largest.spec.tasks))
         priority = preemption.priority(largest)
         fitting = sorted(
-            found,
+            offers,
             key=lambda offer: (
-                offer.name in whole,
-                offer.ready_for(priority, largest.need),
+                offer.name in fully_reserved,
+                offer.wait_s_for(priority, largest.need),
                 sooner(offer),
             ),
         )
-        both = [offer for pair in zip(fitting, found, strict=True) for offer in pair]
-        return _cut(list(dict.fromkeys(both)), length, reserved)
+        interleaved = [offer for pair in zip(fitting, offers, strict=True) for offer in pair]
+        return _truncate(list(dict.fromkeys(interleaved)), length, reserved)
 
     def _reserved_by_machine(self) -> dict[str, Resources]:
         """What all reservations together keep, machine by machine."""
@@ -222,20 +250,20 @@
             add_reservation(by_machine, reservation)
         return by_machine
 
-    def _all_of_zone(self, zone: str, now: float) -> list[ResourceOffer]:
+    def _offers_of_zone(self, zone: str, now: float) -> list[ResourceOffer]:
         """Every machine's offer; searches and summaries of about the same time share them."""
-        at, found = self._zones.get(zone, (-1e9, []))
-        if now - at < OFFER_HEARTBEATS * self._heartbeat_interval_s:
-            return found
-        found = []
+        at, offers = self._zone_offers.get(zone, (NEVER, []))
+        if now - at < OFFER_LIST_MAX_AGE_HEARTBEATS * self._heartbeat_interval_s:
+            return offers
+        offers = []
         for machine in self._cluster.machines.values():
             if machine.zone == zone and machine.machine_type is not None:
-                offer = self.present_offer(machine, now, shared=True)
+                offer = self.current_offer(machine, now, shared=True)
                 if offer is not None:
-                    found.append(offer)
-        found.sort(key=sooner)
-        self._zones[zone] = (now, found)
-        return found
+                    offers.append(offer)
+        offers.sort(key=sooner)
+        self._zone_offers[zone] = (now, offers)
+        return offers
 
     def directory(self) -> list[tuple[str, str]]:
         """All machines that count as capacity, with their zones, for pivots."""
@@ -246,7 +274,7 @@
         ]
 
 
-def _cut(
+def _truncate(
     offers: list[ResourceOffer], length: int, reserved: dict[str, Resources]
 ) -> list[ResourceOffer]:
     """So many offers, and those of machines with reserved resources beyond them."""
--- a/topazhold/core/resources.py
+++ b/topazhold/core/resources.py
@@ -5,7 +5,7 @@
 from topazhold.core.jobs import Resources
 
 #: Amounts closer than this are equal; sums of decimal fractions drift.
-SLACK = 1e-6
+AMOUNT_TOLERANCE = 1e-6
 
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
@@ -13,9 +13,9 @@
 def fits(need: Resources, available: Resources) -> bool:
     """Whether enough of every resource is available."""
     return (
-        need[0] <= available[0] + SLACK
-        and need[1] <= available[1] + SLACK
-        and need[2] <= available[2] + SLACK
+        need[0] <= available[0] + AMOUNT_TOLERANCE
+        and need[1] <= available[1] + AMOUNT_TOLERANCE
+        and need[2] <= available[2] + AMOUNT_TOLERANCE
     )
 
 
@@ -23,12 +23,12 @@
     """How many tasks of this size the available resources take, up to `limit`."""
     # Written out: called for each machine, waiting job and scheduling round.
     count: float = limit
-    if need[0] > SLACK:
-        count = min(count, (available[0] + SLACK) // need[0])
-    if need[1] > SLACK:
-        count = min(count, (available[1] + SLACK) // need[1])
-    if need[2] > SLACK:
-        count = min(count, (available[2] + SLACK) // need[2])
+    if need[0] > AMOUNT_TOLERANCE:
+        count = min(count, (available[0] + AMOUNT_TOLERANCE) // need[0])
+    if need[1] > AMOUNT_TOLERANCE:
+        count = min(count, (available[1] + AMOUNT_TOLERANCE) // need[1])
+    if need[2] > AMOUNT_TOLERANCE:
+        count = min(count, (available[2] + AMOUNT_TOLERANCE) // need[2])
     return max(0, int(count))
 
 
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -238,13 +238,13 @@
         """Whether no reservation of the gang is in force."""
         return self._reservations.needs_reservation(job)
 
-    def wanting_s(self, job: Job, now: float) -> float:
+    def unreserved_s(self, job: Job, now: float) -> float:
         """How long, in seconds, the gang has been without a reservation that is in force."""
-        return self._reservations.wanting_s(job, now)
+        return self._reservations.unreserved_s(job, now)
 
-    def spent(self, job: Job, reservation: Reservation) -> bool:
+    def is_consumed_or_rejected(self, job: Job, reservation: Reservation) -> bool:
         """Whether a reservation was used up or refused, so that another is needed."""
-        return self._reservations.spent(job, reservation)
+        return self._reservations.is_consumed_or_rejected(job, reservation)
 
     def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
         """A zone's machines with capacity, soonest free first: enough for the `largest` gang."""
