--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud: catalog, rentals, releases, machine list."""
+"""Client of the cloud: catalog, rentals, releases and the machine list."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from topazhold.wire.cloud import ListedMachine, MachineType
 from topazhold.wire.codec import InvalidMessageError, read
 
-#: Most machines in a page of the list.
+#: Maximum machines in a page of the machine list.
 PAGE_MACHINES = 500
-#: Longest wait for the rate, in seconds.
+#: Maximum seconds that a request waits for the rate limit.
 MAX_RATE_WAIT_S = 1.0
 
 
 class Cloud:
-    """One controller's access, within its rate; every request can be repeated as it is."""
+    """Client for one controller, within its rate limit; every request is idempotent."""
 
     def __init__(self, client: Client, rps: float, timeout_s: float) -> None:
         self._client = client
@@ -34,7 +34,7 @@
         self._timeout_s = timeout_s
 
     async def wait_for_limits(self) -> None:
-        """Let time pass until the rate allows a request, within bounds."""
+        """Wait until the rate limit allows a request, for at most `MAX_RATE_WAIT_S` seconds."""
         wait_s = self._bucket.wait_s(await curio.clock())
         if wait_s > 0:
             await curio.sleep(min(MAX_RATE_WAIT_S, wait_s))
@@ -49,7 +49,7 @@
             raise CloudUnavailableError(str(exc)) from None
 
     async def catalog(self) -> list[MachineType]:
-        """The machine types with their present prices; raises CloudUnavailableError."""
+        """Return the machine types with their current prices; raises CloudUnavailableError."""
         status, body = await self._send("GET", wire.CATALOG_PATH, None)
         if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
@@ -59,7 +59,7 @@
             raise CloudUnavailableError(f"catalog: {exc}") from None
 
     async def rent(self, name: str, request: ScaleOutRequest) -> list[str]:
-        """Rent machines; repeating the name gives the same ones.
+        """Rent machines; repeating a request name returns the same machines.
 
         Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
         """
@@ -77,13 +77,13 @@
             raise CloudUnavailableError(f"rental: {exc}") from None
 
     async def release(self, names: list[str]) -> None:
-        """Returns only once the machines are gone; raises CloudUnavailableError."""
+        """Release machines; return only once they no longer exist. Raises CloudUnavailableError."""
         status, _ = await self._send("POST", wire.RELEASE_PATH, wire.release_body(names))
         if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
 
     async def machines(self) -> list[ListedMachine]:
-        """The whole list, as late as it is; raises CloudUnavailableError."""
+        """Return the machine list, which lags behind the fleet; raises CloudUnavailableError."""
         listed: list[ListedMachine] = []
         last_id: str | None = None
         while True:
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -1,4 +1,4 @@
-"""Direct commands to workers; the next heartbeat's answer repeats them."""
+"""Commands sent directly to workers; the answer to the next heartbeat repeats them."""
 
 from __future__ import annotations
 
@@ -21,26 +21,26 @@
 
 log = logging.getLogger(__name__)
 
-#: Direct commands under way at once, and idle connections kept for them, as shares
-#: of the sockets.
+#: Maximum direct commands in flight and maximum idle connections kept for them, as shares of the
+#: socket limit.
 IN_FLIGHT_SOCKET_SHARE = 1 / 32
 IDLE_SOCKET_SHARE = 1 / 16
-#: Of each, so many at the least.
+#: Minimum of each of these two limits.
 MIN_CONNECTIONS = 4
-#: Of those under way, the share that may wait for workers that are silent.
+#: Maximum share of the commands in flight that may be addressed to silent workers.
 SILENT_WORKER_SHARE = 0.5
-#: Heartbeat intervals between two rounds at the most.
+#: Maximum interval between two rounds, in heartbeat intervals.
 MAX_ROUND_INTERVAL_HEARTBEATS = 0.05
 
 
 class OnHeartbeat(Protocol):
-    """Takes in the heartbeat with which a worker answers direct commands."""
+    """Processes the heartbeat with which a worker answers direct commands."""
 
     async def __call__(self, heartbeat: Heartbeat, /) -> None: ...
 
 
 class DirectCommands:
-    """Sends what machines are to do, and word of the term, to their own addresses."""
+    """Sends commands and term announcements directly to the endpoints of machines."""
 
     def __init__(
         self,
@@ -54,15 +54,15 @@
         self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * IDLE_SOCKET_SHARE)))
         self._context = context
         self._on_heartbeat = on_heartbeat
-        self._in_flight: dict[str, bool] = {}  # under way; whether the worker is silent
+        self._in_flight: dict[str, bool] = {}  # machine -> whether its worker is silent
         self.superseded = curio.Event()  # set once a worker knows a higher term
 
     async def close(self) -> None:
-        """Close the connections that are kept."""
+        """Close the idle connections."""
         await self._clients.close()
 
     async def loop(self) -> None:
-        """Send kills directly; the next heartbeat's answer repeats them."""
+        """Send due commands at once when requested, and periodically."""
         while True:
             due = self._context.commands_due
             await curio.ignore_after(
@@ -72,10 +72,10 @@
             await self.send_due()
 
     async def send_due(self) -> None:
-        """Send what is due, the living and cancelled work first.
+        """Send due commands, first to responsive machines and for cancelled jobs.
 
-        In another order, dead machines would keep every place for a heartbeat interval each,
-        and kills of cancelled jobs, and word of the new term, would come to the living late.
+        In another order, dead machines would occupy every slot for a heartbeat interval each and
+        delay kills of cancelled jobs and announcements of a new term to responsive machines.
         """
         scheduler = self._context.scheduler
         now = await curio.clock()
@@ -86,7 +86,7 @@
                 return
             is_silent = not scheduler.is_responsive(machine, now)
             if is_silent and silent >= self._max_silent:
-                return  # the living come first in this order
+                return  # responsive machines come first, so only silent ones remain
             scheduler.to_command.discard(machine.name)
             commands = scheduler.direct_commands(machine)
             if commands or scheduler.needs_term_announcement(machine, now):
@@ -105,10 +105,10 @@
             del self._in_flight[machine.name]
 
     async def send(self, machine: Machine, commands: list[Command]) -> None:
-        """POST /commands; whatever comes back is a heartbeat.
+        """Send commands by POST /commands and process the heartbeat in the answer.
 
-        Raises LeadershipLostError where the worker knows a higher term; what gets no answer is
-        dropped, since the answer to the next heartbeat repeats it.
+        Raises LeadershipLostError if the worker knows a higher term. Commands without an answer
+        are not retried here, since the answer to the next heartbeat repeats them.
         """
         assert machine.endpoint is not None
         try:
@@ -123,4 +123,4 @@
                     raise LeadershipLostError("a worker knows a higher term")
                 await self._on_heartbeat(heartbeat)
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
-            log.debug("direct to %s: %s", machine.name, exc)
+            log.debug("direct command to %s failed: %s", machine.name, exc)
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -1,4 +1,4 @@
-"""A controller's lease in the store, and its part in the election of the leader."""
+"""Leader election: a controller's lease in the store and its candidacy for leadership."""
 
 from __future__ import annotations
 
@@ -21,28 +21,31 @@
 
 log = logging.getLogger(__name__)
 
-#: A lease's time, as a share of the workers' lease, and its bounds in seconds.
+#: Duration of a controller's lease as a share of the workers' lease, and its bounds in seconds.
 WORKER_LEASE_SHARE = 0.15
 CONTROLLER_LEASE_BOUNDS_S = (1.5, 3.5)
-#: Seconds of a whole core that a lease outlasts at the least: a few pieces of work may come
-#: before its renewal, and a leader whose lease ends for that is followed by one that fares no
-#: better.
+#: Minimum lease duration in seconds of processor time at the controller's processor share. A
+#: renewal may have to wait for a few other pieces of work; a leader that lost its lease to that
+#: delay would be replaced by one with the same delay.
 MIN_LEASE_CPU_S = 0.2
-#: Steady clocks drift; a lease is taken to end this much earlier.
+#: Maximum drift between monotonic clocks, by which a lease is assumed to end earlier.
 MAX_CLOCK_DRIFT = 0.002
-#: Shares of a lease's time: between renewals, between tries of what failed, and between
-#: looks at a leadership that is vacant while this controller may be no candidate.
+#: Intervals as shares of the lease duration: between renewals, before a retry after an error,
+#: and between checks of a vacant leadership while this controller may not be a candidate.
 RENEWAL_LEASE_SHARE = 0.25
 RETRY_LEASE_SHARE = 0.1
 VACANCY_POLL_LEASE_SHARE = 0.05
-#: So many requests in a row without any answer are silence.
+#: Consecutive unanswered requests after which the store counts as unreachable.
 UNANSWERED_THRESHOLD = 2
-#: Lease times that a watch of the leadership key waits.
+#: Timeout of a watch of the leader key, in lease durations.
 WATCH_TIMEOUT_LEASES = 4
 
 
 def controller_lease_duration_s(settings: Settings) -> float:
-    """How long a controller's lease lasts; the leadership and the reservations hang on it."""
+    """Return the duration of a controller's lease in seconds.
+
+    The leader key and the controller's reservations are attached to this lease.
+    """
     shortest_s, longest_s = CONTROLLER_LEASE_BOUNDS_S
     cluster = settings.cluster
     from_worker_lease_s = WORKER_LEASE_SHARE * cluster.workers.lease_s
@@ -51,27 +54,30 @@
 
 
 class ElectionResult(NamedTuple):
-    """An election that this controller has won."""
+    """An election won by this controller."""
 
     term: int
-    revision: int  # of the leadership key; while it stands, the term goes on
-    elected_at: float  # seconds, by this controller's steady clock
+    revision: int  # of the leader key; the term lasts until this revision changes
+    elected_at: float  # seconds, by this controller's monotonic clock
 
 
 class OnElected(Protocol):
-    """Called once this controller has won an election."""
+    """Called after this controller has won an election."""
 
     async def __call__(self, result: ElectionResult, /) -> None: ...
 
 
 class OnTermEnded(Protocol):
-    """Called, with the reason, when this controller can be leader no more, if it was."""
+    """Called with the reason when this controller can no longer be leader.
+
+    It is called whether or not the controller was leader.
+    """
 
     async def __call__(self, reason: str, /) -> None: ...
 
 
 class OnLeaseGranted(Protocol):
-    """Called with each new lease of this controller: what hung on the last one is gone."""
+    """Called after each grant of a lease; the keys of the previous lease no longer exist."""
 
     def __call__(self) -> None: ...
 
@@ -83,9 +89,9 @@
 
 
 class ControllerLease:
-    """One lease at a time, renewed for as long as the store allows.
+    """Keeps one lease at a time and renews it for as long as the store allows.
 
-    `on_granted` is called for each new lease, `on_ended` when one was not renewed in time, and
+    `on_granted` is called for each new lease, `on_ended` when a lease has ended, and
     `on_renewed` after each renewal.
     """
 
@@ -103,20 +109,20 @@
         self._on_ended = on_ended
         self._on_renewed = on_renewed
         self.id: int | None = None
-        self.valid_until = 0.0  # steady clock, seconds: it can't have ended before
+        self.valid_until = 0.0  # monotonic clock, seconds: the lease cannot end earlier
 
     def is_valid(self, now: float) -> bool:
-        """Whether the lease can't have ended yet, so that nobody else can be leader."""
+        """Return whether the lease cannot have ended yet, so that no other controller can lead."""
         return now < self.valid_until
 
     async def loop(self) -> None:
-        """Keep a lease; the leadership and the reservations hang on it."""
+        """Acquire a lease and renew it; acquire a new one after it ends."""
         while True:
             sent_at = await curio.clock()
             try:
                 if self._needs_confirmation(sent_at):
-                    # Our requests may arrive though no answer does. Renewed blindly, the
-                    # lease would keep the leadership from everybody for good.
+                    # Requests may reach the store while its answers are lost. Renewing the
+                    # lease blindly would then block every other candidate forever.
                     await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if self.id is None:
                     self.id = await self._store.grant_lease(self._controller_lease_s)
@@ -129,36 +135,37 @@
                     continue
                 self.valid_until = sent_at + self._controller_lease_s * (1 - MAX_CLOCK_DRIFT)
             except KeyValueStoreError as exc:
-                log.debug("lease: %s", exc)
+                log.debug("lease request failed: %s", exc)
                 await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
                 continue
             await self._on_renewed()
             await curio.sleep(RENEWAL_LEASE_SHARE * self._controller_lease_s)
 
     def _needs_confirmation(self, now: float) -> bool:
-        """Whether the lease may have ended, and nothing but silence has come since.
+        """Return whether the lease may have ended and recent requests got no answer.
 
-        In an outage refusals come, and the lease keeps its time.
+        A refusal counts as an answer: during an outage the store refuses requests, but no
+        lease expires.
         """
         if self.id is None or self.is_valid(now):
             return False
         return self._store.unanswered_requests >= UNANSWERED_THRESHOLD
 
     async def revoke(self) -> None:
-        """End the lease, so that others need not wait for it to expire."""
+        """Revoke the lease, so that other controllers need not wait for it to expire."""
         lease_id, self.id = self.id, None
         if lease_id is not None:
             try:
                 await self._store.revoke_lease(lease_id)
             except KeyValueStoreError as exc:
-                log.debug("lease not dropped: %s", exc)
+                log.debug("lease not revoked: %s", exc)
 
 
 class Election:
-    """Follows the leadership key, and is a candidate when it is free.
+    """Watches the leader key and runs for leadership when the key is vacant.
 
-    `on_elected` is called once this controller has won, `on_superseded` with the reason when
-    another leader is seen.
+    `on_elected` is called after this controller has won, `on_superseded` with the reason when
+    a later leader is seen.
     """
 
     def __init__(
@@ -179,11 +186,11 @@
         self._suspended_until = 0.0
 
     def suspend_candidacy(self, until: float) -> None:
-        """Be no candidate before `until`, by the steady clock in seconds."""
+        """Do not run for leadership before `until` (monotonic clock, seconds)."""
         self._suspended_until = until
 
     async def loop(self) -> None:
-        """Follow the leadership key; be a candidate when it is free."""
+        """Watch the leader key; run for leadership when it is vacant."""
         while True:
             try:
                 entry = await self._store.get(LEADER_KEY, LEASE_PRIORITY)
@@ -195,7 +202,7 @@
             except WatchCompactedError:
                 continue
             except KeyValueStoreError as exc:
-                log.debug("leadership: %s", exc)
+                log.debug("election step failed: %s", exc)
                 await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
 
     async def _on_vacancy(self) -> None:
@@ -208,25 +215,25 @@
             await curio.sleep(VACANCY_POLL_LEASE_SHARE * self._controller_lease_s)
 
     async def _revoke_former_lease(self, entry: Entry) -> bool:
-        """End a term left over from an earlier process of this controller.
+        """Revoke the lease of a term that this controller won but does not lead.
 
-        That process is dead and nobody commands in its name, so there is no
-        need to wait for its lease to expire. The same goes for an election won
-        without an answer.
+        Either an earlier process of this controller won the election: that process is dead and
+        issues no more commands, so its lease need not be left to expire. Or this process won
+        it, but the store's answer was lost. Returns True if a lease was revoked.
         """
         value = read_value(entry.data)
         if value is None or value[0] != self._leadership.node or self._leadership.is_leader:
             return False
         if entry.lease_id is None:
             return False
-        log.info("ending the lease %d of an earlier process", entry.lease_id)
+        log.info("revoking lease %d of an earlier process", entry.lease_id)
         await self._store.revoke_lease(entry.lease_id)
         if entry.lease_id == self._lease.id:
             self._lease.id = None
         return True
 
     async def _watch_until_vacant(self, seen_revision: int) -> None:
-        """Wait until the leadership key is free."""
+        """Watch the leader key until it is deleted."""
         while True:
             page = await self._store.watch(
                 LEADER_KEY, seen_revision, WATCH_TIMEOUT_LEASES * self._controller_lease_s
@@ -237,7 +244,7 @@
                 if key != LEADER_KEY:
                     continue
                 if data is None:
-                    log.info("the leadership is vacant")
+                    log.info("leadership is vacant")
                     return
                 await self._on_leader_value(data)
 
@@ -252,7 +259,7 @@
             await self._on_superseded("another leader was elected")
 
     async def _run_for_leader(self, lease_id: int) -> None:
-        """Try for the key with the next term."""
+        """Try to acquire the leader key for the next term."""
         leadership = self._leadership
         leadership.become_candidate()
         try:
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -1,4 +1,4 @@
-"""Failover: what a new leader reads of the store before any decision."""
+"""Failover: loads the state that a new leader needs before any decision."""
 
 from __future__ import annotations
 
@@ -19,22 +19,21 @@
 
 log = logging.getLogger(__name__)
 
-#: Time between two looks for the catalog, as a share of the time between tries.
+#: Interval between checks for the catalog, as a share of the retry pause.
 CATALOG_POLL_RETRY_SHARE = 0.1
 
 
 class _ReadTime(NamedTuple):
-    """When the state was read, in seconds."""
+    """When the state was read, in seconds by two clocks."""
 
-    monotonic: float  # steady clock
+    monotonic: float  # monotonic clock
     wall: float  # time of day
 
 
 async def load_state(context: TermContext, machine_types: dict[str, MachineType]) -> dict[str, int]:
-    """Build the term's state from the store; the revisions to watch from, by prefix.
+    """Build the term's state from the store; return the revisions to watch from, by prefix.
 
-    Waits until the machine types are known. Raises KeyValueStoreError; then all of it is to be
-    begun anew.
+    Waits until the machine types are known. After a KeyValueStoreError the caller starts over.
     """
     while not machine_types:
         await curio.sleep(CATALOG_POLL_RETRY_SHARE * context.retry_s)
@@ -43,7 +42,7 @@
     read_time = _ReadTime(await curio.clock(), time.time())
     jobs = []
     for entry in live_entries:
-        # One odd record must not keep all others from being seen.
+        # An invalid record must not hide the others.
         try:
             job = records.read_live(entry.data, entry.revision, read_time.wall, read_time.monotonic)
         except (InvalidMessageError, ValueError, TypeError) as exc:
@@ -68,7 +67,7 @@
 
 
 async def _load_reservations(context: TermContext) -> int:
-    """All controllers' reservations; the revision that they were read at."""
+    """Load all controllers' reservations; return the revision at which they were read."""
     entries, revision = await context.store.entries(RESERVATION_PREFIX, LEASE_PRIORITY)
     context.scheduler.reservation_table.replace(
         {entry.key[len(RESERVATION_PREFIX) :]: (entry.data, entry.revision) for entry in entries}
@@ -77,9 +76,9 @@
 
 
 async def load_completion_bitmaps(context: TermContext, job: Job) -> None:
-    """Read which tasks of a large job are done; raises KeyValueStoreError.
+    """Load which tasks of a large job are done; raises KeyValueStoreError.
 
-    Tasks of a part that can't be read are taken for unfinished: their workers know better.
+    Tasks in an invalid part count as unfinished; their workers report those that are done.
     """
     prefix = f"{records.PART_PREFIX}{job.id}/"
     parts, _ = await context.store.entries(prefix, LEASE_PRIORITY)
@@ -91,10 +90,10 @@
 
 
 async def _load_intents(context: TermContext) -> tuple[list[records.Intents], list[str]]:
-    """What may be on each machine, and the machines whose intents can't be read."""
+    """Load the intents of all machines; return them and the machines with invalid intents."""
     entries, _ = await context.store.entries(records.ON_PREFIX, LEASE_PRIORITY)
-    # A failover that was interrupted is begun anew, this with it: two shards
-    # of one name would overwrite each other's intents.
+    # An interrupted failover is restarted, so the shards are created again here: two shards of
+    # one name would overwrite each other's intents.
     context.shards = IntentShards(context.value_limit)
     intents: list[records.Intents] = []
     unreadable: list[str] = []
@@ -108,7 +107,7 @@
 
 
 async def _read_ended_job(context: TermContext, job_id: str, read_time: _ReadTime) -> Job | None:
-    """A job that intents name though it is over; None if it can't be read."""
+    """Read a job that has ended but is named by intents; None if it is missing or invalid."""
     entry = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
     if entry is None:
         return None
@@ -123,6 +122,9 @@
 
 
 async def _release_unreadable(context: TermContext, machine_name: str) -> None:
-    """Anything may be on such a machine: only its release proves otherwise."""
+    """Release a machine with invalid intents.
+
+    Any task may run on it; only its release proves that none does.
+    """
     machine = context.scheduler.add_machine(machine_name, "", False, "", await curio.clock())
     context.scheduler.release(machine, "its intents are unreadable", await curio.clock())
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -1,4 +1,4 @@
-"""Intents: what may come to be on a machine is written before any launch."""
+"""Intents: the tasks that may run on a machine, written to the store before any launch."""
 
 from __future__ import annotations
 
@@ -25,22 +25,24 @@
 
 log = logging.getLogger(__name__)
 
-#: Preconditions that a transaction takes, per change.
+#: Maximum number of preconditions of a transaction, per put or delete that it may have.
 MAX_PRECONDITIONS_PER_OPERATION = 4
-#: Bytes that all preconditions of a transaction may take beside `TXN_BYTES` of values, and one.
+#: Bytes that all preconditions of a transaction may take beside `TXN_BYTES` of values, and the
+#: maximum size of one precondition.
 MAX_PRECONDITIONS_BYTES = 15 * 1024
 MAX_PRECONDITION_BYTES = 80
 
-#: The values of shards that are to be written, by the shard's name: its revision and its value.
+#: Shard values to write, by shard name: the expected revision and the new value.
 ShardValues = dict[str, tuple[int, dict[str, Any]]]
 
 
 class Intents:
-    """Writes plans, and takes what is gone out of the records."""
+    """Writes the intents of plans and removes those of machines that no longer exist."""
 
     def __init__(self, context: TermContext) -> None:
         self._context = context
-        # What a transaction takes, and what is planned for it: a shard may be split.
+        # Values that fit a transaction, and values planned for one: fewer than
+        # `txn_ops`, since a shard may be split.
         self._max_values = max(1, min(context.txn_ops, TXN_BYTES // context.value_limit))
         self._planned_values = max(1, min(context.txn_ops - 1, self._max_values))
 
@@ -50,10 +52,10 @@
             await self._write_batch(batch)
 
     def _batches(self, attempts: list[TaskAttempt]) -> Iterator[list[TaskAttempt]]:
-        """The plan in parts, each with no more puts and preconditions than a transaction takes.
+        """Split a plan into batches whose puts and preconditions fit a transaction.
 
-        A precondition is never left out: without the one on its `live/` key a job that was
-        cancelled in between would be launched. So many small jobs make more transactions.
+        No precondition is left out: without the one on its `live/` key, a job cancelled in the
+        meantime would be launched. A plan of many small jobs therefore needs more transactions.
         """
         max_jobs = self._max_jobs()
         batch: list[TaskAttempt] = []
@@ -72,7 +74,7 @@
             yield batch
 
     def _by_shard(self, attempts: list[TaskAttempt]) -> dict[str, list[TaskAttempt]]:
-        """The attempts by the name of their machine's shard; those of unknown machines fall out."""
+        """Group attempts by the shard name of their machine; skip those of unknown machines."""
         context = self._context
         machines = context.scheduler.machines
         by_shard: dict[str, list[TaskAttempt]] = {}
@@ -83,7 +85,7 @@
         return by_shard
 
     def _max_jobs(self) -> int:
-        """Jobs whose precondition fits beside the leader's, and those of all values put."""
+        """Return how many jobs' preconditions fit beside those of the term and of all values."""
         context = self._context
         term_preconditions = len(context.preconditions())
         max_by_count = (
@@ -97,7 +99,7 @@
         return min(max_by_count, max_by_size)
 
     async def _write_batch(self, batch: list[TaskAttempt], retried: bool = False) -> None:
-        """Commit the intents of some attempts; `retried`: what was too much is written apart."""
+        """Commit the intents of a batch; `retried` if the same batch was too large before."""
         context = self._context
         scheduler = context.scheduler
         token = context.token()
@@ -122,7 +124,10 @@
         await context.commands_due.set()
 
     async def _write_in_halves(self, batch: list[TaskAttempt], retried: bool) -> None:
-        """Shards that were too full have given machines to new ones: write these apart first."""
+        """Write a batch in halves after too many of its shards were split.
+
+        The new shards are written first, in transactions of their own.
+        """
         if not await self._write_split_shards() or (len(batch) == 1 and retried):
             self._context.scheduler.intents_failed(batch, await curio.clock())
             await curio.sleep(self._context.retry_s)
@@ -135,7 +140,10 @@
     def _preconditions(
         self, batch: Iterable[TaskAttempt], values: ShardValues
     ) -> list[Precondition]:
-        """A job that was cancelled or finished in between launches nothing."""
+        """Return preconditions that fail if the term, a shard or a job has changed.
+
+        A job that was cancelled or has finished in the meantime thus launches nothing.
+        """
         preconditions = self._context.preconditions()
         for name, (revision, _) in values.items():
             preconditions.append(Precondition(records.on_key(name), revision))
@@ -146,9 +154,10 @@
     async def _commit(
         self, batch: list[TaskAttempt], values: ShardValues, token: str
     ) -> int | None:
-        """Write the values; the revision, or None if nothing was written.
+        """Write the values; return the revision, or None if nothing was written.
 
-        While the outcome is open, nothing else may be planned for these tasks.
+        The call repeats the commit while its outcome is unknown: until then nothing else may be
+        planned for these tasks.
         """
         context = self._context
         preconditions = self._preconditions(batch, values)
@@ -165,7 +174,7 @@
                     context.worker_lease_s,
                 )
             except PreconditionFailedError as exc:
-                log.debug("intents not written, changed: %s", exc)
+                log.debug("intents not written, precondition failed: %s", exc)
                 context.scheduler.intents_failed(batch, await curio.clock())
                 await context.refresh_after_conflict(exc.keys)
                 return None
@@ -178,9 +187,10 @@
                 continue
 
     async def _write_split_shards(self) -> bool:
-        """Shards that took machines over, by themselves; their old shards still name them.
+        """Write each shard that took over machines in a transaction of its own.
 
-        False if the store does not take them now.
+        The shards that the machines came from still name them. Returns False if the store does
+        not accept a write now.
         """
         context = self._context
         for shard in context.shards.unwritten():
@@ -194,20 +204,23 @@
             except PreconditionFailedError as exc:
                 await context.refresh_after_conflict(exc.keys)
             except KeyValueStoreError as exc:
-                log.debug("shard %s not written apart: %s", shard.name, exc)
+                log.debug("split shard %s not written: %s", shard.name, exc)
                 return False
             else:
                 context.shards.marked(shard.name, revision)
         return True
 
     async def tidy(self, shards: set[IntentShard]) -> None:
-        """Intents of machines that are gone; a new leader would find that out by itself."""
+        """Remove the intents of machines that no longer exist.
+
+        Where that fails, a new leader finds out by itself that these machines are gone.
+        """
         context = self._context
         machines = context.scheduler.machines
         values = context.shards.values(shards, machines, context.token())
         if context.shards.unwritten():
-            # Written first, and by themselves: machines that a shard has given away would
-            # for a moment stand in no value.
+            # Write the new shards first: machines that moved to them would otherwise be missing
+            # from every stored value for a moment.
             if not await self._write_split_shards():
                 return
             values = context.shards.values(shards, machines, context.token())
@@ -215,7 +228,10 @@
             await self._write_remaining(name, revision, value)
 
     async def _write_remaining(self, name: str, revision: int, value: dict[str, Any]) -> None:
-        """Write what is left in a shard, or drop it; what fails is tidied another time."""
+        """Write the remaining intents of a shard, or delete it if empty.
+
+        After a failure the stale intents stay until a later call.
+        """
         context = self._context
         key = records.on_key(name)
         operation = wire.put(key, value) if value["boxes"] else wire.drop(key)
@@ -225,6 +241,6 @@
                 preconditions, [operation], DECISION_PRIORITY
             )
         except KeyValueStoreError as exc:
-            log.debug("intents on %s stay: %s", name, exc)
+            log.debug("stale intents of shard %s not removed: %s", name, exc)
         else:
             context.shards.marked(name, new_revision if value["boxes"] else 0)
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -1,4 +1,4 @@
-"""Progress of jobs in the store: which tasks are done, and the move of jobs that are over."""
+"""Progress of jobs in the store: which tasks are done, and which jobs are over."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 
 log = logging.getLogger(__name__)
 
-#: Jobs moved to `over` at the same time.
+#: Jobs moved to `over/` concurrently.
 MAX_CONCURRENT_MOVES = 8
-#: Tries of a move in a row: the second one with the revision that the first has found.
+#: Attempts to move a job in a row; the second uses the revision found by the first.
 MAX_MOVE_ATTEMPTS = 2
-#: Longest time between two looks for what is to be written, in seconds.
+#: Maximum seconds between two checks for progress to write.
 MAX_SAVE_INTERVAL_S = 0.25
 
 
 class JobPersistence:
-    """Writes what workers have reported as done."""
+    """Writes the progress that workers have reported."""
 
     def __init__(self, context: TermContext) -> None:
         self._context = context
 
     async def loop(self) -> None:
-        """Move jobs that are complete, and save the progress of others, again and again."""
+        """Move complete jobs and save the progress of the others, periodically."""
         await wait_then_work(min(MAX_SAVE_INTERVAL_S, self._context.retry_s), self._save_all)
 
     async def _save_all(self) -> None:
@@ -44,11 +44,11 @@
                     await self.save(job, now)
 
     async def _finish_all(self) -> None:
-        """Move jobs that are complete, until all are moved or some could not be."""
+        """Move complete jobs until all are moved or a move fails."""
         finished = self._context.scheduler.finished
         while finished:
-            # Several at a time: users expect `done` within seconds, and one slow answer of
-            # the store must not keep all others waiting.
+            # Move several at a time: users expect `done` within seconds, and one slow answer of
+            # the store must not delay all other jobs.
             batch = finished[:MAX_CONCURRENT_MOVES]
             async with curio.TaskGroup() as group:
                 for job in batch:
@@ -58,14 +58,14 @@
             del finished[: len(batch)]
             unmoved = [job for job in batch if job.state is JobState.LIVE]
             if unmoved:
-                finished += unmoved  # behind the others, which may fare better
+                finished += unmoved  # last in the queue, so that they do not block the others
                 await curio.sleep(self._context.retry_s)
                 return
 
     async def finish(self, job: Job) -> None:
-        """Try to move a complete job to `over`; only then may anybody be told.
+        """Try to move a complete job to `over/`; users are told that it is done only afterwards.
 
-        Raises LeadershipLostError where the term is over.
+        Raises LeadershipLostError if the term is over.
         """
         attempts = 0
         while job.state is JobState.LIVE and attempts < MAX_MOVE_ATTEMPTS:
@@ -81,7 +81,7 @@
                 self._context.clean_up(job)
 
     async def _move(self, job: Job) -> bool:
-        """Try to move a job to `over`; False if it, or its end, has changed."""
+        """Try to move a job to `over/`; return False if either of its records has changed."""
         context = self._context
         live_key, over_key = records.live_key(job.id), records.over_key(job.id)
         token = context.token()
@@ -108,10 +108,10 @@
         return True
 
     async def save(self, job: Job, now: float) -> None:
-        """Save which tasks are done; the workers' own record is cleared only after.
+        """Save which tasks are done; workers clear their own records only afterwards.
 
-        What the store does not take stays unsaved.
-        Raises LeadershipLostError where the term is over.
+        Parts that the store does not accept stay marked as unsaved.
+        Raises LeadershipLostError if the term is over.
         """
         context = self._context
         token = context.token()
@@ -141,5 +141,5 @@
             return
         job.saved_at = now
         for part, text in saved.items():
-            if job.part_text(part) == text:  # nothing was done in it since
+            if job.part_text(part) == text:  # no task of the part was completed since
                 job.unsaved_parts.discard(part)
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -1,8 +1,8 @@
 """The consensus-backed key-value store: reads, compare-and-swap, leases, watches.
 
-Every request keeps within this controller's share of the store's limits. A priority, one of
-`LEASE_PRIORITY`, `DECISION_PRIORITY` and `USER_PRIORITY`, says which requests go first when
-the limits are near.
+Requests are limited to this controller's share of the store's limits. A priority, one of
+`LEASE_PRIORITY`, `DECISION_PRIORITY` and `USER_PRIORITY`, determines which requests go first
+when the limits are nearly exhausted.
 """
 
 from __future__ import annotations
@@ -39,39 +39,39 @@
 
 T = TypeVar("T")
 
-#: Entries in a page of a list.
+#: Maximum entries in a page of a listing.
 PAGE_ENTRIES = 500
-#: Trouble shorter than this share of a request's time limit is taken for a hiccup.
+#: Failures that last shorter than this multiple of the request timeout count as transient.
 TRANSIENT_FAILURE_TIMEOUTS = 0.75
-#: Longest wait of a decision for the limits, in seconds.
+#: Maximum seconds that a request waits for the limits.
 MAX_LIMIT_WAIT_S = 1.0
-#: Seconds between two tries while the outcome of a transaction is open, and between two reads
-#: that look for it.
+#: Maximum pause before a transaction of unknown outcome is retried, and the pause before a failed
+#: read of its probe key is retried, in seconds.
 MAX_COMMIT_RETRY_S = 0.25
 PROBE_RETRY_S = 0.1
-#: Tries of a transaction within the time after which its outcome is given up, at the least.
+#: Minimum attempts at a transaction before its outcome is given up as unknown.
 MIN_COMMIT_ATTEMPTS = 8
-#: Bytes of an answer that go into the log.
+#: Maximum bytes of an answer that are logged.
 MAX_LOGGED_BYTES = 200
 
 MS_PER_S = 1000
 
 
 class _Request(NamedTuple):
-    """One request, and what it takes of the limits."""
+    """One request and its cost against the limits."""
 
     method: str
     target: str
     priority: float
     message: Any = None
     writes: int = 0
-    block_s: float | None = None  # a watch: how long the store may wait with the answer
+    block_s: float | None = None  # for a watch: how long the store may delay the answer
 
 
 class KeyValueStore:
-    """One controller's access, within its share of the store's limits.
+    """Client for one controller, limited to its share of the store's limits.
 
-    Every request raises KeyValueStoreError, in one of its three kinds.
+    Every request may raise a subclass of KeyValueStoreError.
     """
 
     def __init__(
@@ -81,34 +81,34 @@
         self._watch_client = watch_client
         self._limits = StoreLimits(limits)
         self._timeout_s = timeout_s
-        self.failing_since: float | None = None  # steady clock, seconds
-        self.unanswered_requests = 0  # in a row, without even a refusal
+        self.failing_since: float | None = None  # monotonic clock, seconds
+        self.unanswered_requests = 0  # consecutive; a refusal counts as an answer
 
     def is_available(self, now: float) -> bool:
-        """Whether the store answers this controller, a hiccup aside."""
+        """Return whether the store answers this controller, ignoring transient failures."""
         transient_s = TRANSIENT_FAILURE_TIMEOUTS * self._timeout_s
         return self.failing_since is None or now - self.failing_since < transient_s
 
     def set_share(self, share: float) -> None:
-        """Keep to this share of the store's limits from now on."""
+        """Set this controller's share of the store's limits."""
         self._limits.set_share(share)
 
     async def wait_for_limits(self, priority: float, writes: int) -> None:
-        """Let time pass until the limits allow a request, within bounds."""
+        """Wait until the limits allow a request, for at most `MAX_LIMIT_WAIT_S` seconds."""
         await curio.sleep(min(MAX_LIMIT_WAIT_S, await self.wait_s(priority, writes)))
 
     async def wait_s(self, priority: float, writes: int) -> float:
-        """Seconds until the limits allow a request with so many puts and deletes."""
+        """Return the seconds until the limits allow a request with `writes` puts and deletes."""
         return self._limits.wait_s(await curio.clock(), priority, writes)
 
     async def _acquire_limits(self, request: _Request) -> float:
-        """Wait until the limits allow a request; the time at which it goes out.
+        """Wait until the limits allow a request; return the time at which it may be sent.
 
-        Raises StoreUnavailableError where they do not allow it in time.
+        Raises StoreUnavailableError if they do not allow it in time.
         """
         now = await curio.clock()
         if request.priority < USER_PRIORITY:
-            # Decisions wait for their turn; users are told at once to come again.
+            # Decisions wait for the limits; users are told at once to retry later.
             wait_s = min(MAX_LIMIT_WAIT_S, await self.wait_s(request.priority, request.writes))
             if wait_s > 0:
                 await curio.sleep(wait_s)
@@ -119,7 +119,10 @@
         return now
 
     async def _send(self, request: _Request) -> tuple[int, bytes]:
-        """Status and body of the answer; raises StoreUnavailableError or OutcomeUnknownError."""
+        """Send a request; return the status and body of the answer.
+
+        Raises StoreUnavailableError or OutcomeUnknownError.
+        """
         sent_at = await self._acquire_limits(request)
         client, timeout_s = self._client, self._timeout_s
         if request.block_s is not None:
@@ -149,7 +152,7 @@
             self.failing_since = now
 
     async def get(self, key: str, priority: float = USER_PRIORITY) -> Entry | None:
-        """A key's entry, or None if the key does not exist."""
+        """Return a key's entry, or None if the key does not exist."""
         status, body = await self._send(_Request("GET", f"{wire.STORE_PATH}/{key}", priority))
         if status == HTTPStatus.NOT_FOUND:
             return None
@@ -159,7 +162,7 @@
     async def entries(
         self, prefix: str, priority: float = DECISION_PRIORITY
     ) -> tuple[list[Entry], int]:
-        """All entries under a prefix, and the revision of the first page."""
+        """Return all entries under a prefix and the revision of the first page."""
         entries: list[Entry] = []
         last_key: str | None = None
         seen_revision: int | None = None
@@ -175,9 +178,9 @@
             last_key = page.entries[-1].key
 
     async def watch(self, prefix: str, since: int, block_s: float) -> wire.WatchPage:
-        """Changes under a prefix after a revision; waits up to `block_s` seconds for one.
+        """Return the changes under a prefix since a revision; wait up to `block_s` seconds for one.
 
-        Raises WatchCompactedError where the store no longer has all changes since.
+        Raises WatchCompactedError if the store no longer has all changes since that revision.
         """
         target = wire.watch_query(prefix, since, int(block_s * MS_PER_S))
         status, body = await self._send(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
@@ -192,9 +195,9 @@
         operations: Sequence[dict[str, Any]],
         priority: float,
     ) -> int:
-        """Carry out all operations if all preconditions hold; the new revision.
+        """Apply all operations if all preconditions hold; return the new revision.
 
-        Raises PreconditionFailedError if one of them does not hold.
+        Raises PreconditionFailedError if any does not hold.
         """
         conditions = [wire.condition(key, revision) for key, revision in preconditions]
         body = wire.transaction_body(conditions, list(operations))
@@ -206,7 +209,7 @@
             return _read(answer, wire.Committed).revision
         if status == HTTPStatus.CONFLICT:
             raise PreconditionFailedError(_read(answer, wire.Committed).failed)
-        # 400 comes where a lease ended while the transaction was on its way, and for a
+        # The store answers 400 when a lease has ended before the transaction arrived, and for a
         # value or a transaction that is too large.
         log.info(
             "store answered %d to a transaction: %r; changes: %s",
@@ -225,12 +228,12 @@
         token: str,
         give_up_s: float,
     ) -> int:
-        """A compare-and-swap whose outcome is found out; the new revision.
+        """Carry out a compare-and-swap and determine its outcome; return the new revision.
 
-        `probe` is a key that it puts with `token` in its value, with a precondition on it as
-        on all keys it changes, so that of two copies at most one is carried out.
-        Raises PreconditionFailedError, StoreUnavailableError (nothing was done), or
-        OutcomeUnknownError when the outcome stays open for `give_up_s` seconds.
+        The transaction puts `token` in the value of the key `probe`. It must have preconditions
+        on all keys that it changes, `probe` included, so that at most one of two copies is
+        applied. Raises PreconditionFailedError, StoreUnavailableError (nothing was applied), or
+        OutcomeUnknownError if the outcome is still unknown after `give_up_s` seconds.
         """
         outcome_unknown = False
         start = await curio.clock()
@@ -250,7 +253,7 @@
                 if not outcome_unknown:
                     raise
             if await curio.clock() - start > give_up_s:
-                raise OutcomeUnknownError("outcome open")
+                raise OutcomeUnknownError("outcome of the transaction is unknown")
             await curio.sleep(min(MAX_COMMIT_RETRY_S, give_up_s / MIN_COMMIT_ATTEMPTS))
 
     async def _read_probe(self, key: str, start: float, give_up_s: float) -> Entry | None:
@@ -259,18 +262,18 @@
                 return await self.get(key, LEASE_PRIORITY)
             except (StoreUnavailableError, OutcomeUnknownError):
                 if await curio.clock() - start > give_up_s:
-                    raise OutcomeUnknownError("outcome open") from None
+                    raise OutcomeUnknownError("outcome of the transaction is unknown") from None
                 await curio.sleep(PROBE_RETRY_S)
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """The id of a new lease, which ends `ttl_s` seconds after its last renewal."""
+        """Create a lease that ends `ttl_s` seconds after its last renewal; return its id."""
         body = wire.lease_body(int(ttl_s * MS_PER_S))
         status, answer = await self._send(_Request("POST", wire.LEASES_PATH, LEASE_PRIORITY, body))
         _expect_success(status)
         return _read(answer, wire.LeaseGranted).lease_id
 
     async def renew_lease(self, lease_id: int) -> bool:
-        """Renew a lease; False if it has ended."""
+        """Renew a lease; return False if it has ended."""
         target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
         status, _ = await self._send(_Request("POST", target, LEASE_PRIORITY, {}))
         if status == HTTPStatus.NOT_FOUND:
@@ -279,12 +282,12 @@
         return True
 
     async def revoke_lease(self, lease_id: int) -> None:
-        """End a lease at once, and with it the keys that are attached to it."""
+        """End a lease at once, which deletes the keys attached to it."""
         await self._send(_Request("DELETE", f"{wire.LEASES_PATH}/{lease_id}", LEASE_PRIORITY))
 
 
 def _expect_success(status: int) -> None:
-    """Raises StoreUnavailableError for any status but 200."""
+    """Raise StoreUnavailableError for any status but 200."""
     if status != HTTPStatus.OK:
         raise StoreUnavailableError(f"status {status}")
 
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -1,4 +1,4 @@
-"""What exists from a controller's election to the end of its term."""
+"""One term of a leader: the components that exist from its election to the end of the term."""
 
 from __future__ import annotations
 
@@ -39,15 +39,16 @@
 
 log = logging.getLogger(__name__)
 
-#: A heartbeat's answer waits for a plan for so many heartbeat intervals, so that it can launch.
+#: Longest wait of a heartbeat's answer for a planning round, in heartbeat intervals; the answer
+#: can then carry the launches of that round.
 MAX_PLAN_WAIT_HEARTBEATS = 0.1
 
-#: One loop of a term, and the kind of work that its processor time counts as.
+#: A loop of a term and the category that its processor time is accounted to.
 TermLoop = tuple[WorkCategory, Callable[[], Awaitable[Any]]]
 
 
 class LeaderTerm:
-    """One term, from the election to its end: the scheduler, and the loops that act on it."""
+    """A term from election to end: the scheduler and the loops that act on it."""
 
     def __init__(
         self,
@@ -61,7 +62,7 @@
         """Create a term that begins at `election_result.elected_at`."""
         settings, operator = services.settings, services.operator
         self.term = election_result.term
-        self.loaded = False  # whether all state has been read: only then may it decide
+        self.loaded = False  # whether all state was read; no decision is made before
         self._cpu_accounting = services.cpu_accounting
         self._released = state.released
         self._machine_types = services.catalog.machine_types
@@ -95,9 +96,9 @@
         self._planning = PlanningLoop(context, self._intents)
 
     async def run(self) -> None:
-        """Fail over, then lead until cancelled or until a loop finds that the term is over.
+        """Fail over, then run the term's loops until cancelled or the first of them ends.
 
-        Raises what else ends a loop.
+        A loop ends when it finds that the term is over. Any other error of a loop is raised.
         """
         await self._fail_over()
         async with curio.TaskGroup(wait=any) as group:
@@ -109,7 +110,7 @@
             raise group.exception
 
     async def _fail_over(self) -> None:
-        """Read all that earlier terms left, before any decision."""
+        """Load the state that earlier terms left; no decision is made before."""
         start = await curio.clock()
         while True:
             try:
@@ -117,7 +118,7 @@
                 self._watches.start_from(await load_state(self.context, self._machine_types))
                 break
             except KeyValueStoreError as exc:
-                log.debug("failover waits: %s", exc)
+                log.debug("failover interrupted, to be retried: %s", exc)
                 await curio.sleep(self.context.retry_s)
         await self.operations.rebuild(open_operations, self._released.names())
         log.info(
@@ -158,10 +159,10 @@
     async def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool = False
     ) -> tuple[Machine | None, list[Command]]:
-        """Take in a worker's heartbeat; its machine, and the commands for its answer.
+        """Process a worker's heartbeat; return its machine and the commands for the answer.
 
-        `direct`: it answers a direct command, and gets no commands itself. A heartbeat that
-        was overtaken by a newer one, or that can't be placed, gets none either.
+        `direct` marks the answer to a direct command, which gets no commands. Neither does a
+        heartbeat that was overtaken by a newer one or that matches no machine.
         """
         now = await curio.clock()
         changes_before = self.scheduler.changes
@@ -175,67 +176,73 @@
                 MAX_PLAN_WAIT_HEARTBEATS * self.context.heartbeat_interval_s
             )
         if (heartbeat.incarnation, heartbeat.sequence) != (machine.incarnation, machine.sequence):
-            return machine, []  # a newer one arrived while this one waited
+            return machine, []  # overtaken by a newer heartbeat during the wait
         now = await curio.clock()
-        # Once the lease may have passed on, another may be leader: it knows of
-        # the intents, but nothing new is to begin behind its back.
+        # Once the lease may have ended, another controller may lead. It knows the stored
+        # intents, but this controller must not launch anything more.
         return machine, self.scheduler.answer(machine, heartbeat, now, self._may_launch(now))
 
     def _may_launch(self, now: float) -> bool:
-        """While the store does not answer, nobody can know what was cancelled."""
+        """Return whether launches are allowed now.
+
+        While the store does not answer, a cancellation may have gone unnoticed.
+        """
         return self.context.lease_is_valid(now) and self.context.store.is_available(now)
 
     async def _on_direct_heartbeat(self, heartbeat: Heartbeat) -> None:
         await self.on_heartbeat(heartbeat, direct=True)
 
     async def on_forwarded_heartbeats(self, heartbeats: Any) -> None:
-        """Heartbeats, packed, that a follower took in while this controller can't be reached."""
+        """Process packed heartbeats that a follower received while the leader was unreachable."""
         now = await curio.clock()
         changes_before = self.scheduler.changes
         for item in heartbeats:
             try:
                 heartbeat = convert(item, Heartbeat)
             except InvalidMessageError as exc:
-                log.debug("forwarded heartbeat unreadable: %s", exc)
+                log.debug("invalid forwarded heartbeat: %s", exc)
                 continue
             self.scheduler.on_heartbeat(heartbeat, False, now, forwarded=True)
         if self.scheduler.changes != changes_before:
             await self.context.request_plan()
 
-    # -- what the controller learns otherwise ------------------------------------
+    # -- events from users and peers ---------------------------------------------
 
     async def on_job_accepted(self, job: Job) -> None:
-        """A user's job was accepted by this controller."""
+        """Add a job that this controller accepted from a user."""
         if self.loaded:
             self.scheduler.add_job(job)
             await self.context.request_plan()
 
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
-        """A user was told, at a time of day, that the job is cancelled, here or by a peer."""
+        """Apply a cancellation that this controller or a peer confirmed to a user.
+
+        `at` is the time of day of the confirmation.
+        """
         if self.loaded:
             await self.context.on_job_cancelled(job_id, at)
 
     async def on_peer_release(self, machines: list[str]) -> None:
-        """Another controller's release of these machines was answered."""
+        """Remove machines whose release the cloud has confirmed to this controller or a peer."""
         if self.loaded:
             await self.operations.scale_in.released_by_peer(machines, await curio.clock())
 
     async def request_plan(self) -> None:
-        """Something changed: plan soon."""
+        """Request a planning round after a change."""
         await self.context.request_plan()
 
-    # -- what others are told ----------------------------------------------------
+    # -- views for other parts of the controller and for peers -------------------
 
     def cluster_view(self, now: float) -> ClusterView:
-        """The fleet for this controller's own searches, fresh."""
+        """Return a current view of the fleet for this controller's own searches."""
         return self._summaries.cluster_view(now)
 
     def placements(self) -> list[list[Any]]:
-        """Where tasks may be, for whoever has no scheduler."""
+        """Return where tasks may run, for controllers that have no scheduler."""
         return self._summaries.placements()
 
     def resend_placements(self) -> None:
-        """A peer has just started: it knows of no machine."""
+        """Send all placements again, for a peer that has just started and knows no machine."""
         self._summaries.resend_placements()
 
 
@@ -255,9 +262,9 @@
 
 
 class CurrentTerm:
-    """The term that this controller leads, if it leads one.
+    """The term that this controller leads, if any.
 
-    Changed by `LeadershipService` alone; the controller's other parts look.
+    Only `LeadershipService` changes it; other parts of the controller read it.
     """
 
     def __init__(self) -> None:
@@ -265,11 +272,11 @@
 
     @property
     def loaded_term(self) -> LeaderTerm | None:
-        """The term, if all its state has been read."""
+        """The term, once all its state has been loaded."""
         term = self.leader_term
         return term if term is not None and term.loaded else None
 
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
-        """A job was cancelled at this time of day: the term, if any, is to know."""
+        """Pass a cancellation, with its time of day, to the term, if there is one."""
         if self.leader_term is not None:
             await self.leader_term.on_job_cancelled(job_id, at)
--- a/topazhold/control/leadership_service.py
+++ b/topazhold/control/leadership_service.py
@@ -1,4 +1,4 @@
-"""This controller's part in the leadership: its lease, elections, and the terms it leads."""
+"""This controller's leadership: its lease, its elections, and the terms that it leads."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
 
 log = logging.getLogger(__name__)
 
-#: Shares of the store's limits: of the leader, and of a follower at the least. They
-#: add up to more than the whole: controllers are seldom busy at once, and what is too much the
-#: service itself refuses.
+#: The leader's share of the store's limits, and the minimum share of a follower. The shares add
+#: up to more than 1: controllers are seldom busy at the same time, and the store itself refuses
+#: requests beyond its limits.
 LEADER_STORE_SHARE = 0.85
 MIN_FOLLOWER_STORE_SHARE = 0.35
-#: Shares of a controller's lease: between looks at whether the term goes on, and between
-#: looks at whether the leader is partitioned from the workers.
+#: Intervals as shares of the controller's lease: between checks that the term is still current,
+#: and between checks that the leader is not partitioned from the workers.
 TERM_CHECK_LEASE_SHARE = 0.25
 PARTITION_CHECK_LEASE_SHARE = 0.5
-#: Lease times of the workers for which a leader that resigned is no candidate.
+#: Time for which a leader that resigned does not run again, in worker leases.
 RESIGNATION_BACKOFF_LEASES = 2
 
 
@@ -48,7 +48,7 @@
         self._peers = peers
         self._announcer = announcer
         self.current = current
-        self._changed = curio.Event()  # of the lease or the leadership
+        self._changed = curio.Event()  # set when the lease or the leadership changes
         self.lease = ControllerLease(
             services.store,
             services.controller_lease_s,
@@ -67,7 +67,7 @@
         self._set_store_share(False)
 
     def _set_store_share(self, is_leader: bool) -> None:
-        """The leader needs most of the store's limits."""
+        """Set this controller's share of the store's limits; the leader needs most of them."""
         controllers = self._peers.controllers
         if controllers == 1:
             share = 1.0
@@ -78,7 +78,7 @@
         self._services.store.set_share(share)
 
     async def begin_term(self, result: ElectionResult) -> None:
-        """This controller was elected."""
+        """Begin the term of an election that this controller has won."""
         self._set_store_share(True)
         self.current.leader_term = LeaderTerm(
             self._services,
@@ -96,7 +96,7 @@
         ended_term = self.current.leader_term
         if ended_term is None:
             return
-        log.info("node %s is leader no more: %s", self._state.leadership.node, reason)
+        log.info("node %s is no longer leader: %s", self._state.leadership.node, reason)
         self._state.leadership.become_follower()
         if ended_term.loaded:
             self._state.placement_hints.update_from_leader(ended_term.term, ended_term.placements())
@@ -105,7 +105,7 @@
         await self._changed.set()
 
     async def term_loop(self) -> None:
-        """Run the loops of each term for as long as it lasts."""
+        """Run the loops of each term until the term ends."""
         while True:
             await self._changed.wait()
             self._changed.clear()
@@ -125,7 +125,7 @@
             await self.lease.revoke()
 
     async def resign_loop(self) -> None:
-        """A leader that few heartbeats reach, while others get them, resigns."""
+        """Resign leadership when most heartbeats reach other controllers only."""
         await wait_then_work(
             PARTITION_CHECK_LEASE_SHARE * self._services.controller_lease_s,
             self._resign_if_partitioned,
@@ -137,7 +137,7 @@
         if leader_term is None or not leader_term.scheduler.is_partitioned_from_workers(now):
             return
         log.info(
-            "node %s gets heartbeats of too few of the workers that others get",
+            "node %s receives heartbeats from too few of the workers that reach other controllers",
             self._state.leadership.node,
         )
         worker_lease_s = self._services.settings.cluster.workers.lease_s
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -1,4 +1,4 @@
-"""The cloud's machine list, read again and again while a term lasts."""
+"""Periodic reads of the cloud's machine list during a term."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 log = logging.getLogger(__name__)
 
-#: Pause between two lists, as a share of how late a list may be.
+#: Interval between two reads, as a share of the maximum lag of the list.
 LIST_INTERVAL_LAGS = 0.5
 
 
 class MachineList:
-    """Tells the scheduler what the cloud lists."""
+    """Passes the cloud's machine list to the scheduler."""
 
     def __init__(self, context: TermContext, cloud: Cloud) -> None:
         self._context = context
         self._cloud = cloud
-        self.list_received = curio.Event()  # a list has come in this term
+        self.list_received = curio.Event()  # set once a list was received in this term
 
     async def loop(self) -> None:
-        """Read the list, again and again; what the cloud can't answer is tried again."""
+        """Read the list periodically; a read that fails is repeated at the next interval."""
         pause_s = max(
             self._context.heartbeat_interval_s, LIST_INTERVAL_LAGS * self._context.scheduler.lag_s
         )
@@ -38,7 +38,7 @@
         try:
             listed = await self._cloud.machines()
         except CloudUnavailableError as exc:
-            log.debug("machine list: %s", exc)
+            log.debug("machine list not read: %s", exc)
         else:
             scheduler.on_machine_list(listed, requested_at, await curio.clock())
             await self.list_received.set()
--- a/topazhold/control/planning_loop.py
+++ b/topazhold/control/planning_loop.py
@@ -1,4 +1,4 @@
-"""When the leader of a term plans, and looks at what time alone makes due."""
+"""The loops that run planning rounds and time-driven work of a term."""
 
 from __future__ import annotations
 
@@ -11,44 +11,44 @@
 from topazhold.control.waiting_loops import wait_then_work
 from topazhold.interfaces.store import DECISION_PRIORITY
 
-#: Heartbeat intervals: the shortest time between two looks at what time makes due, and between two
-#: rounds of planning; without a look for so long, planning is taken to be stuck.
+#: In heartbeat intervals: minimum time between two scheduler ticks, minimum time between two
+#: planning rounds, and time without a tick after which planning counts as stuck.
 MIN_TICK_INTERVAL_HEARTBEATS = 0.1
 MIN_PLAN_INTERVAL_HEARTBEATS = 0.06
 STUCK_PLANNING_HEARTBEATS = 0.5
-#: Plans that are written one after the other before the loop pauses.
+#: Plans that are written in a row before the loop pauses.
 MAX_PLANS_PER_ROUND = 4
-#: Changes that a plan costs at the least, about.
+#: Approximate minimum number of puts and deletes that a plan needs.
 MIN_PLAN_WRITES = 2
-#: The pause after a round, as a multiple of the time that deciding lasted.
+#: Pause after a round, as a multiple of the time spent on planning in it.
 PAUSE_PER_PLANNING_TIME = 3.0
 
 
 class PlanningLoop:
-    """Rounds of planning, one at a time; each plan's intents are written before it acts."""
+    """Runs planning rounds one at a time; intents are written before a plan takes effect."""
 
     def __init__(self, context: TermContext, intents: Intents) -> None:
         self._context = context
         self._intents = intents
-        self._round_done = curio.Event()  # set, and replaced, at the end of a round
+        self._round_done = curio.Event()  # set and replaced at the end of each round
         self._ticked_at = -1e9
         self._planned_at = -1e9
 
     def is_due(self, now: float) -> bool:
-        """Whether a round may find more than the last one did; most heartbeats change nothing."""
+        """Return whether a new round may differ from the last; most heartbeats change nothing."""
         return (
             self._context.plan_requested.is_set() or now - self._planned_at > self._context.retry_s
         )
 
     async def wait_for_round(self, timeout_s: float) -> None:
-        """Let one round pass, for `timeout_s` seconds at most."""
-        # An event, not a condition: a condition's lock can be lost where two time limits
-        # end in one wait, and planning would stand still for good.
+        """Request a round and wait for its end, for at most `timeout_s` seconds."""
+        # An event instead of a condition: a condition's lock can be lost when two timeouts
+        # expire in one wait, which would block planning forever.
         await self._context.request_plan()
         await curio.ignore_after(timeout_s, self._round_done.wait)
 
     async def plan_loop(self) -> None:
-        """Plan when something has changed, and off and on."""
+        """Plan after changes, and at least once per retry interval."""
         context = self._context
         while True:
             await curio.ignore_after(context.retry_s, context.plan_requested.wait)
@@ -56,17 +56,17 @@
             planning_s = await self._plan_round()
             finished_round, self._round_done = self._round_done, curio.Event()
             await finished_round.set()
-            # Something changes all the time: without a pause that grows with the cost of a
-            # round, a leader of many machines would do nothing but plan.
+            # State changes constantly: without a pause in proportion to the cost of a round, the
+            # leader of a large fleet would do nothing but plan.
             min_pause_s = MIN_PLAN_INTERVAL_HEARTBEATS * context.heartbeat_interval_s
             await curio.sleep(max(min_pause_s, planning_s * PAUSE_PER_PLANNING_TIME))
 
     async def _plan_round(self) -> float:
-        """Plan until nothing is left; the seconds spent on deciding, without waits."""
+        """Plan until nothing is left to plan; return the seconds spent, without waits."""
         context = self._context
         planning_s = 0.0
         for _ in range(MAX_PLANS_PER_ROUND):
-            # A plan that can't be written now is made anew later, with more of it in one
+            # Wait until a plan can be written: a later plan covers more changes in one
             # transaction.
             await context.store.wait_for_limits(DECISION_PRIORITY, MIN_PLAN_WRITES)
             now = await curio.clock()
@@ -81,9 +81,9 @@
         return planning_s
 
     async def tick_loop(self) -> None:
-        """Time passes also while a plan waits for the store without end.
+        """Tick the scheduler while planning is stuck waiting for the store.
 
-        Kills of cancelled jobs, and releases, must not wait for it.
+        Kills of cancelled jobs and releases must not wait for a plan to be written.
         """
         await wait_then_work(self._context.retry_s, self._tick_if_stuck)
 
--- a/topazhold/control/store_limits.py
+++ b/topazhold/control/store_limits.py
@@ -11,9 +11,9 @@
 
 
 class StoreLimits:
-    """Counts requests, and puts and deletes, against a share of what the store allows.
+    """Rate limits for requests and for puts and deletes, at a share of the store's limits.
 
-    `rank` is the share of a limit that a request must leave to more urgent ones.
+    `priority` is the share of a limit that a request must leave to more urgent ones.
     """
 
     def __init__(self, limits: StateLimits) -> None:
@@ -25,7 +25,7 @@
         self._writes = TokenBucket(limits.write_rps)
 
     def set_share(self, share: float) -> None:
-        """Keep to this share of the limits from now on."""
+        """Set the share of the store's limits."""
         self._share = share
         limits = self._limits
         rps = limits.lasting_rps if self._uses_lasting_limits else limits.rps
@@ -34,24 +34,24 @@
         self._writes.set_rate(write_rps * share)
 
     def on_rate_limited(self) -> None:
-        """The store refused a request that the present limits allow: they may have fallen.
+        """Switch to the lasting limits after the store refused a request within the current ones.
 
-        They fall without notice and for good, so from now on this controller keeps to the
-        lower ones. Where the refusal had another reason, that costs little.
+        The store's limits fall permanently and without notice. If the refusal had another reason,
+        the lower limits cost little.
         """
         if not self._uses_lasting_limits:
             self._uses_lasting_limits = True
             self.set_share(self._share)
-            log.info("store refuses for its rate: keeping to the lower limits")
+            log.info("store refused a request for its rate: switching to the lower limits")
 
     def wait_s(self, now: float, priority: float, writes: int) -> float:
-        """Seconds until a request with so many puts and deletes is allowed."""
+        """Return the seconds until a request with `writes` puts and deletes is allowed."""
         return max(
             self._requests.wait_s(now, 1, priority), self._writes.wait_s(now, writes, priority)
         )
 
     def take(self, now: float, priority: float, writes: int) -> str | None:
-        """Count a request; None, or the limit that does not allow it."""
+        """Count a request; return None, or the name of the limit that does not allow it."""
         if not self._requests.take(now, 1, priority):
             return "request limit"
         if writes and not self._writes.take(now, writes, priority):
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -1,4 +1,4 @@
-"""What the other controllers are sent of the fleet."""
+"""Summaries of the fleet that the leader sends to the other controllers."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 
 log = logging.getLogger(__name__)
 
-#: Running counts sent in the summary; they are for display.
+#: Jobs whose number of running tasks is in the summary; it is for display only.
 MAX_RUNNING_COUNTS = 60
-#: Machines in one message of where tasks may be, and the rounds in which each is named
+#: Machines in one placement message, and the number of rounds within which every machine is sent
 #: at least once.
 MAX_PLACEMENTS_PER_MESSAGE = 500
 RESEND_ROUNDS = 16
-#: Of a stored value: what is not one of its lists, and the shares that running counts, refused
-#: operations and machines' names may take.
+#: Bytes of a stored value outside its lists, and the maximum shares of the rest for running
+#: counts, refused operations and machine names.
 VALUE_OVERHEAD_BYTES = 192
 RUNNING_SHARE = 0.3
 REFUSED_SHARE = 0.2
 NAMES_SHARE = 0.5
-#: Between two summaries: heartbeat intervals, and seconds at the least.
+#: Interval between summaries in heartbeat intervals, and its minimum in seconds.
 PUBLISH_INTERVAL_HEARTBEATS = 0.5
 MIN_PUBLISH_INTERVAL_S = 1.0
 
@@ -52,7 +52,7 @@
 
 
 class SummaryPublisher:
-    """Summaries: to peers every heartbeat interval, to the store as configured."""
+    """Sends summaries to peers periodically, and to the store at the configured interval."""
 
     def __init__(
         self,
@@ -65,20 +65,23 @@
         self._refused = refused if refused is not None else RefusedOperations()
         self._summary_s = summary_s
         self._broadcast = broadcast
-        self._sent: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint
+        self._sent: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint last sent
         self._rounds = 0
-        self._written_at = -1e9  # steady clock, seconds
+        self._written_at = -1e9  # monotonic clock, seconds
 
     def placements(self) -> list[list[Any]]:
-        """Every machine: its name, endpoint, and the jobs whose tasks may be there."""
+        """Return for every machine its name, endpoint, and the jobs whose tasks may run there."""
         return [_placement_hint(machine) for machine in self._context.scheduler.machines.values()]
 
     def resend_placements(self) -> None:
-        """Tell of every machine once more."""
+        """Send every machine again in the next round."""
         self._sent.clear()
 
     def placement_changes(self) -> list[list[Any]]:
-        """Machines that have changed, and a few others in turn, for who missed them."""
+        """Return the machines that have changed, and some others in turn.
+
+        The others are for peers that missed an earlier message.
+        """
         machines = self._context.scheduler.machines
         self._rounds += 1
         items: list[list[Any]] = []
@@ -94,7 +97,7 @@
         return items
 
     def cluster_view(self, now: float) -> ClusterView:
-        """The fleet for this controller's own searches, fresh."""
+        """Return a current view of the fleet for this controller's own searches."""
         scheduler = self._context.scheduler
         cluster_view = ClusterView()
         cluster_view.at = now
@@ -107,7 +110,7 @@
         return cluster_view
 
     def summary(self, now: float) -> dict[str, Any]:
-        """What the other controllers are told: a value per zone, one for jobs."""
+        """Return the summary for the other controllers: a value per zone and one for jobs."""
         return dict(self._summary_values(now))
 
     def _summary_values(self, now: float) -> Iterator[tuple[str, dict[str, Any]]]:
@@ -121,9 +124,9 @@
         yield "", self._jobs_value(now)
 
     async def _collect(self, now: float) -> dict[str, Any]:
-        """A summary made piece by piece, so that the rest of the process gets its turn.
+        """Build a summary value by value, yielding to other tasks in between.
 
-        In one piece it would keep the lease, and the workers' answers, waiting.
+        Building it in one go would delay the lease renewal and the answers to workers.
         """
         values: dict[str, Any] = {}
         for key, value in self._summary_values(now):
@@ -132,7 +135,7 @@
         return values
 
     def _jobs_value(self, now: float) -> dict[str, Any]:
-        """Gangs that wait, and how many tasks run."""
+        """Return the summary's value for jobs: waiting gangs and numbers of running tasks."""
         scheduler = self._context.scheduler
         waiting = [
             [job.id, job.node, *queue_key(job), scheduler.needs_reservation(job)]
@@ -154,12 +157,12 @@
         }
 
     def _store_operations(self, values: dict[str, Any]) -> list[dict[str, Any]]:
-        """The puts of a summary, cut to what the store's values take.
+        """Return the puts of a summary, truncated to the store's limits.
 
-        Whoever reads a cut list of waiting gangs is told so: a gang that is left out
-        must not look as if it waited no more.
+        A truncated list of waiting gangs is marked as such, so that readers do not take an
+        omitted gang for one that no longer waits.
         """
-        # Of all values together, a transaction takes no more than its bytes.
+        # All values together must fit the bytes of one transaction.
         value_bytes = min(self._context.value_limit, TXN_BYTES // (len(self._context.zones) + 1))
         limit = value_bytes - VALUE_OVERHEAD_BYTES
         jobs = values[""]
@@ -180,12 +183,12 @@
         return operations
 
     def _packed_refused(self, limit: int) -> dict[str, list[list[str]]]:
-        """The term's refused operations, for the command `duties`; nothing if there are none."""
+        """Return the term's refused operations, if any, for the command `duties`."""
         packed = [operation.pack() for operation in self._refused.shown]
         return {"refused": cut_summary(packed, limit, json_size)} if packed else {}
 
     async def _write(self, operations: list[dict[str, Any]]) -> None:
-        """Write a summary in as many transactions as it needs."""
+        """Write a summary in as many transactions as needed."""
         context = self._context
         for start in range(0, len(operations), context.txn_ops):
             part = operations[start : start + context.txn_ops]
@@ -201,7 +204,7 @@
                 return
 
     async def loop(self) -> None:
-        """Peers hear every heartbeat interval; the store has it as configured."""
+        """Publish summaries to peers periodically, and to the store at the configured interval."""
         pause_s = max(
             MIN_PUBLISH_INTERVAL_S, PUBLISH_INTERVAL_HEARTBEATS * self._context.heartbeat_interval_s
         )
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -1,6 +1,6 @@
-"""What all parts of a term share.
+"""State shared by all parts of a term.
 
-Its number, the scheduler, and what is learnt from a failed precondition of a transaction.
+The term's number, its scheduler, and the refresh of state after a failed precondition.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 
 log = logging.getLogger(__name__)
 
-#: Seconds between tries of whatever failed, as a share of the heartbeat interval.
+#: Pause before a failed operation is retried, in heartbeat intervals.
 RETRY_HEARTBEATS = 0.25
 
 
 class TermContext:
-    """One term's common ground: its number, its scheduler, and its access to the store."""
+    """The number, scheduler and store access of a term, shared by its parts."""
 
     def __init__(
         self,
@@ -61,29 +61,29 @@
         self.txn_ops = cluster.state.lasting_txn_ops
         self.shards = IntentShards(self.value_limit)
         self.plan_requested = curio.Event()
-        self.commands_due = curio.Event()  # set where direct commands should not wait
-        #: What removes a job's remains; set by whoever does.
+        self.commands_due = curio.Event()  # set to send direct commands at once
+        #: Removes the stored records of a job that is over; set by the component that does it.
         self.clean_up: CleanUp = lambda job: None
         self._sequence = 0
 
     def token(self) -> str:
-        """A text that no other transaction of any term carries."""
+        """Return a token that is unique among the transactions of all terms."""
         self._sequence += 1
         return f"q{self.term}-{self._sequence}"
 
     def preconditions(self) -> list[Precondition]:
-        """What every transaction of the term carries: it fails once the term is over."""
+        """Return the preconditions of every transaction of the term; they fail once it is over."""
         return [Precondition(LEADER_KEY, self.revision)]
 
     async def request_plan(self) -> None:
-        """Something changed: plan soon."""
+        """Request a planning round after a change."""
         await self.plan_requested.set()
 
     async def refresh_after_conflict(self, keys: list[str]) -> None:
-        """Preconditions on these keys failed: learn what has changed.
+        """Reread the state behind keys whose preconditions failed.
 
-        Raises LeadershipLostError where the leadership has. What can't be read now stays
-        as it was, and the next transaction fails in the same way.
+        Raises LeadershipLostError if the leader key is among them. State that cannot be read
+        now stays as it was, and the next transaction fails in the same way.
         """
         if LEADER_KEY in keys:
             raise LeadershipLostError("the leadership mark has changed")
@@ -96,7 +96,7 @@
                     revision = entry.revision if entry is not None else 0
                     self.shards.marked(key[len(records.ON_PREFIX) :], revision)
             except KeyValueStoreError as exc:
-                log.debug("repair of %s: %s", key, exc)
+                log.debug("%s not reread after a conflict: %s", key, exc)
 
     async def _reread_job(self, job_id: str) -> None:
         entry = await self.store.get(records.live_key(job_id), DECISION_PRIORITY)
@@ -108,10 +108,9 @@
                 job.revision = entry.revision
 
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
-        """A job is cancelled since `at`, by the time of day; a committed fact.
+        """Apply the committed cancellation of a job; `at` is its time of day.
 
-        Nothing here waits for the store: in an outage, kills of cancelled jobs must not be
-        kept back.
+        This does not wait for the store: an outage must not delay the kills of cancelled jobs.
         """
         wall_time, now = time.time(), await curio.clock()
         self.cancellations.add(job_id, at, wall_time)
@@ -119,16 +118,16 @@
         await self.request_plan()
 
     async def apply_known_cancellations(self) -> None:
-        """All that the record names; what was read in the failover may be older."""
+        """Apply all recorded cancellations; the state loaded by the failover may be older."""
         for job_id, at in self.cancellations.since(0.0):
             await self.on_job_cancelled(job_id, at)
 
     async def on_job_ended(self, job_id: str) -> None:
-        """A live job's key is gone: find out how it ended.
+        """Find out how a job ended whose `live/` key was deleted, and apply it.
 
-        A job that it has not seen complete can only have been cancelled: nobody but
-        its users and the leader ends jobs. So its tasks are stopped without a read.
-        What can't be read now is asked again by whoever moves the job.
+        Only users and the leader end jobs. A job that is not complete here can therefore only
+        have been cancelled, and its tasks are stopped without a read. If the read fails, it is
+        repeated when the job is next moved to `over/`.
         """
         job = self.scheduler.jobs.get(job_id)
         if job is not None and job.state is JobState.LIVE and not job.complete:
@@ -139,7 +138,7 @@
         try:
             entry = await self.store.get(records.over_key(job_id), DECISION_PRIORITY)
         except KeyValueStoreError as exc:
-            log.debug("end of %s not read: %s", job_id, exc)
+            log.debug("end of job %s not read: %s", job_id, exc)
             return
         now = await curio.clock()
         done = entry is not None and records.over_stage(entry.data) == wire.DONE
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -1,4 +1,4 @@
-"""What a term learns of changes in the store that others make: jobs, reservations, heartbeats."""
+"""Watches of a term on the store: jobs, reservations and forwarded heartbeats."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 log = logging.getLogger(__name__)
 
-#: Applies one change: the key without its prefix, its value or None where it is gone, and the
-#: revision of the change.
+#: Applies one change, given the key without its prefix, the value (None if the key was deleted)
+#: and the revision of the change.
 ApplyChange = Callable[[str, Any, int], Awaitable[None]]
 
 
 class OnForwarded(Protocol):
-    """Takes in heartbeats, packed, that a follower has answered and left in the store."""
+    """Processes packed heartbeats that a follower has answered and written to the store."""
 
     async def __call__(self, heartbeats: Any, /) -> None: ...
 
 
 class TermWatches:
-    """Follows the store's changes from the revisions at which the term's state was read.
+    """Watches the store from the revisions at which the term's state was loaded.
 
-    Every loop raises LeadershipLostError where the store no longer has all changes since.
+    Every loop raises LeadershipLostError if the store has compacted changes not yet seen.
     """
 
     def __init__(self, context: TermContext, on_forwarded: OnForwarded) -> None:
@@ -44,19 +44,19 @@
         self._seen_revisions: dict[str, int] = {}
 
     def start_from(self, revisions: dict[str, int]) -> None:
-        """Begin after these revisions, one for each prefix."""
+        """Set the revision after which to watch each prefix."""
         self._seen_revisions = revisions
 
     async def jobs_loop(self) -> None:
-        """Follow jobs that are submitted and cancelled on any controller."""
+        """Watch for jobs submitted or cancelled on any controller."""
         await self._watch(records.LIVE_PREFIX, self._on_job_changed)
 
     async def reservations_loop(self) -> None:
-        """Follow all controllers' reservations."""
+        """Watch the reservations of all controllers."""
         await self._watch(RESERVATION_PREFIX, self._on_reservations_changed)
 
     async def forwarded_loop(self) -> None:
-        """Follow heartbeats that followers leave in the store while no link reaches here."""
+        """Watch for heartbeats that followers forward by the store while no peer link works."""
         await self._watch(records.RELAY_PREFIX, self._on_forwarded_changed)
 
     async def _watch(self, prefix: str, apply_change: ApplyChange) -> None:
@@ -73,7 +73,7 @@
                 await self._context.request_plan()
 
     async def _next_page(self, prefix: str) -> WatchPage | None:
-        """The next changes under a prefix; None if the store did not answer."""
+        """Return the next changes under a prefix, or None if the request failed."""
         since = self._seen_revisions[prefix]
         try:
             return await self._context.store.watch(prefix, since, self._context.worker_lease_s)
@@ -98,7 +98,7 @@
         scheduler = self._context.scheduler
         job = scheduler.jobs.get(job_id)
         if data is None:
-            # Of a job that is complete here, whoever moves it learns the end.
+            # For a job that is complete here, moving it to `over/` finds out how it ended.
             if job is not None and job.state is JobState.LIVE and not job.complete:
                 await self._context.on_job_ended(job_id)
         elif job is None:
--- a/topazhold/control/waiting_loops.py
+++ b/topazhold/control/waiting_loops.py
@@ -1,4 +1,4 @@
-"""Loops that wait and work, again and again, until they are cancelled."""
+"""Periodic loops that run until they are cancelled."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 
 class LoopBody(Protocol):
-    """One pass of a loop; what it raises ends the loop."""
+    """One iteration of a loop; an exception ends the loop."""
 
     def __call__(self) -> Awaitable[object]: ...
 
 
 async def wait_then_work(pause_s: float, work: LoopBody) -> NoReturn:
-    """Wait `pause_s` seconds, work, and so on; raises what `work` raises."""
+    """Call `work` repeatedly, each time after `pause_s` seconds; raises what `work` raises."""
     while True:
         await curio.sleep(pause_s)
         await work()
 
 
 async def work_then_wait(pause_s: float, work: LoopBody) -> NoReturn:
-    """Work, wait `pause_s` seconds, and so on; raises what `work` raises."""
+    """Call `work` repeatedly, with `pause_s` seconds in between; raises what `work` raises."""
     while True:
         await work()
         await curio.sleep(pause_s)
