--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -1,4 +1,4 @@
-"""Where the tasks of arrays go: one by one, wherever they start soonest."""
+"""Placement of array tasks: one by one, on the machines where they start soonest."""
 
 from __future__ import annotations
 
@@ -17,38 +17,41 @@
 from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting
 from topazhold.core.start_objectives import StartObjectives
 
-#: Tasks of an array that get capacity back from other teams at once.
+#: Tasks of an array for which capacity is reclaimed from other teams in one round.
 MAX_RECLAIMED_TASKS = 16
-#: An array without capacity gets it back from other teams every so many heartbeat intervals.
+#: Heartbeat intervals that an array without capacity waits before each reclaim from other teams.
 RECLAIM_INTERVAL_HEARTBEATS = 2
-#: What a place costs on top of the time until a task starts there, in heartbeat intervals:
-#: where the job asked for a spot machine and this is none, where the machine is empty and
-#: could be returned, and for each job that failed there.
+#: Placement penalties in heartbeat intervals, added to the time until a task would start: an
+#: on-demand machine for a job that may use spot machines, an empty machine, which could otherwise
+#: be returned, and each job that has failed on the machine.
 NOT_SPOT_PENALTY_HEARTBEATS = 4
 EMPTY_PENALTY_HEARTBEATS = 2
 ERROR_PENALTY_HEARTBEATS = 5
-#: Share of a task's run time that is allowed for the tasks of a job starting one after another.
+#: Share of a task's run time that is left as slack, since a job's tasks seldom start all at once.
 STAGGERED_START_SHARE = 0.5
-#: In place of a zone, where tasks may go to none.
+#: Zone name that matches no machine, for tasks that can go to no zone.
 NO_ZONE = "\0none"
 
 
 class ArrayCandidate(NamedTuple):
-    """A machine with capacity for so many tasks of one job."""
+    """A machine, and the number of tasks of one job that it has capacity for."""
 
     machine: Machine
     slots: int
 
 
 class ReclaimChoice(NamedTuple):
-    """What it costs (in seconds of work) to get capacity for a task on a machine."""
+    """A machine, and the cost in seconds of work of preempting for one task there."""
 
     cost_s: float
     name: str
 
 
 def choose_shared_zone(zones: Mapping[str, int], candidates: Iterable[ArrayCandidate]) -> str:
-    """For tasks that must share a zone: the one that they are in already, or the roomiest."""
+    """Return the zone for tasks that must share one.
+
+    That is the zone that some of them are in already, or else the one with the most capacity.
+    """
     if zones:
         return next(iter(zones)) if len(zones) == 1 else NO_ZONE
     slots_by_zone: dict[str, int] = {}
@@ -58,9 +61,9 @@
 
 
 class ArrayPlacement:
-    """Plans arrays' tasks.
+    """Plans the tasks of arrays.
 
-    Owns, by job, since when an array has found no capacity or was last given some back.
+    Owns, by job, the time since which an array has found no capacity, or of its last reclaim.
     """
 
     def __init__(
@@ -82,7 +85,7 @@
         self._starved_since.pop(job_id, None)
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
-        """Plan as many tasks of an array as there is capacity for, and as its team may run."""
+        """Plan as many tasks of an array as capacity and its team's limit allow."""
         if not survey.allows_one_more(job):
             return
         reserved_by_machine = survey.reserved.reserved_for_others(
@@ -96,7 +99,7 @@
             self._starved_since.pop(job.id, None)
 
     def _place_tasks(self, job: Job, candidates: list[ArrayCandidate], survey: FleetSurvey) -> bool:
-        """Place tasks on the first places; whether none was left to place."""
+        """Place tasks on the candidates in order; return whether no task is left to place."""
         spec = job.spec
         zone_constrained = spec.same_place or spec.scatter
         zones = job.zones_used(self._cluster.zone_of) if zone_constrained else {}
@@ -126,7 +129,7 @@
         can_wait: bool,
         survey: FleetSurvey,
     ) -> bool:
-        """Whether one more task may go to a machine that has capacity for it."""
+        """Return whether one more task may go to a machine that has capacity for it."""
         if survey.is_full or not self._cluster.recordable(machine, 1):
             return False
         if can_wait and not machine.spot and not survey.has_spare_on_demand_gpus(job.need):
@@ -137,16 +140,15 @@
         return not (job.spec.scatter and zones.get(machine.zone, 0) >= max_in_zone)
 
     def _can_wait(self, job: Job, now: float) -> bool:
-        """Whether the job may wait: it has no objective for its start, and there is slack.
+        """Return whether the job can wait: it has no start objective, and has slack.
 
-        Also within its guarantee, if it may use spot machines: ordinary ones are all
-        that those have who may not.
+        A job within its guaranteed quota can wait only if it may use spot machines; otherwise
+        on-demand machines are all that it can run on.
         """
         if not self._objectives.keeps_reserve or self._objectives.shortest_s(job) is not None:
             return False
         if job.within_guarantee and not job.spec.spot:
             return False
-        # Its tasks seldom start all at once: half a task's run time is left for that.
         slack_s = self._cluster.lease_s
         return now < self._queue.due_at(
             job
@@ -155,10 +157,10 @@
     def _candidates(
         self, job: Job, reserved_by_machine: Mapping[str, Resources], survey: FleetSurvey
     ) -> list[ArrayCandidate]:
-        """Machines with capacity, the ones where tasks start soonest first.
+        """Return the machines with capacity, cheapest first.
 
-        Where an array finds none, one of the same kind whose turn comes later finds none
-        in this round: reservations keep the more from it, and capacity only gets less.
+        If an array finds none, a later array with the same request finds none either in this
+        round: more reservations bind it, and capacity only decreases. Such requests are skipped.
         """
         spec = job.spec
         urgency_level = job.urgency_level if spec.checkpoint_s > 0 else None
@@ -167,7 +169,7 @@
         if request in survey.unplaceable_requests:
             return []
         ranked = []
-        # Usable when the round began, and nothing is heard in between.
+        # These were usable when the round began; no heartbeat is handled during a round.
         for machine in survey.with_capacity:
             if machine.machine_type is None:
                 continue
@@ -188,7 +190,7 @@
         return [candidate for _, candidate in ranked]
 
     def _cost_s(self, job: Job, machine: Machine) -> float:
-        """Seconds until a task would start on a machine, and what else speaks against it."""
+        """Return the seconds until a task would start on a machine, plus penalties."""
         spec = job.spec
         cost_s = machine.fetch_s(spec.image, spec.image_gb)
         if spec.spot and not machine.spot:
@@ -202,7 +204,7 @@
     def _reclaim(
         self, job: Job, reserved_by_machine: Mapping[str, Resources], survey: FleetSurvey
     ) -> None:
-        """Within its guarantee a job gets back what other teams have borrowed."""
+        """Preempt other teams' borrowed capacity for a job within its guaranteed quota."""
         now = survey.now
         if not job.within_guarantee or not survey.allows_one_more(job):
             return
@@ -211,8 +213,8 @@
             return
         self._starved_since[job.id] = now
         remaining_tasks = min(job.waiting_count, MAX_RECLAIMED_TASKS)
-        # The cheapest first: a lone task of an urgent gang must not leave for one
-        # of an array where other arrays' tasks could.
+        # Cheapest first, so that no task of an urgent gang is preempted for an array task
+        # where tasks of other arrays could be.
         for choice in sorted(self._reclaim_choices(job, reserved_by_machine, now)):
             reserved = reserved_by_machine.get(choice.name, NO_RESOURCES)
             machine = self._cluster.machines[choice.name]
--- a/topazhold/core/estimates.py
+++ b/topazhold/core/estimates.py
@@ -1,33 +1,30 @@
-"""Run times: the owner's estimate, corrected by the observed ones of the job's class.
-
-And the time that images take to be fetched.
-"""
+"""Estimates of run times, corrected by those observed in a job's class, and of image fetches."""
 
 from __future__ import annotations
 
 import math
 
-#: A class may be corrected by this factor at the most, either way.
+#: Largest factor by which the estimates of a class are raised or lowered.
 MAX_CORRECTION = 3.0
-#: Weight of one more observed run time.
+#: Weight of a new observation in the moving average.
 OBSERVATION_WEIGHT = 0.15
-#: Share of the whole run time that a task is taken to need at least until its end.
+#: Share of the expected run time that is the least remaining time of a running task.
 MIN_REMAINING_SHARE = 0.15
 
 
 def fetch_s(image_gb: float, rate_gb_per_s: float) -> float:
-    """Seconds that the fetch of images takes; 0 if the rate is not known, which is given as 0."""
+    """Return the seconds that fetching images takes; 0 if the rate is 0, which means unknown."""
     return image_gb / rate_gb_per_s if rate_gb_per_s > 0 else 0.0
 
 
 class Estimates:
-    """Learns, per class, the ratio of run time to estimate."""
+    """A moving average of log(run time / estimate) per job class."""
 
     def __init__(self) -> None:
         self._log_ratio: dict[str, float] = {}
 
     def observe(self, job_class: str, estimated_s: float, actual_s: float) -> None:
-        """A task has run for `actual_s` seconds; times that are not positive are ignored."""
+        """Record the run time of a task; times that are not positive are ignored."""
         if estimated_s <= 0 or actual_s <= 0:
             return
         limit = math.log(MAX_CORRECTION)
@@ -36,14 +33,14 @@
         self._log_ratio[job_class] = previous + OBSERVATION_WEIGHT * (observed - previous)
 
     def correction(self, job_class: str) -> float:
-        """The factor by which estimates of the class are multiplied."""
+        """Return the factor by which estimates of the class are multiplied."""
         return math.exp(self._log_ratio.get(job_class, 0.0))
 
     def corrected_run_s(self, job_class: str, estimated_s: float) -> float:
-        """The corrected run time in seconds."""
+        """Return the corrected run time in seconds."""
         return estimated_s * self.correction(job_class)
 
     def remaining_s(self, job_class: str, estimated_s: float, elapsed_s: float) -> float:
-        """Seconds until the end, never near zero: a task may outlive its estimate."""
+        """Return the expected seconds until the end, never near 0: estimates can be exceeded."""
         expected_s = self.corrected_run_s(job_class, estimated_s)
         return max(expected_s - elapsed_s, MIN_REMAINING_SHARE * expected_s, 0.0)
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -1,4 +1,4 @@
-"""Who has to leave: orderly stops of tasks and gangs, preemption, and jobs that are over."""
+"""Eviction: orderly stops of tasks and gangs, preemption, and tasks of ended jobs."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 log = logging.getLogger(__name__)
 
-#: Heartbeat intervals for which a new leader waits for the workers' heartbeats before it releases
-#: a machine to enforce a cancellation.
+#: Heartbeat intervals for which a new leader collects the workers' heartbeats before it releases a
+#: machine to enforce a cancellation.
 SYNC_HEARTBEATS = 2.5
 #: Share of `cancel_s` after which a machine that still has a cancelled task is released.
 CANCEL_RELEASE_SHARE = 0.6
-#: Share of `cancel_s` after which a new leader no longer waits for the workers' heartbeats.
+#: Share of `cancel_s` after which a new leader no longer waits for heartbeats before a release.
 CANCEL_DEADLINE_SHARE = 0.8
 
 
 class Eviction:
-    """Stops tasks, and whole gangs together, as the rules for each allow.
+    """Stops single tasks and whole gangs.
 
-    Owns no state but the `GangTimeouts`: what is to stop is marked on the attempts themselves.
+    Owns no state but the `GangTimeouts`: requested stops are marked on the attempts themselves.
     """
 
     def __init__(self, cluster: ClusterState, objectives: StartObjectives) -> None:
@@ -38,7 +38,7 @@
         self._cancel_s = cluster.timing.cancel_s
 
     def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
-        """The job was moved to `over`, by this controller or another."""
+        """Handle the move of a job to `over` by this or another controller."""
         job = self._cluster.end_job(job_id, done, over_at)
         if job is None:
             return
@@ -50,7 +50,7 @@
         self._cluster.forget_if_ended(job)
 
     def stop_attempt(self, attempt: TaskAttempt, grace_s: float, reason: str, now: float) -> None:
-        """Stop one task; one whose launch has not left is simply dropped."""
+        """Stop one task; an attempt whose launch was not sent is dropped."""
         if attempt.state is AttemptState.WRITTEN:
             self._cluster.remove_attempt(attempt, now)
             return
@@ -66,7 +66,7 @@
         attempt.stop(grace_s, now)
 
     def stop_gang(self, job: Job, grace_s: float, reason: str, now: float) -> None:
-        """Stop all tasks of a gang at once; those whose launch has not left are dropped."""
+        """Stop all tasks of a gang at once; attempts whose launch was not sent are dropped."""
         newly_stopped = gangs.stop(job, grace_s, now)
         if newly_stopped:
             log.info("gang %s stopped: %s", job.id, reason)
@@ -84,7 +84,7 @@
             machine.count_change()
 
     def preempt(self, attempt: TaskAttempt, reason: str, now: float) -> None:
-        """Preempt a task, or its whole gang, with time to write a checkpoint if it has any."""
+        """Preempt a task or its whole gang, with time to save a checkpoint if the job has any."""
         job = attempt.job
         if job.gang:
             self.stop_gang(job, self._checkpoint_grace_s(job), reason, now)
@@ -95,18 +95,19 @@
         return job.spec.save_s + self._heartbeat_interval_s if job.spec.checkpoint_s > 0 else 0.0
 
     def advance_gang(self, job: Job, now: float) -> None:
-        """What time brings about for a live gang: ageing, progress of its start, a stop."""
+        """Apply what depends on time to a live gang: ageing, the start's progress, timeouts."""
         previous_state = job.gang_state
         if previous_state is GangState.WAITING and not job.is_aged:
-            # For good: else the work that gave way to it would stop it in turn.
+            # Ageing is never undone: work that was preempted for an aged gang would otherwise
+            # preempt it in turn.
             job.is_aged = now - job.arrived > self._objectives.ageing_threshold_s(job)
             self._cluster.count_changes(job.is_aged)
         reason = gangs.advance(job, self._timeouts, now)
         if job.gang_state is GangState.RUNNING and previous_state is GangState.STARTING:
-            log.info("gang %s runs, %.1f s after it came", job.id, now - job.arrived)
+            log.info("gang %s is running, %.1f s after it arrived", job.id, now - job.arrived)
         if reason is not None and not job.complete:
-            # A gang found saving at a failover must be let finish that: a second
-            # kill without grace would cost what it is about to have saved.
+            # A gang that is saving a checkpoint at a failover must finish that: a second kill
+            # without grace would lose the checkpoint.
             has_run = previous_state is GangState.RUNNING or any(
                 attempt.state is AttemptState.FLUSHING for attempt in job.attempts.values()
             )
@@ -116,7 +117,7 @@
         self._cluster.count_changes(job.gang_state is not previous_state)
 
     def stop_ended_job(self, job: Job, now: float) -> None:
-        """Tasks of a job that is over must leave their machines."""
+        """Stop the remaining tasks of a job that is over."""
         for attempt in list(job.attempts.values()):
             if job.state is JobState.DONE:
                 if now - attempt.since > self._lease_s and not attempt.stopping:
@@ -126,17 +127,18 @@
                 self._enforce_cancellation(attempt, now - job.cancelled_at, now)
 
     def _enforce_cancellation(self, attempt: TaskAttempt, age_s: float, now: float) -> None:
-        """Repeat a cancelled job's kill, or release the machine if it is of no avail."""
-        # A new leader first hears the workers, unless there is no time; past
-        # `cancel_s` nothing is gained by haste, and the tasks may long be killed.
+        """Repeat a cancelled task's kill, or release its machine if kills have no effect."""
+        # A new leader first collects the workers' heartbeats, unless `cancel_s` is about to
+        # expire. Once it has expired, a fast release gains nothing and the tasks may already
+        # be killed, so it waits for a whole lease.
         overdue = age_s > self._cancel_s
         sync_s = self._lease_s if overdue else SYNC_HEARTBEATS * self._heartbeat_interval_s
         deadline_near = not overdue and age_s > CANCEL_DEADLINE_SHARE * self._cancel_s
         workers_synced = now - self._cluster.since > sync_s or deadline_near
         machine = self._cluster.machines.get(attempt.machine)
         if age_s > CANCEL_RELEASE_SHARE * self._cancel_s and workers_synced and machine is not None:
-            # A task that nobody can be shown to have stopped takes its
-            # machine with it: after cancel_s it must not be anywhere.
+            # No cancelled task may run anywhere after `cancel_s`: if it is not proven to have
+            # stopped, its machine is released.
             self._cluster.release(machine, f"can't stop {attempt.task_name}", now)
         elif now - attempt.stop_at > self._heartbeat_interval_s:
             self._cluster.request_command(attempt.machine)
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -1,4 +1,4 @@
-"""What a scheduling round knows of the whole fleet."""
+"""The view of the whole fleet that a scheduling round works with."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting, fits
 from topazhold.core.task_attempts import TaskAttempt
 
-#: Attempts planned in one round.
+#: Most array and replica attempts planned in one round; a gang may exceed it.
 MAX_PLACED_TASKS = 96
-#: Kinds of other work that are looked at to tell whether a replica is in their way.
+#: Task sizes of other jobs that are checked for displacement by a replica, the largest first.
 MAX_TASK_SIZES = 24
 
 
 class TeamClaim(NamedTuple):
-    """What gangs whose machines are free are to have of their team's limit."""
+    """The part of a team's limit that is kept for gangs whose machines are free."""
 
     cpus: float = 0.0
     gpus: float = 0.0
@@ -29,9 +29,9 @@
 
 
 class NonServiceSizes:
-    """Sizes of the tasks of unfinished jobs other than services, and what replicas cost them.
+    """Task sizes of live jobs other than services, and how far a replica would displace them.
 
-    Owns the memo of shares by what services take of a machine of one type.
+    Owns a cache of the shares, by machine type and what services use of the machine.
     """
 
     def __init__(self, jobs: Iterable[Job]) -> None:
@@ -41,8 +41,10 @@
         self._shares: dict[object, float] = {}
 
     def displaced_share(self, machine: Machine, need: Resources) -> float:
-        """Of the kinds of other work, the share of which the machine would take fewer tasks
-        beside one more replica of this size."""
+        """Return the share of the task sizes that lose slots on the machine to one more replica.
+
+        `need` is the replica's; resources that services use already are not counted as free.
+        """
         assert machine.machine_type is not None
         services = NO_RESOURCES
         for attempt in machine.attempts.values():
@@ -69,13 +71,13 @@
 
 
 class FleetSurvey:
-    """The fleet as one round sees it: surveyed at its start, kept up as tasks are placed.
+    """The fleet in one round: surveyed at its start and updated as tasks are placed.
 
-    What many jobs ask for is added up once per round, so that its cost does not grow with
+    Values that many jobs need are computed once per round, so that the cost does not grow with
     jobs times machines times reservations. Owns `planned` (the round's attempts), `with_capacity`
-    (usable machines with capacity for some waiting task), `reserved` (what reservations keep),
-    `unplaceable_requests` (kinds of arrays that found no capacity), the teams' claims, the GPUs
-    that are free beyond the reserve, and the sizes of other work.
+    (usable machines with capacity for some waiting task), `reserved` (reserved resources),
+    `unplaceable_requests` (requests of arrays that found no capacity), the teams' claims, the
+    on-demand GPUs that are free beyond the reserve, and the task sizes of jobs other than services.
     """
 
     def __init__(
@@ -103,22 +105,22 @@
                     total += machine.total[1]
                 if fits(smallest_need, available):
                     self.with_capacity.append(machine)
-        # Classes that are to start within seconds can't wait for others to save and leave;
-        # so work that can wait does not fill the last ordinary machines.
+        # Classes that must start within seconds can't wait until preempted tasks have saved
+        # their checkpoints, so work that can wait must not fill the last on-demand machines.
         self._spare_on_demand_gpus = free - reserve_share * total
 
     @property
     def is_full(self) -> bool:
-        """Whether the round may plan no more."""
+        """Whether the round may plan no more attempts."""
         return len(self.planned) >= MAX_PLACED_TASKS
 
     # -- claims on teams' limits ---------------------------------------------
 
     def claim(self, job: Job) -> None:
-        """Keep what a gang needs of its team's limit from jobs whose turn comes later.
+        """Withhold what a gang needs of its team's limit from jobs later in the queue.
 
-        Without it a team's arrays take up its limit task by task, and a gang
-        that needs more at once waits until they are all done.
+        Otherwise the team's arrays would use up the limit task by task, and a gang, which needs
+        its share at once, would wait until they are all done.
         """
         cpus, gpus = self.claimed(job)
         size = job.spec.tasks
@@ -127,14 +129,14 @@
         )
 
     def claimed(self, job: Job) -> TeamClaim:
-        """What gangs of the job's team have claimed so far."""
+        """Return what gangs of the job's team have claimed so far."""
         return self._claims.get(job.spec.team, NO_CLAIM)
 
     def allows_one_more(self, job: Job) -> bool:
-        """Whether one more task of the job stays within its team's limit."""
+        """Return whether one more task of the job stays within its team's limit."""
         return self._cluster.usage.allows(job, 1, self.claimed(job))
 
-    # -- what is placed --------------------------------------------------------
+    # -- placed attempts -----------------------------------------------------
 
     def place(self, job: Job, index: int, machine: Machine) -> None:
         """Plan an attempt of one task of an array or a service."""
@@ -144,21 +146,21 @@
         self.planned.append(attempt)
 
     def on_gang_placed(self, job: Job, attempts: list[TaskAttempt]) -> None:
-        """A gang starts: its reservation keeps nothing any more."""
+        """Record the start of a gang, whose reservation then no longer binds others."""
         self.reserved.release(job.id)
         self.unplaceable_requests.clear()
         self.planned += attempts
 
     def has_spare_on_demand_gpus(self, need: Resources) -> bool:
-        """Whether a task leaves the reserve of ordinary machines untouched."""
+        """Return whether a task leaves the GPU reserve of on-demand machines untouched."""
         return self._spare_on_demand_gpus >= need[1]
 
     def use_on_demand_gpus(self, need: Resources) -> None:
-        """A task was placed on an ordinary machine."""
+        """Count the GPUs of a task placed on an on-demand machine."""
         self._spare_on_demand_gpus -= need[1]
 
     def non_service_sizes(self) -> NonServiceSizes:
-        """The sizes of other work, looked at once per round."""
+        """Return the task sizes of jobs other than services, collected once per round."""
         if self._non_service_sizes is None:
             self._non_service_sizes = NonServiceSizes(self._cluster.jobs.values())
         return self._non_service_sizes
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -1,4 +1,4 @@
-"""Where gangs go: to the machines reserved for them, all tasks at once or none."""
+"""Placement of gangs: on the machines reserved for them, all tasks at once or none."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 log = logging.getLogger(__name__)
 
-#: While a gang's capacity is made, not even work that yields comes in between for so many
-#: heartbeat intervals.
+#: Heartbeat intervals after a preemption for a gang during which its reservation binds all work,
+#: even work that could be preempted again.
 GATHERING_HEARTBEATS = 2
 
 
 class Shortfall(NamedTuple):
-    """A reserved machine that lacks capacity, and what the gang needs there in all."""
+    """A reserved machine that lacks capacity, and the gang's total need on it."""
 
     machine: Machine
     total_need: Resources
 
 
 class GangPlacement:
-    """Plans gangs by their reservations. Owns no state."""
+    """Plans gangs on their reserved machines. Owns no state."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         self._gathering_s = GATHERING_HEARTBEATS * cluster.heartbeat_interval_s
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
-        """Plan all tasks of a gang, or do what brings its start nearer."""
+        """Plan all tasks of a gang, or preempt work that keeps it from starting."""
         reservation = self._reservations.valid_reservation(job)
         if reservation is None or not self._limits.fits_with_preemption(job):
             return
@@ -60,7 +60,7 @@
             return
         claimed = survey.claimed(job)
         if not self._cluster.usage.allows(job, job.spec.tasks, claimed):
-            # The machines are free and only the team's own limit is in the way.
+            # The machines are free; only the team's limit prevents the start.
             if claimed == NO_CLAIM:
                 self._limits.preempt_for(job, survey.now)
             survey.claim(job)
@@ -118,7 +118,7 @@
         reserved_by_machine: Mapping[str, Resources],
         now: float,
     ) -> None:
-        """Stop others for a reserved group, all of it or nothing."""
+        """Preempt on all reserved machines that lack capacity, or on none of them."""
         chosen: list[TaskAttempt] = []
         for machine, total_need in shortfalls:
             if not self._cluster.usable(machine, now):
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -1,20 +1,20 @@
-"""The gang's state machine: start together, or stop in order and wait again."""
+"""The state machine of a gang: start all tasks together, or stop them all and wait again."""
 
 from __future__ import annotations
 
 from topazhold.core.jobs import GangState, Job
 from topazhold.core.task_attempts import ON_MACHINE, AttemptState, TaskAttempt
 
-#: Heartbeat intervals from the last fetched image until all tasks must run.
+#: Heartbeat intervals after the last image was fetched within which the gang must run.
 START_HEARTBEATS = 1.5
-#: Heartbeat intervals from the intents until all launches must have been observed.
+#: Heartbeat intervals after the intents within which every worker must have taken its task.
 LAUNCH_HEARTBEATS = 3.5
-#: Share of the workers' own limit for a gang's start, which must not expire first.
+#: Share of the workers' own limit `gang_wait_s`: the leader's limit must expire first.
 WAIT_SHARE = 0.8
 
 
 class GangTimeouts:
-    """Time limits of a gang's start in seconds, as ratios to the workers' settings."""
+    """Time limits of a gang's start in seconds, derived from the workers' settings."""
 
     def __init__(self, heartbeat_interval_s: float, gang_wait_s: float) -> None:
         self.start_s = START_HEARTBEATS * heartbeat_interval_s
@@ -23,7 +23,7 @@
 
 
 def start(job: Job, attempts: list[TaskAttempt], now: float) -> None:
-    """The gang's intents are planned."""
+    """Attach the planned attempts of a waiting gang and start it."""
     assert job.gang_state is GangState.WAITING and not job.attempts
     for attempt in attempts:
         job.add_attempt(attempt)
@@ -31,10 +31,10 @@
 
 
 def stop(job: Job, grace_s: float, now: float) -> list[TaskAttempt]:
-    """Stop all tasks at once; the attempts that this newly stops are returned.
+    """Stop all tasks at once; return the attempts whose stop is new or has less grace.
 
-    A stop reaches a gang in order only if every task is told within
-    `gang_peer_s` of the first, so none is ever stopped alone.
+    No task of a gang is ever stopped alone: a gang stops in an orderly way only if every task
+    gets the stop within `gang_peer_s` of the first one.
     """
     newly_stopped = []
     for attempt in job.attempts.values():
@@ -47,7 +47,7 @@
 
 
 def advance(job: Job, timeouts: GangTimeouts, now: float) -> str | None:
-    """Move on with what is known of the tasks; a reason if the gang must stop."""
+    """Advance the gang's state by those of its tasks; return a reason if it must stop."""
     attempts = job.attempts
     if job.gang_state is GangState.STOPPING:
         if not attempts:
@@ -93,7 +93,7 @@
 
 
 def restore(job: Job, now: float) -> None:
-    """A new leader's first view of a gang: its intents are its tasks."""
+    """Set the state of a gang at a failover, from the attempts that its intents name."""
     if not job.attempts:
         job.enter_gang_state(GangState.WAITING, now)
     elif (
--- a/topazhold/core/job_queue.py
+++ b/topazhold/core/job_queue.py
@@ -1,4 +1,4 @@
-"""The order in which jobs that wait have their turn."""
+"""The queue of jobs that have tasks to place."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class JobQueue:
-    """Jobs with tasks to place. Owns no state."""
+    """Orders the jobs with tasks to place. Owns no state."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
 
     def waiting_jobs(self, now: float) -> list[Job]:
-        """Live jobs that have tasks to place now, in the order of their turns."""
+        """Return the live jobs that have tasks to place now, in queue order."""
         jobs = [
             job
             for job in self._cluster.jobs.values()
@@ -27,12 +27,12 @@
         return jobs
 
     def due_at(self, job: Job) -> float:
-        """When the job should have begun: deadlines by slack, others by arrival."""
+        """Return the latest start that meets the job's deadline; its arrival without one."""
         spec = job.spec
         if spec.deadline_s is None:
             return job.arrived
         return job.arrived + spec.deadline_s - self.expected_run_s(job)
 
     def expected_run_s(self, job: Job) -> float:
-        """How long a task of the job is expected to run, in seconds."""
+        """Return the expected run time of a task of the job, in seconds."""
         return self._cluster.estimates.corrected_run_s(job.spec.job_class, job.spec.estimated_run_s)
--- a/topazhold/core/placement_constraints.py
+++ b/topazhold/core/placement_constraints.py
@@ -1,4 +1,4 @@
-"""Where a job's specification lets its tasks be."""
+"""Placement constraints of job specifications."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 def placement_allowed(spec: JobSpec, machine_type: str, zone: str, spot: bool) -> bool:
-    """Whether the job may be placed on machines of this type, zone and kind."""
+    """Return whether the job may run on machines of this type and zone, spot or on-demand."""
     if spec.machine_types is not None and machine_type not in spec.machine_types:
         return False
     if spec.zone is not None and zone != spec.zone:
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -1,4 +1,4 @@
-"""Who may be preempted for whom, and whom it costs least to preempt."""
+"""Preemption rules: which work may preempt which, and the victims that cost least."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 from topazhold.core.resources import add_resources, fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
-#: Seconds of work; what preempting a replica costs: it is the last to be chosen.
+#: Seconds of work; cost of preempting a replica, so high that replicas are chosen last.
 SERVICE_COST_S = 1e5
-#: Seconds of work that every preempted task costs beside what it loses.
+#: Seconds of work; cost of each preempted task in addition to the work that it loses.
 TASK_COST_S = 1.0
-#: Seconds of work that each level above the least urgent one adds.
+#: Seconds of work; cost of each urgency level of the victim above the least urgent one.
 URGENCY_LEVEL_COST_S = 10.0
-#: Seconds of work that each level above the preempting work's adds.
+#: Seconds of work; cost of each urgency level of the victim above that of the preempting work.
 MORE_URGENT_COST_S = 60.0
 LEAST_URGENT_LEVEL = URGENCY_LEVELS - 1
 
 
 def priority(job: Job) -> Priority:
-    """The order in which work is scheduled: within a guaranteed quota first, then by urgency.
+    """Return the job's priority: work within a guaranteed quota first, then by urgency.
 
-    An aged gang counts as within its guaranteed quota. Without that, work within such quotas
-    fills every machine that a large gang needs, task by task, and the gang never begins.
+    An aged gang counts as within its guaranteed quota. Otherwise work within such quotas would
+    fill every machine that a large gang needs, task by task, and the gang would never start.
     """
     return (0 if job.within_guarantee or job.is_aged else 1, job.urgency_level)
 
 
 def queue_key(job: Job) -> QueueKey:
-    """The job's place in the queue: by priority, then by the wait objective of its class.
+    """Return the job's sort key in the queue: priority, then the wait objective of its class.
 
-    An aged gang goes before all others of its priority, by the time of its submission.
+    Aged gangs come before all other jobs of their priority, in order of submission.
     """
     return (*priority(job), job.submitted if job.is_aged else NOT_AGED + job.wait_objective_s)
 
 
 def priority_may_preempt(preempting: Priority, victim: Job) -> bool:
-    """Whether work of a priority might preempt the victim, teams left aside."""
+    """Return whether work of a priority might preempt the victim, regardless of teams."""
     outside_quota, urgency_level = preempting
     if outside_quota == AGED:
         return victim.urgency_level > urgency_level
@@ -51,11 +51,11 @@
 
 
 def may_preempt(job: Job, victim: Job, usage: Usage) -> bool:
-    """Whether the job may preempt the victim.
+    """Return whether the job may preempt the victim.
 
-    It may with the higher urgency, or within its guaranteed quota what another team uses
-    beyond its own. Both only against work of lower priority: else urgent work beyond a quota
-    and less urgent work within one would preempt each other in turn for ever.
+    It may if it is more urgent, or if it is within its guaranteed quota and the victim's team
+    exceeds its own. Either way the victim must have the lower priority: otherwise urgent work
+    beyond a quota and less urgent work within one would preempt each other forever.
     """
     if priority(job) >= priority(victim):
         return False
@@ -69,9 +69,9 @@
 
 
 def preemption_cost_s(attempt: TaskAttempt, now: float, urgency_level: int = 0) -> float:
-    """Seconds of work that preempting the attempt costs, over all tasks that stop with it.
+    """Return the cost in seconds of work of preempting the attempt, with its gang if it has one.
 
-    `urgency_level` is that of the work that it would be preempted for.
+    `urgency_level` is that of the preempting work.
     """
     job = attempt.job
     tasks = len(job.attempts) if job.gang else 1
@@ -90,9 +90,10 @@
 def select_victims(
     machine: Machine, need: Resources, job: Job, usage: Usage, reserved: Resources, now: float
 ) -> list[TaskAttempt] | None:
-    """Attempts to preempt so that `need` fits; [] if it will fit anyhow, None if it can't.
+    """Return the attempts to preempt so that `need` fits on the machine.
 
-    `reserved` is what is kept for others on the machine.
+    Empty if it will fit without preemption, None if it can't fit. `reserved` is what is reserved
+    for others on the machine.
     """
     available = add_resources(machine.free(), reserved, -1.0)
     candidates: list[TaskAttempt] = []
@@ -103,7 +104,7 @@
             available = add_resources(available, attempt.job.need)
         elif may_preempt(job, attempt.job, usage) and attempt.job is not job:
             if attempt.job.gang and attempt.job.gang_state is GangState.STARTING:
-                continue  # not running yet: its own time limit decides first
+                continue  # still starting: its start timeout applies first
             if attempt.state is not AttemptState.INTENDED:
                 candidates.append(attempt)
     if fits(need, available):
--- a/topazhold/core/quota.py
+++ b/topazhold/core/quota.py
@@ -1,6 +1,6 @@
-"""What teams use, their quota limits and their guaranteed quotas.
+"""Usage, quota limits and guaranteed quotas of teams.
 
-A limit or a guaranteed quota of 0 means that there is none.
+A limit or guaranteed quota of 0 means that there is none.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def team_limit_allows(team: Team, cpus: float, gpus: float) -> bool:
-    """Whether the team may use so much at once."""
+    """Return whether the team's limits allow this usage."""
     if team.cpus_max and cpus > team.cpus_max + AMOUNT_TOLERANCE:
         return False
     return not team.gpus_max or gpus <= team.gpus_max + AMOUNT_TOLERANCE
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class _Remaining:
-    """What a team's limits leave; None: no limit."""
+    """What remains of a team's limits; None if there is no limit."""
 
     cpus: float | None
     gpus: float | None
 
 
 class RemainingQuota:
-    """What the teams' limits leave to jobs that are counted one after the other."""
+    """What remains of the teams' limits as jobs consume them one after the other."""
 
     def __init__(self, teams: Mapping[str, Team]) -> None:
         self._remaining = {
@@ -38,9 +38,9 @@
         }
 
     def consume(self, job: Job, tasks: int) -> int:
-        """How many of the job's tasks the limits still take; they leave less to later jobs.
+        """Deduct as many of `tasks` tasks as the limits allow; return how many that is.
 
-        None of a team that the settings don't name: it may use nothing.
+        It is 0 for a team that the settings don't name.
         """
         remaining = self._remaining.get(job.spec.team)
         if remaining is None:
@@ -55,14 +55,14 @@
 
 
 def _count_within(remaining: float | None, need: float, tasks: int) -> int:
-    """How many of so many tasks find what each needs in what is left; None is no limit."""
+    """Return how many of `tasks` tasks fit the remaining amount; None is no limit."""
     if remaining is None or need <= AMOUNT_TOLERANCE:
         return tasks
     return max(0, min(tasks, int((remaining + AMOUNT_TOLERANCE) // need)))
 
 
 class Usage:
-    """Counts, per team, the CPUs and GPUs of every attempt from its intent until it is gone."""
+    """CPUs and GPUs in use per team, counted for each attempt from its intent until it is gone."""
 
     def __init__(self, teams: Iterable[Team]) -> None:
         self.teams = {team.name: team for team in teams}
@@ -71,20 +71,20 @@
         }
 
     def add(self, job: Job, count: int = 1) -> None:
-        """Count so many more tasks of the job."""
+        """Add the usage of `count` tasks of the job."""
         used = self._used.setdefault(job.spec.team, [0.0, 0.0])
         used[0] += job.need[0] * count
         used[1] += job.need[1] * count
 
     def remove(self, job: Job, count: int = 1) -> None:
-        """Count so many tasks of the job less."""
+        """Subtract the usage of `count` tasks of the job."""
         self.add(job, -count)
 
     def allows(self, job: Job, count: int = 1, claimed: tuple[float, float] = (0.0, 0.0)) -> bool:
-        """Whether `count` more tasks of the job stay within its team's limit.
+        """Return whether `count` more tasks of the job stay within its team's limit.
 
-        `claimed` is the CPUs and GPUs that others of the team are to have first; a negative
-        amount is what some of them would give up.
+        `claimed` is the CPUs and GPUs that other jobs of the team are to get first; a negative
+        amount is what preempting some of them would free.
         """
         team = self.teams.get(job.spec.team)
         if team is None:
@@ -97,7 +97,7 @@
         )
 
     def exceeds_guarantee(self, team_name: str) -> bool:
-        """Whether the team uses more than its guaranteed quota; a team without one always does."""
+        """Return whether the team exceeds its guaranteed quota; a team without one always does."""
         team = self.teams.get(team_name)
         used = self._used.get(team_name)
         if team is None or used is None:
@@ -108,13 +108,13 @@
         return not team.cpus and not team.gpus
 
     def used(self, team_name: str) -> tuple[float, float]:
-        """CPUs and GPUs that the team uses now."""
+        """Return the CPUs and GPUs that the team uses now."""
         used = self._used.get(team_name, (0.0, 0.0))
         return (used[0], used[1])
 
 
 def mark_guaranteed(jobs: Iterable[Job], teams: dict[str, Team]) -> None:
-    """Set `within_guarantee` on jobs that fit their team's quota with its earlier ones."""
+    """Set `within_guarantee` of each job: whether it and its team's earlier jobs fit the quota."""
     totals: dict[str, list[float]] = {}
     for job in sorted(jobs, key=lambda job: (job.submitted, job.id)):
         team = teams.get(job.spec.team)
@@ -127,10 +127,10 @@
 
 
 def _needs_no_guaranteed_resource(team: Team, job: Job) -> bool:
-    """Whether the job needs nothing of what its team is guaranteed, so that it exceeds nothing.
+    """Return whether the job needs none of the resources that its team has a guarantee for.
 
-    Services beside work on GPUs are like that: without this a team's training jobs would
-    put its services outside a quota that counts GPUs only.
+    Such a job can't exceed the quota. Without this rule, a team's training jobs would put its
+    CPU-only services outside a quota that counts GPUs only.
     """
     needs = [
         need
@@ -141,7 +141,7 @@
 
 
 def _fits_guarantee(team: Team, total: list[float]) -> bool:
-    """Whether so many CPUs and GPUs are guaranteed; without a quota of GPUs, none of these is."""
+    """Return whether `total` fits the guaranteed quota; without a GPU quota it includes no GPU."""
     if not team.gpus and not team.cpus:
         return False
     if team.gpus and total[1] > team.gpus + AMOUNT_TOLERANCE:
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -1,4 +1,8 @@
-"""Where the replicas of services go: soon, apart from each other, and in nobody's way."""
+"""Placement of service replicas.
+
+A replica should start soon, apart from the job's other replicas, and where it displaces the
+least other work.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +22,25 @@
 from topazhold.core.resources import NO_RESOURCES, add_resources, count_fitting
 from topazhold.core.task_attempts import TaskAttempt
 
-#: What a place costs on top of the time until a replica starts there, in heartbeat intervals:
-#: where another replica of the job is, where the machine takes less other work from then
-#: on, where it is empty and could be returned, or may be taken back, or fails tasks.
+#: Placement penalties in heartbeat intervals, added to the time until a replica would start: a
+#: machine or zone with another replica of the job, a machine that would fit fewer tasks of other
+#: jobs, an empty machine, which could otherwise be returned, a spot machine, which the cloud can
+#: reclaim, and each job that has failed on the machine.
 SAME_MACHINE_PENALTY_HEARTBEATS = 20.0
 SAME_ZONE_PENALTY_HEARTBEATS = 0.1
 DISPLACEMENT_PENALTY_HEARTBEATS = 8.0
 EMPTY_PENALTY_HEARTBEATS = 3.0
 SPOT_PENALTY_HEARTBEATS = 10.0
 ERROR_PENALTY_HEARTBEATS = 5.0
-#: A heartbeat comes an interval after the last one, give or take this share of it.
+#: Share of the heartbeat interval by which a heartbeat may be early or late.
 HEARTBEAT_JITTER = 0.25
-#: A machine on which a replica failed is avoided for so many leases.
+#: Lease durations for which a machine is avoided after a replica failed on it.
 FAILURE_AVOIDANCE_LEASES = 4.0
 
 
 @dataclass(slots=True)
 class ReplicaCandidate:
-    """A machine with capacity for so many more replicas of one job, and what the next one costs."""
+    """A machine, the cost of a replica there, and how many more replicas it can take."""
 
     machine: Machine
     cost_s: float
@@ -43,7 +48,7 @@
 
 
 class PreemptionChoice(NamedTuple):
-    """What it costs (in seconds of work) to stop these attempts on a machine."""
+    """Attempts on a machine that could be preempted, and their cost in seconds of work."""
 
     cost_s: float
     name: str
@@ -51,9 +56,9 @@
 
 
 class ReplicaPlacement:
-    """Plans services' replicas, first ones and replacements alike.
+    """Plans the replicas of services, first ones and replacements alike.
 
-    Owns, by job, when capacity was last made for a service that had none.
+    Owns, by job, the time of the last preemption for a service without capacity.
     """
 
     def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
@@ -67,7 +72,7 @@
         self._preempted_at.pop(job_id, None)
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
-        """Plan as many replicas as there is capacity for, and preempt for those that have none."""
+        """Plan as many replicas as there is capacity for, and preempt for the others."""
         if not survey.allows_one_more(job):
             return
         reserved_by_machine = survey.reserved.reserved_for_others(job.id, preemption.queue_key(job))
@@ -92,7 +97,7 @@
         zones: dict[str, int],
         survey: FleetSurvey,
     ) -> None:
-        """The cheapest places first; each replica makes its machine and zone dearer."""
+        """Fill the cheapest candidates first; each replica raises its machine's and zone's cost."""
         on_machine: dict[str, int] = {}
         for attempt in job.attempts.values():
             on_machine[attempt.machine] = on_machine.get(attempt.machine, 0) + 1
@@ -130,7 +135,7 @@
     def _candidates(
         self, job: Job, reserved_by_machine: Mapping[str, Resources], survey: FleetSurvey
     ) -> list[ReplicaCandidate]:
-        """Machines that have capacity now."""
+        """Return the machines that have capacity now."""
         spec = job.spec
         candidates = []
         for machine in survey.with_capacity:
@@ -149,7 +154,7 @@
         return candidates
 
     def _cost_s(self, job: Job, machine: Machine, survey: FleetSurvey) -> float:
-        """Seconds until a replica would start on a machine, and what else speaks against it."""
+        """Return the seconds until a replica would start on a machine, plus penalties."""
         now = survey.now
         penalty_heartbeats = (
             DISPLACEMENT_PENALTY_HEARTBEATS
@@ -171,9 +176,9 @@
         return delay_s + penalty_heartbeats * self._heartbeat_interval_s
 
     def _launch_delay_s(self, machine: Machine, now: float) -> float:
-        """Seconds until the worker is likely to send a heartbeat, and so can take a launch.
+        """Return the expected seconds until the worker's next heartbeat, when it can get a launch.
 
-        Whether it can be woken is left aside: that brings its heartbeat no sooner.
+        Whether the worker can be woken is ignored: that does not bring its heartbeat forward.
         """
         last_heartbeat_at = (
             machine.last_heartbeat_at if machine.last_heartbeat_at is not None else now
@@ -189,7 +194,7 @@
         zones: Mapping[str, int],
         now: float,
     ) -> None:
-        """Stop what costs least for replicas that have no place, as the rules allow."""
+        """Preempt the cheapest victims that the rules allow, for replicas without capacity."""
         preempted_at = self._preempted_at.get(job.id)
         if preempted_at is not None and now - preempted_at < self._heartbeat_interval_s:
             return
@@ -198,7 +203,7 @@
         choices: list[PreemptionChoice] = []
         for machine, victims in self._preemption_options(job, reserved_by_machine, zones, now):
             if not victims:
-                already_freeing += 1  # something is leaving already
+                already_freeing += 1  # tasks that are stopping already make enough room
                 continue
             cost_s = sum(
                 preemption.preemption_cost_s(attempt, now, job.urgency_level) for attempt in victims
@@ -217,7 +222,7 @@
         zones: Mapping[str, int],
         now: float,
     ) -> Iterator[tuple[Machine, list[TaskAttempt]]]:
-        """Machines where a replica would fit, and the attempts to stop for it there."""
+        """Yield machines where a replica could fit, and the attempts to preempt for it there."""
         cluster = self._cluster
         for machine in cluster.machines.values():
             if not cluster.usable(machine, now) or machine.machine_type is None:
@@ -237,5 +242,5 @@
 
 
 def _zone_full(job: Job, in_zone: int) -> bool:
-    """Whether a job whose replicas are to be scattered may have no more in a zone."""
+    """Return whether a scattered job may have no more replicas in a zone that has `in_zone`."""
     return job.spec.scatter and in_zone >= (job.spec.tasks + 1) // 2
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -1,9 +1,9 @@
-"""A scheduling round: which tasks that wait are placed where now.
+"""Scheduling rounds: decide which waiting tasks are placed now, and on which machines.
 
-Its phases: the guarantees are brought up to date, the jobs that wait are put in the order of
-their turns, the fleet is surveyed, and each job places what it can by the rules of its shape.
-What is planned is bound by its intents: once these are written, or have failed for good, the
-round is told so.
+A round refreshes the guaranteed quotas, sorts the waiting jobs into queue order, surveys the
+fleet, and lets each job place what it can by the strategy for its shape. Planned attempts become
+binding with their intents in the key-value store; `intents_written` and `intents_failed` report
+the outcome of each write.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class PlacementStrategies(NamedTuple):
-    """What places the tasks of jobs of each shape."""
+    """The placement strategy for each shape of job."""
 
     gangs: GangPlacement
     arrays: ArrayPlacement
@@ -34,7 +34,7 @@
 
 
 class SchedulingRounds:
-    """Makes one round after another.
+    """Runs the scheduling rounds of a leader.
 
     Owns the sizes of the tasks that waited in the last round.
     """
@@ -48,7 +48,11 @@
         commands: WorkerCommands,
         reserve_share: float,
     ) -> None:
-        """`reserve_share`: of the GPUs of ordinary machines, kept free by work that can wait."""
+        """Initialize the rounds.
+
+        `reserve_share` is the share of the GPUs of on-demand machines that jobs which can wait
+        leave free.
+        """
         self._cluster = cluster
         self._queue = queue
         self._reservations = reservations
@@ -59,9 +63,10 @@
         self._smallest_need = NO_RESOURCES
 
     def could_place_on(self, machine: Machine, now: float) -> bool:
-        """Whether a round might place something on this machine.
+        """Return whether a round might place a task on this machine.
 
-        Asked at every heartbeat: of the sizes that waited in the last round, not of all jobs.
+        Called for every heartbeat, so it checks only the task sizes that waited in the last
+        round instead of all jobs.
         """
         available = machine.free()
         if not fits(self._smallest_need, available) or not self._cluster.usable(machine, now):
@@ -69,7 +74,7 @@
         return any(fits(need, available) for need in self._waiting_needs)
 
     def plan(self, now: float) -> list[TaskAttempt]:
-        """New attempts; their intents are to be written before anything else."""
+        """Return new attempts; their intents must be written before any other effect."""
         self._cluster.refresh_guarantees()
         jobs = self._queue.waiting_jobs(now)
         self._waiting_needs = {job.need for job in jobs}
@@ -100,13 +105,13 @@
             self._placement.arrays.place(job, survey)
 
     def intents_written(self, attempts: Iterable[TaskAttempt], now: float) -> None:
-        """The intents of these attempts are committed: their launches may leave."""
+        """Allow the launches of these attempts, whose intents are committed."""
         self._cluster.count_changes()
         for attempt in attempts:
             if attempt.state is AttemptState.INTENDED:
                 attempt.written(now)
-                # Only now is the reservation used up. Used up by a plan whose intents
-                # then failed, it would keep its gang from ever starting.
+                # A reservation is used up only here. If planning used it up and the intents
+                # then failed, its gang could never start.
                 attempt.job.used_reservation = max(
                     attempt.job.used_reservation, attempt.job.starting_reservation
                 )
@@ -116,7 +121,7 @@
                     self._commands.wake(self._cluster.machines[attempt.machine], now)
 
     def intents_failed(self, attempts: Iterable[TaskAttempt], now: float) -> None:
-        """The transaction failed for good: none of it was or will be written."""
+        """Drop these attempts: their transaction failed and will never be applied."""
         for attempt in attempts:
             if attempt.state is AttemptState.INTENDED:
                 self._cluster.remove_attempt(attempt, now)
--- a/topazhold/core/start_objectives.py
+++ b/topazhold/core/start_objectives.py
@@ -1,4 +1,4 @@
-"""How soon jobs are to start: their classes' objectives, and ageing against starvation."""
+"""Start objectives of job classes, and ageing of gangs against starvation."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from topazhold.core.jobs import Job
 
-#: A gang of one is aged once it has waited for this share of its class's longest objective
-#: for a start, or of the longest wait that the operators allow; by urgency.
+#: By urgency level: the share of its class's longest start objective, or of the longest wait that
+#: the operators allow if that is shorter, after which a gang of one task is aged.
 AGEING_SHARES = (0.1, 0.2, 0.8, 1.0)
-#: GPUs are kept free for classes that are to start within so many heartbeat intervals.
+#: Heartbeat intervals; GPUs are kept free if a class has a start objective shorter than this.
 RESERVE_HEARTBEATS = 4.0
 
 
 class StartObjectives:
-    """Waits that are aimed at for the start of jobs, in seconds.
+    """Target waits before jobs start, in seconds.
 
-    Owns `wait_objectives`: by job class, the shortest and the longest objective for a start.
+    Owns `wait_objectives`: by job class, the shortest and the longest start objective.
     """
 
     def __init__(
@@ -30,19 +30,18 @@
         shortest_objective_s = min(
             (shortest_wait_s for shortest_wait_s, _ in wait_objectives.values()), default=math.inf
         )
-        # Where preempted work has left well before, nothing need be kept free.
+        # With longer objectives, preemption frees capacity in time and no reserve is needed.
         self.keeps_reserve = shortest_objective_s < RESERVE_HEARTBEATS * heartbeat_interval_s
 
     def shortest_s(self, job: Job) -> float | None:
-        """The strictest objective for the start of a job of this class; None if it has none."""
+        """Return the strictest start objective of the job's class; None if it has none."""
         objective = self.wait_objectives.get(job.spec.job_class)
         return objective[0] if objective is not None else None
 
     def ageing_threshold_s(self, job: Job) -> float:
-        """How long, in seconds, a gang waits like any other before it is aged.
+        """Return the seconds that a gang waits before it is aged.
 
-        The larger it is, the more seldom its capacity comes free by chance, and the sooner
-        it has to be preferred.
+        Capacity for a larger gang becomes free by chance less often, so it is aged earlier.
         """
         _, longest_wait_s = self.wait_objectives.get(
             job.spec.job_class, (0.0, self._longest_wait_s)
--- a/topazhold/core/team_limits.py
+++ b/topazhold/core/team_limits.py
@@ -1,4 +1,4 @@
-"""Teams' limits: whether a gang can get at its own, and the lower work stopped for that."""
+"""Teams' limits: whether a gang fits its team's limit, if need be by preemption in the team."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class JobUsage(NamedTuple):
-    """What one job of a team has on machines."""
+    """Resources that one job of a team has on machines."""
 
     urgency_level: int
     priority: tuple[int, int]
@@ -21,10 +21,10 @@
 
 
 class TeamLimits:
-    """Capacity under the limits of teams, their own lower work stopped.
+    """Checks gangs against their teams' limits and preempts the teams' lower-priority work.
 
-    Owns the memo of what each team's jobs have on machines; it is kept until `invalidate`,
-    so that a round adds it up once.
+    Owns a cache of the usage of each team's jobs, kept until `invalidate` so that a round
+    computes it once.
     """
 
     def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
@@ -33,11 +33,11 @@
         self._job_usage: dict[str, list[JobUsage]] = {}
 
     def invalidate(self) -> None:
-        """Add up anew what teams have on machines when that is next asked for."""
+        """Drop the cached usage of all teams."""
         self._job_usage = {}
 
     def fits_with_preemption(self, job: Job) -> bool:
-        """Whether the gang fits its team's limit, lower work of the team stopped."""
+        """Return whether the gang fits its team's limit once lower-priority work is preempted."""
         usage = self._cluster.usage
         if usage.allows(job, job.spec.tasks):
             return True
@@ -50,7 +50,7 @@
         return usage.allows(job, job.spec.tasks, (-cpus, -gpus))
 
     def preempt_for(self, job: Job, now: float) -> None:
-        """Stop the team's own lower work until the gang fits the limit."""
+        """Preempt lower-priority work of the team until the gang fits the limit."""
         usage = self._cluster.usage
         cpus = gpus = 0.0
         attempts = self._preemptible_attempts(job)
@@ -82,13 +82,13 @@
         return usages
 
     def _preemptible_attempts(self, job: Job) -> list[TaskAttempt]:
-        """Attempts of the same team that a gang may stop to get at its limit."""
+        """Return the attempts of its own team that a gang may preempt to fit the limit."""
         return [
             attempt
             for other in self._cluster.jobs.values()
             if other.spec.team == job.spec.team
             and other.urgency_level > job.urgency_level
-            # Work that ranks before the gang would be placed again at once.
+            # Work of higher priority than the gang would be placed again at once.
             and preemption.priority(other) > preemption.priority(job)
             for attempt in other.attempts.values()
             if attempt.present and not (other.gang and other.gang_state is GangState.STARTING)
