--- a/topazhold/core/__init__.py
+++ b/topazhold/core/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler itself: no I/O, no clock, no global randomness."""
+"""The scheduler's decisions, free of I/O, clocks and global randomness."""
--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -1,7 +1,7 @@
-"""Scale-out and scale-in: what to request from the cloud, and which idle machines to give back.
+"""Scale-out and scale-in: machines to request from the cloud, and idle machines to release.
 
-The demand that both follow is worked out in `capacity_demand`; its names, and that of
-`CapacityBackoff`, are also found here.
+Both follow the demand computed in `capacity_demand`, whose names are re-exported here, as is
+`CapacityBackoff`.
 """
 
 from __future__ import annotations
@@ -40,17 +40,17 @@
     "scale_out",
 ]
 
-#: Most machines that the cloud gives at one request.
+#: Most machines that the cloud grants per request.
 MAX_SCALE_OUT_MACHINES = 50
-#: Most machines that the cloud takes back at one request.
+#: Most machines that the cloud releases per request.
 MAX_RELEASED_MACHINES = 100
-#: Share of the usual idle time before scale-in when no jobs come any more.
+#: Share of the usual idle time before scale-in that applies while no jobs arrive.
 NO_ARRIVALS_IDLE_SHARE = 0.2
 
 
 @dataclass(slots=True, eq=False)
 class ScaleOutRequest:
-    """A request for machines, still without an identifier."""
+    """A request for machines that has no identifier yet."""
 
     machine_type: str
     zone: str
@@ -59,14 +59,14 @@
 
 
 def counts_as_capacity(machine: Machine) -> bool:
-    """Whether a machine counts as capacity, now or soon."""
+    """Return whether a machine provides capacity, now or once it has started."""
     if machine.command_unreachable or machine.unconfirmed:
         return False
     return machine.state in (MachineState.STARTING, MachineState.UNSYNCED, MachineState.READY)
 
 
 class Fleet:
-    """Machines of one type that count as capacity, with their number by zone and kind."""
+    """Machines of one type that count as capacity, and their counts by (zone, spot)."""
 
     def __init__(self, machine_type: MachineType, machines: Iterable[Machine]) -> None:
         self.machines = [
@@ -84,13 +84,13 @@
             self.counts[key] = self.counts.get(key, 0) + 1
 
     def count(self, spot: bool) -> int:
-        """Machines of one kind in all zones."""
+        """Return the number of spot or ordinary machines in all zones."""
         return sum(count for (_, is_spot), count in self.counts.items() if is_spot is spot)
 
 
 @dataclass(frozen=True, slots=True)
 class _Supply:
-    """Machines of one type and kind, and the zones where more may be requested."""
+    """Spot or ordinary machines of one type, and the zones where more may be requested."""
 
     machine_type: str
     spot: bool
@@ -98,11 +98,11 @@
     open_zones: list[str]
 
     def machines_in(self, zone: str) -> int:
-        """Machines of this kind that the zone has, now or soon."""
+        """Return the zone's current and starting machines of this supply."""
         return self.fleet.counts.get((zone, self.spot), 0)
 
     def shortfall(self, zone: str, machines: float) -> int:
-        """How many of the demanded machines the zone lacks; negative if it has more."""
+        """Return how many of the demanded machines the zone lacks; negative for a surplus."""
         return math.ceil(machines) - self.machines_in(zone)
 
 
@@ -122,7 +122,7 @@
 
 
 class _ScaleOutPlan(NamedTuple):
-    """Requests of one kind, and the machines that can't be requested: in all, and by zone."""
+    """Requests for one supply, and the machines that can't be requested, in total and by zone."""
 
     requests: list[ScaleOutRequest]
     missing: int
@@ -136,14 +136,13 @@
     capacity_backoff: CapacityBackoff,
     now: float,
 ) -> list[ScaleOutRequest]:
-    """Requests that bring a type's capacity up to the demand.
+    """Return the requests that raise a type's capacity to the demand.
 
-    Spot instances are requested first; what the cloud won't give of them is made up by
-    ordinary machines.
+    Spot instances are requested first; ordinary machines replace those the cloud can't grant.
     """
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
     ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
-    # Ordinary machines beyond the demand for them serve spot work too.
+    # Ordinary machines beyond their own demand run spot work too.
     spare_ordinary = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
     spot_supply = _supply_of(machine_type, True, fleet, capacity_backoff, now)
     spot_plan = _plan_scale_out(
@@ -159,7 +158,7 @@
 def _with_substitutes(
     ordinary: CapacityDemand, spot: CapacityDemand, spot_plan: _ScaleOutPlan, fleet: Fleet
 ) -> CapacityDemand:
-    """Zone by zone, ordinary machines for their own work and for missing spot instances."""
+    """Return the demand for ordinary machines, including those replacing spot instances."""
     demand = CapacityDemand(
         minimum_by_zone=dict(ordinary.minimum_by_zone), bound_by_zone=dict(ordinary.bound_by_zone)
     )
@@ -174,10 +173,10 @@
 
 
 def _plan_scale_out(supply: _Supply, total: int, demand: CapacityDemand) -> _ScaleOutPlan:
-    """Requests for the zones' demands, then for the rest of `total` machines.
+    """Plan requests for the zones' minimums, then for the rest of `total` machines.
 
-    What is bound to a zone without capacity is not requested elsewhere: a machine there would
-    stay idle, and take the cloud's capacity from the zone that needs it.
+    Demand bound to a zone without capacity is not requested in other zones: a machine there
+    would stay idle, and use up capacity of the cloud that the bound zone needs.
     """
     counts = dict.fromkeys(supply.open_zones, 0)
     missing_by_zone: dict[str, int] = {}
@@ -202,7 +201,10 @@
 
 
 def _split_requests(supply: _Supply, counts: dict[str, int]) -> list[ScaleOutRequest]:
-    """Requests within the protocol's limit, the zones taking turns: no zone waits for another."""
+    """Split counts into requests within the protocol's limit, alternating between zones.
+
+    Without the alternation, one zone's requests would wait for all of another's.
+    """
     requests = []
     outstanding = {zone: count for zone, count in counts.items() if count > 0}
     while outstanding:
@@ -216,7 +218,7 @@
 
 
 def _spread_evenly(machines: int, counts: dict[str, int], supply: _Supply) -> None:
-    """Add machines as if one by one, each to the zone that will have the fewest."""
+    """Distribute machines as if one by one, each to the zone that then has the fewest."""
     if machines <= 0:
         return
     planned = {zone: supply.machines_in(zone) + count for zone, count in counts.items()}
@@ -230,7 +232,7 @@
 
 
 def _fill_level(machines: int, planned: list[int]) -> int:
-    """What every zone with fewer can be brought up to; `planned` is in ascending order."""
+    """Return the count to which smaller zones can be raised; `planned` is ascending."""
     total = 0
     level = 0
     for filled_zones, lowest_count in enumerate(planned, start=1):
@@ -249,11 +251,11 @@
     jobs_arriving: bool,
     now: float,
 ) -> list[Machine]:
-    """Idle machines beyond the demand, the longest idle first.
+    """Return the idle machines beyond the demand, the longest idle first.
 
-    An idle machine is kept for about as long as a new one would take to boot: what it costs
-    till then is what requesting it anew would cost. When no jobs come any more (`jobs_arriving` is
-    false) there is less to wait for.
+    An idle machine is kept for about as long as a new one takes to boot, since until then it
+    costs no more than replacing it would. While no jobs arrive (`jobs_arriving` is false) it
+    is kept for less, since it is less likely to be needed.
     """
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
     ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
@@ -283,7 +285,7 @@
 
 
 def _idle_longer_than(idle_s: float, fleet: Fleet, now: float) -> list[Machine]:
-    """Ready machines without work for longer than so many seconds, the longest idle first."""
+    """Return ready machines without work for over `idle_s` seconds, the longest idle first."""
     idle = [
         machine
         for machine in fleet.machines
--- a/topazhold/core/capacity_backoff.py
+++ b/topazhold/core/capacity_backoff.py
@@ -1,17 +1,17 @@
-"""Where the cloud had no capacity, and when it may be requested there again."""
+"""Backoff of scale-out requests after refusals for lack of capacity."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-#: The longest pause after refusals, in first pauses.
+#: Longest backoff, as a multiple of the first one.
 MAX_BACKOFF_FACTOR = 4
-#: Growth of the backoff with each further refusal.
+#: Growth of the backoff with each consecutive refusal.
 BACKOFF_MULTIPLIER = 2
 
 
 class _Backoff(NamedTuple):
-    """Until when nothing is requested, and how long that was from its start, in seconds."""
+    """The time until which nothing is requested, and the duration from its start, in seconds."""
 
     until: float
     duration_s: float
@@ -21,7 +21,7 @@
 
 
 class CapacityBackoff:
-    """Where the cloud had no capacity, and until when not to request it again."""
+    """Backoffs by machine type, zone and spot, started when the cloud has no capacity."""
 
     def __init__(self) -> None:
         self._backoffs: dict[tuple[str, str, bool], _Backoff] = {}
@@ -29,7 +29,7 @@
     def on_refused(
         self, machine_type: str, zone: str, spot: bool, base_s: float, now: float
     ) -> None:
-        """The cloud had none: pause for `base_s` seconds, twice as long at each further time."""
+        """Back off for `base_s` seconds, and twice as long after each consecutive refusal."""
         key = (machine_type, zone, spot)
         last_duration_s = self._backoffs.get(key, _NO_BACKOFF).duration_s
         duration_s = min(
@@ -38,9 +38,9 @@
         self._backoffs[key] = _Backoff(now + duration_s, duration_s)
 
     def on_granted(self, machine_type: str, zone: str, spot: bool) -> None:
-        """The cloud has given machines: no pause any more."""
+        """End the backoff, since the cloud has granted machines."""
         self._backoffs.pop((machine_type, zone, spot), None)
 
     def may_request(self, machine_type: str, zone: str, spot: bool, now: float) -> bool:
-        """Whether no pause is on."""
+        """Return whether no backoff is in effect."""
         return self._backoffs.get((machine_type, zone, spot), _NO_BACKOFF).until <= now
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -1,4 +1,4 @@
-"""How many machines of which type and kind the unfinished work is worth, and where."""
+"""Demand for machines by type, spot or ordinary, and zone, derived from unfinished work."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from topazhold.wire.cloud import MachineType
 from topazhold.wire.jobs import JobSpec
 
-#: More tasks than fit any machine.
+#: A task limit larger than the number that fit on any machine.
 UNLIMITED_TASKS = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class ScalingPolicy:
-    """Ratios by which the fleet follows the demand."""
+    """Parameters by which the size of the fleet follows the demand."""
 
-    headroom_share: float  # capacity beyond the demand, as a share of it
-    idle_boots: float  # idle time before a machine is scaled in, in boot times
+    headroom_share: float  # extra capacity, as a share of the demand
+    idle_boots: float  # idle time before scale-in, in boot times
     use_spot: bool
 
 
 @dataclass(slots=True, eq=False)
 class CapacityDemand:
-    """Machines demanded of one type and kind: anywhere, and in given zones at least.
+    """Demand for machines of one type, spot or ordinary: in total, and minimums by zone.
 
-    What is `bound` to a zone is of no use in any other.
+    Demand in `bound_by_zone` can't be met in any other zone.
     """
 
     total: float = 0.0
@@ -40,18 +40,18 @@
     bound_by_zone: dict[str, float] = field(default_factory=dict)
 
     def add(self, machines: float, zone: str | None) -> None:
-        """Demand more machines, bound to a zone if one is given."""
+        """Add demand for machines, bound to a zone if one is given."""
         self.total += machines
         if zone is not None:
             self.minimum_by_zone[zone] = self.minimum_by_zone.get(zone, 0.0) + machines
             self.bound_by_zone[zone] = self.bound_by_zone.get(zone, 0.0) + machines
 
     def at_least(self, machines: float, zone: str) -> None:
-        """A zone must be able to take so much at once; others may use it in turn."""
+        """Raise a zone's minimum to `machines`; jobs that run in turn share that capacity."""
         self.minimum_by_zone[zone] = max(self.minimum_by_zone.get(zone, 0.0), machines)
 
     def scale(self, factor: float) -> None:
-        """Multiply all that is demanded."""
+        """Multiply all demand by a factor."""
         self.total *= factor
         for zone in self.minimum_by_zone:
             self.minimum_by_zone[zone] *= factor
@@ -59,12 +59,12 @@
             self.bound_by_zone[zone] *= factor
 
 
-#: Demands by machine type and kind (True: spot instances).
+#: Demand by (machine type, spot).
 CapacityDemands = dict[tuple[str, bool], CapacityDemand]
 
 
 class _UnboundGroup(NamedTuple):
-    """A gang or service that may begin in any zone, with its worth in machines."""
+    """A gang or service that may start in any zone, with its demand in machines."""
 
     job: Job
     demand: CapacityDemand
@@ -77,7 +77,7 @@
 
 
 def cheapest_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> MachineType | None:
-    """The cheapest type per task that may run the job."""
+    """Return the type with the lowest price per task that may run the job."""
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     best_key: tuple[float, str] | None = None
     cheapest: MachineType | None = None
@@ -95,7 +95,7 @@
 
 
 def fits_some_type(spec: JobSpec, machine_types: Iterable[MachineType]) -> bool:
-    """Whether a task fits an allowed type in an allowed zone."""
+    """Return whether a task fits an allowed type in an allowed zone."""
     need = (spec.cpus, spec.gpus, spec.memory_gb)
     return any(
         count_fitting(need, _resources_of(machine_type), 1) == 1
@@ -114,10 +114,10 @@
     policy: ScalingPolicy,
     jobs_arriving: bool,
 ) -> CapacityDemands:
-    """Machines' worth of unfinished work per type and kind, within the teams' limits.
+    """Return the machines that unfinished work needs, by type, within the teams' limits.
 
-    `zone_of` has the zone of every machine by name. Headroom is kept only while jobs keep
-    coming (`jobs_arriving`).
+    `zone_of` maps machine names to zones. Headroom is added only while jobs arrive
+    (`jobs_arriving`).
     """
     demands: CapacityDemands = {}
     groups: list[_UnboundGroup] = []
@@ -147,9 +147,10 @@
 
 
 def _add_zone_minimums(groups: Iterable[_UnboundGroup], machine_counts: Mapping[str, int]) -> None:
-    """Demand capacity where a gang can start: enough of it in the wrong zones lets none begin.
+    """Raise the minimums of zones so that each group fits its zone constraints.
 
-    `machine_counts` has the machines of each zone; the largest zones are extended.
+    Enough capacity in total may be spread over zones so that no gang can start. The zones with
+    the most machines, as given by `machine_counts`, are extended.
     """
     for job, demand, machines, machine_type in groups:
         zones_by_size = sorted(machine_type.zones, key=lambda zone: -machine_counts.get(zone, 0))
@@ -161,7 +162,7 @@
 
 
 def _bound_zone(job: Job, zone_of: Mapping[str, str]) -> str | None:
-    """The only zone that the job's waiting tasks may go to, if there is one."""
+    """Return the only zone in which the job's waiting tasks may be placed, if any."""
     if job.spec.zone is not None:
         return job.spec.zone
     if job.spec.same_place:
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -1,4 +1,4 @@
-"""Machines that are leaving: work moves away or is saved in time, then they are released."""
+"""Draining of machines: work is moved or checkpointed in time, then they are released."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 from topazhold.core.resources import fits
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
-#: Replicas leave a machine that will be taken at the latest so many heartbeat intervals before.
+#: Heartbeat intervals before the cloud preempts a machine in which its replicas are stopped, even
+#: if they fit nowhere else.
 FORCED_STOP_HEARTBEATS = 2.0
 
 
 class Draining:
-    """Graceful eviction from machines that take no new work. Owns no state."""
+    """Evicts tasks gracefully from machines that take no new work. Stateless."""
 
     def __init__(self, cluster: ClusterState, eviction: Eviction) -> None:
         self._cluster = cluster
@@ -22,7 +23,7 @@
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
 
     def step(self, machine: Machine, now: float) -> None:
-        """Do what is due on a draining machine."""
+        """Move or stop work on a draining machine, and release it once it is empty."""
         self._remove_unsent_launches(machine, now)
         if machine.reason == QUARANTINED:
             self._drain_quarantined(machine, now)
@@ -30,7 +31,10 @@
             self._drain_before_preemption(machine, machine.gone_at - now, now)
 
     def _remove_unsent_launches(self, machine: Machine, now: float) -> None:
-        """A launch that has not left won't leave any more: its task would wait here for ever."""
+        """Drop attempts that were never launched, stopping gangs with such attempts.
+
+        A draining machine is sent no launches, so these tasks would wait forever.
+        """
         for attempt in list(machine.attempts.values()):
             if attempt.state is AttemptState.WRITTEN and not attempt.possibly_running:
                 if attempt.job.gang:
@@ -42,11 +46,12 @@
         if machine.empty:
             self._cluster.release(machine, QUARANTINED, now)
         elif all(attempt.job.service for attempt in machine.attempts.values()):
-            # Replicas never end: without a move it would be kept, and paid, for good.
+            # Replicas never end by themselves, so the machine would be kept and paid for
+            # indefinitely.
             self._move_replicas(machine, "machine is quarantined", now)
 
     def _drain_before_preemption(self, machine: Machine, time_left_s: float, now: float) -> None:
-        """The machine will be taken in `time_left_s` seconds."""
+        """Evict work from a machine that the cloud preempts in `time_left_s` seconds."""
         force = time_left_s < FORCED_STOP_HEARTBEATS * self._heartbeat_interval_s
         self._move_replicas(machine, "machine will be taken", now, force)
         for attempt in list(machine.attempts.values()):
@@ -62,10 +67,10 @@
     def _move_replicas(
         self, machine: Machine, reason: str, now: float, force: bool = False
     ) -> None:
-        """Stop replicas on a machine that is leaving, where they have another place.
+        """Stop the replicas that fit on another machine; with `force`, all of them.
 
-        `force`: also without one. That they are gone is known by then; of a machine that was
-        taken with them it would be known only after a lease.
+        Replicas that are stopped are known to be gone at once; on a preempted machine that is
+        known only after its lease.
         """
         for attempt in list(machine.attempts.values()):
             if (
@@ -78,7 +83,7 @@
                 self._eviction.preempt(attempt, reason, now)
 
     def _fits_elsewhere(self, attempt: TaskAttempt, now: float) -> bool:
-        """Whether some other machine has capacity for a replica."""
+        """Return whether another machine has capacity for a replica."""
         job = attempt.job
         replicas_by_zone = job.zones_used(self._cluster.zone_of)
         current_zone = self._cluster.zone_of.get(attempt.machine)
@@ -99,7 +104,7 @@
         return False
 
     def _needs_checkpoint_now(self, attempt: TaskAttempt, time_left_s: float, now: float) -> bool:
-        """Whether a task on a machine with so much time left had better save now."""
+        """Return whether a task would outlast the machine and should write a checkpoint now."""
         if attempt.job.spec.checkpoint_s <= 0:
             return False
         return self._cluster.remaining_s(attempt, now) > time_left_s - self._heartbeat_interval_s
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -1,7 +1,7 @@
-"""A new leader's first view: live jobs, intents, reservations.
+"""Rebuilding of a new leader's state from the stored jobs and intents.
 
-Every intent is taken as possibly running until its machine is heard under the
-new term or is released.
+Every intent counts as possibly running until its machine sends a heartbeat under the new
+term or is released.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def missing_jobs(jobs: Iterable[str], intents: Iterable[Intents]) -> list[str]:
-    """Jobs named by intents that are not live: they are over, and must be read."""
+    """Return the jobs named by intents but not live: they have ended and must be loaded."""
     loaded_jobs = set(jobs)
     return sorted({job for record in intents for job, _, _ in record.attempts} - loaded_jobs)
 
@@ -25,7 +25,7 @@
 def rebuild(
     scheduler: Scheduler, jobs: Iterable[Job], intents: Iterable[Intents], now: float
 ) -> None:
-    """Fill the scheduler of a new term with what its predecessors have written."""
+    """Populate the scheduler of a new term from what earlier terms stored."""
     cluster = scheduler.cluster
     for job in jobs:
         cluster.add_job(job)
@@ -33,23 +33,11 @@
             cluster.queue_if_complete(job)
     for record in sorted(intents, key=lambda record: record.incarnation):
         machine = cluster.add_machine(
-            record.machine,
-            record.zone,
-            record.spot,
-            record.machine_type,
-            now,
+            record.machine, record.zone, record.spot, record.machine_type, now
         )
         machine.resume(record.incarnation, now)
         for job_id, index, attempt_number in record.attempts:
-            _adopt(
-                cluster,
-                job_id,
-                index,
-                attempt_number,
-                machine.name,
-                record.incarnation,
-                now,
-            )
+            _adopt(cluster, job_id, index, attempt_number, machine.name, record.incarnation, now)
     for job in list(cluster.jobs.values()):
         if job.gang and job.state is JobState.LIVE:
             gangs.restore(job, now)
@@ -70,9 +58,9 @@
         return
     existing = job.attempts.get(index)
     if existing is not None:
-        # An ended attempt's intent stays until its machine's next one, so a task
-        # may stand at two machines. Only the newer attempt can still be there:
-        # it was planned after the older one was proven gone.
+        # The intent of an ended attempt stays stored until its machine's next write, so
+        # two machines may name the same task. Only the newer attempt can still be running,
+        # since it was planned after the older one was proven gone.
         if existing.attempt_number >= attempt_number:
             return
         cluster.remove_attempt(existing, now)
--- a/topazhold/core/failure_attribution.py
+++ b/topazhold/core/failure_attribution.py
@@ -1,4 +1,4 @@
-"""Tasks that fail: whether the job is at fault or the machine, and what follows for each."""
+"""Attribution of task failures to the job or to the machine, with backoff and quarantine."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 
 log = logging.getLogger(__name__)
 
-#: A job that failed on so many machines is taken to be at fault itself.
+#: Machines on which a job must fail to count as faulty itself.
 BAD_JOB_MACHINES = 3
-#: How often the pause of a job that fails everywhere doubles.
+#: Times that the backoff of a faulty job doubles at most.
 MAX_BACKOFF_DOUBLINGS = 5
-#: For so many leases a machine on which a replica ended by itself is remembered.
+#: Leases for which a machine on which a replica ended by itself is remembered.
 FAILURE_WINDOW_LEASES = 4.0
-#: Errors of so many jobs that are not at fault quarantine a machine.
+#: Non-faulty jobs that must fail on a machine to have it quarantined.
 QUARANTINE_FAILED_JOBS = 2
 
 
 class FailureAttribution:
     """Counts errors against jobs or machines.
 
-    Owns no state: a job keeps the machines on which it failed, a machine the jobs that
-    failed on it.
+    Stateless: a job stores the machines on which it failed, a machine the jobs that failed
+    on it.
     """
 
     def __init__(self, cluster: ClusterState) -> None:
@@ -35,10 +35,10 @@
         self._lease_s = cluster.lease_s
 
     def on_attempt_failed(self, machine: Machine, job: Job, now: float) -> None:
-        """A task of a gang or an array ended with `error`."""
+        """Handle a task of a gang or an array that ended with `error`."""
         job.failed_on[machine.name] = now
         if len(job.failed_on) >= BAD_JOB_MACHINES:
-            # A job that fails everywhere must not take the machines with it.
+            # A faulty job must not get the machines quarantined.
             for other in self._cluster.machines.values():
                 other.forget_error(job.id)
             doublings = min(len(job.failed_on) - BAD_JOB_MACHINES, MAX_BACKOFF_DOUBLINGS)
@@ -47,10 +47,10 @@
             self._record_machine_failure(machine, job, now)
 
     def on_replica_ended(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
-        """A replica ended by itself: it is placed again, later each time if it keeps ending.
+        """Handle a replica that ended by itself: back off if replicas keep ending.
 
-        A job that has replicas running is not at fault itself, so its errors count against
-        the machine, and it never waits for long.
+        A job with running replicas is not faulty itself, so its errors count against the
+        machine, and its backoff stays short.
         """
         job = attempt.job
         started_at = attempt.running_since
@@ -76,7 +76,7 @@
             )
 
     def _record_machine_failure(self, machine: Machine, job: Job, now: float) -> None:
-        """A job that is not at fault itself failed on a machine."""
+        """Count a non-faulty job's error against a machine; quarantine it at the threshold."""
         if machine.record_error(job.id) >= QUARANTINE_FAILED_JOBS:
             machine.drain(QUARANTINED, now)
             log.info(
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -1,4 +1,4 @@
-"""Machines that are silent or that commands don't reach, and network partitions of zones."""
+"""Detection of silent machines, unreachable machines, and network partitions of zones."""
 
 from __future__ import annotations
 
@@ -13,45 +13,46 @@
 
 log = logging.getLogger(__name__)
 
-#: A lone machine that commands don't reach is released after so many leases.
+#: Leases after which an isolated machine that commands don't reach is released.
 UNREACHABLE_RELEASE_LEASES = 2.0
-#: So many machines of a zone with one trouble are taken one by one; more than this
-#: share of the zone, and it is a network partition.
+#: Up to this many failed machines of a zone are treated as isolated failures. If more fail,
+#: and more than this share of the zone, the cause is taken to be a network partition.
 MAX_ISOLATED_FAILURES = 2
 PARTITION_SHARE = 0.4
-#: A machine counts as silent after so many leases. A lone one is released later, one
-#: of a group later still: those that only hang are back with a new incarnation by then,
-#: long before others could be rented and booted, and meanwhile they don't count as
-#: capacity, so that dead ones are made up for.
+#: Leases of silence after which a machine is suspected, and after which it is released if it
+#: is isolated or one of a group. A group gets longer: workers that only hang return with a new
+#: incarnation by then, long before replacements could be rented and booted. Meanwhile silent
+#: machines don't count as capacity, so that replacements for dead ones are requested.
 SUSPECT_LEASES = 0.6
 ISOLATED_RELEASE_LEASES = 1.25
 GROUP_RELEASE_LEASES = 2.0
-#: One with replicas of services is released once its worker's lease must have ended.
+#: Leases of silence after which a machine with service replicas is released: by then its
+#: worker's lease has ended.
 SERVICE_RELEASE_LEASES = 1.05
-#: A machine has failed to start after so many boot times, of this length if unknown (seconds).
+#: Boot times after which a machine has failed to start.
 STARTUP_TIMEOUT_BOOTS = 4.0
+#: Seconds; the boot time of an unknown machine type.
 DEFAULT_BOOT_S = 60.0
-#: So many lists in a row without a machine that starts, or has fallen silent, prove it gone.
+#: Consecutive machine lists that must lack a starting or a silent machine to prove it gone.
 STARTING_MISSED_LISTS = 3
 SILENT_MISSED_LISTS = 2
-
-#: A machine lacks a heartbeat here after this many heartbeat intervals.
+#: Heartbeat intervals without a heartbeat here after which a machine counts as missing one.
 HEARTBEAT_TIMEOUT_INTERVALS = 2.2
-#: A heartbeat is recent if it is less than this many leases old.
+#: Leases for which a heartbeat counts as recent.
 RECENT_LEASES = 0.5
-#: This controller is partitioned from the workers if at least this many machines sent a recent
-#: heartbeat to some controller, and less than this share of them to this one.
+#: This controller is partitioned from the workers if at least this many machines have a recent
+#: heartbeat at any controller, and less than this share of them have one here.
 MIN_SEEN_MACHINES = 2
 MIN_SEEN_HERE_SHARE = 0.3
-#: A worker that has sent no heartbeat here for this many heartbeat intervals is sent the new
-#: term directly.
+#: Heartbeat intervals without a heartbeat here after which an unsynced worker is sent the term
+#: directly.
 ANNOUNCEMENT_INTERVALS = 0.4
 #: Seconds; earlier than any time of the steady clock.
 NEVER = -1e9
 
 
 class ZoneCounts(NamedTuple):
-    """Machines of a zone that are up; of these, the silent and those commands don't reach."""
+    """Machines of a zone that are up, with those suspected and those commands don't reach."""
 
     up: int = 0
     suspected: int = 0
@@ -59,10 +60,9 @@
 
 
 class FailureDetection:
-    """Decides when a machine that is not heard, or does not hear, is released.
+    """Decides when silent machines and machines that commands don't reach are released.
 
-    Owns the counts of the last look at all machines, and when each zone was last seen
-    partitioned from here.
+    Owns the cached counts of machines per zone, and when each zone last looked partitioned.
     """
 
     def __init__(self, cluster: ClusterState, draining: Draining) -> None:
@@ -71,11 +71,11 @@
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
         self._lease_s = cluster.lease_s
         self._counts: dict[str, ZoneCounts] = {}
-        self._counted_at = -1.0
+        self._counted_at = -1.0  # time of the cached counts; negative before the first
         self._partition_seen_at: dict[str, float] = {}
 
     def machines_without_heartbeat(self, now: float) -> list[str]:
-        """Machines whose heartbeats have not come here for a while."""
+        """Return the names of machines without a recent heartbeat at this controller."""
         timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * self._heartbeat_interval_s
         since = self._cluster.since
         return [
@@ -85,7 +85,7 @@
         ]
 
     def is_partitioned_from_workers(self, now: float) -> bool:
-        """Whether others hear most of the workers, and this controller hardly any."""
+        """Return whether most workers' heartbeats reach other controllers but not this one."""
         if now - self._cluster.since < self._lease_s:
             return False
         seen_by_any = seen_here = 0
@@ -99,10 +99,10 @@
         return seen_by_any >= MIN_SEEN_MACHINES and seen_here < MIN_SEEN_HERE_SHARE * seen_by_any
 
     def needs_term_announcement(self, machine: Machine, now: float) -> bool:
-        """Whether a worker has to be told of this term directly.
+        """Return whether a worker must be sent this term directly.
 
-        It may be with a former leader who knows of no other; once it has seen
-        the new term, its answers are void and its heartbeats tell it so.
+        It may still report to a former leader that does not know of this term. Once the worker
+        knows the term, it ignores that leader's responses, and its heartbeats inform the leader.
         """
         return (
             machine.state is MachineState.UNSYNCED
@@ -111,7 +111,7 @@
         )
 
     def is_missing(self, machine: Machine, now: float) -> bool:
-        """Whether a machine is silent for a lease, and its zone is not partitioned."""
+        """Return whether a machine is silent for a lease while its zone is not partitioned."""
         return (
             machine.state in UP
             and self._cluster.silence_s(machine, now) > self._lease_s
@@ -119,7 +119,7 @@
         )
 
     def check_machine(self, machine: Machine, now: float) -> None:
-        """What time brings about for one machine."""
+        """Do what is due for one machine: its release, draining, or the term announcement."""
         state = machine.state
         if state is MachineState.RELEASING:
             self._cluster.release_again(machine)
@@ -152,7 +152,7 @@
             self._cluster.release(machine, "not listed", now)
 
     def _is_isolated_unreachable(self, machine: Machine, now: float) -> bool:
-        """Whether commands don't reach the machine for long, and its zone is not partitioned."""
+        """Return whether commands have long not reached it while its zone is not partitioned."""
         since = machine.command_unreachable_since
         if since is None or now - since <= UNREACHABLE_RELEASE_LEASES * self._lease_s:
             return False
@@ -167,8 +167,8 @@
         elif silence_s > SERVICE_RELEASE_LEASES * self._lease_s:
             release_after_leases = self._release_after_leases(machine, now)
             if any(attempt.job.service for attempt in machine.attempts.values()):
-                # Its tasks ended with the worker's lease. Other work waits for the machine
-                # to come back; a service is down until its replicas are proven gone.
+                # Its tasks ended with the worker's lease. Other work can wait for the machine to
+                # return, but a service stays down until its replicas are proven gone.
                 release_after_leases = (
                     release_after_leases
                     if math.isinf(release_after_leases)
@@ -178,9 +178,9 @@
                 self._cluster.release(machine, "silent", now)
 
     def _drop_unsent_launches(self, machine: Machine, now: float) -> None:
-        """Place tasks elsewhere whose launches can't leave, since the worker is not heard.
+        """Drop attempts whose launches can't be sent to a silent worker; tasks are requeued.
 
-        No launch has left, so nothing has to be proven. Gangs have their own time limit.
+        No launch was sent, so no proof is needed. Gangs have their own time limit.
         """
         for attempt in list(machine.attempts.values()):
             if (
@@ -188,19 +188,21 @@
                 and not attempt.possibly_running
                 and not attempt.job.gang
             ):
-                log.info("task %s has no launch on silent %s", attempt.task_name, machine.name)
+                log.info(
+                    "task %s not launched: machine %s is silent", attempt.task_name, machine.name
+                )
                 self._cluster.remove_attempt(attempt, now)
 
     def _release_after_leases(self, machine: Machine, now: float) -> float:
-        """After how many leases of silence a machine is released; infinite in a partition."""
+        """Return the leases of silence before a release; infinite while partitioned."""
         counts = self._zone_counts(machine.zone, now)
         if (
             counts.suspected > MAX_ISOLATED_FAILURES
             and counts.suspected > PARTITION_SHARE * counts.up
         ):
             self._partition_seen_at[machine.zone] = now
-        # When a partition ends they come back one by one, and the last ones look like
-        # lone silent machines.
+        # When a partition ends, machines return one by one, and the last ones look like
+        # isolated failures.
         if (
             now - self._partition_seen_at.get(machine.zone, NEVER)
             < ISOLATED_RELEASE_LEASES * self._lease_s
@@ -213,7 +215,7 @@
         )
 
     def _zone_counts(self, zone: str, now: float) -> ZoneCounts:
-        """The counts of a zone, made once per look at all machines."""
+        """Return a zone's counts, computed for all zones once per value of `now`."""
         if self._counted_at != now:
             self._counted_at = now
             self._counts = {}
--- a/topazhold/core/fleet_scaling.py
+++ b/topazhold/core/fleet_scaling.py
@@ -1,4 +1,4 @@
-"""Scale-out requests and scale-in of idle machines, from what the jobs need by now."""
+"""Scale-out requests and scale-in of idle machines, according to the jobs' demand."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 class FleetScaling:
     """Compares the demand for machines with the fleet.
 
-    Owns `capacity_backoff`: where the cloud had nothing to give, and until when not to ask again.
+    Owns `capacity_backoff`, the backoffs after the cloud refused requests.
     """
 
     def __init__(
@@ -32,7 +32,7 @@
         self.capacity_backoff = autoscaling.CapacityBackoff()
 
     def scale_out(self, now: float) -> list[autoscaling.ScaleOutRequest]:
-        """Scale-out requests; idle machines that are not wanted go to `releases`."""
+        """Return scale-out requests, and queue surplus idle machines in `releases`."""
         cluster = self._cluster
         machine_types = list(cluster.machine_types.values())
         cluster.refresh_guarantees()
@@ -42,8 +42,8 @@
         reserved = self._reservations.reserved_machines()
         requests: list[autoscaling.ScaleOutRequest] = []
         for machine_type in machine_types:
-            # What has been silent for a lease is made up for, whether it comes back
-            # or not; in a partition nothing is.
+            # Machines silent for a lease are replaced, whether or not they return later,
+            # except in a network partition.
             fleet = autoscaling.Fleet(
                 machine_type,
                 [
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -1,4 +1,4 @@
-"""Workers' heartbeats against the cluster's state: what they say, and what they prove."""
+"""Reconciliation of the cluster's state with the heartbeats of its workers."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 log = logging.getLogger(__name__)
 
-#: So many answers with launches that did not arrive make a machine unreachable for commands.
+#: Lost responses with launches, since the last command that arrived, that mark a machine
+#: unreachable for commands.
 LOST_LAUNCHES_THRESHOLD = 2
-#: An incarnation that ends so soon (in leases) after an answer has not heard the answer,
-#: and one that lasts so long has heard some.
+#: In leases. If a worker's lease ends sooner than this after a response was sent, the response
+#: did not arrive; an incarnation older than `REACHABLE_LEASES` has received at least one.
 UNREACHABLE_LEASES = 0.7
 REACHABLE_LEASES = 1.3
 
 
 class HeartbeatReconciliation:
-    """Takes in heartbeats: a machine's incarnation, whether commands reach it, its tasks.
+    """Applies heartbeats: a machine's incarnation, whether commands reach it, its tasks.
 
-    Owns no state: what is learnt is kept by the machine.
+    Stateless: the results are stored on the machine.
     """
 
     def __init__(self, cluster: ClusterState, tasks: TaskReconciliation) -> None:
@@ -34,11 +35,11 @@
     def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool, now: float, forwarded: bool = False
     ) -> Machine | None:
-        """A worker's heartbeat; None if it is stale or from a released machine.
+        """Apply a heartbeat and return its machine; None if stale or from a released machine.
 
-        `direct` marks the answer of a direct command. It may overtake the
-        answer of a heartbeat that is still under way, so what it lacks proves
-        nothing about a launch ordered there. `forwarded`: a follower took it in.
+        `direct` marks a heartbeat sent in reply to a direct command. It may overtake the
+        response to a regular heartbeat, so a task missing from it does not prove that a
+        launch in that response was lost. `forwarded` means that a follower received it.
         """
         machine = self._find_or_add_machine(heartbeat, direct, now)
         if machine is None or machine.state is MachineState.RELEASING:
@@ -68,7 +69,10 @@
     def _find_or_add_machine(
         self, heartbeat: Heartbeat, direct: bool, now: float
     ) -> Machine | None:
-        """The machine that a heartbeat is from; None if it is gone, or known by nothing else."""
+        """Return the sender's machine, added if unknown; None if it is gone.
+
+        A heartbeat in reply to a direct command does not add a machine.
+        """
         machine = self._cluster.machines.get(heartbeat.machine)
         if machine is None:
             if direct or self._cluster.is_removed(heartbeat.machine):
@@ -76,50 +80,54 @@
             machine = self._cluster.add_machine(
                 heartbeat.machine, heartbeat.zone, heartbeat.spot, heartbeat.machine_type, now
             )
-            # A late copy may tell of a machine that is long gone. Until it is
-            # listed, or heard under this term, it is not counted on.
+            # The heartbeat may be a delayed copy from a machine that no longer exists.
+            # The machine is not counted as capacity until the cloud lists it or it sends
+            # a heartbeat under this term.
             machine.mark_unconfirmed()
         if machine.machine_type is None:
             machine.learn_type(self._cluster.machine_types.get(heartbeat.machine_type))
         return machine
 
     def _availability(self, machine: Machine, now: float) -> tuple[MachineState, bool, bool]:
-        """Whether new work may go to a machine, as far as its heartbeats decide that."""
+        """Return the attributes, set by heartbeats, that decide whether it takes new work."""
         return machine.state, machine.command_unreachable, self._cluster.usable(machine, now)
 
     def _on_new_incarnation(self, machine: Machine, incarnation: int, now: float) -> None:
-        """The worker's lease ended: all tasks of the earlier incarnation are gone."""
+        """Drop the earlier incarnation's tasks: all are gone, since the worker's lease ended."""
         for attempt in list(machine.attempts.values()):
-            # A launch is ordered only in the incarnation that its intent names, and
-            # the worker drops answers to heartbeats of an earlier one. So a newer
-            # one settles an earlier term's intents too, also those of a machine that
-            # commands don't reach, which is never heard under the new term.
+            # A launch is sent only to the incarnation named by its intent, and the worker
+            # ignores responses to heartbeats of an earlier incarnation. A newer incarnation
+            # therefore also settles the intents of earlier terms, including those on a
+            # machine that commands don't reach and that never learns the new term.
             if not attempt.possibly_running or attempt.incarnation < incarnation:
                 self._cluster.remove_attempt(attempt, now)
         if machine.incarnation:
-            log.info("machine %s began incarnation %d", machine.name, incarnation)
+            log.info("machine %s started incarnation %d", machine.name, incarnation)
             if now - machine.last_answered_at < UNREACHABLE_LEASES * self._lease_s:
                 self._on_command_unreachable(machine, "its lease ended though it was answered", now)
         machine.begin_incarnation(incarnation, now)
 
     def _check_command_reachability(self, machine: Machine, term_before: int, now: float) -> None:
-        """Whether answers reach the worker, as far as its heartbeat shows it."""
+        """Mark the machine reachable if its heartbeat shows that responses arrive."""
         is_reachable = (
             machine.term == self._term != term_before
             or now - machine.incarnation_since > REACHABLE_LEASES * self._lease_s
         )
         if is_reachable and machine.mark_command_reachable():
-            log.info("machine %s gets commands again", machine.name)
+            log.info("machine %s receives commands again", machine.name)
 
     def _on_command_unreachable(self, machine: Machine, reason: str, now: float) -> None:
-        """Answers don't reach the worker: no new work, no reservation, no limit for it."""
+        """Mark a machine that responses don't reach: no new work and no reservations there.
+
+        Its unsent attempts are dropped, so that they no longer count against team limits.
+        """
         if machine.mark_command_unreachable(now):
-            log.info("machine %s does not get commands: %s", machine.name, reason)
+            log.info("machine %s does not receive commands: %s", machine.name, reason)
         self._cluster.remove_unsent(machine, now)
 
     def _on_preemption_notice(self, machine: Machine, notice_s: float, now: float) -> None:
         if machine.gone_at is None:
-            log.info("machine %s will be taken in %.1f s", machine.name, notice_s)
+            log.info("machine %s will be preempted by the cloud in %.1f s", machine.name, notice_s)
         machine.expect_end(notice_s, now)
 
     def _on_lost_launch(self, machine: Machine, now: float) -> None:
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -1,4 +1,4 @@
-"""The cloud's list of machines against the cluster's state."""
+"""Reconciliation of the cluster's state with the cloud's list of machines."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from topazhold.wire import messages as wire
 from topazhold.wire.cloud import ListedMachine
 
-#: A machine that was rented so many list lags ago is on any list that is asked for now.
+#: A machine rented at least this many list lags ago appears on every list requested now.
 MIN_LISTED_AGE_LAGS = 4
-#: A list may be so many lags old.
+#: Greatest age of a list's contents, in list lags.
 MAX_LIST_AGE_LAGS = 2
 
 
 class MachineListReconciliation:
-    """Takes in whole lists of machines. Owns no state: machines count lists without them."""
+    """Applies complete lists of machines. Stateless: each machine counts its missed lists."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
@@ -25,7 +25,7 @@
     def on_machine_list(
         self, listed_machines: Iterable[ListedMachine], requested_at: float, now: float
     ) -> None:
-        """A whole machine list, asked for at `requested_at` on the same clock as `now`."""
+        """Apply a complete list, requested at `requested_at` on the same clock as `now`."""
         listed_names = set()
         for listed in listed_machines:
             if self._cluster.is_removed(listed.id):
@@ -41,8 +41,8 @@
                 or now - machine.rented_at < MIN_LISTED_AGE_LAGS * self._list_lag_s
             ):
                 continue
-            # Only a list asked for well after the machine was last heard says anything
-            # about it.
+            # An older list may predate the machine's last heartbeat, so its absence there
+            # proves nothing.
             if requested_at - machine.last_seen_at > MAX_LIST_AGE_LAGS * self._list_lag_s:
                 machine.count_missed_list()
 
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -1,4 +1,4 @@
-"""The tasks that a worker's heartbeat names against the attempts that its machine should have."""
+"""Reconciliation of a machine's attempts with the tasks in its worker's heartbeat."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 
 log = logging.getLogger(__name__)
 
-#: For so many heartbeat intervals nothing is placed on a machine that had no capacity, and no
-#: task of a job whose image is unknown.
+#: Heartbeat intervals for which a machine that rejected a launch for lack of capacity gets no
+#: work, and for which a job whose image is unknown is not placed.
 BACKOFF_HEARTBEATS = 2
 
 #: Orphaned tasks: (name, attempt) -> stage.
@@ -24,10 +24,7 @@
 
 
 class TaskReconciliation:
-    """Moves attempts on to what workers say of them, and what that proves.
-
-    Owns no state.
-    """
+    """Updates attempts from the tasks that workers report. Stateless."""
 
     def __init__(
         self, cluster: ClusterState, eviction: Eviction, failures: FailureAttribution
@@ -40,9 +37,9 @@
     def reconcile(
         self, machine: Machine, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> bool:
-        """Take in all tasks of a heartbeat; whether it shows that a launch did not arrive.
+        """Apply all tasks of a heartbeat; return whether it shows that a launch was lost.
 
-        `synced`: it was written under this term; `direct`: it answers a direct command.
+        `synced`: the worker sent it under this term; `direct`: in reply to a direct command.
         """
         seen: set[tuple[str, int]] = set()
         orphans: Orphans = {}
@@ -87,13 +84,13 @@
     def _reconcile_missing(
         self, attempt: TaskAttempt, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
     ) -> bool:
-        """An attempt that the heartbeat lacks; whether its launch can be seen to be lost."""
+        """Handle an attempt missing from the heartbeat; return whether its launch was lost."""
         if attempt.possibly_running:
             if synced:
                 self._cluster.remove_attempt(attempt, now)
         elif attempt.state is AttemptState.ORDERED:
-            # Heartbeats go out one at a time, so this one was sent after the
-            # answer with the launch was carried out or dropped for good.
+            # A worker has one heartbeat in flight at a time, so it sent this one after it had
+            # either executed the response with the launch or lost it.
             if not direct and heartbeat.sequence > attempt.launch_sequence:
                 if attempt.stopping:
                     self._cluster.remove_attempt(attempt, now)
@@ -112,7 +109,7 @@
         orphans: Orphans,
         now: float,
     ) -> None:
-        """A task that no intent of ours explains: it must go, and counts till then."""
+        """Stop a task without a matching attempt; it occupies the machine until it ends."""
         job_id, index = key
         job = self._cluster.jobs.get(job_id)
         if job is not None and index < job.spec.tasks and index not in job.attempts:
@@ -132,12 +129,12 @@
     ) -> None:
         attempt.end(task.cause or "", bool(task.kept), now)
         log.info(
-            "task %s try %d on %s ended: %s%s",
+            "task %s attempt %d on %s ended: %s%s",
             attempt.task_name,
             attempt.attempt_number,
             machine.name,
             attempt.cause,
-            " (saved)" if task.kept else "",
+            " (checkpoint kept)" if task.kept else "",
         )
         if attempt.cause == wire.CAUSE_DONE:
             self._on_success(machine, attempt, now)
@@ -174,7 +171,7 @@
     def _record_gang_progress(
         self, job: Job, attempt: TaskAttempt, running_since: float, now: float
     ) -> None:
-        """What the gang has saved, as far as it can be told from outside."""
+        """Update the gang's checkpointed progress, estimated from run times."""
         if attempt.index != min(job.attempts, default=attempt.index):
             return
         ran_s = (attempt.stop_at if attempt.stopping else now) - running_since
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -1,4 +1,4 @@
-"""Commands to workers: launches, kills, clears, and what makes a worker send a heartbeat."""
+"""Commands to workers: launches, kills, clears, and wake-ups that trigger a heartbeat."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 log = logging.getLogger(__name__)
 
-#: Ended tasks left on a worker to wake it with.
+#: Ended tasks left uncleared on a worker, each usable for one wake-up.
 MAX_WAKE_TASKS = 3
-#: The answer to a heartbeat is made within so many heartbeat intervals.
+#: Heartbeat intervals within which the response to a heartbeat has been built.
 MAX_RESPONSE_HEARTBEATS = 0.1
 
 
 class WorkerCommands:
-    """What a worker is told, in the answer to its heartbeat or directly.
+    """Builds the commands for workers, in responses to heartbeats or sent directly.
 
-    Owns `to_wake`, the machines to be made to send a heartbeat at once, and `_delayed_wakes`,
-    those whose last answer is perhaps not made yet.
+    Owns `to_wake`, the machines whose workers are to send a heartbeat at once, and
+    `_delayed_wakes`, those whose last heartbeat may not have been responded to yet.
     """
 
     def __init__(self, cluster: ClusterState) -> None:
@@ -38,9 +38,10 @@
     def response_commands(
         self, machine: Machine, heartbeat: Heartbeat, now: float, include_launches: bool
     ) -> list[Command]:
-        """The commands for a heartbeat's answer: clears, kills, launches, in this order.
+        """Return the commands for the response to a heartbeat: clears, kills, launches.
 
-        Launches only if `include_launches`, to a ready machine that knows this term.
+        Launches are included only if `include_launches`, for a ready machine that knows this
+        term.
         """
         commands = self._clears(machine, heartbeat) + self.kills(machine)
         if (
@@ -49,8 +50,8 @@
             and heartbeat.fencing_token == self._term
         ):
             for attempt in machine.attempts.values():
-                # Only in the incarnation that the intent names: a newer one then
-                # proves the task gone, also to a leader who comes later.
+                # Launch only in the incarnation named by the intent: a newer incarnation
+                # then proves the task gone, also to a later leader.
                 if (
                     attempt.state is AttemptState.WRITTEN
                     and not attempt.stopping
@@ -58,7 +59,7 @@
                 ):
                     attempt.order(heartbeat.sequence, now)
                     log.info(
-                        "launch %s try %d on %s",
+                        "launching task %s attempt %d on %s",
                         attempt.task_name,
                         attempt.attempt_number,
                         machine.name,
@@ -67,11 +68,10 @@
         return commands
 
     def _clears(self, machine: Machine, heartbeat: Heartbeat) -> list[Command]:
-        """Clears for ended tasks, but for a few that are kept to wake the worker with.
+        """Return clears for ended tasks, except for a few that are kept for wake-ups.
 
-        A change of a worker's tasks makes it send a heartbeat at once. Clearing the kept
-        task directly is such a change, so a launch need not wait for the next
-        regular heartbeat.
+        A worker sends a heartbeat at once when its tasks change. Clearing a kept task
+        directly is such a change, so a launch need not wait for the next regular heartbeat.
         """
         commands = []
         for task in heartbeat.tasks:
@@ -85,7 +85,7 @@
         return commands[MAX_WAKE_TASKS:]
 
     def _is_completion_unsaved(self, task: TaskStatus) -> bool:
-        """Whether nothing but the worker's heartbeat tells yet that a task has completed."""
+        """Return whether a task's completion is not stored yet, so only the worker has it."""
         key = wire.split_task_name(task.task_name)
         job = self._cluster.jobs.get(key[0]) if key else None
         return (
@@ -96,7 +96,7 @@
         )
 
     def direct_commands(self, machine: Machine) -> list[Command]:
-        """What goes out directly: kills, and the clear that wakes a worker for its launch."""
+        """Return the commands to send directly: kills, and the clear that wakes the worker."""
         commands = self.kills(machine)
         if machine.name in self.to_wake:
             self.to_wake.discard(machine.name)
@@ -105,10 +105,10 @@
         return commands
 
     def wake(self, machine: Machine, now: float) -> None:
-        """Make the worker send a heartbeat, so that it gets its launches.
+        """Make the worker send a heartbeat, whose response then carries its launches.
 
-        The answer to a heartbeat that has just come may still be on its way to being made,
-        and take them; whoever is not served by it is woken a moment later.
+        If a heartbeat has just arrived, its response may not be built yet and may still include
+        the launches. The wake-up is delayed until then, and skipped if it is not needed.
         """
         if not machine.wake_tasks:
             return
@@ -122,11 +122,11 @@
         self._cluster.request_command(name)
 
     def _heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
-        """Whether the answer to the machine's last heartbeat may not be made yet."""
+        """Return whether the response to the last heartbeat may not have been built yet."""
         return now - (machine.last_heartbeat_at or 0.0) <= self._max_response_s
 
     def wake_delayed(self, now: float) -> None:
-        """Wake the workers whose launches came too late for the answer that was due."""
+        """Wake the workers whose launches missed the response for which they were delayed."""
         for name in list(self._delayed_wakes):
             machine = self._cluster.machines.get(name)
             if machine is not None and self._heartbeat_is_recent(machine, now):
@@ -139,14 +139,14 @@
                     self._wake_now(name)
 
     def is_responsive(self, machine: Machine, now: float) -> bool:
-        """Whether the worker was heard not long ago, so that it is likely to answer."""
+        """Return whether the last heartbeat is recent, so the worker is likely to respond."""
         return (
             machine.last_heartbeat_at is not None
             and now - machine.last_heartbeat_at < self._responsive_s
         )
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
-        """Whom to command directly first: the living, and those with cancelled work."""
+        """Return the machines to command directly: responsive, then cancelled work first."""
         candidates = []
         for name in names:
             machine = self._cluster.machines.get(name)
@@ -163,7 +163,7 @@
         return [machine for _, machine in candidates]
 
     def kills(self, machine: Machine) -> list[Command]:
-        """Kills for all that must leave the machine; every one can be repeated."""
+        """Return kills for all tasks that must leave the machine; each may be repeated."""
         commands = []
         for attempt in machine.attempts.values():
             if attempt.stop_grace is None or attempt.state in UNSENT:
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -1,4 +1,4 @@
-"""Machines for jobs whose capacity is there, but in the wrong zones."""
+"""Demand for machines in single zones, for jobs whose capacity exists in the wrong zones."""
 
 from __future__ import annotations
 
@@ -15,18 +15,17 @@
 
 
 class ZoneShortage(NamedTuple):
-    """A zone that lacks capacity for so many tasks of a job."""
+    """A zone, and the number of a job's tasks that it lacks capacity for."""
 
     zone: str
     tasks: int
 
 
 class ZoneDemand:
-    """Adds to the demand for machines what jobs that have waited lack in single zones.
+    """Adds demand for the machines that long-waiting jobs lack in single zones.
 
-    Other demand in a zone counts on others' work there to end in time; beside work that runs
-    on a gang of one zone would wait as long, and so would jobs that may not have all their
-    tasks in one zone. Owns no state.
+    The regular demand assumes that running work in a zone ends in time. If it does not, a gang
+    that must share a zone waits as long, and so do jobs that must spread over zones. Stateless.
     """
 
     def __init__(
@@ -39,9 +38,9 @@
     def add_to(
         self, demands: autoscaling.CapacityDemands, machine_types: list[MachineType], now: float
     ) -> None:
-        """Demand more machines of one zone for the first job that lacks them: one at a time."""
+        """Add demand in one zone for the first job that lacks capacity; one job per call."""
         waiting = [job for job in self._cluster.jobs.values() if self._waits_for_zone(job, now)]
-        # Gangs of one shape find the same capacity: counted once for all of them.
+        # Jobs of one shape see the same free capacity, so it is counted once per shape.
         free_by_shape: dict[object, dict[str, int]] = {}
         for job in sorted(waiting, key=lambda job: (job.arrived, job.id)):
             machine_type = autoscaling.cheapest_type(job.spec, machine_types)
@@ -81,8 +80,10 @@
         demand.at_least(present_machines + additional_machines, shortage.zone)
 
     def _waits_for_zone(self, job: Job, now: float) -> bool:
-        """Whether zones matter to a job, and it is an aged gang, or a service that has lacked
-        replicas for longer than others."""
+        """Return whether a job with zone constraints has waited long.
+
+        True for an aged gang, or a service that still lacks replicas a lease after its arrival.
+        """
         if job.state is not JobState.LIVE or job.spec.zone is not None:
             return False
         if not (job.spec.same_place or job.spec.scatter):
@@ -93,8 +94,10 @@
         return job.service and job.waiting_count > 0 and is_late
 
     def _shortage(self, job: Job, zones: list[str], free: dict[str, int]) -> ZoneShortage | None:
-        """A zone in which capacity for so many more tasks would let the job run, if zones alone
-        are in the way."""
+        """Return a zone where more capacity would let the job run.
+
+        None if the job lacks capacity in total, or if zones are not what keeps it waiting.
+        """
         wanted = job.waiting_count
         if sum(free.values()) < wanted:
             return None
@@ -114,7 +117,7 @@
         return ZoneShortage(zone, min(missing, allowance[zone] - free[zone]))
 
     def _free_slots(self, job: Job, machine_type: MachineType) -> dict[str, int]:
-        """Zone by zone, how many tasks of a job the machines have capacity for now or soon."""
+        """Return by zone how many tasks of a job fit on machines that count as capacity."""
         free: dict[str, int] = dict.fromkeys(machine_type.zones, 0)
         for machine in self._cluster.machines.values():
             if not autoscaling.counts_as_capacity(machine) or machine.machine_type is None:
