--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -24,13 +24,13 @@
 
     def step(self, machine: Machine, now: float) -> None:
         """Move or stop work on a draining machine, and release it once it is empty."""
-        self._remove_unsent_launches(machine, now)
+        self._drop_unsent_launches(machine, now)
         if machine.reason == QUARANTINED:
             self._drain_quarantined(machine, now)
         elif machine.gone_at is not None:
             self._drain_before_preemption(machine, machine.gone_at - now, now)
 
-    def _remove_unsent_launches(self, machine: Machine, now: float) -> None:
+    def _drop_unsent_launches(self, machine: Machine, now: float) -> None:
         """Drop attempts that were never launched, stopping gangs with such attempts.
 
         A draining machine is sent no launches, so these tasks would wait forever.
--- a/topazhold/core/fleet_scaling.py
+++ b/topazhold/core/fleet_scaling.py
@@ -47,9 +47,9 @@
             fleet = autoscaling.Fleet(
                 machine_type,
                 [
-                    m
-                    for m in cluster.machines.values()
-                    if not self._failure_detection.is_missing(m, now)
+                    machine
+                    for machine in cluster.machines.values()
+                    if not self._failure_detection.is_missing(machine, now)
                 ],
             )
             requests += autoscaling.scale_out(
