--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -70,12 +70,12 @@
 
 def forget_over(patch: pytest.MonkeyPatch) -> None:
     """Jobs that are over are not found any more."""
-    patch.setattr(records, "over_key", lambda job: f"lost/{job}/{id(object())}")
+    patch.setattr(records, "ended_key", lambda job: f"lost/{job}/{id(object())}")
 
 
 def early_done(patch: pytest.MonkeyPatch) -> None:
     """One task done passes for the whole job."""
-    patch.setattr(Job, "complete", property(lambda self: self.completed_count > 0))
+    patch.setattr(Job, "is_complete", property(lambda self: self.completed_count > 0))
 
 
 def invent(patch: pytest.MonkeyPatch) -> None:
@@ -86,7 +86,7 @@
 
 
 def done_turns_aborted(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(records, "over_stage", lambda data: wire.ABORTED)
+    patch.setattr(records, "ended_stage", lambda data: wire.ABORTED)
 
 
 def no_answer_for_one(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_cancellation_records.py
+++ b/tests/test_cancellation_records.py
@@ -13,26 +13,26 @@
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from topazhold.control.cancellation_enforcer import CancellationEnforcer
 from topazhold.control.controller_services import initial_state
-from topazhold.core.cancellations import MAX_SENT, Cancellations
+from topazhold.core.cancellations import MAX_ENTRIES_PER_MESSAGE, Cancellations
 from topazhold.core.placement_hints import PlacementHints
 from topazhold.wire.workers import Heartbeat, TaskStatus
 
 
 def test_record_reaches_a_peer_in_parts_and_after_its_restart() -> None:
     here = Cancellations("here-1", 30.0, 10.0)
-    for number in range(2 * MAX_SENT + 5):
+    for number in range(2 * MAX_ENTRIES_PER_MESSAGE + 5):
         assert here.add(f"wk-{number}", 1000.0, 1000.0)
     assert not here.add("wk-3", 1000.0, 1000.0)
     for incarnation in ("there-1", "there-2"):
         there = Cancellations(incarnation, 30.0, 10.0)
-        here.acknowledged("there", "", -1)  # it has just started
+        here.record_acknowledgement("there", "", -1)  # it has just started
         messages = 0
-        while (news := here.news("there")) is not None:
+        while (news := here.changes_for("there")) is not None:
             there.receive("here", here.incarnation, *news, 1001.0)
-            here.acknowledged("there", *there.receipts()["here"])
+            here.record_acknowledgement("there", *there.receipts()["here"])
             messages += 1
         assert messages == 3 and len(there) == len(here)
-        assert there.level_with("here", here.incarnation, here.last)
+        assert there.has_all_of("here", here.incarnation, here.last_number)
         assert here.peer_has("there", "wk-1004")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -64,18 +64,18 @@
 
 
 def live_meaning(version: Version, data: Any) -> Any:
-    job = version.load("core.records", "read_live")(data, 5, WALL, CLOCK)
+    job = version.load("core.records", "read_live_job")(data, 5, WALL, CLOCK)
     return job_meaning(job), version.load("core.records", "completed_count")(data)
 
 
 def over_meaning(version: Version, data: Any) -> Any:
-    job = version.load("core.records", "read_over")(data, WALL, CLOCK)
-    stage = version.load("core.records", "over_stage")(data)
-    return job_meaning(job), stage, version.load("core.records", "over_at")(data, 0.0)
+    job = version.load("core.records", "read_ended_job")(data, WALL, CLOCK)
+    stage = version.load("core.records", "ended_stage")(data)
+    return job_meaning(job), stage, version.load("core.records", "ended_at")(data, 0.0)
 
 
 def intents_meaning(version: Version, data: Any) -> Any:
-    found, odd = version.load("core.records", "read_on")(data)
+    found, odd = version.load("core.records", "read_intents")(data)
     return [tuple(each) for each in found], odd
 
 
@@ -105,7 +105,7 @@
     if first == "hold":
         return holds_meaning(version, data)
     if first in ("queen", "crown"):
-        return version.load("core.leadership", "read_value")(data)
+        return version.load("core.leadership", "read_leader_value")(data)
     if first == "relay":
         return data["crown"], read_heartbeats(version, data["reports"])
     assert first == "sum"
@@ -125,7 +125,9 @@
         member(cancelled, "_acknowledged"),
         {
             name: (member(place, "endpoint"), sorted(member(place, "jobs")))
-            for name, place in member(member(controller, "state.placement_hints"), "places").items()
+            for name, place in member(
+                member(controller, "state.placement_hints"), "by_machine"
+            ).items()
         },
         view_meaning(member(controller, "placement_search.cluster_view")),
     )
@@ -224,8 +226,8 @@
     """The spec of a job that is over is cut; production still finds in it what it needs."""
     spec = make_spec(machine_types=["b1"] * 50, image="i" * 200, job_class="c" * 200)
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
-    value = records.over_value(live["spec"], wire.ABORTED, WALL - 3.0, "t")
-    job = production().load("core.records", "read_over")(value, WALL, CLOCK)
+    value = records.ended_value(live["spec"], wire.ABORTED, WALL - 3.0, "t")
+    job = production().load("core.records", "read_ended_job")(value, WALL, CLOCK)
     team = member(member(job, "spec"), "team")
     assert (member(job, "id"), team, member(job, "need")) == (spec.id, spec.team, (4.0, 2.0, 8.0))
     assert member(job, "cancelled_at") == pytest.approx(CLOCK - 3.0)
@@ -259,13 +261,13 @@
 
 
 def rename_field(patch: pytest.MonkeyPatch) -> None:
-    value = records.on_value
+    value = records.intents_value
 
     def renamed(*args: Any) -> Any:
         found = value(*args)
         return {"by": found["by"], "machines": found["boxes"], "boxes": {}}
 
-    patch.setattr(records, "on_value", renamed)
+    patch.setattr(records, "intents_value", renamed)
 
 
 def longer_hold(patch: pytest.MonkeyPatch) -> None:
@@ -284,13 +286,13 @@
 
 def unreadable_intents(patch: pytest.MonkeyPatch) -> None:
     """One more element for each machine."""
-    value = records.on_value
+    value = records.intents_value
 
     def longer(*args: Any) -> Any:
         found = value(*args)
         return {**found, "boxes": {name: [*item, 0] for name, item in found["boxes"].items()}}
 
-    patch.setattr(records, "on_value", longer)
+    patch.setattr(records, "intents_value", longer)
 
 
 CORPUS_VARIANTS = [rename_key, rename_leader_key, rename_field, longer_hold, longer_ping]
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -74,7 +74,7 @@
             for run in scenario.controllers[new].leader_term.scheduler.jobs[job].attempts.values()
             if run.machine == first.name
         ]
-        assert len(run) == 1 and run[0].present, "it still counts as possibly running"
+        assert len(run) == 1 and run[0].is_active, "it still counts as possibly running"
         await curio.sleep(20.0)
 
     assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_follower_heartbeats.py
+++ b/tests/test_follower_heartbeats.py
@@ -68,9 +68,9 @@
     lead = Leadership("hive-0")
     lead.become_candidate()
     lead.become_leader(4)
-    assert not lead.learn("hive-1", 3) and lead.is_leader
-    assert lead.learn("hive-1", 5) and lead.role is Role.FOLLOWER
-    assert not lead.learn("hive-2", 4) and lead.leader == "hive-1"
+    assert not lead.observe_term("hive-1", 3) and lead.is_leader
+    assert lead.observe_term("hive-1", 5) and lead.role is Role.FOLLOWER
+    assert not lead.observe_term("hive-2", 4) and lead.leader == "hive-1"
 
 
 def test_only_a_node_that_alone_is_not_served_goes_unhealthy() -> None:
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -44,7 +44,7 @@
 def test_every_task_of_a_stopped_gang_gets_time_to_save(harness: SchedulerHarness) -> None:
     job = running_gang(harness)
     harness.scheduler.preempt(job.attempts[0], "test", harness.now)
-    graces = [attempt.stop_grace for attempt in job.attempts.values()]
+    graces = [attempt.stop_grace_s for attempt in job.attempts.values()]
     assert graces
     assert all(grace is not None and grace >= job.spec.save_s for grace in graces)
     assert harness.scheduler.to_command >= {"host-0", "host-2"}
@@ -70,7 +70,7 @@
     job = running_gang(harness)
     harness.set_task_states("host-0", "ended", "done")
     harness.heartbeat("host-0")
-    assert job.complete
+    assert job.is_complete
     assert harness.scheduler.finished == [job]
 
 
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -31,7 +31,7 @@
     (attempt,) = harness.plan_and_commit()
     assert launched(harness.heartbeat(attempt.machine, carry_out=False)) == ["wk-000001/0"]
     assert launched(harness.heartbeat(attempt.machine)) == ["wk-000001/0"]
-    assert attempt.state is AttemptState.ORDERED
+    assert attempt.state is AttemptState.LAUNCH_SENT
     harness.heartbeat(attempt.machine)
     assert attempt.state is AttemptState.PULLING
 
@@ -46,7 +46,7 @@
         attempt.machine, "x:1", "b1", "a", False, 1, harness.sequences[attempt.machine], 5, []
     )
     harness.scheduler.on_heartbeat(heartbeat, True, harness.now)
-    assert attempt.state is AttemptState.ORDERED
+    assert attempt.state is AttemptState.LAUNCH_SENT
 
 
 def test_gang_keeps_its_reservation_when_intents_cannot_be_written(
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -102,7 +102,7 @@
     harness.set_task_states(attempt.machine, "running")
     harness.heartbeat(attempt.machine, notice_s=20.0)
     harness.scheduler.tick(harness.now)
-    assert attempt.stop_grace is not None and attempt.stop_grace >= job.spec.save_s
+    assert attempt.stop_grace_s is not None and attempt.stop_grace_s >= job.spec.save_s
     assert harness.scheduler.machines[attempt.machine].state is MachineState.DRAINING
 
 
--- a/tests/test_scheduling_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -19,7 +19,7 @@
 def stops(harness: SchedulerHarness) -> list[tuple[str, int, float | None]]:
     """All tasks on machines, with the grace of those that were told to stop."""
     return sorted(
-        (attempt.task_name, attempt.attempt_number, attempt.stop_grace)
+        (attempt.task_name, attempt.attempt_number, attempt.stop_grace_s)
         for machine in harness.scheduler.machines.values()
         for attempt in machine.attempts.values()
     )
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -222,8 +222,10 @@
     full = ResourceOffer(
         "m1", "a", "b1", False, frozenset(), [(0.0, (2.0, 0.0, 8.0)), (90.0, ROOM)], [], 2.0
     )
-    assert zone_summary.sooner(full)[0] == 90.0
-    assert zone_summary.sooner(offer("m2", "a", 40.0)) < zone_summary.sooner(full)
+    assert zone_summary.availability_key(full)[0] == 90.0
+    assert zone_summary.availability_key(offer("m2", "a", 40.0)) < zone_summary.availability_key(
+        full
+    )
 
 
 def test_names_of_a_whole_zone_fit_a_value() -> None:
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -72,7 +72,7 @@
     harness.all_heartbeats()
     harness.set_task_states(first.machine, "ended", cause)
     harness.heartbeat(first.machine)
-    assert job.waiting_count == 1 and not job.complete
+    assert job.waiting_count == 1 and not job.is_complete
     assert harness.scheduler.finished == [] and job.completed_count == 0
     run_all(harness)
     again = run_of(job, first.index)
@@ -86,7 +86,7 @@
     marked.mark_completed(1)
     job = Job(service_spec(tasks=2), 0.0, 0.0, "")
     job.load_part(0, marked.part_text(0))
-    assert job.completed_count == 0 and not job.complete
+    assert job.completed_count == 0 and not job.is_complete
 
 
 def test_replacement_waits_for_the_proof(harness: SchedulerHarness) -> None:
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -89,7 +89,7 @@
 def shards_of_larger_limits(harness: SchedulerHarness, machines: list[str]) -> IntentShards:
     """One stored value with all these machines, as the larger limit allowed it."""
     shards = IntentShards(SMALL)
-    shards.found("0001", 7, machines)
+    shards.adopt("0001", 7, machines)
     return shards
 
 
@@ -98,7 +98,7 @@
     fill(harness, 4)
     machines = harness.scheduler.machines
     shards = shards_of_larger_limits(harness, list(machines))
-    touched = shards.of(machines["host-000"], machines)
+    touched = shards.shard_of(machines["host-000"], machines)
     values = shards.values({touched}, machines, "t")
     assert len(values) > 2
     assert all(json_size(value) <= SMALL for _, value in values.values())
@@ -116,12 +116,12 @@
     for index in range(60):
         harness.scheduler.cluster.attach(TaskAttempt(job, index, 2**40, "host-002", harness.now))
     shards = shards_of_larger_limits(harness, list(machines))
-    values = shards.values({shards.of(machines["host-000"], machines)}, machines, "t")
+    values = shards.values({shards.shard_of(machines["host-000"], machines)}, machines, "t")
     assert all(json_size(value) <= SMALL for _, value in values.values())
     named = [name for _, value in values.values() for name in value["boxes"]]
     assert sorted(named) == sorted(machines.keys() - {"host-002"})
     assert "0001" not in values, "the stored value must go on naming it"
-    assert shards.of(machines["host-002"], machines).name == "0001"
+    assert shards.shard_of(machines["host-002"], machines).name == "0001"
 
 
 class StrictStore:
@@ -168,15 +168,15 @@
     fill(harness, 4)
     machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
-    store.stored["on/0001"] = records.on_value(machines.values(), "old")
+    store.stored["on/0001"] = records.intents_value(machines.values(), "old")
 
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         settings = lowered_settings()
         elected = ElectionResult(5, 7, 0.0)
         context = TermContext(settings, store, harness.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
-        context.shards.found("0001", 7, list(machines))
-        shard = context.shards.gone("host-015")
+        context.shards.adopt("0001", 7, list(machines))
+        shard = context.shards.forget_machine("host-015")
         assert shard is not None
         del machines["host-015"]
         store.refuse = refuse
@@ -198,7 +198,7 @@
     fill(harness, 16)
     machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
-    store.stored["on/0001"] = records.on_value(machines.values(), "old")
+    store.stored["on/0001"] = records.intents_value(machines.values(), "old")
     job = harness.add_job(make_spec(900, shape="batch", tasks=1))
     attempt = TaskAttempt(job, 0, 3, "host-000", harness.now)
     harness.scheduler.cluster.attach(attempt)
@@ -208,7 +208,7 @@
         settings = lowered_settings()
         elected = ElectionResult(5, 7, 0.0)
         context = TermContext(settings, store, harness.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
-        context.shards.found("0001", 7, list(machines))
+        context.shards.adopt("0001", 7, list(machines))
         await Intents(context).write([attempt])
 
     run_virtual(act, monkeypatch)
@@ -269,9 +269,9 @@
     )
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
     assert json_size(live) > 2048
-    over = records.over_value(live["spec"], wire.DONE, 5.0, "t")
+    over = records.ended_value(live["spec"], wire.DONE, 5.0, "t")
     assert json_size(over) < 2048
-    assert records.read_over(over, 6.0, 1.0).spec.team == spec.team
+    assert records.read_ended_job(over, 6.0, 1.0).spec.team == spec.team
 
 
 @pytest.mark.parametrize("tasks", [1, 7, 4096, 100_000])
@@ -283,7 +283,7 @@
     for index in range(tasks):
         job.mark_completed(index)
     value = records.live_value(job, "t")
-    assert json_size({**value, "count": 0}) <= before + records.marks_size(spec)
+    assert json_size({**value, "count": 0}) <= before + records.max_bitmap_size(spec)
 
 
 # -- the rate -----------------------------------------------------------------------
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -115,7 +115,7 @@
     job = Job(make_spec(shape="batch", tasks=9000), 50.0, 1000.0, "hive-1")
     for index in (0, 7, 4095, 4096, 8999):
         job.mark_completed(index)
-    again = records.read_live(records.live_value(job, "t"), 3, 1010.0, 60.0)
+    again = records.read_live_job(records.live_value(job, "t"), 3, 1010.0, 60.0)
     assert again.spec == job.spec and again.revision == 3 and again.arrived == 50.0
     assert [i for i in range(9000) if again.completed[i]] == [0, 7, 4095]
     for part in (1, 2):
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -107,8 +107,8 @@
             job = self._job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
             for index in range(tasks):
                 attempt = TaskAttempt(job, index, self.number, heartbeat.machine, self.now)
-                attempt.written(self.now)
-                attempt.order(1, self.now)
+                attempt.mark_written(self.now)
+                attempt.mark_launch_sent(1, self.now)
                 self.scheduler.cluster.attach(attempt)
                 heartbeat.tasks.append(
                     TaskStatus(attempt.task_name, attempt.attempt_number, "running")
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -108,8 +108,8 @@
             ]
         )
         for name in self._machines_to_look_at(frozenset(ages), holders.keys(), now):
-            place = self._placement_hints.places[name]
-            place.looks = now
+            place = self._placement_hints.by_machine[name]
+            place.last_probed_at = now
             self._looking.add(name)
             await curio.spawn(self._look, name, place, daemon=True)
 
@@ -118,7 +118,7 @@
         wall = time.time()
         ages = {
             job: wall - at
-            for job, at in self._cancellations.since(wall - END_SHARE * self._cancel_s)
+            for job, at in self._cancellations.cancelled_since(wall - END_SHARE * self._cancel_s)
             if not self._leader_handles(job, now)
         }
         self._left_since = {job: self._left_since.get(job, now) for job in ages}
@@ -148,13 +148,13 @@
         sweeps = [newest + (1 + n) * LOOK_SHARE * self._cancel_s for n in range(SWEEPS)]
         first: list[str] = []
         others: list[str] = []
-        for name, place in self._placement_hints.places.items():
+        for name, place in self._placement_hints.by_machine.items():
             if place.endpoint is None or name in self._looking:
                 continue
             if name in holders:
-                if place.looks < newest or now - place.looks > again_s:
+                if place.last_probed_at < newest or now - place.last_probed_at > again_s:
                     first.append(name)
-            elif any(place.looks < at <= now for at in sweeps):
+            elif any(place.last_probed_at < at <= now for at in sweeps):
                 others.append(name)
         return (first + others)[: self._max_looks - len(self._looking)]
 
@@ -167,7 +167,7 @@
 
     async def _read_list(self) -> None:
         try:
-            self._placement_hints.listed(await self._cloud.machines())
+            self._placement_hints.update_from_list(await self._cloud.machines())
         except CloudUnavailableError as exc:
             log.debug("machine list: %s", exc)
 
@@ -183,7 +183,7 @@
                 return
             heartbeat = read(body, Heartbeat)
             self._placement_hints.update_from_heartbeat(heartbeat)
-            commands = self._cancellations.kills(heartbeat)
+            commands = self._cancellations.kill_commands(heartbeat)
             if not commands:
                 return
             # Kills are safe from anybody, and a token equal to the worker's is accepted.
@@ -215,7 +215,7 @@
             await curio.sleep(RELEASE_RETRY_HEARTBEATS * self._heartbeat_interval_s)
         else:
             for name in names:
-                self._placement_hints.gone(name)
+                self._placement_hints.remove(name)
             await self._announce_released(names)
         finally:
             self._releasing = False
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -72,7 +72,7 @@
 
     async def _send_missing(self, peer: str) -> None:
         """Send a peer what it lacks; it acknowledges, or gets it again after the next ping."""
-        news = self._cancellations.news(peer)
+        news = self._cancellations.changes_for(peer)
         if news is not None:
             message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *news)
             await self._peers.send(peer, message)
@@ -91,7 +91,7 @@
 
     async def on_receipt(self, peer: str, incarnation: str, upto: int) -> None:
         """A peer acknowledges all up to a number; what it still lacks is sent."""
-        lacks = self._cancellations.acknowledged(peer, incarnation, upto)
+        lacks = self._cancellations.record_acknowledgement(peer, incarnation, upto)
         passed, self._receipt = self._receipt, curio.Event()
         await passed.set()
         if lacks:
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -91,7 +91,7 @@
             commands = scheduler.direct_commands(machine)
             if commands or scheduler.needs_term_announcement(machine, now):
                 silent += is_silent
-                machine.commanded_at = now
+                machine.last_commanded_at = now
                 self._in_flight[machine.name] = is_silent
                 await curio.spawn(self._command, machine, commands, daemon=True)
 
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -8,7 +8,7 @@
 import curio
 
 from topazhold.control.key_value_store import KeyValueStore
-from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_value
+from topazhold.core.leadership import LEADER_KEY, TERM_KEY, Leadership, Role, read_leader_value
 from topazhold.interfaces.store import LEASE_PRIORITY, Precondition
 from topazhold.interfaces.store_errors import (
     KeyValueStoreError,
@@ -206,7 +206,7 @@
                 await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
 
     async def _on_vacancy(self) -> None:
-        self._leadership.vacant()
+        self._leadership.mark_vacant()
         is_follower = self._leadership.role is Role.FOLLOWER
         suspended = await curio.clock() < self._suspended_until
         if self._lease.id is not None and is_follower and not suspended:
@@ -221,7 +221,7 @@
         issues no more commands, so its lease need not be left to expire. Or this process won
         it, but the store's answer was lost. Returns True if a lease was revoked.
         """
-        value = read_value(entry.data)
+        value = read_leader_value(entry.data)
         if value is None or value[0] != self._leadership.node or self._leadership.is_leader:
             return False
         if entry.lease_id is None:
@@ -249,13 +249,13 @@
                 await self._on_leader_value(data)
 
     async def _on_leader_value(self, data: Any) -> None:
-        value = read_value(data)
+        value = read_leader_value(data)
         if value is None:
             return
         leader, term = value
         if leader == self._leadership.node:
             return
-        if self._leadership.learn(leader, term):
+        if self._leadership.observe_term(leader, term):
             await self._on_superseded("another leader was elected")
 
     async def _run_for_leader(self, lease_id: int) -> None:
@@ -266,7 +266,7 @@
             last = await self._store.get(TERM_KEY, LEASE_PRIORITY)
             term = max(leadership.term, int(last.data["crown"]) if last is not None else 0) + 1
             token = f"{leadership.node}-{lease_id}-{term}"
-            value = {**leadership.value(term), "by": token}
+            value = {**leadership.leader_value(term), "by": token}
             revision = await self._store.commit(
                 [
                     Precondition(LEADER_KEY, 0),
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -44,11 +44,13 @@
     for entry in live_entries:
         # An invalid record must not hide the others.
         try:
-            job = records.read_live(entry.data, entry.revision, read_time.wall, read_time.monotonic)
+            job = records.read_live_job(
+                entry.data, entry.revision, read_time.wall, read_time.monotonic
+            )
         except (InvalidMessageError, ValueError, TypeError) as exc:
             log.error("%s unreadable: %s", entry.key, exc)
             continue
-        if records.parts_of(job) > 1:
+        if records.part_count(job) > 1:
             await load_completion_bitmaps(context, job)
         jobs.append(job)
     intents, unreadable = await _load_intents(context)
@@ -91,28 +93,28 @@
 
 async def _load_intents(context: TermContext) -> tuple[list[records.Intents], list[str]]:
     """Load the intents of all machines; return them and the machines with invalid intents."""
-    entries, _ = await context.store.entries(records.ON_PREFIX, LEASE_PRIORITY)
+    entries, _ = await context.store.entries(records.INTENTS_PREFIX, LEASE_PRIORITY)
     # An interrupted failover is restarted, so the shards are created again here: two shards of
     # one name would overwrite each other's intents.
     context.shards = IntentShards(context.value_limit)
     intents: list[records.Intents] = []
     unreadable: list[str] = []
     for entry in entries:
-        shard_intents, unreadable_names = records.read_on(entry.data)
+        shard_intents, unreadable_names = records.read_intents(entry.data)
         intents += shard_intents
         unreadable += unreadable_names
         names = [each.machine for each in shard_intents]
-        context.shards.found(entry.key[len(records.ON_PREFIX) :], entry.revision, names)
+        context.shards.adopt(entry.key[len(records.INTENTS_PREFIX) :], entry.revision, names)
     return intents, unreadable
 
 
 async def _read_ended_job(context: TermContext, job_id: str, read_time: _ReadTime) -> Job | None:
     """Read a job that has ended but is named by intents; None if it is missing or invalid."""
-    entry = await context.store.get(records.over_key(job_id), LEASE_PRIORITY)
+    entry = await context.store.get(records.ended_key(job_id), LEASE_PRIORITY)
     if entry is None:
         return None
     try:
-        job = records.read_over(entry.data, read_time.wall, read_time.monotonic)
+        job = records.read_ended_job(entry.data, read_time.wall, read_time.monotonic)
     except (InvalidMessageError, ValueError, TypeError) as exc:
         log.error("%s unreadable: %s", entry.key, exc)
         return None
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -45,7 +45,7 @@
         self._node = settings.node_name
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
         state = settings.cluster.state
-        self._value_limit = int(state.lasting_value_bytes * records.VALUE_SHARE)
+        self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         # Of the changes a second, as many as a share allows, in a transaction's worth.
         by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
         by_size = TXN_BYTES // self._value_limit
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -105,7 +105,7 @@
     def _answer_locally(self, heartbeat: Heartbeat, term: int) -> Response:
         """A 200 without a scheduler: nothing but the kills that the record asks for."""
         self._placement_hints.update_from_heartbeat(heartbeat)
-        commands = self._cancellations.kills(heartbeat)
+        commands = self._cancellations.kill_commands(heartbeat)
         if commands:
             log.info(
                 "%d tasks of cancelled jobs on %s killed in an answer",
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -81,7 +81,9 @@
         for attempt in attempts:
             machine = machines.get(attempt.machine)
             if machine is not None:
-                by_shard.setdefault(context.shards.of(machine, machines).name, []).append(attempt)
+                by_shard.setdefault(context.shards.shard_of(machine, machines).name, []).append(
+                    attempt
+                )
         return by_shard
 
     def _max_jobs(self) -> int:
@@ -104,7 +106,7 @@
         scheduler = context.scheduler
         token = context.token()
         shards = {
-            context.shards.of(scheduler.machines[attempt.machine], scheduler.machines)
+            context.shards.shard_of(scheduler.machines[attempt.machine], scheduler.machines)
             for attempt in batch
             if attempt.machine in scheduler.machines
         }
@@ -119,7 +121,7 @@
         if revision is None:
             return
         for name in values:
-            context.shards.marked(name, revision)
+            context.shards.set_revision(name, revision)
         scheduler.intents_written(batch, await curio.clock())
         await context.commands_due.set()
 
@@ -146,7 +148,7 @@
         """
         preconditions = self._context.preconditions()
         for name, (revision, _) in values.items():
-            preconditions.append(Precondition(records.on_key(name), revision))
+            preconditions.append(Precondition(records.intents_key(name), revision))
         for job in {attempt.job.id: attempt.job for attempt in batch}.values():
             preconditions.append(Precondition(records.live_key(job.id), job.revision))
         return preconditions
@@ -161,8 +163,10 @@
         """
         context = self._context
         preconditions = self._preconditions(batch, values)
-        operations = [wire.put(records.on_key(name), value) for name, (_, value) in values.items()]
-        probe = records.on_key(next(iter(values)))
+        operations = [
+            wire.put(records.intents_key(name), value) for name, (_, value) in values.items()
+        ]
+        probe = records.intents_key(next(iter(values)))
         while True:
             try:
                 return await context.store.commit(
@@ -193,8 +197,8 @@
         not accept a write now.
         """
         context = self._context
-        for shard in context.shards.unwritten():
-            key = records.on_key(shard.name)
+        for shard in context.shards.unwritten_splits():
+            key = records.intents_key(shard.name)
             value = context.shards.value(shard, context.scheduler.machines, context.token())
             preconditions = [*context.preconditions(), Precondition(key, shard.revision)]
             try:
@@ -207,7 +211,7 @@
                 log.debug("split shard %s not written: %s", shard.name, exc)
                 return False
             else:
-                context.shards.marked(shard.name, revision)
+                context.shards.set_revision(shard.name, revision)
         return True
 
     async def tidy(self, shards: set[IntentShard]) -> None:
@@ -218,7 +222,7 @@
         context = self._context
         machines = context.scheduler.machines
         values = context.shards.values(shards, machines, context.token())
-        if context.shards.unwritten():
+        if context.shards.unwritten_splits():
             # Write the new shards first: machines that moved to them would otherwise be missing
             # from every stored value for a moment.
             if not await self._write_split_shards():
@@ -233,7 +237,7 @@
         After a failure the stale intents stay until a later call.
         """
         context = self._context
-        key = records.on_key(name)
+        key = records.intents_key(name)
         operation = wire.put(key, value) if value["boxes"] else wire.drop(key)
         preconditions = [*context.preconditions(), Precondition(key, revision)]
         try:
@@ -243,4 +247,4 @@
         except KeyValueStoreError as exc:
             log.debug("stale intents of shard %s not removed: %s", name, exc)
         else:
-            context.shards.marked(name, new_revision if value["boxes"] else 0)
+            context.shards.set_revision(name, new_revision if value["boxes"] else 0)
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -39,7 +39,7 @@
         await self._finish_all()
         now = await curio.clock()
         for job in list(self._context.scheduler.jobs.values()):
-            if job.unsaved_parts and job.state is JobState.LIVE and not job.complete:
+            if job.unsaved_parts and job.state is JobState.LIVE and not job.is_complete:
                 if now - job.saved_at > self._context.worker_lease_s:
                     await self.save(job, now)
 
@@ -83,10 +83,10 @@
     async def _move(self, job: Job) -> bool:
         """Try to move a job to `over/`; return False if either of its records has changed."""
         context = self._context
-        live_key, over_key = records.live_key(job.id), records.over_key(job.id)
+        live_key, over_key = records.live_key(job.id), records.ended_key(job.id)
         token = context.token()
         spec = records.live_value(job, token)["spec"]
-        value = records.over_value(spec, wire.DONE, time.time(), token)
+        value = records.ended_value(spec, wire.DONE, time.time(), token)
         try:
             await context.store.commit(
                 [
--- a/topazhold/control/peer_announcer.py
+++ b/topazhold/control/peer_announcer.py
@@ -58,8 +58,12 @@
                 state.leadership.leader or "",
                 silent,
                 served=self._services.store.failing_since is None,
-                enforces=silent is not None or bool(state.placement_hints.places),
-                record=[cancellations.incarnation, cancellations.last, cancellations.informed],
+                enforces=silent is not None or bool(state.placement_hints.by_machine),
+                record=[
+                    cancellations.incarnation,
+                    cancellations.last_number,
+                    cancellations.informed,
+                ],
                 receipts=cancellations.receipts(),
             )
         )
@@ -74,6 +78,6 @@
         names = [str(name) for name in machines]
         self._state.released.add(names)
         for name in names:
-            self._state.placement_hints.gone(name)
+            self._state.placement_hints.remove(name)
         if self._current.leader_term is not None:
             await self._current.leader_term.on_peer_release(names)
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -111,14 +111,14 @@
         await self._compare_records(peer, ping.record, ping.receipts)
         leadership = self._state.leadership
         if ping.leader and int(ping.term) >= leadership.term:
-            if leadership.learn(str(ping.leader), int(ping.term)):
+            if leadership.observe_term(str(ping.leader), int(ping.term)):
                 await self._leadership_service.end_term("a peer follows a later leader")
 
     async def _compare_records(self, peer: str, record: Any, receipts: Any) -> None:
         """Compare the records of cancellations with a peer's."""
         incarnation, last, informed = record
         cancellations = self._state.cancellations
-        if informed and cancellations.level_with(peer, str(incarnation), int(last)):
+        if informed and cancellations.has_all_of(peer, str(incarnation), int(last)):
             cancellations.informed = True
         if self._peer_incarnations.get(peer) != incarnation:
             self._peer_incarnations[peer] = str(incarnation)
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -199,6 +199,6 @@
         if entry is None:
             return None
         try:
-            return records.read_live(entry.data, entry.revision, time.time(), 0.0).spec
+            return records.read_live_job(entry.data, entry.revision, time.time(), 0.0).spec
         except (InvalidMessageError, ValueError):
             return None
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -19,7 +19,7 @@
 from topazhold.core.machines import Machine
 from topazhold.core.preemption import queue_key
 from topazhold.core.task_attempts import AttemptState
-from topazhold.core.zone_summary import cut_names, cut_summary, pack_names
+from topazhold.core.zone_summary import pack_names, sample_names, truncate_summary
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
 from topazhold.interfaces.term import TXN_BYTES
@@ -86,7 +86,7 @@
         self._rounds += 1
         items: list[list[Any]] = []
         for number, machine in enumerate(machines.values()):
-            state = (machine.changes, machine.endpoint)
+            state = (machine.offer_changes, machine.endpoint)
             changed = self._sent.get(machine.name) != state
             if changed or (number + self._rounds) % RESEND_ROUNDS == 0:
                 self._sent[machine.name] = state
@@ -166,17 +166,19 @@
         value_bytes = min(self._context.value_limit, TXN_BYTES // (len(self._context.zones) + 1))
         limit = value_bytes - VALUE_OVERHEAD_BYTES
         jobs = values[""]
-        running = dict(cut_summary(jobs["running"].items(), int(limit * RUNNING_SHARE), json_size))
+        running = dict(
+            truncate_summary(jobs["running"].items(), int(limit * RUNNING_SHARE), json_size)
+        )
         refused = self._packed_refused(int(limit * REFUSED_SHARE))
         available = limit - json_size(running) - json_size(refused)
-        waiting = cut_summary(jobs["waiting"], available, json_size)
+        waiting = truncate_summary(jobs["waiting"], available, json_size)
         is_truncated = len(waiting) < len(jobs["waiting"])
         jobs = {**jobs, "running": running, "waiting": waiting, "cut": is_truncated, **refused}
         operations = [wire.put(records.SUMMARY_KEY, jobs)]
         for zone in self._context.zones:
-            names = cut_names(values[zone]["all"], int(limit * NAMES_SHARE), self._rounds)
+            names = sample_names(values[zone]["all"], int(limit * NAMES_SHARE), self._rounds)
             available = limit - json_size(names)
-            cache = cut_summary(values[zone]["cache"], available, json_size)
+            cache = truncate_summary(values[zone]["cache"], available, json_size)
             operations.append(
                 wire.put(records.SUMMARY_PREFIX + zone, {"cache": cache, "all": names})
             )
@@ -185,7 +187,7 @@
     def _packed_refused(self, limit: int) -> dict[str, list[list[str]]]:
         """Return the term's refused operations, if any, for the command `duties`."""
         packed = [operation.pack() for operation in self._refused.shown]
-        return {"refused": cut_summary(packed, limit, json_size)} if packed else {}
+        return {"refused": truncate_summary(packed, limit, json_size)} if packed else {}
 
     async def _write(self, operations: list[dict[str, Any]]) -> None:
         """Write a summary in as many transactions as needed."""
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -57,7 +57,7 @@
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.worker_lease_s = cluster.workers.lease_s
-        self.value_limit = int(cluster.state.lasting_value_bytes * records.VALUE_SHARE)
+        self.value_limit = int(cluster.state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         self.txn_ops = cluster.state.lasting_txn_ops
         self.shards = IntentShards(self.value_limit)
         self.plan_requested = curio.Event()
@@ -91,10 +91,10 @@
             try:
                 if key.startswith(records.LIVE_PREFIX):
                     await self._reread_job(key[len(records.LIVE_PREFIX) :])
-                elif key.startswith(records.ON_PREFIX):
+                elif key.startswith(records.INTENTS_PREFIX):
                     entry = await self.store.get(key, DECISION_PRIORITY)
                     revision = entry.revision if entry is not None else 0
-                    self.shards.marked(key[len(records.ON_PREFIX) :], revision)
+                    self.shards.set_revision(key[len(records.INTENTS_PREFIX) :], revision)
             except KeyValueStoreError as exc:
                 log.debug("%s not reread after a conflict: %s", key, exc)
 
@@ -119,7 +119,7 @@
 
     async def apply_known_cancellations(self) -> None:
         """Apply all recorded cancellations; the state loaded by the failover may be older."""
-        for job_id, at in self.cancellations.since(0.0):
+        for job_id, at in self.cancellations.cancelled_since(0.0):
             await self.on_job_cancelled(job_id, at)
 
     async def on_job_ended(self, job_id: str) -> None:
@@ -130,18 +130,18 @@
         repeated when the job is next moved to `over/`.
         """
         job = self.scheduler.jobs.get(job_id)
-        if job is not None and job.state is JobState.LIVE and not job.complete:
-            at = self.cancellations.at(job_id)
+        if job is not None and job.state is JobState.LIVE and not job.is_complete:
+            at = self.cancellations.cancelled_at(job_id)
             await self.on_job_cancelled(job_id, time.time() if at is None else at)
             self.clean_up(job)
             return
         try:
-            entry = await self.store.get(records.over_key(job_id), DECISION_PRIORITY)
+            entry = await self.store.get(records.ended_key(job_id), DECISION_PRIORITY)
         except KeyValueStoreError as exc:
             log.debug("end of job %s not read: %s", job_id, exc)
             return
         now = await curio.clock()
-        done = entry is not None and records.over_stage(entry.data) == wire.DONE
+        done = entry is not None and records.ended_stage(entry.data) == wire.DONE
         at = now
         if entry is not None:
             at = now - max(0.0, time.time() - float(entry.data.get("at", time.time())))
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -99,11 +99,11 @@
         job = scheduler.jobs.get(job_id)
         if data is None:
             # For a job that is complete here, moving it to `over/` finds out how it ended.
-            if job is not None and job.state is JobState.LIVE and not job.complete:
+            if job is not None and job.state is JobState.LIVE and not job.is_complete:
                 await self._context.on_job_ended(job_id)
         elif job is None:
             try:
-                new_job = records.read_live(data, revision, time.time(), await curio.clock())
+                new_job = records.read_live_job(data, revision, time.time(), await curio.clock())
             except (InvalidMessageError, ValueError, TypeError) as exc:
                 log.error("job %s unreadable: %s", job_id, exc)
                 return
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -161,10 +161,10 @@
         job = Job(spec, await curio.clock(), time.time(), self._node)
         token = self._token()
         value = records.live_value(job, token)
-        if json_size(value) + records.marks_size(spec) > self._value_limit:
+        if json_size(value) + records.max_bitmap_size(spec) > self._value_limit:
             return Response(400)
         key = records.live_key(job.id)
-        preconditions = [Precondition(key, 0), Precondition(records.over_key(job.id), 0)]
+        preconditions = [Precondition(key, 0), Precondition(records.ended_key(job.id), 0)]
         try:
             job.revision = await self._store.commit(
                 preconditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_S
@@ -226,12 +226,12 @@
             return Response(200, wire.job_answer(job_id, stage, done, running))
         # Jobs move from live to over in one transaction, so this order
         # can't miss one.
-        entry = await self._store.get(records.over_key(job_id))
+        entry = await self._store.get(records.ended_key(job_id))
         if entry is None:
             return None
-        stage = records.over_stage(entry.data)
+        stage = records.ended_stage(entry.data)
         if stage == wire.ABORTED:
-            await self._confirm_cancellation(job_id, records.over_at(entry.data, time.time()))
+            await self._confirm_cancellation(job_id, records.ended_at(entry.data, time.time()))
         self._keep_final(job_id, stage)
         return Response(200, wire.job_answer(job_id, stage))
 
@@ -244,14 +244,14 @@
         final = self._final.get(job_id)
         if final is not None:
             return Response(200, wire.job_answer(job_id, final))
-        live, over = records.live_key(job_id), records.over_key(job_id)
+        live, over = records.live_key(job_id), records.ended_key(job_id)
         for _ in range(CANCEL_TRIES):
             entry = await self._store.get(live)
             if entry is None:
                 return await self._poll(job_id)
             token = self._token()
             at = time.time()
-            value = records.over_value(entry.data["spec"], wire.ABORTED, at, token)
+            value = records.ended_value(entry.data["spec"], wire.ABORTED, at, token)
             try:
                 await self._store.commit(
                     [Precondition(live, entry.revision), Precondition(over, 0)],
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -79,7 +79,7 @@
         self._eviction = eviction
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
         self._starved_since: dict[str, float] = {}
-        cluster.when_job_forgotten(self._forget)
+        cluster.on_job_forgotten(self._forget)
 
     def _forget(self, job_id: str) -> None:
         self._starved_since.pop(job_id, None)
@@ -104,7 +104,7 @@
         zone_constrained = spec.same_place or spec.scatter
         zones = job.zones_used(self._cluster.zone_of) if zone_constrained else {}
         required_zone = choose_shared_zone(zones, candidates) if spec.same_place else None
-        tasks = job.waiting_tasks()
+        tasks = job.pop_waiting_tasks()
         can_wait = self._can_wait(job, survey.now)
         for machine, count in candidates:
             if required_zone is not None and machine.zone != required_zone:
@@ -130,7 +130,7 @@
         survey: FleetSurvey,
     ) -> bool:
         """Return whether one more task may go to a machine that has capacity for it."""
-        if survey.is_full or not self._cluster.recordable(machine, 1):
+        if survey.is_full or not self._cluster.intents_fit(machine, 1):
             return False
         if can_wait and not machine.spot and not survey.has_spare_on_demand_gpus(job.need):
             return False
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -66,7 +66,7 @@
         self._checked: dict[str, CheckedReservation] = {}
         self._availability_checks: dict[str, AvailabilityCheck] = {}
         self._unreserved_since: dict[str, float] = {}
-        cluster.when_job_forgotten(self._forget)
+        cluster.on_job_forgotten(self._forget)
 
     def _forget(self, job_id: str) -> None:
         self.rejected.pop(job_id, None)
@@ -165,7 +165,7 @@
         A task that would be stopped before its image is there does nobody any good.
         """
         job = self._cluster.jobs[reservation.job]
-        return job.gathering_until > now or self._is_available_soon(reservation, job, now)
+        return job.preempting_until > now or self._is_available_soon(reservation, job, now)
 
     def _is_available_soon(self, reservation: Reservation, job: Job, now: float) -> bool:
         """Whether all capacity of a reservation is likely there within a few heartbeats."""
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -15,11 +15,11 @@
 
 #: A cancellation is kept for so many times `cancel_s` and a lease together: by then
 #: its tasks are long gone, and so are late copies of heartbeats that show them.
-KEEP_TIMES = 4.0
+RETENTION_FACTOR = 4.0
 #: Bound on those kept, whatever their age.
 MAX_ENTRIES = 20_000
 #: Entries in one message; the next follows on the acknowledgement.
-MAX_SENT = 500
+MAX_ENTRIES_PER_MESSAGE = 500
 
 
 class CancellationChanges(NamedTuple):
@@ -61,21 +61,24 @@
         #: can't know of those before, until an informed peer has sent it all, or it has
         #: read the whole state as leader.
         self.informed = False
-        self._keep_s = KEEP_TIMES * (cancel_s + lease_s)
+        self._retention_s = RETENTION_FACTOR * (cancel_s + lease_s)
         self._entries: dict[str, _Entry] = {}  # by job, the oldest first
-        self._last = 0
+        self._last_number = 0
         self._acknowledged: dict[str, int] = {}  # peer -> number up to which it has all
         self._received: dict[str, _Received] = {}  # by peer
 
     def add(self, job: str, at: float, now: float) -> bool:
         """A cancellation confirmed at `at`; whether it was unknown. Both times are times of day."""
-        if job in self._entries or now - at > self._keep_s:
+        if job in self._entries or now - at > self._retention_s:
             return False
-        self._last += 1
-        self._entries[job] = _Entry(self._last, at)
+        self._last_number += 1
+        self._entries[job] = _Entry(self._last_number, at)
         while self._entries:
             oldest = next(iter(self._entries))
-            if len(self._entries) <= MAX_ENTRIES and now - self._entries[oldest].at < self._keep_s:
+            if (
+                len(self._entries) <= MAX_ENTRIES
+                and now - self._entries[oldest].at < self._retention_s
+            ):
                 break
             del self._entries[oldest]
         return True
@@ -86,18 +89,18 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def at(self, job: str) -> float | None:
+    def cancelled_at(self, job: str) -> float | None:
         """When the job was cancelled, by the time of day."""
         entry = self._entries.get(job)
         return entry.at if entry is not None else None
 
-    def since(self, at: float) -> list[tuple[str, float]]:
+    def cancelled_since(self, at: float) -> list[tuple[str, float]]:
         """Jobs cancelled after `at`, with the time of day, the newest first."""
         return [(job, entry.at) for job, entry in reversed(self._entries.items()) if entry.at > at]
 
     # -- workers -------------------------------------------------------------
 
-    def _cancelled(self, tasks: Iterable[TaskStatus]) -> list[TaskStatus]:
+    def _cancelled_tasks(self, tasks: Iterable[TaskStatus]) -> list[TaskStatus]:
         """Those tasks of a heartbeat that are to end for a cancellation."""
         if not self._entries:
             return []
@@ -107,41 +110,41 @@
             if task.state != wire.ENDED and task.task_name.partition("/")[0] in self._entries
         ]
 
-    def kills(self, heartbeat: Heartbeat) -> list[Command]:
+    def kill_commands(self, heartbeat: Heartbeat) -> list[Command]:
         """Kills of the attempts that the heartbeat names; they need no knowledge of the jobs."""
         return [
             wire.kill(task.task_name, task.attempt_number, 0.0)
-            for task in self._cancelled(heartbeat.tasks)
+            for task in self._cancelled_tasks(heartbeat.tasks)
         ]
 
     # -- peers ---------------------------------------------------------------
 
-    def news(self, peer: str) -> CancellationChanges | None:
+    def changes_for(self, peer: str) -> CancellationChanges | None:
         """What a peer lacks; None if it has everything.
 
         The first message to a peer is sent even when it carries nothing: it tells the peer
         that there is nothing to know.
         """
         after = self._acknowledged.get(peer, NO_ENTRIES)
-        if after >= self._last:
+        if after >= self._last_number:
             return None
         entries: list[list[Any]] = []
-        upto = self._last
+        upto = self._last_number
         for job, entry in reversed(self._entries.items()):
             if entry.number <= after:
                 break
             entries.append([job, entry.at])
         entries.reverse()
-        if len(entries) > MAX_SENT:
-            entries = entries[:MAX_SENT]
+        if len(entries) > MAX_ENTRIES_PER_MESSAGE:
+            entries = entries[:MAX_ENTRIES_PER_MESSAGE]
             upto = self._entries[entries[-1][0]].number
         return CancellationChanges(after, upto, entries)
 
-    def acknowledged(self, peer: str, incarnation: str, upto: int) -> bool:
+    def record_acknowledgement(self, peer: str, incarnation: str, upto: int) -> bool:
         """A peer has all of `incarnation` up to a number; whether it lacks anything."""
         known = upto if incarnation == self.incarnation else NO_ENTRIES
         self._acknowledged[peer] = known
-        return known < self._last
+        return known < self._last_number
 
     def peer_has(self, peer: str, job: str) -> bool:
         """Whether the peer has acknowledged the job's cancellation."""
@@ -173,14 +176,14 @@
         return added
 
     @property
-    def last(self) -> int:
+    def last_number(self) -> int:
         """The number of the newest entry."""
-        return self._last
+        return self._last_number
 
     def receipts(self) -> dict[str, list[Any]]:
         """[incarnation, number up to which all has come] of each peer, to be acknowledged."""
         return {peer: list(received) for peer, received in self._received.items()}
 
-    def level_with(self, peer: str, incarnation: str, last: int) -> bool:
+    def has_all_of(self, peer: str, incarnation: str, last: int) -> bool:
         """Whether all that a peer knows is known here."""
         return self._received.get(peer) == (incarnation, last)
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -167,6 +167,6 @@
         return job.spec.zone
     if job.spec.same_place:
         for attempt in job.attempts.values():
-            if attempt.present and attempt.machine in zone_of:
+            if attempt.is_active and attempt.machine in zone_of:
                 return zone_of[attempt.machine]
     return None
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -21,10 +21,13 @@
 #: Attempts are numbered within a term, so no number is ever used twice.
 ATTEMPTS_PER_TERM = 1 << 24
 #: A machine takes new work only if its last heartbeat here is at most so many intervals old.
-USABLE_HEARTBEATS = 2.5
+MAX_HEARTBEAT_AGE_INTERVALS = 2.5
+
+#: Bytes of a shard's stored value besides its packed attempts.
+SHARD_OVERHEAD_BYTES = 512
 
 #: States of a machine whose worker has been heard.
-UP = (MachineState.UNSYNCED, MachineState.READY, MachineState.DRAINING)
+UP_STATES = (MachineState.UNSYNCED, MachineState.READY, MachineState.DRAINING)
 
 
 class ClusterState:
@@ -41,14 +44,16 @@
         self, settings: Settings, timing: Timing, objectives: StartObjectives, term: int, now: float
     ) -> None:
         self.term = term
-        self.since = now
+        self.term_started_at = now
         self.timing = timing
         self.heartbeat_interval_s = timing.heartbeat_interval_s
         self.lease_s = timing.lease_s
         self._objectives = objectives
-        self._usable_s = USABLE_HEARTBEATS * timing.heartbeat_interval_s
+        self._max_heartbeat_age_s = MAX_HEARTBEAT_AGE_INTERVALS * timing.heartbeat_interval_s
         self._max_machine_attempts = max(
-            1, (settings.cluster.state.lasting_value_bytes - 512) // records.ATTEMPT_BYTES
+            1,
+            (settings.cluster.state.lasting_value_bytes - SHARD_OVERHEAD_BYTES)
+            // records.ATTEMPT_BYTES,
         )
         self.jobs: dict[str, Job] = {}
         self.machines: dict[str, Machine] = {}
@@ -66,19 +71,19 @@
         # Of these, machines that come, go, or become usable or unusable.
         self.fleet_changes = 0
         self._last_attempt_number = term * ATTEMPTS_PER_TERM
-        self._guaranteed_stale = True
+        self._guarantees_stale = True
         self._removed_machines = RecentNames()
         self._ended_jobs = RecentNames()
-        self._on_job_forgotten: list[Callable[[str], None]] = []
-        self._on_machine_removed: list[Callable[[str], None]] = []
+        self._job_forgotten_callbacks: list[Callable[[str], None]] = []
+        self._machine_removed_callbacks: list[Callable[[str], None]] = []
 
-    def when_job_forgotten(self, forget: Callable[[str], None]) -> None:
+    def on_job_forgotten(self, forget: Callable[[str], None]) -> None:
         """Have `forget` called with the id of each job that is over and has left all machines."""
-        self._on_job_forgotten.append(forget)
+        self._job_forgotten_callbacks.append(forget)
 
-    def when_machine_removed(self, forget: Callable[[str], None]) -> None:
+    def on_machine_removed(self, forget: Callable[[str], None]) -> None:
         """Have `forget` called with the name of each machine that is proven gone."""
-        self._on_machine_removed.append(forget)
+        self._machine_removed_callbacks.append(forget)
 
     def count_changes(self, count: int = 1) -> None:
         """Something changed that a round depends on."""
@@ -100,23 +105,23 @@
             shortest_s = self._objectives.shortest_s(job)
             if shortest_s is not None:
                 job.wait_objective_s = shortest_s
-            self._guaranteed_stale = True
+            self._guarantees_stale = True
             self.last_arrival = max(self.last_arrival, job.arrived)
 
-    def end_job(self, job_id: str, done: bool, over_at: float) -> Job | None:
+    def end_job(self, job_id: str, done: bool, ended_at: float) -> Job | None:
         """The job was moved to `over`; None if it is not known here, or is over already."""
         # Also one that is not known here yet: its submission may be heard of later.
         self._ended_jobs.add(job_id)
         job = self.jobs.get(job_id)
         if job is None or job.state is not JobState.LIVE:
             return None
-        self._guaranteed_stale = True
+        self._guarantees_stale = True
         self.changes += 1
         if done:
             job.finish()
             log.info("job %s done", job_id)
         else:
-            job.abort(over_at)
+            job.abort(ended_at)
             log.info("job %s aborted, tasks on machines: %d", job_id, len(job.attempts))
         return job
 
@@ -124,7 +129,7 @@
         """Drop a job that is over once no attempt of it is left on any machine."""
         if job.state is not JobState.LIVE and not job.attempts:
             self.jobs.pop(job.id, None)
-            for forget in self._on_job_forgotten:
+            for forget in self._job_forgotten_callbacks:
                 forget(job.id)
 
     def record_success(self, job_id: str, index: int) -> None:
@@ -135,8 +140,8 @@
         done_before = job.completed_count
         if job.gang:
             # A gang completes together: one task done means all are.
-            for each in range(job.spec.tasks):
-                job.mark_completed(each)
+            for task_index in range(job.spec.tasks):
+                job.mark_completed(task_index)
         else:
             job.mark_completed(index)
         self.changes += job.completed_count != done_before
@@ -144,15 +149,15 @@
 
     def queue_if_complete(self, job: Job) -> None:
         """Queue a live job in `finished` once all its tasks are done."""
-        if job.complete and job not in self.finished:
+        if job.is_complete and job not in self.finished:
             self.finished.append(job)
 
     def refresh_guarantees(self) -> None:
         """Mark anew which jobs are within their teams' guaranteed quota, if that may differ."""
-        if self._guaranteed_stale:
+        if self._guarantees_stale:
             live = [job for job in self.jobs.values() if job.state is JobState.LIVE]
             quota.mark_guaranteed(live, self.usage.teams)
-            self._guaranteed_stale = False
+            self._guarantees_stale = False
 
     def add_machine(
         self, name: str, zone: str, spot: bool, machine_type: str, now: float
@@ -192,7 +197,7 @@
             self.remove_attempt(attempt, now)
         del self.machines[name]
         self.count_fleet_change()
-        for forget in self._on_machine_removed:
+        for forget in self._machine_removed_callbacks:
             forget(name)
         self.zone_of.pop(name, None)
         machine.mark_gone(now)
@@ -207,7 +212,7 @@
             self.releases[machine.name] = reason
             self.remove_unsent(machine, now)
 
-    def release_again(self, machine: Machine) -> None:
+    def requeue_release(self, machine: Machine) -> None:
         """Queue a machine that is being released, if it is not queued."""
         self.releases.setdefault(machine.name, machine.reason)
 
@@ -218,13 +223,13 @@
             attempt.job.state is JobState.ABORTED for attempt in machine.attempts.values()
         )
 
-    def request_command(self, name: str) -> None:
+    def queue_command(self, name: str) -> None:
         """Queue a machine in `to_command`."""
         self.to_command.add(name)
 
     def silence_s(self, machine: Machine, now: float) -> float:
         """Seconds since the machine's last heartbeat, or since this term began."""
-        return now - max(machine.last_seen_at, self.since)
+        return now - max(machine.last_seen_at, self.term_started_at)
 
     def usable(self, machine: Machine, now: float) -> bool:
         """Whether new work may be planned there."""
@@ -233,7 +238,7 @@
             and machine.command_unreachable_since is None
             and machine.quarantined_until <= now
             # Relayed heartbeats don't count: a launch needs an answer of our own.
-            and now - machine.last_own_heartbeat_at < self._usable_s
+            and now - machine.last_own_heartbeat_at < self._max_heartbeat_age_s
         )
 
     def next_attempt_number(self) -> int:
@@ -251,7 +256,7 @@
         self.usage.add(job)
         return attempt
 
-    def recordable(self, machine: Machine, count: int) -> bool:
+    def intents_fit(self, machine: Machine, count: int) -> bool:
         """Whether the machine's intents still fit a stored value with so many more tasks."""
         return len(machine.attempts) + count <= self._max_machine_attempts
 
@@ -265,7 +270,7 @@
     def adopt(self, attempt: TaskAttempt) -> None:
         """An intent of an earlier term: possibly running."""
         attempt.possibly_running = True
-        attempt.state = AttemptState.ORDERED
+        attempt.state = AttemptState.LAUNCH_SENT
         self.attach(attempt)
 
     def remove_attempt(self, attempt: TaskAttempt, now: float) -> None:
@@ -277,7 +282,7 @@
                 self.usage.remove(attempt.job)
                 if machine.empty:
                     machine.note_busy(now)
-        attempt.vanish(now)
+        attempt.mark_gone(now)
         attempt.job.remove_attempt(attempt)
         self.forget_if_ended(attempt.job)
 
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -27,8 +27,8 @@
         self._drop_unsent_launches(machine, now)
         if machine.reason == QUARANTINED:
             self._drain_quarantined(machine, now)
-        elif machine.gone_at is not None:
-            self._drain_before_preemption(machine, machine.gone_at - now, now)
+        elif machine.terminates_at is not None:
+            self._drain_before_preemption(machine, machine.terminates_at - now, now)
 
     def _drop_unsent_launches(self, machine: Machine, now: float) -> None:
         """Drop attempts that were never launched, stopping gangs with such attempts.
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -54,7 +54,7 @@
         if attempt.state is AttemptState.WRITTEN:
             self._cluster.remove_attempt(attempt, now)
             return
-        if not attempt.stopping or (attempt.stop_grace or 0.0) > grace_s:
+        if not attempt.stopping or (attempt.stop_grace_s or 0.0) > grace_s:
             log.info(
                 "task %s try %d on %s stopped: %s",
                 attempt.task_name,
@@ -63,7 +63,7 @@
                 reason,
             )
             self._request_kill(attempt)
-        attempt.stop(grace_s, now)
+        attempt.request_stop(grace_s, now)
 
     def stop_gang(self, job: Job, grace_s: float, reason: str, now: float) -> None:
         """Stop all tasks of a gang at once; attempts whose launch was not sent are dropped."""
@@ -78,10 +78,10 @@
 
     def _request_kill(self, attempt: TaskAttempt) -> None:
         self._cluster.count_changes()
-        self._cluster.request_command(attempt.machine)
+        self._cluster.queue_command(attempt.machine)
         machine = self._cluster.machines.get(attempt.machine)
         if machine is not None:
-            machine.count_change()
+            machine.count_offer_change()
 
     def preempt(self, attempt: TaskAttempt, reason: str, now: float) -> None:
         """Preempt a task or its whole gang, with time to save a checkpoint if the job has any."""
@@ -105,7 +105,7 @@
         reason = gangs.advance(job, self._timeouts, now)
         if job.gang_state is GangState.RUNNING and previous_state is GangState.STARTING:
             log.info("gang %s is running, %.1f s after it arrived", job.id, now - job.arrived)
-        if reason is not None and not job.complete:
+        if reason is not None and not job.is_complete:
             # A gang that is saving a checkpoint at a failover must finish that: a second kill
             # without grace would lose the checkpoint.
             has_run = previous_state is GangState.RUNNING or any(
@@ -120,7 +120,7 @@
         """Stop the remaining tasks of a job that is over."""
         for attempt in list(job.attempts.values()):
             if job.state is JobState.DONE:
-                if now - attempt.since > self._lease_s and not attempt.stopping:
+                if now - attempt.state_since > self._lease_s and not attempt.stopping:
                     self.stop_attempt(attempt, 0.0, "job done", now)
             elif job.cancelled_at is not None:
                 self.stop_attempt(attempt, 0.0, "job aborted", now)
@@ -134,11 +134,11 @@
         overdue = age_s > self._cancel_s
         sync_s = self._lease_s if overdue else SYNC_HEARTBEATS * self._heartbeat_interval_s
         deadline_near = not overdue and age_s > CANCEL_DEADLINE_SHARE * self._cancel_s
-        workers_synced = now - self._cluster.since > sync_s or deadline_near
+        workers_synced = now - self._cluster.term_started_at > sync_s or deadline_near
         machine = self._cluster.machines.get(attempt.machine)
         if age_s > CANCEL_RELEASE_SHARE * self._cancel_s and workers_synced and machine is not None:
             # No cancelled task may run anywhere after `cancel_s`: if it is not proven to have
             # stopped, its machine is released.
             self._cluster.release(machine, f"can't stop {attempt.task_name}", now)
-        elif now - attempt.stop_at > self._heartbeat_interval_s:
-            self._cluster.request_command(attempt.machine)
+        elif now - attempt.stop_requested_at > self._heartbeat_interval_s:
+            self._cluster.queue_command(attempt.machine)
--- a/topazhold/core/failover.py
+++ b/topazhold/core/failover.py
@@ -35,7 +35,7 @@
         machine = cluster.add_machine(
             record.machine, record.zone, record.spot, record.machine_type, now
         )
-        machine.resume(record.incarnation, now)
+        machine.restore_incarnation(record.incarnation, now)
         for job_id, index, attempt_number in record.attempts:
             _adopt(cluster, job_id, index, attempt_number, machine.name, record.incarnation, now)
     for job in list(cluster.jobs.values()):
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -6,9 +6,9 @@
 import math
 from typing import NamedTuple
 
-from topazhold.core.cluster_state import UP, ClusterState
+from topazhold.core.cluster_state import UP_STATES, ClusterState
 from topazhold.core.draining import Draining
-from topazhold.core.machines import COMMANDS_LOST, Machine, MachineState
+from topazhold.core.machines import COMMANDS_UNREACHABLE, Machine, MachineState
 from topazhold.core.task_attempts import AttemptState
 
 log = logging.getLogger(__name__)
@@ -77,21 +77,22 @@
     def machines_without_heartbeat(self, now: float) -> list[str]:
         """Return the names of machines without a recent heartbeat at this controller."""
         timeout_s = HEARTBEAT_TIMEOUT_INTERVALS * self._heartbeat_interval_s
-        since = self._cluster.since
+        since = self._cluster.term_started_at
         return [
             machine.name
             for machine in self._cluster.machines.values()
-            if machine.state in UP and now - max(machine.last_own_heartbeat_at, since) > timeout_s
+            if machine.state in UP_STATES
+            and now - max(machine.last_own_heartbeat_at, since) > timeout_s
         ]
 
     def is_partitioned_from_workers(self, now: float) -> bool:
         """Return whether most workers' heartbeats reach other controllers but not this one."""
-        if now - self._cluster.since < self._lease_s:
+        if now - self._cluster.term_started_at < self._lease_s:
             return False
         seen_by_any = seen_here = 0
         for machine in self._cluster.machines.values():
             if (
-                machine.state in UP
+                machine.state in UP_STATES
                 and self._cluster.silence_s(machine, now) < RECENT_LEASES * self._lease_s
             ):
                 seen_by_any += 1
@@ -106,14 +107,14 @@
         """
         return (
             machine.state is MachineState.UNSYNCED
-            and now - max(machine.last_own_heartbeat_at, self._cluster.since)
+            and now - max(machine.last_own_heartbeat_at, self._cluster.term_started_at)
             > ANNOUNCEMENT_INTERVALS * self._heartbeat_interval_s
         )
 
     def is_missing(self, machine: Machine, now: float) -> bool:
         """Return whether a machine is silent for a lease while its zone is not partitioned."""
         return (
-            machine.state in UP
+            machine.state in UP_STATES
             and self._cluster.silence_s(machine, now) > self._lease_s
             and not math.isinf(self._release_after_leases(machine, now))
         )
@@ -122,7 +123,7 @@
         """Do what is due for one machine: its release, draining, or the term announcement."""
         state = machine.state
         if state is MachineState.RELEASING:
-            self._cluster.release_again(machine)
+            self._cluster.requeue_release(machine)
             return
         if state is MachineState.STARTING:
             self._check_startup(machine, now)
@@ -136,17 +137,17 @@
             and now - machine.term_announced_at > self._heartbeat_interval_s
         ):
             machine.announce_term(now)
-            self._cluster.request_command(machine.name)
+            self._cluster.queue_command(machine.name)
         is_unreachable = machine.command_unreachable_since is not None
         if is_unreachable and self._is_isolated_unreachable(machine, now):
-            self._cluster.release(machine, COMMANDS_LOST, now)
+            self._cluster.release(machine, COMMANDS_UNREACHABLE, now)
             return
         self._check_silence(machine, now)
 
     def _check_startup(self, machine: Machine, now: float) -> None:
         boot_s = machine.machine_type.boot_s if machine.machine_type else DEFAULT_BOOT_S
         is_late = now - machine.rented_at > STARTUP_TIMEOUT_BOOTS * boot_s
-        if is_late and now - self._cluster.since > self._lease_s:
+        if is_late and now - self._cluster.term_started_at > self._lease_s:
             self._cluster.release(machine, "never came up", now)
         elif machine.missed_lists >= STARTING_MISSED_LISTS:
             self._cluster.release(machine, "not listed", now)
@@ -220,7 +221,7 @@
             self._counted_at = now
             self._counts = {}
             for machine in self._cluster.machines.values():
-                if machine.state in UP:
+                if machine.state in UP_STATES:
                     up, suspected, command_unreachable = self._counts.get(machine.zone, (0, 0, 0))
                     is_suspected = (
                         self._cluster.silence_s(machine, now) > SUSPECT_LEASES * self._lease_s
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -67,7 +67,7 @@
             return
         machines = self._cluster.machines
         if all(
-            self._cluster.recordable(machines[name], count)
+            self._cluster.intents_fit(machines[name], count)
             for name, count in reservation.slots.items()
         ):
             self._start(job, reservation, survey)
@@ -130,7 +130,7 @@
             if victims is None:
                 return
             chosen += victims
-        job.gathering_until = now + self._gathering_s
+        job.preempting_until = now + self._gathering_s
         for attempt in chosen:
             if not attempt.stopping:
                 self._eviction.preempt(attempt, f"capacity for {job.id}", now)
--- a/topazhold/core/gangs.py
+++ b/topazhold/core/gangs.py
@@ -38,10 +38,10 @@
     """
     newly_stopped = []
     for attempt in job.attempts.values():
-        if attempt.present:
-            if not attempt.stopping or (attempt.stop_grace or 0.0) > grace_s:
+        if attempt.is_active:
+            if not attempt.stopping or (attempt.stop_grace_s or 0.0) > grace_s:
                 newly_stopped.append(attempt)
-            attempt.stop(grace_s, now)
+            attempt.request_stop(grace_s, now)
     job.enter_gang_state(GangState.STOPPING, now)
     return newly_stopped
 
@@ -72,7 +72,7 @@
         if attempt.state is AttemptState.PULLING:
             still_pulling = True
         elif attempt.state is AttemptState.GATHERING:
-            last_image_at = max(last_image_at, attempt.since)
+            last_image_at = max(last_image_at, attempt.state_since)
         elif attempt.state not in ON_MACHINE and now - job.gang_since > timeouts.launch_s:
             return f"{attempt.machine} did not take its task"
     if (
@@ -83,7 +83,7 @@
         return "not running a heartbeat interval after its images"
     if now - job.gang_since > timeouts.wait_s:
         gathering_since = [
-            attempt.since
+            attempt.state_since
             for attempt in job.attempts.values()
             if attempt.state is AttemptState.GATHERING
         ]
--- a/topazhold/core/heartbeat_reconciliation.py
+++ b/topazhold/core/heartbeat_reconciliation.py
@@ -50,12 +50,14 @@
         if heartbeat.incarnation > machine.incarnation:
             self._on_new_incarnation(machine, heartbeat.incarnation, now)
         term_before = machine.term
-        machine.note_heartbeat(heartbeat.sequence, heartbeat.endpoint, heartbeat.fencing_token)
+        machine.update_from_heartbeat(
+            heartbeat.sequence, heartbeat.endpoint, heartbeat.fencing_token
+        )
         synced = heartbeat.fencing_token == self._term
         machine.on_heartbeat(synced, now)
         self._check_command_reachability(machine, term_before, now)
         if not direct:
-            machine.answered(not forwarded, now)
+            machine.note_answered(not forwarded, now)
         if heartbeat.notice_s is not None:
             self._on_preemption_notice(machine, heartbeat.notice_s, now)
         if self._task_reconciliation.reconcile(machine, heartbeat, synced, direct, now):
@@ -85,7 +87,7 @@
             # a heartbeat under this term.
             machine.mark_unconfirmed()
         if machine.machine_type is None:
-            machine.learn_type(self._cluster.machine_types.get(heartbeat.machine_type))
+            machine.set_machine_type(self._cluster.machine_types.get(heartbeat.machine_type))
         return machine
 
     def _availability(self, machine: Machine, now: float) -> tuple[MachineState, bool, bool]:
@@ -126,9 +128,9 @@
         self._cluster.remove_unsent(machine, now)
 
     def _on_preemption_notice(self, machine: Machine, notice_s: float, now: float) -> None:
-        if machine.gone_at is None:
+        if machine.terminates_at is None:
             log.info("machine %s will be preempted by the cloud in %.1f s", machine.name, notice_s)
-        machine.expect_end(notice_s, now)
+        machine.note_termination_notice(notice_s, now)
 
     def _on_lost_launch(self, machine: Machine, now: float) -> None:
         if machine.count_lost_command() >= LOST_LAUNCHES_THRESHOLD:
--- a/topazhold/core/intent_shards.py
+++ b/topazhold/core/intent_shards.py
@@ -14,7 +14,7 @@
 from topazhold.wire.codec import json_size
 
 #: Machines that share a value; fewer if their intents don't fit.
-MAX_MACHINES = 16
+MAX_MACHINES_PER_SHARD = 16
 
 
 class IntentShard:
@@ -31,14 +31,14 @@
 class IntentShards:
     """All shards of a term."""
 
-    def __init__(self, limit: int) -> None:
-        self._limit = limit  # bytes of a value
+    def __init__(self, max_value_bytes: int) -> None:
+        self._max_value_bytes = max_value_bytes  # bytes of a value
         self._shards: dict[str, IntentShard] = {}
         self._by_machine: dict[str, IntentShard] = {}
-        self._unwritten: set[IntentShard] = set()  # with machines of others, not written since
+        self._unwritten_splits: set[IntentShard] = set()  # got machines of others since
         self._last_number = 0  # names of shards are numbers
 
-    def found(self, name: str, revision: int, machines: Iterable[str]) -> None:
+    def adopt(self, name: str, revision: int, machines: Iterable[str]) -> None:
         """A shard that an earlier term has left."""
         assert name not in self._shards
         shard = self._shards[name] = IntentShard(name, revision)
@@ -47,61 +47,61 @@
         for machine in machines:
             old = self._by_machine.get(machine)
             if old is None or old.revision < revision:
-                self._put(machine, shard)
+                self._assign(machine, shard)
 
-    def _put(self, machine: str, shard: IntentShard) -> None:
+    def _assign(self, machine: str, shard: IntentShard) -> None:
         old = self._by_machine.get(machine)
         if old is not None:
             old.machines.discard(machine)
         shard.machines.add(machine)
         self._by_machine[machine] = shard
 
-    def _new(self) -> IntentShard:
+    def _create_shard(self) -> IntentShard:
         self._last_number += 1
         name = f"{self._last_number:04d}"
         shard = self._shards[name] = IntentShard(name)
         return shard
 
-    def of(self, machine: Machine, machines: Mapping[str, Machine]) -> IntentShard:
+    def shard_of(self, machine: Machine, machines: Mapping[str, Machine]) -> IntentShard:
         """The machine's shard; it gets one of its zone's with a free place."""
         shard = self._by_machine.get(machine.name)
         if shard is None:
             for other in self._shards.values():
-                if len(other.machines) >= MAX_MACHINES:
+                if len(other.machines) >= MAX_MACHINES_PER_SHARD:
                     continue
                 zones = {machines[name].zone for name in other.machines if name in machines}
                 if zones <= {machine.zone}:
                     shard = other
                     break
             else:
-                shard = self._new()
-            self._put(machine.name, shard)
+                shard = self._create_shard()
+            self._assign(machine.name, shard)
         return shard
 
-    def gone(self, machine: str) -> IntentShard | None:
+    def forget_machine(self, machine: str) -> IntentShard | None:
         """A machine is gone; the shard that still has its intents, if any does."""
         shard = self._by_machine.pop(machine, None)
         if shard is not None:
             shard.machines.discard(machine)
         return shard
 
-    def marked(self, name: str, revision: int) -> None:
+    def set_revision(self, name: str, revision: int) -> None:
         """A shard was written, or read again after its precondition failed."""
         shard = self._shards.get(name)
         if shard is not None:
             shard.revision = revision
             if revision:
-                self._unwritten.discard(shard)
+                self._unwritten_splits.discard(shard)
 
-    def unwritten(self) -> list[IntentShard]:
+    def unwritten_splits(self) -> list[IntentShard]:
         """Shards that have got machines of others and were not written since, by name."""
-        return sorted(self._unwritten, key=lambda shard: shard.name)
+        return sorted(self._unwritten_splits, key=lambda shard: shard.name)
 
     @staticmethod
     def value(shard: IntentShard, machines: Mapping[str, Machine], token: str) -> Any:
         """What the shard's value is to be."""
         present = sorted(name for name in shard.machines if name in machines)
-        return records.on_value([machines[name] for name in present], token)
+        return records.intents_value([machines[name] for name in present], token)
 
     def values(
         self, shards: Iterable[IntentShard], machines: Mapping[str, Machine], token: str
@@ -116,16 +116,16 @@
         of the machines that left it would be nowhere.
         """
         values: dict[str, tuple[int, Any]] = {}
-        waiting = sorted({*shards, *self._unwritten}, key=lambda shard: shard.name)
-        while waiting:
-            shard = waiting.pop(0)
+        pending = sorted({*shards, *self._unwritten_splits}, key=lambda shard: shard.name)
+        while pending:
+            shard = pending.pop(0)
             value = self.value(shard, machines, token)
-            if json_size(value) <= self._limit:
+            if json_size(value) <= self._max_value_bytes:
                 values[shard.name] = (shard.revision, value)
                 continue
             other = self._split(shard, machines)
             if other is not None:
-                waiting += [shard, other]
+                pending += [shard, other]
         return values
 
     def _split(self, shard: IntentShard, machines: Mapping[str, Machine]) -> IntentShard | None:
@@ -141,11 +141,11 @@
             movable = movable[len(movable) // 2 :] if len(movable) > 1 else []
         if not movable:
             return None
-        other = self._new()
+        other = self._create_shard()
         for name in movable:
-            self._put(name, other)
-        self._unwritten.add(other)
+            self._assign(name, other)
+        self._unwritten_splits.add(other)
         return other
 
     def _fits_alone(self, machine: Machine) -> bool:
-        return json_size(records.on_value([machine], "")) <= self._limit
+        return json_size(records.intents_value([machine], "")) <= self._max_value_bytes
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -17,7 +17,7 @@
 #: Seconds; the wait objective of a class that has none for its start.
 NO_OBJECTIVE = 1e9
 #: Seconds; earlier than any time of a steady clock.
-LONG_AGO = -1e9
+DISTANT_PAST = -1e9
 
 #: CPUs, GPUs, memory in GB.
 Resources = tuple[float, float, float]
@@ -63,7 +63,7 @@
         self.within_guarantee = False
         self.wait_objective_s = NO_OBJECTIVE
         self.is_aged = False  # a gang that has waited so long that it goes first
-        self.gathering_until = LONG_AGO  # till then others are preempted on all its machines
+        self.preempting_until = DISTANT_PAST  # till then others are preempted on all its machines
         self.attempts: dict[int, TaskAttempt] = {}  # by task index
         self.completed = bytearray(spec.tasks)
         self.completed_count = 0
@@ -91,7 +91,7 @@
         """Tasks that are running."""
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
-    def waiting_tasks(self) -> Iterator[int]:
+    def pop_waiting_tasks(self) -> Iterator[int]:
         """Tasks to place, lowest first; each is taken off as it is yielded."""
         while self.requeued:
             index = heapq.heappop(self.requeued)
@@ -127,7 +127,7 @@
             self.unsaved_parts.add(index // TASKS_PER_PART)
 
     @property
-    def complete(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether all tasks have completed."""
         return self.completed_count == self.spec.tasks
 
@@ -135,7 +135,7 @@
         """Present attempts per zone; machines unknown by now count under ''."""
         zones: dict[str, int] = {}
         for attempt in self.attempts.values():
-            if attempt.present:
+            if attempt.is_active:
                 zone = zone_of.get(attempt.machine, "")
                 zones[zone] = zones.get(zone, 0) + 1
         return zones
--- a/topazhold/core/leadership.py
+++ b/topazhold/core/leadership.py
@@ -58,7 +58,7 @@
             self.leader = None
         return was_leader
 
-    def learn(self, leader: str, term: int) -> bool:
+    def observe_term(self, leader: str, term: int) -> bool:
         """Take note of a term; True if it ends this controller's own."""
         if term < self.term or (term == self.term and self.is_leader):
             return False
@@ -69,19 +69,19 @@
         self.leader = leader
         return ended
 
-    def vacant(self, term: int | None = None) -> None:
+    def mark_vacant(self, term: int | None = None) -> None:
         """The leased key of term `term`, or of any, is gone."""
         if self.role is Role.LEADER:
             return
         if term is None or term >= self.term:
             self.leader = None
 
-    def value(self, term: int) -> dict[str, Any]:
+    def leader_value(self, term: int) -> dict[str, Any]:
         """The leased key's value."""
         return {"node": self.node, "crown": term}
 
 
-def read_value(data: Any) -> tuple[str, int] | None:
+def read_leader_value(data: Any) -> tuple[str, int] | None:
     """The leader's name and term out of the leased key's value; None if it is none."""
     if not isinstance(data, dict):
         return None
--- a/topazhold/core/machine_list_reconciliation.py
+++ b/topazhold/core/machine_list_reconciliation.py
@@ -20,7 +20,7 @@
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
-        self._list_lag_s = cluster.timing.lag_s
+        self._list_lag_s = cluster.timing.list_lag_s
 
     def on_machine_list(
         self, listed_machines: Iterable[ListedMachine], requested_at: float, now: float
@@ -52,5 +52,5 @@
             machine = self._cluster.add_machine(
                 listed.id, listed.zone, listed.spot, listed.machine_type, now
             )
-            machine.learn_age(listed.age_s, now)
+            machine.set_age(listed.age_s, now)
         return machine
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -6,7 +6,7 @@
 
 from topazhold.core.estimates import fetch_s
 from topazhold.core.image_cache import ImageCache
-from topazhold.core.jobs import Resources
+from topazhold.core.jobs import DISTANT_PAST, Resources
 from topazhold.core.resources import NO_RESOURCES, add_resources
 from topazhold.core.task_attempts import WITH_IMAGE, TaskAttempt
 from topazhold.wire.cloud import MachineType
@@ -14,7 +14,7 @@
 #: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
 QUARANTINED = "sick"
 #: The same, as it is recorded: its heartbeats arrive, and no command reaches it.
-COMMANDS_LOST = "deaf"
+COMMANDS_UNREACHABLE = "deaf"
 
 
 class MachineState(Enum):
@@ -39,19 +39,19 @@
         self.spot = spot
         self.machine_type = machine_type
         self.state = MachineState.STARTING
-        self.since = now
+        self.state_since = now
         self.rented_at = now
         self.endpoint: str | None = None
         self.incarnation = 0
         self.sequence = -1
         self.term = 0
         self.last_heartbeat_at: float | None = None
-        self.last_answered_at = -1e9  # last heartbeat answered, here or by a follower
+        self.last_answered_at = DISTANT_PAST  # last heartbeat answered, here or by a follower
         self.incarnation_since = now  # when the present incarnation was first heard of
         self.lost_commands = 0  # answers with launches that can be seen not to have arrived
         self.command_unreachable_since: float | None = None
         self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
-        self.gone_at: float | None = None  # end announced by a notice
+        self.terminates_at: float | None = None  # end announced by a notice
         self.attempts: dict[tuple[str, int], TaskAttempt] = {}
         self.used: Resources = NO_RESOURCES
         self.orphans: dict[tuple[str, int], str] = {}  # (name, attempt) -> stage; of no job here
@@ -61,10 +61,10 @@
         self.idle_since = now
         self.missed_lists = 0  # lists in a row, asked for after it fell silent, without it
         self.reason = ""
-        self.last_own_heartbeat_at = -1e9  # last heartbeat that came to this controller itself
-        self.term_announced_at = -1e9
-        self.commanded_at = -1e9  # last commanded directly
-        self.changes = 0  # of what its resource offer says
+        self.last_own_heartbeat_at = DISTANT_PAST  # last one received by this controller itself
+        self.term_announced_at = DISTANT_PAST
+        self.last_commanded_at = DISTANT_PAST  # last commanded directly
+        self.offer_changes = 0  # of what its resource offer says
         self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept to wake its worker with
 
     # -- changes of state ------------------------------------------------
@@ -72,13 +72,13 @@
     def _enter(self, state: MachineState, now: float) -> None:
         if state is not self.state:
             self.state = state
-            self.since = now
-            self.changes += 1
+            self.state_since = now
+            self.offer_changes += 1
 
     @property
     def last_seen_at(self) -> float:
         """When the last heartbeat arrived; without any, when the machine entered its state."""
-        return self.last_heartbeat_at if self.last_heartbeat_at is not None else self.since
+        return self.last_heartbeat_at if self.last_heartbeat_at is not None else self.state_since
 
     def on_heartbeat(self, synced: bool, now: float) -> None:
         """A heartbeat arrived; `synced`: it was written under this term."""
@@ -102,9 +102,9 @@
     def mark_command_reachable(self) -> bool:
         """The worker has acted on a command; whether that is a change."""
         self.lost_commands = 0
-        was = self.command_unreachable_since is not None
+        was_unreachable = self.command_unreachable_since is not None
         self.command_unreachable_since = None
-        return was
+        return was_unreachable
 
     @property
     def command_unreachable(self) -> bool:
@@ -129,7 +129,7 @@
 
     # -- what is learnt of it ----------------------------------------------
 
-    def resume(self, incarnation: int, now: float) -> None:
+    def restore_incarnation(self, incarnation: int, now: float) -> None:
         """Intents of an earlier term name the machine: it was up, and is not heard yet."""
         self.incarnation = incarnation
         if self.state is MachineState.STARTING and incarnation:
@@ -140,12 +140,12 @@
         """Nothing but a heartbeat that may be a late copy tells of the machine."""
         self.unconfirmed = True
 
-    def learn_type(self, machine_type: MachineType | None) -> None:
+    def set_machine_type(self, machine_type: MachineType | None) -> None:
         """Take the machine's type from the catalog, if that has it by now."""
         if self.machine_type is None:
             self.machine_type = machine_type
 
-    def learn_age(self, age_s: float, now: float) -> None:
+    def set_age(self, age_s: float, now: float) -> None:
         """The cloud says that the machine was rented `age_s` seconds ago."""
         self.rented_at = now - age_s
 
@@ -166,13 +166,13 @@
         self.incarnation_since = now
         self.orphans.clear()
 
-    def answered(self, directly: bool, now: float) -> None:
+    def note_answered(self, directly: bool, now: float) -> None:
         """A heartbeat that awaits an answer came; `directly`: to this controller itself."""
         self.last_answered_at = now
         if directly:
             self.last_own_heartbeat_at = now
 
-    def note_heartbeat(self, sequence: int, endpoint: str, term: int) -> None:
+    def update_from_heartbeat(self, sequence: int, endpoint: str, term: int) -> None:
         """The newest heartbeat of the present incarnation; its worker knows `term`."""
         self.sequence = sequence
         self.endpoint = endpoint
@@ -182,9 +182,9 @@
         """There was a task on the machine, or there could be one, until now."""
         self.idle_since = now
 
-    def expect_end(self, left_s: float, now: float) -> None:
+    def note_termination_notice(self, left_s: float, now: float) -> None:
         """The cloud takes the machine in `left_s` seconds."""
-        self.gone_at = now + left_s
+        self.terminates_at = now + left_s
         self.drain("notice", now)
 
     def count_lost_command(self) -> int:
@@ -209,7 +209,7 @@
         """A task has completed here: earlier errors count no more."""
         self.error_jobs.clear()
 
-    def keep_orphans(self, orphans: dict[tuple[str, int], str]) -> None:
+    def set_orphans(self, orphans: dict[tuple[str, int], str]) -> None:
         """What the newest heartbeat names that no intent explains."""
         self.orphans = orphans
 
@@ -217,19 +217,19 @@
         """A launch found no capacity: take no new work before `at`."""
         self.quarantined_until = at
 
-    def count_change(self) -> None:
+    def count_offer_change(self) -> None:
         """Something changed that the machine's resource offer says."""
-        self.changes += 1
+        self.offer_changes += 1
 
-    def keep_wake_tasks(self, tasks: list[tuple[str, int]]) -> None:
+    def set_wake_tasks(self, tasks: list[tuple[str, int]]) -> None:
         """Ended tasks (name, attempt) that are left uncleared, to wake the worker with."""
-        self.changes += bool(self.wake_tasks) is not bool(tasks)
+        self.offer_changes += bool(self.wake_tasks) is not bool(tasks)
         self.wake_tasks = tasks
 
-    def take_wake_task(self) -> tuple[str, int]:
+    def pop_wake_task(self) -> tuple[str, int]:
         """The ended task (name, attempt) to clear now; IndexError if none is kept."""
         task = self.wake_tasks.pop()
-        self.changes += not self.wake_tasks
+        self.offer_changes += not self.wake_tasks
         return task
 
     # -- resources ------------------------------------------------------------
@@ -243,7 +243,7 @@
 
     def attach(self, attempt: TaskAttempt) -> None:
         """An attempt is, or may come to be, on the machine."""
-        self.changes += 1
+        self.offer_changes += 1
         self.attempts[(attempt.job.id, attempt.index)] = attempt
         self.used = add_resources(self.used, attempt.job.need)
 
@@ -253,7 +253,7 @@
         if self.attempts.get(key) is not attempt:
             return False
         del self.attempts[key]
-        self.changes += 1
+        self.offer_changes += 1
         # Sums drift; an empty machine is exactly empty again.
         self.used = (
             add_resources(self.used, attempt.job.need, -1.0) if self.attempts else NO_RESOURCES
@@ -277,10 +277,10 @@
         """Whether no task is, or may come to be, on the machine."""
         return not self.orphans and not self.attempts
 
-    def fetched(self, image: str, size_gb: float) -> None:
+    def note_image_fetched(self, image: str, size_gb: float) -> None:
         """An image is there."""
         capacity_gb = self.machine_type.cache_gb if self.machine_type else 0.0
-        self.changes += self.images.use(image, size_gb, capacity_gb)
+        self.offer_changes += self.images.use(image, size_gb, capacity_gb)
 
     def fetch_s(self, image: str, size_gb: float) -> float:
         """Expected seconds until the image is there, other fetches included."""
@@ -288,7 +288,7 @@
             return 0.0
         queue = {image: size_gb}
         for attempt in self.attempts.values():
-            if attempt.present and attempt.state not in WITH_IMAGE:
+            if attempt.is_active and attempt.state not in WITH_IMAGE:
                 spec = attempt.job.spec
                 if spec.image not in self.images:
                     queue.setdefault(spec.image, spec.image_gb)
--- a/topazhold/core/placement_hints.py
+++ b/topazhold/core/placement_hints.py
@@ -21,14 +21,14 @@
 class PlacementHint:
     """One machine: how to reach its worker, and whose tasks may be on it."""
 
-    __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "looks")
+    __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "last_probed_at")
 
     def __init__(self, endpoint: str | None) -> None:
         self.endpoint = endpoint
         self.jobs: frozenset[str] = frozenset()
         self.incarnation = 0  # of the newest heartbeat, as is the sequence
         self.sequence = -1
-        self.looks = 0.0  # when its worker was last probed, on the steady clock
+        self.last_probed_at = 0.0  # when its worker was last probed, on the steady clock
 
 
 class PlacementHints:
@@ -36,14 +36,14 @@
 
     def __init__(self) -> None:
         self.term = 0  # of the newest leader whose message has come
-        self.places: dict[str, PlacementHint] = {}
+        self.by_machine: dict[str, PlacementHint] = {}
 
     def _hint(self, name: str, endpoint: str | None) -> PlacementHint:
-        hint = self.places.get(name)
+        hint = self.by_machine.get(name)
         if hint is None:
-            hint = self.places[name] = PlacementHint(endpoint)
-            if len(self.places) > MAX_MACHINES_KNOWN:
-                del self.places[next(iter(self.places))]
+            hint = self.by_machine[name] = PlacementHint(endpoint)
+            if len(self.by_machine) > MAX_MACHINES_KNOWN:
+                del self.by_machine[next(iter(self.by_machine))]
         elif endpoint:
             hint.endpoint = endpoint
         return hint
@@ -55,7 +55,7 @@
         self.term = term
         for name, endpoint, jobs in items:
             if jobs is None:
-                self.places.pop(name, None)
+                self.by_machine.pop(name, None)
             else:
                 self._hint(str(name), endpoint).jobs = frozenset(map(str, jobs))
 
@@ -69,18 +69,18 @@
             task.task_name.partition("/")[0] for task in heartbeat.tasks if task.state != wire.ENDED
         )
 
-    def listed(self, listed_machines: Iterable[ListedMachine]) -> None:
+    def update_from_list(self, listed_machines: Iterable[ListedMachine]) -> None:
         """The cloud's list, for machines that no message and no heartbeat has named."""
         for item in listed_machines:
             if item.endpoint is not None:
                 self._hint(item.id, item.endpoint)
 
-    def gone(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """The machine is proven gone."""
-        self.places.pop(name, None)
+        self.by_machine.pop(name, None)
 
     def machines_of(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
         """Machines that may have tasks of these jobs, with which of the jobs."""
         return {
-            name: present for name, hint in self.places.items() if (present := hint.jobs & jobs)
+            name: present for name, hint in self.by_machine.items() if (present := hint.jobs & jobs)
         }
--- a/topazhold/core/preemption.py
+++ b/topazhold/core/preemption.py
@@ -98,7 +98,7 @@
     available = add_resources(machine.free(), reserved, -1.0)
     candidates: list[TaskAttempt] = []
     for attempt in machine.attempts.values():
-        if not attempt.present:
+        if not attempt.is_active:
             continue
         if attempt.stopping:
             available = add_resources(available, attempt.job.need)
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -17,18 +17,18 @@
 from topazhold.wire.jobs import JobSpec
 
 LIVE_PREFIX = "live/"
-OVER_PREFIX = "over/"
+ENDED_PREFIX = "over/"
 PART_PREFIX = "part/"
-ON_PREFIX = "on/"
+INTENTS_PREFIX = "on/"
 SUMMARY_PREFIX = "sum/"
 #: Of the summary's part about jobs and operations; the others are of one zone each.
 SUMMARY_KEY = SUMMARY_PREFIX + "*"
 RELAY_PREFIX = "relay/"
 
 #: Share of a value's size limit that is used.
-VALUE_SHARE = 0.9
+MAX_VALUE_SHARE = 0.9
 #: Characters; names in the spec of a job that is over are cut to so many.
-OVER_NAME_LENGTH = 40
+MAX_ENDED_NAME_LENGTH = 40
 #: Size of one packed attempt, for the number of those on one machine that a value takes.
 ATTEMPT_BYTES = 64
 
@@ -38,9 +38,9 @@
     return LIVE_PREFIX + job
 
 
-def over_key(job: str) -> str:
+def ended_key(job: str) -> str:
     """Of a job that is done or aborted."""
-    return OVER_PREFIX + job
+    return ENDED_PREFIX + job
 
 
 def part_key(job: str, part: int) -> str:
@@ -48,9 +48,9 @@
     return f"{PART_PREFIX}{job}/{part:03d}"
 
 
-def on_key(shard: str) -> str:
+def intents_key(shard: str) -> str:
     """Of a shard's intents."""
-    return ON_PREFIX + shard
+    return INTENTS_PREFIX + shard
 
 
 def live_value(job: Job, token: str) -> dict[str, Any]:
@@ -68,15 +68,15 @@
     return value
 
 
-def marks_size(spec: JobSpec) -> int:
+def max_bitmap_size(spec: JobSpec) -> int:
     """Bytes by which a live value may grow with the completion bitmap of its first part."""
     if spec.service:
         return 0
     return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
 
 
-def read_live(data: Any, revision: int, now: float, clock: float) -> Job:
-    """A job out of its live value; `now` is the time of day, `clock` the steady one.
+def read_live_job(data: Any, revision: int, wall_time: float, steady_time: float) -> Job:
+    """A job out of its live value; `wall_time` is the time of day.
 
     Raises:
         InvalidMessageError, TypeError, ValueError: it is none.
@@ -84,36 +84,38 @@
     if not isinstance(data, dict):
         raise InvalidMessageError("not a live job")
     spec = convert(data.get("spec"), JobSpec)
-    submitted = float(data.get("at", now))
-    job = Job(spec, clock - max(0.0, now - submitted), submitted, str(data.get("node", "")))
+    submitted = float(data.get("at", wall_time))
+    job = Job(
+        spec, steady_time - max(0.0, wall_time - submitted), submitted, str(data.get("node", ""))
+    )
     job.revision = revision
     if data.get("done"):
         job.load_part(0, data["done"])
     return job
 
 
-def over_value(spec: dict[str, Any], stage: str, at: float, token: str) -> dict[str, Any]:
+def ended_value(spec: dict[str, Any], stage: str, at: float, token: str) -> dict[str, Any]:
     """A job that is over; the spec stays for tasks still on machines.
 
     Of the spec, only what those tasks take of machines and of their team's limit is
     needed, so the rest is cut: a live value may be larger than the key-value store takes
     by the time the job ends.
     """
-    return {"by": token, "spec": _cut_spec(spec), "stage": stage, "at": at}
+    return {"by": token, "spec": _truncate_spec(spec), "stage": stage, "at": at}
 
 
-def _cut_spec(spec: Any) -> Any:
+def _truncate_spec(spec: Any) -> Any:
     if not isinstance(spec, dict):
         return spec
     cut = {name: value for name, value in spec.items() if name not in wire.UNUSED_WHEN_OVER}
     for name in wire.NAMES_UNUSED_WHEN_OVER:
         if isinstance(cut.get(name), str):
-            cut[name] = cut[name][:OVER_NAME_LENGTH]
+            cut[name] = cut[name][:MAX_ENDED_NAME_LENGTH]
     return cut
 
 
-def read_over(data: Any, now: float, clock: float) -> Job:
-    """A job that is over, for tasks that may still be on machines; clocks as in `read_live`.
+def read_ended_job(data: Any, wall_time: float, steady_time: float) -> Job:
+    """A job that is over, for tasks that may still be on machines; clocks as in `read_live_job`.
 
     Raises:
         InvalidMessageError, TypeError, ValueError: it is none.
@@ -121,12 +123,12 @@
     if not isinstance(data, dict):
         raise InvalidMessageError("not a job that is over")
     spec = convert(data.get("spec"), JobSpec)
-    at = float(data.get("at", now))
-    job = Job(spec, clock, at, "")
+    at = float(data.get("at", wall_time))
+    job = Job(spec, steady_time, at, "")
     if data.get("stage") == wire.DONE:
         job.state = JobState.DONE
     else:
-        job.abort(clock - max(0.0, now - at))
+        job.abort(steady_time - max(0.0, wall_time - at))
     return job
 
 
@@ -136,19 +138,19 @@
     return count if isinstance(count, int) else 0
 
 
-def over_stage(data: Any) -> str:
+def ended_stage(data: Any) -> str:
     """The protocol's stage of a job that is over; aborted if the record can't be read."""
     done = isinstance(data, dict) and data.get("stage") == wire.DONE
     return wire.DONE if done else wire.ABORTED
 
 
-def over_at(data: Any, otherwise: float) -> float:
+def ended_at(data: Any, default: float) -> float:
     """When the job ended, by the time of day."""
     at = data.get("at") if isinstance(data, dict) else None
-    return float(at) if isinstance(at, int | float) else otherwise
+    return float(at) if isinstance(at, int | float) else default
 
 
-def on_value(machines: Iterable[Machine], token: str) -> Any:
+def intents_value(machines: Iterable[Machine], token: str) -> Any:
     """A shard's intents: all attempts that may be, or may come to be, on its machines."""
     intents = {}
     for machine in machines:
@@ -186,7 +188,7 @@
     attempts: list[AttemptIntent]
 
 
-def read_on(data: Any) -> tuple[list[Intents], list[str]]:
+def read_intents(data: Any) -> tuple[list[Intents], list[str]]:
     """The machines of a shard, and the names of those that can't be read."""
     readable: list[Intents] = []
     unreadable: list[str] = []
@@ -211,6 +213,6 @@
     return readable, unreadable
 
 
-def parts_of(job: Job) -> int:
+def part_count(job: Job) -> int:
     """Into how many parts the job's completions are divided."""
     return (job.spec.tasks + TASKS_PER_PART - 1) // TASKS_PER_PART
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -66,7 +66,7 @@
         self._eviction = eviction
         self._heartbeat_interval_s = cluster.heartbeat_interval_s
         self._preempted_at: dict[str, float] = {}
-        cluster.when_job_forgotten(self._forget)
+        cluster.on_job_forgotten(self._forget)
 
     def _forget(self, job_id: str) -> None:
         self._preempted_at.pop(job_id, None)
@@ -101,7 +101,7 @@
         on_machine: dict[str, int] = {}
         for attempt in job.attempts.values():
             on_machine[attempt.machine] = on_machine.get(attempt.machine, 0) + 1
-        tasks = job.waiting_tasks()
+        tasks = job.pop_waiting_tasks()
         heap = [(candidate.cost_s, candidate.machine.name, candidate) for candidate in candidates]
         heapq.heapify(heap)
         while heap and not survey.is_full:
@@ -118,7 +118,7 @@
             if cost_s > queued_cost_s:
                 heapq.heappush(heap, (cost_s, name, candidate))
                 continue
-            if not self._cluster.recordable(machine, 1):
+            if not self._cluster.intents_fit(machine, 1):
                 continue
             if not survey.allows_one_more(job):
                 return
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -19,7 +19,7 @@
 )
 from topazhold.core.resources import NO_RESOURCES, add_resources
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
-from topazhold.core.zone_summary import CACHE_LENGTH, sooner
+from topazhold.core.zone_summary import CACHE_LENGTH, availability_key
 from topazhold.wire import messages as wire
 
 #: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
@@ -75,7 +75,7 @@
         )
         self._cached_offers: dict[str, CachedOffer] = {}
         self._zone_offers: dict[str, tuple[float, list[ResourceOffer]]] = {}
-        cluster.when_machine_removed(self._forget)
+        cluster.on_machine_removed(self._forget)
 
     def _forget(self, name: str) -> None:
         self._cached_offers.pop(name, None)
@@ -92,11 +92,11 @@
         if machine.state is not MachineState.STARTING and not self._cluster.usable(machine, now):
             return None
         cached = self._cached_offers.get(machine.name)
-        if cached is not None and cached.changes == machine.changes:
+        if cached is not None and cached.changes == machine.offer_changes:
             if now - cached.at < (self._max_shared_age_s if shared else self._max_age_s):
                 return cached.offer
         offer = self._offer(machine, now)
-        self._cached_offers[machine.name] = CachedOffer(machine.changes, now, offer)
+        self._cached_offers[machine.name] = CachedOffer(machine.offer_changes, now, offer)
         return offer
 
     def _offer(self, machine: Machine, now: float) -> ResourceOffer:
@@ -135,7 +135,7 @@
         ends = []
         for attempt in machine.attempts.values():
             # A service's replica does not end by itself, and has no run time to estimate.
-            if attempt.present and (attempt.stopping or not attempt.job.service):
+            if attempt.is_active and (attempt.stopping or not attempt.job.service):
                 ends.append((self._remaining_s(machine, attempt, now), attempt.job.need))
         ends.sort(key=lambda end: end[0])
         step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
@@ -148,7 +148,10 @@
     def _remaining_s(self, machine: Machine, attempt: TaskAttempt, now: float) -> float:
         spec = attempt.job.spec
         if attempt.stopping:
-            return max(0.0, spec.save_s - (now - attempt.stop_at)) + self._heartbeat_interval_s
+            return (
+                max(0.0, spec.save_s - (now - attempt.stop_requested_at))
+                + self._heartbeat_interval_s
+            )
         remaining_s = self._cluster.remaining_s(attempt, now)
         if attempt.state is not AttemptState.RUNNING:
             remaining_s += machine.fetch_s(spec.image, spec.image_gb)
@@ -237,7 +240,7 @@
             key=lambda offer: (
                 offer.name in fully_reserved,
                 offer.wait_s_for(priority, largest.need),
-                sooner(offer),
+                availability_key(offer),
             ),
         )
         interleaved = [offer for pair in zip(fitting, offers, strict=True) for offer in pair]
@@ -261,7 +264,7 @@
                 offer = self.current_offer(machine, now, shared=True)
                 if offer is not None:
                     offers.append(offer)
-        offers.sort(key=sooner)
+        offers.sort(key=availability_key)
         self._zone_offers[zone] = (now, offers)
         return offers
 
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -48,7 +48,7 @@
         self.heartbeat_interval_s = parts.timing.heartbeat_interval_s
         self.lease_s = parts.timing.lease_s
         self.cancel_s = parts.timing.cancel_s
-        self.lag_s = parts.timing.lag_s
+        self.lag_s = parts.timing.list_lag_s
         self.summary_s = parts.timing.summary_s
         self.cluster = cluster = parts.cluster
         self.jobs = cluster.jobs
--- a/topazhold/core/scheduler_parts.py
+++ b/topazhold/core/scheduler_parts.py
@@ -43,7 +43,7 @@
         reservation_table: ReservationTable,
         now: float,
     ) -> None:
-        self.timing = Timing.of(settings, operator)
+        self.timing = Timing.from_settings(settings, operator)
         self.objectives = StartObjectives(
             settings.cluster.wait_objectives(),
             operator.longest_wait_s,
--- a/topazhold/core/scheduling_round.py
+++ b/topazhold/core/scheduling_round.py
@@ -109,7 +109,7 @@
         self._cluster.count_changes()
         for attempt in attempts:
             if attempt.state is AttemptState.INTENDED:
-                attempt.written(now)
+                attempt.mark_written(now)
                 # A reservation is used up only here. If planning used it up and the intents
                 # then failed, its gang could never start.
                 attempt.job.used_reservation = max(
--- a/topazhold/core/task_attempts.py
+++ b/topazhold/core/task_attempts.py
@@ -16,7 +16,7 @@
 
     INTENDED = "intended"  # planned; the intent may not be written yet
     WRITTEN = "written"  # the intent is in the key-value store
-    ORDERED = "ordered"  # the launch went out in the response to a heartbeat
+    LAUNCH_SENT = "ordered"  # the launch went out in the response to a heartbeat
     PULLING = "pulling"
     GATHERING = "gathering"
     RUNNING = "running"
@@ -51,14 +51,14 @@
         "machine",
         "incarnation",
         "state",
-        "since",
+        "state_since",
         "launch_sequence",
         "running_since",
-        "stop_grace",
-        "stop_at",
+        "stop_grace_s",
+        "stop_requested_at",
         "possibly_running",
         "cause",
-        "kept",
+        "checkpoint_kept",
         "task_name",
     )
 
@@ -71,34 +71,34 @@
         self.task_name = wire.task_name_of(job.id, index)
         self.incarnation = 0  # of the worker that the launch is for
         self.state = AttemptState.INTENDED
-        self.since = now  # when it entered its state
+        self.state_since = now  # when it entered its state
         self.launch_sequence = -1  # of the heartbeat that the launch answered
         self.running_since: float | None = None
-        self.stop_grace: float | None = None  # seconds; None unless it is to stop
-        self.stop_at = 0.0  # when the stop was first requested
+        self.stop_grace_s: float | None = None  # seconds; None unless it is to stop
+        self.stop_requested_at = 0.0  # when the stop was first requested
         self.possibly_running = False  # left by an earlier term, not in a heartbeat yet
         self.cause: str | None = None  # of its end, as the worker names it
-        self.kept = False  # whether its checkpoint is kept, as the worker says
+        self.checkpoint_kept = False  # whether its checkpoint is kept, as the worker says
 
     def _enter(self, state: AttemptState, now: float) -> None:
         if state is not self.state:
             self.state = state
-            self.since = now
+            self.state_since = now
 
-    def written(self, now: float) -> None:
+    def mark_written(self, now: float) -> None:
         """The intent is committed."""
         assert self.state is AttemptState.INTENDED
         self._enter(AttemptState.WRITTEN, now)
 
-    def order(self, sequence: int, now: float) -> None:
+    def mark_launch_sent(self, sequence: int, now: float) -> None:
         """The launch goes out in the response to heartbeat `sequence`."""
         assert self.state is AttemptState.WRITTEN
         self.launch_sequence = sequence
-        self._enter(AttemptState.ORDERED, now)
+        self._enter(AttemptState.LAUNCH_SENT, now)
 
-    def launch_lost(self, now: float) -> None:
+    def mark_launch_lost(self, now: float) -> None:
         """A newer heartbeat lacks the task: that response was lost for good."""
-        assert self.state is AttemptState.ORDERED
+        assert self.state is AttemptState.LAUNCH_SENT
         self._enter(AttemptState.WRITTEN, now)
 
     def observe(self, stage: str, now: float) -> None:
@@ -111,31 +111,31 @@
             self.running_since = now
         self._enter(state, now)
 
-    def end(self, cause: str, kept: bool, now: float) -> None:
+    def mark_ended(self, cause: str, checkpoint_kept: bool, now: float) -> None:
         """A heartbeat shows that the task has ended."""
         self.possibly_running = False
         self.cause = cause
-        self.kept = kept
+        self.checkpoint_kept = checkpoint_kept
         self._enter(AttemptState.ENDED, now)
 
-    def vanish(self, now: float) -> None:
+    def mark_gone(self, now: float) -> None:
         """It is proven that the task is not on its machine and won't be."""
         self._enter(AttemptState.GONE, now)
 
-    def stop(self, grace_s: float, now: float) -> None:
+    def request_stop(self, grace_s: float, now: float) -> None:
         """Request a stop; a later call can only shorten the grace, in seconds."""
-        if self.stop_grace is None:
-            self.stop_at = now
-            self.stop_grace = grace_s
+        if self.stop_grace_s is None:
+            self.stop_requested_at = now
+            self.stop_grace_s = grace_s
         else:
-            self.stop_grace = min(self.stop_grace, grace_s)
+            self.stop_grace_s = min(self.stop_grace_s, grace_s)
 
     @property
     def stopping(self) -> bool:
         """Whether a stop has been requested."""
-        return self.stop_grace is not None
+        return self.stop_grace_s is not None
 
     @property
-    def present(self) -> bool:
+    def is_active(self) -> bool:
         """Whether it counts against resources, quota and placement constraints."""
         return self.state not in (AttemptState.ENDED, AttemptState.GONE)
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -56,7 +56,7 @@
                     self._cluster.record_success(*key)
             else:
                 self._on_orphan(machine, key, task, orphans, now)
-        machine.keep_orphans(orphans)
+        machine.set_orphans(orphans)
         is_launch_lost = False
         for key, attempt in list(machine.attempts.items()):
             if key not in seen:
@@ -71,15 +71,15 @@
             return
         if attempt.state is AttemptState.INTENDED:
             return
-        if attempt.state is AttemptState.ORDERED and not attempt.possibly_running:
+        if attempt.state is AttemptState.LAUNCH_SENT and not attempt.possibly_running:
             machine.mark_command_reachable()
         state_before = attempt.state
         attempt.observe(task.state, now)
         if attempt.state is not state_before:
-            machine.count_change()
+            machine.count_offer_change()
         if attempt.state in (AttemptState.GATHERING, AttemptState.RUNNING):
             spec = attempt.job.spec
-            machine.fetched(spec.image, spec.image_gb)
+            machine.note_image_fetched(spec.image, spec.image_gb)
 
     def _reconcile_missing(
         self, attempt: TaskAttempt, heartbeat: Heartbeat, synced: bool, direct: bool, now: float
@@ -88,14 +88,14 @@
         if attempt.possibly_running:
             if synced:
                 self._cluster.remove_attempt(attempt, now)
-        elif attempt.state is AttemptState.ORDERED:
+        elif attempt.state is AttemptState.LAUNCH_SENT:
             # A worker has one heartbeat in flight at a time, so it sent this one after it had
             # either executed the response with the launch or lost it.
             if not direct and heartbeat.sequence > attempt.launch_sequence:
                 if attempt.stopping:
                     self._cluster.remove_attempt(attempt, now)
                 else:
-                    attempt.launch_lost(now)
+                    attempt.mark_launch_lost(now)
                 return True
         elif attempt.state in ON_MACHINE:
             self._cluster.remove_attempt(attempt, now)
@@ -114,7 +114,7 @@
         job = self._cluster.jobs.get(job_id)
         if job is not None and index < job.spec.tasks and index not in job.attempts:
             attempt = TaskAttempt(job, index, task.attempt_number, machine.name, now)
-            attempt.state = AttemptState.ORDERED
+            attempt.state = AttemptState.LAUNCH_SENT
             attempt.observe(task.state, now)
             self._cluster.attach(attempt)
             self._eviction.stop_attempt(attempt, 0.0, "unexpected", now)
@@ -122,12 +122,12 @@
                 self._eviction.stop_gang(job, 0.0, "unexpected task", now)
             return
         orphans[(task.task_name, task.attempt_number)] = task.state
-        self._cluster.request_command(machine.name)
+        self._cluster.queue_command(machine.name)
 
     def _on_attempt_ended(
         self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
     ) -> None:
-        attempt.end(task.cause or "", bool(task.kept), now)
+        attempt.mark_ended(task.cause or "", bool(task.kept), now)
         log.info(
             "task %s attempt %d on %s ended: %s%s",
             attempt.task_name,
@@ -149,7 +149,7 @@
     def _on_success(self, machine: Machine, attempt: TaskAttempt, now: float) -> None:
         job, spec = attempt.job, attempt.job.spec
         machine.forget_errors()
-        machine.fetched(spec.image, spec.image_gb)
+        machine.note_image_fetched(spec.image, spec.image_gb)
         is_full_run = job.progress_s == 0.0 and not attempt.stopping and not job.service
         if attempt.running_since is not None and is_full_run:
             self._cluster.estimates.observe(
@@ -174,9 +174,9 @@
         """Update the gang's checkpointed progress, estimated from run times."""
         if attempt.index != min(job.attempts, default=attempt.index):
             return
-        ran_s = (attempt.stop_at if attempt.stopping else now) - running_since
+        ran_s = (attempt.stop_requested_at if attempt.stopping else now) - running_since
         total_s = job.progress_s + max(0.0, ran_s)
-        if attempt.kept:
+        if attempt.checkpoint_kept:
             job.progress_s = total_s
         elif job.spec.checkpoint_s > 0:
             job.progress_s = max(job.progress_s, total_s - total_s % job.spec.checkpoint_s)
--- a/topazhold/core/team_limits.py
+++ b/topazhold/core/team_limits.py
@@ -75,7 +75,7 @@
                 continue
             if job.gang and job.gang_state is GangState.STARTING:
                 continue
-            count = sum(attempt.present for attempt in job.attempts.values())
+            count = sum(attempt.is_active for attempt in job.attempts.values())
             if count:
                 cpus, gpus = job.need[0] * count, job.need[1] * count
                 usages.append(JobUsage(job.urgency_level, preemption.priority(job), cpus, gpus))
@@ -91,5 +91,5 @@
             # Work of higher priority than the gang would be placed again at once.
             and preemption.priority(other) > preemption.priority(job)
             for attempt in other.attempts.values()
-            if attempt.present and not (other.gang and other.gang_state is GangState.STARTING)
+            if attempt.is_active and not (other.gang and other.gang_state is GangState.STARTING)
         ]
--- a/topazhold/core/worker_commands.py
+++ b/topazhold/core/worker_commands.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Iterable
 
-from topazhold.core.cluster_state import USABLE_HEARTBEATS, ClusterState
+from topazhold.core.cluster_state import MAX_HEARTBEAT_AGE_INTERVALS, ClusterState
 from topazhold.core.jobs import TASKS_PER_PART, JobState
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.task_attempts import UNSENT, AttemptState
@@ -31,7 +31,7 @@
         self._cluster = cluster
         self._term = cluster.term
         self._max_response_s = MAX_RESPONSE_HEARTBEATS * cluster.heartbeat_interval_s
-        self._responsive_s = USABLE_HEARTBEATS * cluster.heartbeat_interval_s
+        self._responsive_s = MAX_HEARTBEAT_AGE_INTERVALS * cluster.heartbeat_interval_s
         self.to_wake: set[str] = set()
         self._delayed_wakes: set[str] = set()
 
@@ -57,7 +57,7 @@
                     and not attempt.stopping
                     and attempt.incarnation == heartbeat.incarnation
                 ):
-                    attempt.order(heartbeat.sequence, now)
+                    attempt.mark_launch_sent(heartbeat.sequence, now)
                     log.info(
                         "launching task %s attempt %d on %s",
                         attempt.task_name,
@@ -79,7 +79,7 @@
                 if task.cause == wire.CAUSE_DONE and self._is_completion_unsaved(task):
                     continue
                 commands.append(wire.clear(task.task_name, task.attempt_number))
-        machine.keep_wake_tasks(
+        machine.set_wake_tasks(
             [(command.task_name, command.attempt_number) for command in commands[:MAX_WAKE_TASKS]]
         )
         return commands[MAX_WAKE_TASKS:]
@@ -101,7 +101,7 @@
         if machine.name in self.to_wake:
             self.to_wake.discard(machine.name)
             if machine.wake_tasks:
-                commands.append(wire.clear(*machine.take_wake_task()))
+                commands.append(wire.clear(*machine.pop_wake_task()))
         return commands
 
     def wake(self, machine: Machine, now: float) -> None:
@@ -119,7 +119,7 @@
 
     def _wake_now(self, name: str) -> None:
         self.to_wake.add(name)
-        self._cluster.request_command(name)
+        self._cluster.queue_command(name)
 
     def _heartbeat_is_recent(self, machine: Machine, now: float) -> bool:
         """Return whether the response to the last heartbeat may not have been built yet."""
@@ -155,7 +155,7 @@
                 priority = (
                     not self.is_responsive(machine, now),
                     not must_be_released,
-                    machine.commanded_at,
+                    machine.last_commanded_at,
                     name,
                 )
                 candidates.append((priority, machine))
@@ -166,12 +166,12 @@
         """Return kills for all tasks that must leave the machine; each may be repeated."""
         commands = []
         for attempt in machine.attempts.values():
-            if attempt.stop_grace is None or attempt.state in UNSENT:
+            if attempt.stop_grace_s is None or attempt.state in UNSENT:
                 continue
-            if attempt.state is AttemptState.FLUSHING and attempt.stop_grace > 0:
+            if attempt.state is AttemptState.FLUSHING and attempt.stop_grace_s > 0:
                 continue
             commands.append(
-                wire.kill(attempt.task_name, attempt.attempt_number, attempt.stop_grace)
+                wire.kill(attempt.task_name, attempt.attempt_number, attempt.stop_grace_s)
             )
         for task_name, attempt_number in machine.orphans:
             commands.append(wire.kill(task_name, attempt_number, 0.0))
--- a/topazhold/core/zone_summary.py
+++ b/topazhold/core/zone_summary.py
@@ -17,7 +17,7 @@
 CACHE_LENGTH = 20
 
 
-def sooner(offer: ResourceOffer) -> tuple[float, float]:
+def availability_key(offer: ResourceOffer) -> tuple[float, float]:
     """Sort key of a cache: soonest free first, then the one with the most free GPUs.
 
     A machine with GPUs counts as free only when some of them are: CPUs and memory left beside
@@ -44,7 +44,7 @@
     return [f"{prefix}{suffix}" for suffix in str(suffixes).split(",")]
 
 
-def cut_names(packed: list[str], limit: int, round_number: int) -> list[str]:
+def sample_names(packed: list[str], limit: int, round_number: int) -> list[str]:
     """Packed names cut to `limit` bytes: every n-th, beginning with others in each round."""
     prefix, suffixes = packed
     size = len(prefix) + len(suffixes) + len('["",""]')
@@ -54,7 +54,7 @@
     return [prefix, ",".join(suffixes.split(",")[round_number % step :: step])]
 
 
-def cut_summary(packed: Iterable[Any], limit: int, size_of: Callable[[Any], int]) -> list[Any]:
+def truncate_summary(packed: Iterable[Any], limit: int, size_of: Callable[[Any], int]) -> list[Any]:
     """The first of a zone's packed offers, as many as `limit` bytes take."""
     items: list[Any] = []
     size = 0
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -39,7 +39,7 @@
 
     def on_job_ended(self, job: Job) -> None:
         """A job is over: decide to remove its parts, if it has any."""
-        self._decide(job.id, range(1, records.parts_of(job)))
+        self._decide(job.id, range(1, records.part_count(job)))
 
     def _decide(self, job_id: str, parts: range | list[int]) -> None:
         if not parts or any(
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -13,7 +13,7 @@
 import curio
 import msgspec
 
-from topazhold.core.leadership import LEADER_KEY, read_value
+from topazhold.core.leadership import LEADER_KEY, read_leader_value
 from topazhold.core.records import SUMMARY_KEY
 from topazhold.interfaces.store import LEASE_PRIORITY, Store
 from topazhold.interfaces.store_errors import KeyValueStoreError
@@ -89,7 +89,7 @@
         raise StoreUnreachableError(str(exc)) from None
     finally:
         await client.close()
-    found = read_value(leader.data) if leader is not None else None
+    found = read_leader_value(leader.data) if leader is not None else None
     leader_name, term = found if found is not None else (None, None)
     now = time.time()
     return OperationsReport(
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -120,7 +120,7 @@
         stale: set[IntentShard] = set()
         for name in names:
             self._context.scheduler.remove_machine(name, now)
-            shard = self._context.shards.gone(name)
+            shard = self._context.shards.forget_machine(name)
             if shard is not None and shard.revision:
                 stale.add(shard)
         await self._context.request_plan()
