--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -64,7 +64,7 @@
         machine = self.scheduler.on_heartbeat(report, False, self.now)
         if machine is None:
             return []
-        commands = self.scheduler.answer(machine, report, self.now)
+        commands = self.scheduler.response_commands(machine, report, self.now)
         if carry_out:
             self._carry_out(name, commands)
         return commands
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -136,8 +136,12 @@
     )
     machine = harness.scheduler.on_heartbeat(heartbeat, False, harness.now)
     assert machine is not None
-    assert harness.scheduler.answer(machine, heartbeat, harness.now, launches=False) == []
-    assert launched(harness.scheduler.answer(machine, heartbeat, harness.now)) == ["wk-000001/0"]
+    assert (
+        harness.scheduler.response_commands(machine, heartbeat, harness.now, launches=False) == []
+    )
+    assert launched(harness.scheduler.response_commands(machine, heartbeat, harness.now)) == [
+        "wk-000001/0"
+    ]
 
 
 def test_tasks_are_placed_on_machines_whose_fetch_rate_is_not_known(
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -119,8 +119,8 @@
         heartbeat.sequence += 1
         machine = self.scheduler.on_heartbeat(heartbeat, False, self.now)
         assert machine is not None
-        self.scheduler.wants_plan(machine, self.now)
-        return self.scheduler.answer(machine, heartbeat, self.now)
+        self.scheduler.could_place_on(machine, self.now)
+        return self.scheduler.response_commands(machine, heartbeat, self.now)
 
 
 class EndlessSocket:
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -171,7 +171,7 @@
             await self.context.request_plan()
         if machine is None or direct:
             return machine, []
-        if self._planning.is_due(now) and self.scheduler.wants_plan(machine, now):
+        if self._planning.is_due(now) and self.scheduler.could_place_on(machine, now):
             await self._planning.wait_for_round(
                 MAX_PLAN_WAIT_HEARTBEATS * self.context.heartbeat_interval_s
             )
@@ -180,7 +180,9 @@
         now = await curio.clock()
         # Once the lease may have ended, another controller may lead. It knows the stored
         # intents, but this controller must not launch anything more.
-        return machine, self.scheduler.answer(machine, heartbeat, now, self._may_launch(now))
+        return machine, self.scheduler.response_commands(
+            machine, heartbeat, now, self._may_launch(now)
+        )
 
     def _may_launch(self, now: float) -> bool:
         """Return whether launches are allowed now.
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -138,10 +138,10 @@
             if attempt.is_active and (attempt.stopping or not attempt.job.service):
                 ends.append((self._remaining_s(machine, attempt, now), attempt.job.need))
         ends.sort(key=lambda end: end[0])
-        step = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
+        stride = max(1, (len(ends) + MAX_AVAILABILITY_STEPS - 1) // MAX_AVAILABILITY_STEPS)
         for number, (remaining_s, need) in enumerate(ends, start=1):
             available = add_resources(available, need)
-            if number % step == 0 or number == len(ends):
+            if number % stride == 0 or number == len(ends):
                 availability.append((remaining_s, available))
         return availability
 
@@ -162,7 +162,7 @@
         kinds = self._preemptible_work(machine)
         steps = []
         for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
-            within_guarantee, outside, is_aged = (
+            within_guarantee, outside, aged = (
                 self._preemptible_by((quota_rank, urgency_level), kinds)
                 for quota_rank in (WITHIN_GUARANTEE, OUTSIDE_GUARANTEE, AGED)
             )
@@ -170,9 +170,9 @@
                 steps.append(((WITHIN_GUARANTEE, urgency_level), *within_guarantee))
             if outside[1] != NO_RESOURCES:
                 steps.append(((OUTSIDE_GUARANTEE, urgency_level), *outside))
-            if is_aged[1] != within_guarantee[1]:
+            if aged[1] != within_guarantee[1]:
                 # An aged gang must not count on work that only a guarantee might stop.
-                steps.append(((AGED, urgency_level), *is_aged))
+                steps.append(((AGED, urgency_level), *aged))
         return steps
 
     @staticmethod
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -1,7 +1,7 @@
 """The leader's view of jobs and machines, and its decisions, behind one face.
 
 Events come in as method calls that carry the time; what is to be done comes out in the
-queues (`to_command`, `releases`, `finished`) and from `plan` and `answer`. Nothing here
+queues (`to_command`, `releases`, `finished`) and from `plan` and `response_commands`. Nothing here
 waits, reads a clock or draws unseeded numbers.
 """
 
@@ -177,7 +177,7 @@
         """
         return self._heartbeats.on_heartbeat(heartbeat, direct, now, forwarded)
 
-    def answer(
+    def response_commands(
         self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
     ) -> list[Command]:
         """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
@@ -256,7 +256,7 @@
 
     # -- scheduling rounds and scaling -----------------------------------------
 
-    def wants_plan(self, machine: Machine, now: float) -> bool:
+    def could_place_on(self, machine: Machine, now: float) -> bool:
         """Whether a round might place something on this machine."""
         return self._rounds.could_place_on(machine, now)
 
