--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -1,4 +1,4 @@
-"""Reservations as the leader judges them: whether they bind, are spent, or must be refused."""
+"""The leader's validation of reservations: which are binding, consumed or rejected."""
 
 from __future__ import annotations
 
@@ -19,21 +19,22 @@
 
 log = logging.getLogger(__name__)
 
-#: A reservation whose capacity is all there within so many heartbeat intervals binds work that
-#: yields, too; a machine that boots longer than so many boot times is not counted on.
+#: Heartbeat intervals within which all capacity of a reservation must become available for it
+#: to bind preemptible work too.
 AVAILABLE_SOON_HEARTBEATS = 6.0
+#: Multiple of its type's boot time after which a booting machine is not counted as available.
 OVERDUE_BOOT_FACTOR = 1.5
 
 
 class CheckedReservation(NamedTuple):
-    """The reservation last checked for a gang, and the count of the fleet's changes then."""
+    """The last reservation validated for a gang, and the count of fleet changes at that time."""
 
     reservation: Reservation
     fleet_changes: int
 
 
 class AvailabilityCheck(NamedTuple):
-    """Whether all capacity of a reservation is there soon: its serial, when that was judged."""
+    """Whether all capacity of the reservation with this serial is available soon, as of `at`."""
 
     serial: int
     at: float
@@ -41,11 +42,11 @@
 
 
 class BindingReservations:
-    """What the leader makes of the reservations that all controllers have booked.
+    """Validates the reservations of all controllers, as leader.
 
-    Owns, by gang: `rejected` (the serial of a reservation that can't be honoured), the last
-    check, the last judgement of whether all capacity is there soon, and since when the gang has
-    been without a reservation.
+    Owns, by gang: `rejected` (the serial of a reservation that can't be satisfied), the last
+    validated reservation, the last availability check, and the time since which the gang has
+    had no usable reservation.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
     # -- gangs without a reservation ---------------------------------------
 
     def waiting_gangs(self, now: float) -> list[Job]:
-        """Gangs that wait, and whose teams may use the capacity."""
+        """Return waiting gangs whose teams' limits allow them to start."""
         self._limits.invalidate()
         return [
             job
@@ -86,26 +87,26 @@
         ]
 
     def largest_gang(self, now: float) -> Job | None:
-        """The waiting gang with the most tasks that must share a zone."""
+        """Return the waiting gang with the most tasks among those confined to one zone."""
         gangs = [job for job in self.waiting_gangs(now) if job.spec.same_place]
         return max(gangs, key=lambda job: (job.spec.tasks, job.id), default=None)
 
     def needs_reservation(self, job: Job) -> bool:
-        """Whether no reservation of the gang is in force."""
+        """Return whether the gang lacks a usable reservation."""
         reservation = self._reservation_table.of_job(job.id)
         return reservation is None or self.is_consumed_or_rejected(job, reservation)
 
     def unreserved_s(self, job: Job, now: float) -> float:
-        """How long, in seconds, the gang has been without a reservation that is in force."""
+        """Return how long, in seconds, the gang has had no usable reservation."""
         if not self.needs_reservation(job):
             self._unreserved_since.pop(job.id, None)
             return 0.0
         return now - self._unreserved_since.setdefault(job.id, now)
 
-    # -- whom a reservation binds --------------------------------------------
+    # -- binding reservations ------------------------------------------------
 
     def valid_reservation(self, job: Job) -> Reservation | None:
-        """The gang's reservation; None if it has none, or that is spent or can't be honoured."""
+        """Return the gang's reservation; None if it has none, or it is consumed or invalid."""
         reservation = self._reservation_table.of_job(job.id)
         if reservation is None or self.is_consumed_or_rejected(job, reservation):
             return None
@@ -114,14 +115,14 @@
         return reservation
 
     def is_consumed_or_rejected(self, job: Job, reservation: Reservation) -> bool:
-        """Whether a reservation was used up or refused, so that another is needed."""
+        """Return whether a start consumed the reservation, or it was rejected."""
         return (
             reservation.serial <= job.used_reservation
             or self.rejected.get(job.id) == reservation.serial
         )
 
     def is_binding(self, reservation: Reservation) -> bool:
-        """Whether a reservation still keeps capacity: its gang waits and may start."""
+        """Return whether a reservation holds capacity: its gang is waiting and may start."""
         job = self._cluster.jobs.get(reservation.job)
         return (
             job is not None
@@ -132,7 +133,7 @@
         )
 
     def reserved_machines(self) -> set[str]:
-        """Machines on which a reservation keeps capacity."""
+        """Return the machines on which a binding reservation holds capacity."""
         self._limits.invalidate()
         return {
             name
@@ -142,7 +143,7 @@
         }
 
     def reserved_resources(self, now: float) -> ReservedResources:
-        """What reservations keep, for a round whose turns go by in order."""
+        """Return the reserved resources for a scheduling round, which queries in queue order."""
         self._limits.invalidate()
         return ReservedResources(
             self._reservation_table,
@@ -151,8 +152,10 @@
         )
 
     def _queue_key_of(self, reservation: Reservation) -> QueueKey | None:
-        """The turn of its gang as it is now, not as the reservation names it; None if it
-        binds nobody."""
+        """Return the current queue key of the gang, which may differ from the reservation's.
+
+        None if the reservation is not binding.
+        """
         return (
             preemption.queue_key(self._cluster.jobs[reservation.job])
             if self.is_binding(reservation)
@@ -160,15 +163,15 @@
         )
 
     def _is_gathering(self, reservation: Reservation, now: float) -> bool:
-        """Whether not even work that yields may come in between.
+        """Return whether the reservation binds preemptible work too.
 
-        A task that would be stopped before its image is there does nobody any good.
+        A task that would be preempted before its image is fetched is of no use.
         """
         job = self._cluster.jobs[reservation.job]
         return job.preempting_until > now or self._is_available_soon(reservation, job, now)
 
     def _is_available_soon(self, reservation: Reservation, job: Job, now: float) -> bool:
-        """Whether all capacity of a reservation is likely there within a few heartbeats."""
+        """Return whether all capacity of a reservation is likely available in a few heartbeats."""
         last_check = self._availability_checks.get(job.id)
         if last_check is not None and last_check.serial == reservation.serial:
             if now - last_check.at < self._heartbeat_interval_s:
@@ -191,7 +194,7 @@
         if machine.state is MachineState.STARTING:
             if now - machine.rented_at > OVERDUE_BOOT_FACTOR * machine.machine_type.boot_s:
                 return False
-        # Natural ends only: whether others can be stopped, `GangPlacement` finds out.
+        # Counts only tasks that end by themselves: `GangPlacement` decides on preemption.
         total_need = add_resources(NO_RESOURCES, job.need, float(count))
         wait_s = next(
             (delay_s for delay_s, available in offer.availability if fits(total_need, available)),
@@ -199,10 +202,10 @@
         )
         return wait_s < AVAILABLE_SOON_HEARTBEATS * self._heartbeat_interval_s
 
-    # -- whether a reservation can be honoured -------------------------------
+    # -- validation ----------------------------------------------------------
 
     def _is_check_due(self, job: Job, reservation: Reservation) -> bool:
-        """Whether a reservation has to be checked: it is new, or machines have changed since."""
+        """Return whether the reservation is new, or the fleet changed since its last check."""
         checked = self._checked.get(job.id)
         return (
             checked is None
@@ -211,17 +214,17 @@
         )
 
     def _reject_if_invalid(self, job: Job, reservation: Reservation) -> bool:
-        """Refuse a reservation that can't be honoured; whether that was so."""
+        """Reject a reservation that can't be satisfied; return whether it was rejected."""
         self._checked[job.id] = CheckedReservation(reservation, self._cluster.fleet_changes)
         reason = self._rejection_reason(job, reservation)
         if reason is None:
             return False
-        log.info("reservation of %s refused: %s", job.id, reason)
+        log.info("reservation of %s rejected: %s", job.id, reason)
         self.rejected[job.id] = reservation.serial
         return True
 
     def _rejection_reason(self, job: Job, reservation: Reservation) -> str | None:
-        """Why a reservation can't be honoured, whatever time passes."""
+        """Return why the reservation can never be satisfied; None if it is valid."""
         spec = job.spec
         if sum(reservation.slots.values()) != spec.tasks or min(reservation.slots.values()) < 1:
             return "wrong number of tasks"
@@ -242,7 +245,7 @@
 
 
 def _slot_rejection_reason(job: Job, machine: Machine, machine_type: str, count: int) -> str | None:
-    """What a machine is that can't take so many tasks of a gang."""
+    """Return why a machine can't take `count` tasks of a gang; None if it can."""
     if machine.state in (MachineState.DRAINING, MachineState.RELEASING):
         return "leaving"
     if machine.command_unreachable:
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -1,7 +1,7 @@
-"""The candidates of a gang's search: slots for its tasks on offered machines.
+"""Candidates of a gang's search: slots for its tasks on offered machines.
 
-A random machine of the whole fleet is the pivot. Its zone's cache, then those of further
-pivots' zones, give alpha·N slots for a gang of N tasks.
+The search starts at a random machine of the whole fleet, the pivot. The cache of its zone, then
+those of the zones of further pivots, provide alpha·N slots for a gang of N tasks.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from topazhold.core.resources import count_fitting
 from topazhold.wire.jobs import JobSpec
 
-#: What the first task on an empty machine costs, in full preferences.
+#: Cost of placing the first task on an empty machine, as a multiple of `preference_s`.
 EMPTY_MACHINE_PREFERENCES = 1.5
-#: What a slot on a machine with all its GPUs free costs, in full preferences; less in proportion.
+#: Cost per share of free GPUs that a task leaves unused, as a multiple of `preference_s`.
 UNUSED_SHARE_PREFERENCES = 0.5
 
 
@@ -31,22 +31,22 @@
     alpha: float  # candidate slots gathered for each task
     groups: int  # groups that the swap loop improves
     rounds: int  # rounds of the swap loop
-    distance_s: float  # seconds that one step of distance is worth
-    preference_s: float  # seconds that a full preference is worth
+    distance_s: float  # cost, in seconds, of each task outside the main zone
+    preference_s: float  # cost, in seconds, of violating one placement preference
 
 
 @dataclass(frozen=True, slots=True)
 class SearchContext:
-    """What all steps of one gang's search share."""
+    """Input shared by all steps of one gang's search."""
 
     spec: JobSpec
     priority: Priority
-    reserved: Mapping[str, Resources]  # by machine: what is kept for others
+    reserved: Mapping[str, Resources]  # for others, by machine
     rules: SearchRules
 
 
 class Slot:
-    """A place for one task: the `nth` of this job's on its machine, from 0."""
+    """Capacity for one task: the `nth` of the job on its machine, from 0."""
 
     __slots__ = ("offer", "name", "zone", "nth", "capacity_wait_s", "wait_s", "cost_s")
 
@@ -58,8 +58,8 @@
         self.zone = offer.zone
         self.nth = nth
         self.capacity_wait_s = capacity_wait_s  # seconds until the resources are free
-        self.wait_s = wait_s  # seconds until the image is there too
-        self.cost_s = cost_s  # small preferences, in seconds
+        self.wait_s = wait_s  # seconds until the image is fetched too
+        self.cost_s = cost_s  # of violated placement preferences, in seconds
 
 
 def by_readiness(slot: Slot) -> tuple[float, int]:
@@ -68,7 +68,7 @@
 
 
 def offer_slots(offer: ResourceOffer, context: SearchContext, limit: int) -> list[Slot]:
-    """Up to `limit` slots of one machine, soonest first."""
+    """Return up to `limit` slots of one machine, soonest first."""
     spec, rules = context.spec, context.rules
     if not placement_allowed(spec, offer.machine_type, offer.zone, offer.spot):
         return []
@@ -83,11 +83,11 @@
         count = count_fitting(need, available, limit)
         cost_s = 0.0
         if spec.spot and not offer.spot:
-            cost_s += rules.preference_s  # leave ordinary machines to those who need them
+            cost_s += rules.preference_s  # keep on-demand machines for jobs that need them
         if available[1] > 0:
             unused_share = (available[1] - need[1]) / available[1]
-            # Fill machines that are in use already: gangs of whole machines find
-            # none where every one has a small task on it.
+            # Prefer machines that are already in use: gangs that need whole machines
+            # find none if every machine runs a small task.
             cost_s += UNUSED_SHARE_PREFERENCES * rules.preference_s * unused_share
             if need[1] * count < total_free[1] and available[1] >= total_free[1]:
                 cost_s += EMPTY_MACHINE_PREFERENCES * rules.preference_s
@@ -103,10 +103,10 @@
     context: SearchContext,
     slots_by_zone: dict[str, list[Slot]] | None = None,
 ) -> list[Slot]:
-    """Alpha·N candidate slots from a random pivot's zone and from those of further pivots.
+    """Return alpha·N candidate slots from the zones of random pivots.
 
-    `directory` has (machine, zone) of the whole fleet. `slots_by_zone` keeps the slots of
-    caches for later tries of the same search.
+    `directory` has (machine, zone) of the whole fleet. `slots_by_zone` caches the slots of each
+    zone across tries of the same search.
     """
     if slots_by_zone is None:
         slots_by_zone = {}
@@ -123,7 +123,7 @@
         if spec.same_place:
             if len(zone_slots) >= spec.tasks:
                 return zone_slots[:target_count]
-            continue  # this zone can't take the gang; another pivot
+            continue  # the zone can't take the gang: draw another pivot
         if spec.scatter:
             slots += zone_slots[: max(1, math.ceil(target_count / 2))]
         else:
@@ -132,7 +132,7 @@
 
 
 def _cache_slots(offers: Sequence[ResourceOffer], context: SearchContext) -> list[Slot]:
-    """All slots of a zone's cache, the soonest ready first."""
+    """Return all slots of a zone's cache, the soonest ready first."""
     slots: list[Slot] = []
     for offer in offers:
         slots += offer_slots(offer, context, context.spec.tasks)
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -1,8 +1,8 @@
-"""The search for a gang's machines: of the candidate slots, the group with the lowest score.
+"""Search for a gang's machines: select the group of candidate slots with the lowest score.
 
-The score of a group is the wait until all its tasks can start, image fetches included, and
-the distance between its slots. A swap loop improves a few groups of the N slots that a gang
-needs; where there are few groups, all are compared.
+The score of a group is the wait until all its tasks can start, image fetches included, plus
+penalties for distance between its slots and for placement preferences. A local search improves
+a few groups of N slots by swaps; if there are few possible groups, all are compared.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 from topazhold.core.resource_offer import Priority, ResourceOffer
 from topazhold.wire.jobs import JobSpec
 
-#: Up to so many possible groups are compared one by one: four of eight slots give 70, no more
-#: than a swap loop tries.
+#: Maximum number of possible groups to compare exhaustively: 70, those of four out of eight
+#: slots, are no more than a swap loop scores.
 MAX_EXHAUSTIVE_GROUPS = 70
-#: Random slots that one swap draws until one is outside the group.
+#: Maximum number of random draws per swap to find a slot outside the group.
 MAX_SWAP_DRAWS = 4
 
 
 @dataclass(slots=True, eq=False)
 class Group:
-    """Machines for a whole gang, with the number of tasks on each."""
+    """Machines for all tasks of a gang, with the number of tasks on each."""
 
     score: float  # seconds; lower is better
     wait_s: float  # seconds until all tasks can run, images included
@@ -43,7 +43,7 @@
 
 
 def score_group(group: Sequence[Slot], spec: JobSpec, rules: SearchRules) -> float:
-    """Seconds, lower is better; infinite if the job's placement constraints are broken."""
+    """Return the score in seconds, lower is better; infinite if constraints are violated."""
     zones: dict[str, int] = {}
     wait_s = 0.0
     cost_s = 0.0
@@ -68,7 +68,7 @@
 
 
 def _lacks_earlier_slot(group: Sequence[Slot]) -> bool:
-    """Whether a machine's nth slot is in the group without those before it."""
+    """Return whether the group has a machine's nth slot but not all of its earlier ones."""
     nths_by_machine: dict[str, list[int]] = {}
     for slot in group:
         nths_by_machine.setdefault(slot.name, []).append(slot.nth)
@@ -78,7 +78,7 @@
 def select_group(
     rng: Random, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules
 ) -> Group | None:
-    """The group of N among the candidates with the lowest score, if any is valid."""
+    """Return the group of N candidates with the lowest score found, if any is valid."""
     if len(slots) < spec.tasks:
         return None
     soonest = _soonest_group(slots, spec)
@@ -90,7 +90,7 @@
 def _best_of_all(
     soonest: list[Slot] | None, slots: Sequence[Slot], spec: JobSpec, rules: SearchRules
 ) -> Group | None:
-    """Compare all groups; among equals the soonest slots come first, as in the swap loop."""
+    """Compare all groups; ties go to the soonest group, as in the swap loop."""
     groups = itertools.chain(
         [soonest] if soonest else [], itertools.combinations(slots, spec.tasks)
     )
@@ -105,7 +105,7 @@
     spec: JobSpec,
     rules: SearchRules,
 ) -> Group | None:
-    """Improve random groups, and the soonest one, by swaps of one slot, round by round."""
+    """Improve the soonest group and random ones in rounds of single-slot swaps."""
     best: list[Slot] | None = None
     best_score = math.inf
     groups: list[tuple[list[Slot], float]] = []
@@ -126,7 +126,7 @@
                 if new_score < best_score:
                     best, best_score = swapped, new_score
         if not improved:
-            break  # a round without a better group: more of them seldom help
+            break  # further rounds seldom help after one without improvement
     return _as_group(best, best_score)
 
 
@@ -141,7 +141,7 @@
 
 
 def _soonest_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
-    """The soonest slots, with the earlier ones of every machine, zone caps kept."""
+    """Return the soonest slots within the zone limits; each machine's in order of `nth`."""
     zone_limit = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
     zones: dict[str, int] = {}
     group: list[Slot] = []
@@ -156,7 +156,7 @@
 
 
 def _swap(rng: Random, group: Sequence[Slot], slots: Sequence[Slot]) -> list[Slot]:
-    """The group with one slot exchanged for a random one from outside, if one is drawn."""
+    """Return the group with one slot replaced by a random one from outside, if drawn."""
     swapped = list(group)
     group_ids = {id(slot) for slot in group}
     for _ in range(MAX_SWAP_DRAWS):
@@ -175,9 +175,9 @@
     reserved: Mapping[str, Resources],
     rules: SearchRules,
 ) -> float:
-    """What a group that is reserved already would score by what is known now.
+    """Return the score of an already reserved group with current offers.
 
-    `slots` has its tasks by machine, `reserved` what is kept for others.
+    `slots` has its tasks by machine, `reserved` the resources reserved for others.
     """
     context = SearchContext(spec, priority, reserved, rules)
     group: list[Slot] = []
@@ -198,7 +198,7 @@
     context: SearchContext,
     tries: int,
 ) -> Group | None:
-    """The best group of a few independent searches, each from its own pivot.
+    """Return the best group of `tries` independent searches, each from its own pivot.
 
     `directory` has (machine, zone) of the whole fleet, `caches` the offers by zone.
     """
@@ -209,7 +209,7 @@
     for _ in range(tries):
         slots = gather_slots(rng, directory, caches, context, slots_by_zone)
         if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_EXHAUSTIVE_GROUPS:
-            # All groups of this zone are compared the first time.
+            # The first try in this zone compares all its groups.
             zone = slots[0].zone
             if zone in exhausted_zones:
                 continue
--- a/topazhold/core/image_cache.py
+++ b/topazhold/core/image_cache.py
@@ -1,4 +1,4 @@
-"""The images that a machine has, as its worker keeps them."""
+"""Model of a worker's image cache, with least-recently-used eviction."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ImageCache:
-    """Images by size in GB, the one used longest ago first."""
+    """Cached images with their sizes in GB, in order from least to most recently used."""
 
     def __init__(self) -> None:
         self._sizes_gb: OrderedDict[str, float] = OrderedDict()
@@ -19,9 +19,9 @@
         return iter(self._sizes_gb)
 
     def use(self, image: str, size_gb: float, capacity_gb: float) -> bool:
-        """An image is there and used; whether it is new.
+        """Record the use of an image; return whether it is new to the cache.
 
-        What no longer fits beside it goes, as the worker does it.
+        Evicts the least recently used images that no longer fit, as the worker does.
         """
         is_new = image not in self._sizes_gb
         self._sizes_gb[image] = size_gb
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -1,9 +1,9 @@
-"""Reservations: resources kept for a gang by the controller that searches for it.
+"""Reservations: resources set aside for a gang by the controller that searches for it.
 
-Each controller keeps its reservations in one value of the key-value store and writes it with
-a compare-and-swap that also guards the revisions of the other controllers' values, so of two
-that reserve the same resources at once only one succeeds. Keys and fields of the value keep
-the names of the first version.
+Each controller stores its reservations in one value of the key-value store. It writes the value
+with a compare-and-swap that also checks the revisions of the other controllers' values, so when
+two controllers reserve the same resources concurrently, only one succeeds. Keys and fields of
+the value keep the names of the first version.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from topazhold.wire import messages as wire
 
 RESERVATION_PREFIX = "hold/"
-#: Urgency levels, 0 the most urgent.
+#: Number of urgency levels; level 0 is the most urgent.
 URGENCY_LEVELS = len(wire.URGENCIES)
-#: In place of an urgency level: reservations of all levels bind.
+#: Used in place of an urgency level for work that reservations of all levels bind.
 ALL_URGENCY_LEVELS = -1
 
-#: The order of the queue: (outside its guaranteed quota, urgency level, a time in seconds),
-#: smaller first. The time is that of submission for aged gangs, for others NOT_AGED and the
-#: wait objective of their class.
+#: A job's sort key in the queue, smallest first: (1 if beyond the guaranteed quota, else 0;
+#: urgency level; a time in seconds). The time is the submission time of an aged gang, or
+#: NOT_AGED plus the wait objective of the class of any other job.
 QueueKey = tuple[int, int, float]
-#: Seconds; later than any time of day.
+#: Seconds; greater than any submission time, so that aged gangs sort first.
 NOT_AGED = 1e12
 
 
 @dataclass(slots=True, eq=False)
 class Reservation:
-    """Resources for all tasks of one gang: machines with a number of tasks each."""
+    """Resources for all tasks of one gang: a number of tasks on each of some machines."""
 
     job: str
     slots: dict[str, int]  # machine -> tasks
-    need: Resources  # of one task
-    score: float  # of the search, in seconds
-    serial: int  # tells it from an earlier, used reservation of the job
-    made_at: float  # time of day
-    free_now: bool
+    need: Resources  # per task
+    score: float  # of the group found by the search, in seconds
+    serial: int  # distinguishes it from earlier reservations of the job
+    made_at: float  # wall-clock time, in seconds
+    free_now: bool  # all resources were free within a heartbeat interval when it was made
     queue_key: QueueKey
 
     def pack(self) -> list[Any]:
-        """The form in which it is stored."""
+        """Return the stored form."""
         slots = [[machine, count] for machine, count in sorted(self.slots.items())]
         return [
             self.job,
@@ -58,7 +58,7 @@
 
 
 def unpack_reservation(data: Any) -> Reservation:
-    """Read what `Reservation.pack` has made; ValueError if it is none."""
+    """Decode the output of `Reservation.pack`; raises ValueError if it is malformed."""
     try:
         job, slots, need, score, serial, made_at, free_now, queue_key = data
         return Reservation(
@@ -76,12 +76,12 @@
 
 
 def pack_value(reservations: Iterable[Reservation], token: str) -> dict[str, Any]:
-    """One controller's value; `token` tells its write from others when it is read back."""
+    """Return one controller's value; `token` identifies the write when it is read back."""
     return {"by": token, "holds": [reservation.pack() for reservation in reservations]}
 
 
 def unpack_value(data: Any) -> list[Reservation]:
-    """Reservations of one controller's value; unreadable ones are left out."""
+    """Decode the reservations of one controller's value, skipping malformed ones."""
     reservations = []
     for item in data.get("holds", ()) if isinstance(data, dict) else ():
         try:
@@ -92,7 +92,7 @@
 
 
 class ReservationTable:
-    """All controllers' reservations, as far as this one has read them."""
+    """This controller's view of the reservations of all controllers."""
 
     def __init__(self, node: str) -> None:
         self.node = node
@@ -100,7 +100,7 @@
         self.reservations: dict[str, dict[str, Reservation]] = {}  # by controller, then job
 
     def update(self, node: str, data: Any, revision: int) -> None:
-        """A controller's value was read, or seen to change."""
+        """Apply a controller's value as read or watched, unless a newer one is known."""
         if revision < self.revisions.get(node, 0):
             return
         self.revisions[node] = revision
@@ -109,13 +109,13 @@
         }
 
     def expire(self, node: str, revision: int) -> None:
-        """A controller's value is gone with its lease."""
+        """Remove the reservations of a controller whose value expired with its lease."""
         if revision >= self.revisions.get(node, 0):
             self.revisions.pop(node, None)
             self.reservations.pop(node, None)
 
     def replace(self, entries: dict[str, tuple[Any, int]]) -> None:
-        """All values were read again: (data, revision) by controller."""
+        """Replace the table after a full read; `entries` maps controllers to (data, revision)."""
         for node in list(self.revisions):
             if node not in entries:
                 del self.revisions[node]
@@ -124,7 +124,7 @@
             self.update(node, data, revision)
 
     def of_job(self, job: str) -> Reservation | None:
-        """The newest reservation of a job, whoever made it."""
+        """Return the newest reservation of a job, from any controller."""
         reservations = [by_job[job] for by_job in self.reservations.values() if job in by_job]
         return max(
             reservations,
@@ -133,18 +133,18 @@
         )
 
     def all(self) -> Iterable[Reservation]:
-        """Every controller's reservations."""
+        """Iterate over the reservations of all controllers."""
         for by_job in self.reservations.values():
             yield from by_job.values()
 
     def reserved_for_others(
         self, skip_job: str, queue_key: QueueKey, is_binding: Callable[[Reservation], bool]
     ) -> dict[str, Resources]:
-        """Reserved resources per machine that a job with this queue key must leave alone.
+        """Return the resources, by machine, that a job with this queue key must not use.
 
-        Only reservations of jobs that come before it in the queue bind it. Else many gangs
-        beyond their guaranteed quota that reserve far ahead would starve work that goes first,
-        and a stream of small gangs a large one that came before them.
+        Only reservations of jobs ahead of it in the queue bind it. Otherwise gangs beyond their
+        guaranteed quota that reserve far ahead would starve work of higher priority, and a
+        stream of small gangs would starve a large gang submitted before them.
         """
         by_machine: dict[str, Resources] = {}
         for reservation in self.all():
@@ -158,7 +158,7 @@
         return by_machine
 
     def preconditions(self) -> list[tuple[str, int]]:
-        """Keys and revisions that a reservation depends on, its own value's included."""
+        """Return (key, revision) of every value that a write depends on, including its own."""
         revisions = dict(self.revisions)
         revisions.setdefault(self.node, 0)
         return [
@@ -167,7 +167,7 @@
 
 
 class _QueuedReservation(NamedTuple):
-    """A reservation at the present place of its job in the queue."""
+    """A reservation with its job's current queue key."""
 
     queue_key: QueueKey
     serial: int
@@ -175,7 +175,7 @@
 
 
 class ReservedResources:
-    """What reservations keep, added up as a scheduling round goes through the queue."""
+    """Reserved resources by machine, accumulated as a scheduling round walks the queue."""
 
     def __init__(
         self,
@@ -183,8 +183,11 @@
         queue_key_of: Callable[[Reservation], QueueKey | None],
         is_gathering: Callable[[Reservation], bool],
     ) -> None:
-        """`queue_key_of` gives the present queue key of a reservation's job; None if it binds
-        nobody. `is_gathering` tells whether the job is getting its resources just now.
+        """Take all binding reservations of the table.
+
+        `queue_key_of` returns the current queue key of a reservation's job, or None if the
+        reservation binds no other job. `is_gathering` returns whether the job's resources are
+        being freed or will be available soon.
         """
         self._is_gathering = is_gathering
         queued = [
@@ -192,10 +195,10 @@
             for reservation in reservation_table.all()
             if (queue_key := queue_key_of(reservation)) is not None
         ]
-        #: Those that are still behind in the queue, the next one last.
+        #: Reservations not yet reached in the queue, the next one last.
         self._remaining = sorted(queued, key=lambda item: item[:2], reverse=True)
         self._added: dict[str, list[_QueuedReservation]] = {}  # by job
-        #: By the urgency level that must leave them alone, then by machine.
+        #: By the urgency level that they bind, then by machine.
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
     def _add(self, queued: _QueuedReservation, sign: int = 1) -> None:
@@ -206,7 +209,7 @@
                 add_reservation(by_machine, queued.reservation, sign)
 
     def release(self, job: str) -> None:
-        """The job begins: its reservations keep nothing any more."""
+        """Drop the reservations of a job that starts."""
         for queued in self._added.pop(job, ()):
             self._add(queued, -1)
         self._remaining = [queued for queued in self._remaining if queued.reservation.job != job]
@@ -214,11 +217,11 @@
     def reserved_for_others(
         self, skip_job: str, queue_key: QueueKey, preemptible: bool = False
     ) -> Mapping[str, Resources]:
-        """As `ReservationTable.reserved_for_others`; queue keys must come in order.
+        """Like `ReservationTable.reserved_for_others`; calls must be in queue key order.
 
-        `preemptible` work may use the resources of more urgent gangs that still wait for
-        other machines: it can be preempted once they have them. Else a gang that waits for
-        its last machine would keep all its others idle.
+        `preemptible` work may use resources reserved for more urgent gangs that still wait for
+        other machines, since it can be preempted once those are available. Otherwise a gang
+        waiting for its last machine would keep all its other machines idle.
         """
         while self._remaining and self._remaining[-1].queue_key <= queue_key:
             queued = self._remaining.pop()
@@ -242,7 +245,7 @@
 def add_reservation(
     by_machine: dict[str, Resources], reservation: Reservation, sign: int = 1
 ) -> None:
-    """Add a reservation's resources machine by machine, or take them off with sign -1."""
+    """Add a reservation's resources to `by_machine`, or subtract them if `sign` is -1."""
     need = reservation.need
     for machine, count in reservation.slots.items():
         reserved = by_machine.get(machine, (0.0, 0.0, 0.0))
--- a/topazhold/core/resource_offer.py
+++ b/topazhold/core/resource_offer.py
@@ -1,6 +1,6 @@
-"""What one machine offers to new work: resources over time, images, what may be preempted.
+"""A machine's offer to new work: resources over time, cached images, preemptible resources.
 
-Offers cross between controllers in zone summaries, packed into lists that every version reads.
+Controllers exchange offers in zone summaries, encoded as lists that every version can read.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 from topazhold.core.jobs import Resources
 from topazhold.core.resources import AMOUNT_TOLERANCE, add_resources, fits
 
-#: (outside its guaranteed quota, urgency level): the smaller one is scheduled first.
+#: (1 if beyond the guaranteed quota, else 0; urgency level): the smaller is scheduled first.
 Priority = tuple[int, int]
-#: A priority's first number: work within its team's guaranteed quota, and work beyond it.
+#: First number of a priority: work within its team's guaranteed quota, and beyond it.
 WITHIN_GUARANTEE = 0
 OUTSIDE_GUARANTEE = 1
-#: In place of a priority's first number: an aged gang. It is scheduled first, like work within
-#: its guaranteed quota, but preempts by urgency alone.
+#: First number of the priority of an aged gang where preemption is concerned. The gang is
+#: scheduled like work within its guaranteed quota, but preempts by urgency alone.
 AGED = 2
 
 #: (seconds from now, resources free from then on)
 AvailabilityStep = tuple[float, Resources]
-#: (priority of the work that may preempt, seconds until then, resources that it frees)
+#: (priority of the preempting work, seconds until the resources are free, resources)
 PreemptibleStep = tuple[Priority, float, Resources]
 
 
 @dataclass(slots=True, eq=False)
 class ResourceOffer:
-    """What one machine can give, and when."""
+    """The resources that one machine can provide, and when."""
 
     name: str
     zone: str
     machine_type: str
     spot: bool
     images: frozenset[str]
-    #: In order of time; the last step is all that will ever be free.
+    #: In order of time; the last step has all resources that tasks will free by ending.
     availability: list[AvailabilityStep]
     preemptible: list[PreemptibleStep]
     fetch_rate: float  # of images, GB/s
@@ -45,7 +45,7 @@
     def availability_for(
         self, priority: Priority, reserved: Resources | None
     ) -> list[AvailabilityStep]:
-        """Resources over time for work of a priority, less what others have reserved."""
+        """Return the resources over time for work of a priority, minus those in `reserved`."""
         availability = list(self.availability)
         if availability:
             for delay_s, available in self._preemptible_for(priority):
@@ -59,10 +59,10 @@
         return availability
 
     def _preemptible_for(self, priority: Priority) -> list[AvailabilityStep]:
-        """What work of a priority may preempt.
+        """Return the resources that work of a priority may free by preemption.
 
-        An aged gang has steps of its own only where it may preempt less than work within its
-        guaranteed quota; elsewhere the steps of such work apply to it.
+        An aged gang has steps of its own only if it may preempt less than work within its
+        guaranteed quota; otherwise the steps of such work apply.
         """
         steps = [
             (delay_s, available)
@@ -74,7 +74,7 @@
         return steps
 
     def is_fully_reserved(self, reserved: Mapping[str, Resources]) -> bool:
-        """Whether reservations, by machine, keep all that will ever be free here."""
+        """Return whether `reserved`, by machine, covers all that will become free here."""
         if not self.availability:
             return True
         available = add_resources(
@@ -84,14 +84,14 @@
         return (available[1] if has_gpus else available[0]) <= AMOUNT_TOLERANCE
 
     def wait_s_for(self, priority: Priority, need: Resources) -> float:
-        """Seconds until one task of this size fits; infinite if it never does."""
+        """Return the seconds until one task of this size fits; infinite if it never does."""
         for delay_s, available in self.availability_for(priority, None):
             if fits(need, available):
                 return delay_s
         return math.inf
 
     def pack(self) -> list[Any]:
-        """The form that summaries carry; the zone is left to the summary."""
+        """Return the form sent in zone summaries; the zone is part of the summary's key."""
         return [
             self.name,
             self.machine_type,
@@ -110,7 +110,7 @@
 
 
 def unpack_offer(zone: str, data: Any) -> ResourceOffer:
-    """Read an offer out of a zone's summary; ValueError if it is none."""
+    """Decode an offer of a zone's summary; raises ValueError if it is malformed."""
     try:
         name, machine_type, spot, images, availability, preemptible, fetch_rate = data
         return ResourceOffer(
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -1,4 +1,4 @@
-"""What each machine has to offer, and when; and the offers of a zone that searches see."""
+"""Builds and caches the offers of machines, and selects those that a zone publishes."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
 from topazhold.core.zone_summary import CACHE_LENGTH, availability_key
 from topazhold.wire import messages as wire
 
-#: How old the offer of a machine may be on which nothing changed, in heartbeat intervals.
+#: Maximum age of the cached offer of an unchanged machine, in heartbeat intervals.
 OFFER_MAX_AGE_HEARTBEATS = 1.0
-#: The same for summaries and searches, as a share of the time between two summaries in the
-#: key-value store, if that is longer: the other controllers' searches see no newer ones.
+#: The same for summaries and searches, as a share of the period of summaries in the key-value
+#: store, if that is longer: searches of other controllers see no newer offers anyway.
 SHARED_OFFER_MAX_AGE_SUMMARIES = 0.5
-#: How old a list of offers may be, in heartbeat intervals.
+#: Maximum age of the cached list of a zone's offers, in heartbeat intervals.
 OFFER_LIST_MAX_AGE_HEARTBEATS = 0.2
-#: Natural ends listed in an offer.
+#: Maximum number of steps in an offer at which running tasks end.
 MAX_AVAILABILITY_STEPS = 4
-#: Least expected wait for a booting machine, in heartbeat intervals.
+#: Minimum expected wait for a booting machine, in heartbeat intervals.
 MIN_BOOT_WAIT_HEARTBEATS = 2
-#: Mean wait for the next heartbeat of a worker, in heartbeat intervals.
+#: Mean wait for a worker's next heartbeat, in heartbeat intervals.
 MEAN_HEARTBEAT_WAIT = 0.5
-#: Seconds; before any time of the steady clock.
+#: Seconds; earlier than any time of the monotonic clock.
 NEVER = -1e9
 
 
 class CachedOffer(NamedTuple):
-    """A machine's offer, the count of the machine's changes it was made at, and the time."""
+    """A machine's offer, with the machine's count of changes and the time when it was built."""
 
     changes: int
     at: float
@@ -48,8 +48,11 @@
 
 
 class PreemptibleWork(NamedTuple):
-    """Attempts of one kind of job on a machine: one of the jobs, all their resources together,
-    and the longest time that one takes to write its checkpoint, in seconds."""
+    """Attempts of one kind of job on a machine.
+
+    Has one of the jobs, the sum of the resources, and the longest time for writing a
+    checkpoint, in seconds.
+    """
 
     job: Job
     resources: Resources
@@ -57,7 +60,7 @@
 
 
 class ResourceOffers:
-    """Offers of machines, each made anew only where something changed.
+    """Offers of machines, rebuilt only after a change or when too old.
 
     Owns the last offer of each machine, and the last list of offers of each zone.
     """
@@ -85,9 +88,9 @@
     def current_offer(
         self, machine: Machine, now: float, shared: bool = False
     ) -> ResourceOffer | None:
-        """The machine's offer, made anew only where something changed on it.
+        """Return the machine's offer, rebuilt only after a change or when too old.
 
-        None if it takes no new work. `shared`: it is for a summary or a search.
+        None if the machine takes no new work. `shared`: it is for a summary or a search.
         """
         if machine.state is not MachineState.STARTING and not self._cluster.usable(machine, now):
             return None
@@ -122,9 +125,9 @@
         )
 
     def _availability(self, machine: Machine, now: float) -> list[tuple[float, Resources]]:
-        """Seconds from now, and the capacity that is free by then as tasks end."""
+        """Return (seconds from now, free resources) as tasks end."""
         available = machine.free()
-        # A worker that can be woken takes a launch at once, others at their
+        # A worker that can be woken launches a task at once, others at their
         # next heartbeat.
         availability = [
             (
@@ -134,7 +137,7 @@
         ]
         ends = []
         for attempt in machine.attempts.values():
-            # A service's replica does not end by itself, and has no run time to estimate.
+            # A replica of a service does not end by itself and has no run time estimate.
             if attempt.is_active and (attempt.stopping or not attempt.job.service):
                 ends.append((self._remaining_s(machine, attempt, now), attempt.job.need))
         ends.sort(key=lambda end: end[0])
@@ -158,7 +161,7 @@
         return remaining_s
 
     def _preemptible(self, machine: Machine) -> list[tuple[Priority, float, Resources]]:
-        """Capacity that work of each priority could take from work behind it."""
+        """Return the resources that work of each priority could preempt."""
         kinds = self._preemptible_work(machine)
         steps = []
         for urgency_level in range(len(wire.URGENCIES)) if kinds else ():
@@ -171,14 +174,16 @@
             if outside[1] != NO_RESOURCES:
                 steps.append(((OUTSIDE_GUARANTEE, urgency_level), *outside))
             if aged[1] != within_guarantee[1]:
-                # An aged gang must not count on work that only a guarantee might stop.
+                # An aged gang must not count on tasks that only a guarantee may preempt.
                 steps.append(((AGED, urgency_level), *aged))
         return steps
 
     @staticmethod
     def _preemptible_work(machine: Machine) -> list[PreemptibleWork]:
-        """Attempts of one kind of job are added up: this is asked of every machine for
-        every summary."""
+        """Return the machine's preemptible attempts, summed by kind of job.
+
+        Summing keeps summaries cheap: each one calls this for every machine.
+        """
         kinds: dict[tuple[bool, int], PreemptibleWork] = {}
         for attempt in machine.attempts.values():
             job = attempt.job
@@ -198,7 +203,7 @@
     def _preemptible_by(
         self, priority: Priority, kinds: list[PreemptibleWork]
     ) -> tuple[float, Resources]:
-        """When (in seconds), and how much, work of a priority could take from work behind it."""
+        """Return (seconds until then, resources) that work of a priority could preempt."""
         available = NO_RESOURCES
         delay_s = 0.0
         for kind in kinds:
@@ -210,15 +215,15 @@
     # -- a zone ------------------------------------------------------------
 
     def of_zone(self, zone: str, now: float, largest: Job | None) -> list[ResourceOffer]:
-        """The zone's cache: machines with capacity, soonest free first.
+        """Return the zone's cache: offers of machines with capacity, soonest free first.
 
-        It is as long as the largest waiting gang needs, for its alpha·N candidates; every
-        other place in it goes to the machines that are soonest free for its tasks, since in
-        a full zone those are where a GPU comes free, not a machine.
+        The cache is long enough for the alpha·N candidates of the largest waiting gang. Every
+        other entry is chosen for how soon one of that gang's tasks fits: in a full zone, single
+        GPUs become free rather than whole machines.
 
-        Reserved machines are named in any case, since a reserved group with a machine that is
-        not known could not be judged. Those that are reserved whole come on top of the others:
-        when many machines come up together they would fill the cache.
+        Reserved machines are always included, since a reserved group can't be scored without
+        the offers of all its machines. Fully reserved machines come last: when many machines
+        boot together, they would fill the cache.
         """
         offers = self._offers_of_zone(zone, now)
         reserved = self._reserved_by_machine()
@@ -247,14 +252,14 @@
         return _truncate(list(dict.fromkeys(interleaved)), length, reserved)
 
     def _reserved_by_machine(self) -> dict[str, Resources]:
-        """What all reservations together keep, machine by machine."""
+        """Return the resources of all reservations, by machine."""
         by_machine: dict[str, Resources] = {}
         for reservation in self._reservation_table.all():
             add_reservation(by_machine, reservation)
         return by_machine
 
     def _offers_of_zone(self, zone: str, now: float) -> list[ResourceOffer]:
-        """Every machine's offer; searches and summaries of about the same time share them."""
+        """Return all offers of a zone, cached for searches and summaries at about the same time."""
         at, offers = self._zone_offers.get(zone, (NEVER, []))
         if now - at < OFFER_LIST_MAX_AGE_HEARTBEATS * self._heartbeat_interval_s:
             return offers
@@ -269,7 +274,7 @@
         return offers
 
     def directory(self) -> list[tuple[str, str]]:
-        """All machines that count as capacity, with their zones, for pivots."""
+        """Return (machine, zone) of all machines that count as capacity, for search pivots."""
         return [
             (machine.name, machine.zone)
             for machine in self._cluster.machines.values()
@@ -280,5 +285,5 @@
 def _truncate(
     offers: list[ResourceOffer], length: int, reserved: dict[str, Resources]
 ) -> list[ResourceOffer]:
-    """So many offers, and those of machines with reserved resources beyond them."""
+    """Return the first `length` offers, plus further ones of machines with reservations."""
     return offers[:length] + [offer for offer in offers[length:] if offer.name in reserved]
--- a/topazhold/core/resources.py
+++ b/topazhold/core/resources.py
@@ -1,17 +1,17 @@
-"""Amounts of CPUs, GPUs and memory, and which fit into which."""
+"""Arithmetic on amounts of CPUs, GPUs and memory."""
 
 from __future__ import annotations
 
 from topazhold.core.jobs import Resources
 
-#: Amounts closer than this are equal; sums of decimal fractions drift.
+#: Amounts that differ by less are equal: sums of decimal fractions accumulate rounding errors.
 AMOUNT_TOLERANCE = 1e-6
 
 NO_RESOURCES: Resources = (0.0, 0.0, 0.0)
 
 
 def fits(need: Resources, available: Resources) -> bool:
-    """Whether enough of every resource is available."""
+    """Return whether enough of every resource is available."""
     return (
         need[0] <= available[0] + AMOUNT_TOLERANCE
         and need[1] <= available[1] + AMOUNT_TOLERANCE
@@ -20,8 +20,8 @@
 
 
 def count_fitting(need: Resources, available: Resources, limit: int) -> int:
-    """How many tasks of this size the available resources take, up to `limit`."""
-    # Written out: called for each machine, waiting job and scheduling round.
+    """Return how many tasks of this size fit the available resources, up to `limit`."""
+    # Unrolled for speed: called for each machine and waiting job in each scheduling round.
     count: float = limit
     if need[0] > AMOUNT_TOLERANCE:
         count = min(count, (available[0] + AMOUNT_TOLERANCE) // need[0])
@@ -33,7 +33,7 @@
 
 
 def add_resources(available: Resources, other: Resources, factor: float = 1.0) -> Resources:
-    """The sum of `available` and `factor` times `other`."""
+    """Return the sum of `available` and `factor` times `other`."""
     return (
         available[0] + other[0] * factor,
         available[1] + other[1] * factor,
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -1,8 +1,8 @@
-"""The leader's view of jobs and machines, and its decisions, behind one face.
+"""Facade over the leader's state of jobs and machines, and over its scheduling decisions.
 
-Events come in as method calls that carry the time; what is to be done comes out in the
-queues (`to_command`, `releases`, `finished`) and from `plan` and `response_commands`. Nothing here
-waits, reads a clock or draws unseeded numbers.
+Events are method calls that carry the time. Decisions are returned by `plan` and
+`response_commands`, or appended to the queues `to_command`, `releases` and `finished`. Nothing
+here blocks, reads a clock or draws unseeded random numbers.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 
 
 class Scheduler:
-    """What the rest of the program sees of a term's scheduler.
+    """The scheduler of one leader term, as used by the control layer.
 
-    Owns nothing but its `parts`; tables and queues that it names are those of the part that
-    owns them: `jobs`, `machines`, `zone_of`, `usage`, `estimates`, `releases`, `finished` and
-    `to_command` of `ClusterState`, `rejected` of `BindingReservations`,
-    `capacity_backoff` of `FleetScaling`. All times are seconds, on one steady clock.
+    Delegates to its `parts` and owns no other state. Tables and queues are shared with the part
+    that owns them: `jobs`, `machines`, `zone_of`, `usage`, `estimates`, `releases`, `finished`
+    and `to_command` with `ClusterState`, `rejected` with `BindingReservations`,
+    `capacity_backoff` with `FleetScaling`. All times are seconds on one monotonic clock.
     """
 
     def __init__(
@@ -68,68 +68,68 @@
         self._reservations = parts.reservations
         self._rounds = parts.rounds
 
-    # -- state that may be set anew ------------------------------------------
+    # -- settable state ------------------------------------------------------
 
     @property
     def changes(self) -> int:
-        """Counts what a round may depend on, time aside."""
+        """Number of changes to the input of scheduling rounds, other than the time."""
         return self.cluster.changes
 
     @changes.setter
     def changes(self, changes: int) -> None:
-        """Tell of a change outside, such as a reservation's, by another count."""
+        """Report a change outside the scheduler, such as a new reservation."""
         self.cluster.changes = changes
 
     @property
     def last_arrival(self) -> float:
-        """When the newest job came."""
+        """Time at which the newest job arrived."""
         return self.cluster.last_arrival
 
     @last_arrival.setter
     def last_arrival(self, at: float) -> None:
-        """Take the newest job to have come at another time."""
+        """Override the time at which the newest job arrived."""
         self.cluster.last_arrival = at
 
     @property
     def wait_objectives(self) -> dict[str, tuple[float, float]]:
-        """By job class, the shortest and the longest objective for a start, in seconds."""
+        """Shortest and longest wait objective until a start, in seconds, by job class."""
         return self.parts.objectives.wait_objectives
 
     @wait_objectives.setter
     def wait_objectives(self, wait_objectives: dict[str, tuple[float, float]]) -> None:
-        """Have other objectives hold for what is judged from now on."""
+        """Replace the objectives that later decisions use."""
         self.parts.objectives.wait_objectives = wait_objectives
 
     @property
     def machine_types(self) -> dict[str, MachineType]:
-        """The cloud's types of machines, by name."""
+        """The cloud's machine types, by name."""
         return self.cluster.machine_types
 
     @machine_types.setter
     def machine_types(self, machine_types: dict[str, MachineType]) -> None:
-        """Share the catalog's table, whose contents may change later."""
+        """Share the table of the instance catalog, which updates it in place."""
         self.cluster.machine_types = machine_types
 
     # -- jobs ------------------------------------------------------------------
 
     def add_job(self, job: Job) -> None:
-        """A job is live: accepted just now, or found by a new leader."""
+        """Add a live job: newly accepted, or loaded by a new leader."""
         self.cluster.add_job(job)
 
     def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
-        """The job was moved to `over`, by this controller or another."""
+        """Handle the move of a job's record to `over`, by this or another controller."""
         self._eviction.on_job_ended(job_id, done, over_at, now)
 
     def refresh_guarantees(self) -> None:
-        """Mark anew which jobs are within their teams' guaranteed quota, if that may differ."""
+        """Update which jobs are within their teams' guaranteed quota, if that may have changed."""
         self.cluster.refresh_guarantees()
 
     def ageing_threshold_s(self, job: Job) -> float:
-        """How long, in seconds, a gang waits like any other before it is aged."""
+        """Return the wait, in seconds, after which a gang is aged."""
         return self.parts.objectives.ageing_threshold_s(job)
 
     def preempt(self, attempt: TaskAttempt, reason: str, now: float) -> None:
-        """Preempt a task, or its whole gang, with time to write a checkpoint if it has any."""
+        """Preempt a task, or its whole gang, with time to write a checkpoint if it has one."""
         self._eviction.preempt(attempt, reason, now)
 
     # -- machines --------------------------------------------------------------
@@ -137,33 +137,33 @@
     def add_machine(
         self, name: str, zone: str, spot: bool, machine_type: str, now: float
     ) -> Machine:
-        """A machine was rented, listed, heard of by a heartbeat or found in the intents."""
+        """Add a machine that was rented, listed, reported by a heartbeat or found in an intent."""
         return self.cluster.add_machine(name, zone, spot, machine_type, now)
 
     def add_rented(self, name: str, zone: str, spot: bool, machine_type: str, now: float) -> None:
-        """The cloud names a machine in its answer to a scale-out request."""
+        """Add a machine that the cloud named in its response to a scale-out request."""
         self.cluster.add_rented(name, zone, spot, machine_type, now)
 
     def release(self, machine: Machine, reason: str, now: float) -> None:
-        """Queue a machine in `releases`."""
+        """Append a machine to `releases`."""
         self.cluster.release(machine, reason, now)
 
     def must_be_released(self, name: str) -> bool:
-        """Whether a machine is released for a cancelled job's task."""
+        """Return whether a machine is released because of a cancelled job's task."""
         return self.cluster.must_be_released(name)
 
     def remove_machine(self, name: str, now: float) -> None:
-        """A release was answered 200: the machine and all on it are gone."""
+        """Remove a machine and its attempts after the cloud confirmed its release (HTTP 200)."""
         self.cluster.remove_machine(name, now)
 
     def usable(self, machine: Machine, now: float) -> bool:
-        """Whether new work may be planned there."""
+        """Return whether new tasks may be placed on the machine."""
         return self.cluster.usable(machine, now)
 
     def on_machine_list(
         self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float
     ) -> None:
-        """A whole machine list of the cloud, asked for at `asked_at`."""
+        """Reconcile with a complete machine list of the cloud, requested at `asked_at`."""
         self.parts.machine_lists.on_machine_list(listed_machines, asked_at, now)
 
     # -- workers ---------------------------------------------------------------
@@ -171,38 +171,38 @@
     def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool, now: float, forwarded: bool = False
     ) -> Machine | None:
-        """A worker's heartbeat; None if it is stale or from a released machine.
+        """Apply a worker's heartbeat; None if it is stale or from a released machine.
 
-        `direct`: it answers a direct command; `forwarded`: a follower took it in.
+        `direct`: it is the response to a direct command; `forwarded`: a follower received it.
         """
         return self._heartbeats.on_heartbeat(heartbeat, direct, now, forwarded)
 
     def response_commands(
         self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
     ) -> list[Command]:
-        """The commands for a heartbeat's answer: clears, kills, launches, in this order."""
+        """Return the commands for the response to a heartbeat: clears, kills, then launches."""
         return self._commands.response_commands(machine, heartbeat, now, launches)
 
     def kills(self, machine: Machine) -> list[Command]:
-        """Kills for all that must leave the machine; every one can be repeated."""
+        """Return kills for all tasks that must leave the machine; they are idempotent."""
         return self._commands.kills(machine)
 
     def direct_commands(self, machine: Machine) -> list[Command]:
-        """What goes out directly: kills, and the clear that wakes a worker for its launch."""
+        """Return commands to push directly: kills, and the clear that wakes a worker to launch."""
         return self._commands.direct_commands(machine)
 
     def command_order(self, names: Iterable[str], now: float) -> list[Machine]:
-        """Whom to command directly first: the living, and those with cancelled work."""
+        """Return machines in direct-command order: responsive ones and cancelled tasks first."""
         return self._commands.command_order(names, now)
 
     def is_responsive(self, machine: Machine, now: float) -> bool:
-        """Whether the worker was heard not long ago, so that it is likely to answer."""
+        """Return whether the worker's last heartbeat is recent enough to expect a response."""
         return self._commands.is_responsive(machine, now)
 
-    # -- what time brings about ------------------------------------------------
+    # -- timers and failure detection ------------------------------------------
 
     def tick(self, now: float) -> None:
-        """Do everything that is due because time passes."""
+        """Run all time-driven steps that are due."""
         for job in list(self.jobs.values()):
             if job.state is not JobState.LIVE:
                 self._eviction.stop_ended_job(job, now)
@@ -213,65 +213,65 @@
         self._commands.wake_delayed(now)
 
     def machines_without_heartbeat(self, now: float) -> list[str]:
-        """Machines whose heartbeats have not come here for a while."""
+        """Return machines whose heartbeats have stopped arriving here."""
         return self._failure_detection.machines_without_heartbeat(now)
 
     def is_partitioned_from_workers(self, now: float) -> bool:
-        """Whether others hear most of the workers, and this controller hardly any."""
+        """Return whether most workers reach other controllers but hardly any reach this one."""
         return self._failure_detection.is_partitioned_from_workers(now)
 
     def needs_term_announcement(self, machine: Machine, now: float) -> bool:
-        """Whether a worker has to be told of this term directly."""
+        """Return whether this term has to be announced to a worker directly."""
         return self._failure_detection.needs_term_announcement(machine, now)
 
-    # -- searches for gangs' machines ------------------------------------------
+    # -- reservations and offers for gangs --------------------------------------
 
     def waiting_gangs(self, now: float) -> list[Job]:
-        """Gangs that wait, and whose teams may use the capacity."""
+        """Return waiting gangs whose teams' limits allow them to start."""
         return self._reservations.waiting_gangs(now)
 
     def largest_gang(self, now: float) -> Job | None:
-        """The waiting gang with the most tasks that must share a zone."""
+        """Return the waiting gang with the most tasks among those confined to one zone."""
         return self._reservations.largest_gang(now)
 
     def needs_reservation(self, job: Job) -> bool:
-        """Whether no reservation of the gang is in force."""
+        """Return whether the gang lacks a usable reservation."""
         return self._reservations.needs_reservation(job)
 
     def unreserved_s(self, job: Job, now: float) -> float:
-        """How long, in seconds, the gang has been without a reservation that is in force."""
+        """Return how long, in seconds, the gang has had no usable reservation."""
         return self._reservations.unreserved_s(job, now)
 
     def is_consumed_or_rejected(self, job: Job, reservation: Reservation) -> bool:
-        """Whether a reservation was used up or refused, so that another is needed."""
+        """Return whether a start consumed the reservation, or the leader rejected it."""
         return self._reservations.is_consumed_or_rejected(job, reservation)
 
     def offers(self, zone: str, now: float, largest: Job | None = None) -> list[ResourceOffer]:
-        """A zone's machines with capacity, soonest free first: enough for the `largest` gang."""
+        """Return a zone's offers, soonest free first, enough for the `largest` gang."""
         return self.parts.resource_offers.of_zone(zone, now, largest)
 
     def directory(self) -> list[tuple[str, str]]:
-        """All machines that count as capacity, with their zones, for pivots."""
+        """Return (machine, zone) of all machines that count as capacity, for search pivots."""
         return self.parts.resource_offers.directory()
 
     # -- scheduling rounds and scaling -----------------------------------------
 
     def could_place_on(self, machine: Machine, now: float) -> bool:
-        """Whether a round might place something on this machine."""
+        """Return whether a scheduling round might place a task on this machine."""
         return self._rounds.could_place_on(machine, now)
 
     def plan(self, now: float) -> list[TaskAttempt]:
-        """New attempts; their intents are to be written before anything else."""
+        """Run a scheduling round; the caller must write the intents of the new attempts first."""
         return self._rounds.plan(now)
 
     def intents_written(self, attempts: Iterable[TaskAttempt], now: float) -> None:
-        """The intents of these attempts are committed: their launches may leave."""
+        """Allow the launches of these attempts, now that their intents are committed."""
         self._rounds.intents_written(attempts, now)
 
     def intents_failed(self, attempts: Iterable[TaskAttempt], now: float) -> None:
-        """The transaction failed for good: none of it was or will be written."""
+        """Undo these attempts: their transaction failed and will never be committed."""
         self._rounds.intents_failed(attempts, now)
 
     def scale_out(self, now: float) -> list[autoscaling.ScaleOutRequest]:
-        """Scale-out requests; idle machines that are not wanted go to `releases`."""
+        """Return scale-out requests; append idle machines that are not needed to `releases`."""
         return self.parts.scaling.scale_out(now)
--- a/topazhold/core/scheduler_parts.py
+++ b/topazhold/core/scheduler_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a scheduler, and which of them is handed to which."""
+"""Composition root of the scheduler: builds its parts and wires their dependencies."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 
 
 class SchedulerParts:
-    """One of each part, for one term; each is handed the parts below it only.
+    """The parts of one term's scheduler; each receives only lower-level parts.
 
-    Owns no state but the parts.
+    Has no state of its own.
     """
 
     def __init__(
