--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -1,8 +1,8 @@
-"""Confirmed cancellations, as every controller knows them apart from the key-value store.
+"""Each controller's record of confirmed cancellations, independent of the key-value store.
 
-A cancellation is a fact once it is committed, and whoever learns of it may act on it: kills
-are safe from any controller. So each one keeps a record, sends it to all peers until they
-have it, and kills what the record names in every response to a heartbeat.
+A committed cancellation is final, so any controller that knows of it may send kills. Each
+controller therefore keeps a record, sends it to all peers until they acknowledge it, and kills
+the recorded jobs' tasks in every response to a heartbeat.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from topazhold.wire import messages as wire
 from topazhold.wire.workers import Command, Heartbeat, TaskStatus
 
-#: A cancellation is kept for so many times `cancel_s` and a lease together: by then
-#: its tasks are long gone, and so are late copies of heartbeats that show them.
+#: A cancellation is kept for this multiple of `cancel_s` plus a lease: by then its tasks have
+#: ended, and stale heartbeats that show them no longer arrive.
 RETENTION_FACTOR = 4.0
-#: Bound on those kept, whatever their age.
+#: Maximum number of cancellations kept, whatever their age.
 MAX_ENTRIES = 20_000
-#: Entries in one message; the next follows on the acknowledgement.
+#: Entries in one message; the next one is sent after the acknowledgement.
 MAX_ENTRIES_PER_MESSAGE = 500
 
 
 class CancellationChanges(NamedTuple):
-    """Entries that a peer lacks: those numbered above `after`, up to `upto`."""
+    """Entries that a peer lacks, numbered above `after` and up to `upto`."""
 
     after: int
     upto: int
@@ -31,44 +31,45 @@
 
 
 class _Entry(NamedTuple):
-    """A cancelled job's number in this record, and the time of day of its cancellation."""
+    """A cancelled job's entry number, and the time of day of its cancellation."""
 
     number: int
     at: float
 
 
 class _Received(NamedTuple):
-    """What has come from a peer: all of that incarnation's entries up to a number."""
+    """Progress of receiving from a peer: all entries of its incarnation up to `upto` arrived."""
 
     incarnation: str
     upto: int
 
 
-#: In place of a number: not even known that there are no entries.
+#: Entry number of a peer that does not know yet whether there are any entries.
 NO_ENTRIES = -1
 
 
 class Cancellations:
-    """One controller's record, and how much of it each peer has.
+    """A controller's record, and how much of it each peer has acknowledged.
 
-    Entries are numbered in the order in which they came; a peer acknowledges all up to a
-    number. The numbers belong to this process: its `incarnation` tells it from others.
+    Entries are numbered in the order in which they were added, and a peer acknowledges all
+    entries up to a number. Numbers are valid for this process only, which `incarnation`
+    identifies.
     """
 
     def __init__(self, incarnation: str, cancel_s: float, lease_s: float) -> None:
         self.incarnation = incarnation
-        #: Whether no confirmation can have been missed. A process that has just started
-        #: can't know of those before, until an informed peer has sent it all, or it has
-        #: read the whole state as leader.
+        #: Whether the record is known to lack no confirmed cancellation. A new process misses
+        #: the earlier ones until an informed peer has sent it all entries, or until it has
+        #: loaded the whole state as leader.
         self.informed = False
         self._retention_s = RETENTION_FACTOR * (cancel_s + lease_s)
-        self._entries: dict[str, _Entry] = {}  # by job, the oldest first
+        self._entries: dict[str, _Entry] = {}  # by job, oldest first
         self._last_number = 0
-        self._acknowledged: dict[str, int] = {}  # peer -> number up to which it has all
+        self._acknowledged: dict[str, int] = {}  # by peer: number up to which it has all
         self._received: dict[str, _Received] = {}  # by peer
 
     def add(self, job: str, at: float, now: float) -> bool:
-        """A cancellation confirmed at `at`; whether it was unknown. Both times are times of day."""
+        """Add a cancellation confirmed at `at`; return whether it is new (both times of day)."""
         if job in self._entries or now - at > self._retention_s:
             return False
         self._last_number += 1
@@ -90,18 +91,18 @@
         return len(self._entries)
 
     def cancelled_at(self, job: str) -> float | None:
-        """When the job was cancelled, by the time of day."""
+        """Return the time of day at which the job was cancelled; None if it is not recorded."""
         entry = self._entries.get(job)
         return entry.at if entry is not None else None
 
     def cancelled_since(self, at: float) -> list[tuple[str, float]]:
-        """Jobs cancelled after `at`, with the time of day, the newest first."""
+        """Return the jobs cancelled after `at` with their times of day, newest first."""
         return [(job, entry.at) for job, entry in reversed(self._entries.items()) if entry.at > at]
 
     # -- workers -------------------------------------------------------------
 
     def _cancelled_tasks(self, tasks: Iterable[TaskStatus]) -> list[TaskStatus]:
-        """Those tasks of a heartbeat that are to end for a cancellation."""
+        """Return the tasks in a heartbeat that have not ended and whose jobs are cancelled."""
         if not self._entries:
             return []
         return [
@@ -111,7 +112,7 @@
         ]
 
     def kill_commands(self, heartbeat: Heartbeat) -> list[Command]:
-        """Kills of the attempts that the heartbeat names; they need no knowledge of the jobs."""
+        """Return kills for a heartbeat's tasks of cancelled jobs; no other job state is needed."""
         return [
             wire.kill(task.task_name, task.attempt_number, 0.0)
             for task in self._cancelled_tasks(heartbeat.tasks)
@@ -120,10 +121,10 @@
     # -- peers ---------------------------------------------------------------
 
     def changes_for(self, peer: str) -> CancellationChanges | None:
-        """What a peer lacks; None if it has everything.
+        """Return the entries that a peer lacks; None if it has all of them.
 
-        The first message to a peer is sent even when it carries nothing: it tells the peer
-        that there is nothing to know.
+        The first message to a peer is sent even without entries, so that the peer knows that
+        there are none.
         """
         after = self._acknowledged.get(peer, NO_ENTRIES)
         if after >= self._last_number:
@@ -141,13 +142,13 @@
         return CancellationChanges(after, upto, entries)
 
     def record_acknowledgement(self, peer: str, incarnation: str, upto: int) -> bool:
-        """A peer has all of `incarnation` up to a number; whether it lacks anything."""
+        """Record that a peer has all of `incarnation` up to `upto`; return whether it lacks any."""
         known = upto if incarnation == self.incarnation else NO_ENTRIES
         self._acknowledged[peer] = known
         return known < self._last_number
 
     def peer_has(self, peer: str, job: str) -> bool:
-        """Whether the peer has acknowledged the job's cancellation."""
+        """Return whether the peer has acknowledged the job's cancellation."""
         entry = self._entries.get(job)
         if entry is None:
             return False
@@ -156,10 +157,10 @@
     def receive(
         self, peer: str, incarnation: str, after: int, upto: int, entries: Iterable[Any], now: float
     ) -> list[tuple[str, float]]:
-        """A peer's changes; the (job, time of day) of those that were unknown here.
+        """Add a peer's changes; return the (job, time of day) of the new ones.
 
-        What comes out of order is not taken: the acknowledgement, which stays as it was, has
-        it sent again.
+        Changes after a gap are ignored: the unchanged acknowledgement makes the peer send them
+        again.
         """
         received = self._received.get(peer)
         known = NO_ENTRIES
@@ -177,13 +178,13 @@
 
     @property
     def last_number(self) -> int:
-        """The number of the newest entry."""
+        """Number of the newest entry."""
         return self._last_number
 
     def receipts(self) -> dict[str, list[Any]]:
-        """[incarnation, number up to which all has come] of each peer, to be acknowledged."""
+        """Return the acknowledgements by peer: [incarnation, number up to which all arrived]."""
         return {peer: list(received) for peer, received in self._received.items()}
 
     def has_all_of(self, peer: str, incarnation: str, last: int) -> bool:
-        """Whether all that a peer knows is known here."""
+        """Return whether all of a peer's entries, up to its number `last`, have been received."""
         return self._received.get(peer) == (incarnation, last)
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -1,4 +1,4 @@
-"""What the leader knows: jobs, machines, and the attempts of tasks on them."""
+"""The leader's view of the cluster: jobs, machines, and the task attempts on them."""
 
 from __future__ import annotations
 
@@ -18,26 +18,27 @@
 
 log = logging.getLogger(__name__)
 
-#: Attempts are numbered within a term, so no number is ever used twice.
+#: Attempt numbers reserved for each term, so that no number is ever used twice.
 ATTEMPTS_PER_TERM = 1 << 24
-#: A machine takes new work only if its last heartbeat here is at most so many intervals old.
+#: Heartbeat intervals; a machine takes new work only if the last heartbeat that this controller
+#: itself received from it is younger.
 MAX_HEARTBEAT_AGE_INTERVALS = 2.5
 
 #: Bytes of a shard's stored value besides its packed attempts.
 SHARD_OVERHEAD_BYTES = 512
 
-#: States of a machine whose worker has been heard.
+#: States of a machine whose worker has sent a heartbeat.
 UP_STATES = (MachineState.UNSYNCED, MachineState.READY, MachineState.DRAINING)
 
 
 class ClusterState:
-    """Jobs, machines and attempts, and the invariants between them.
+    """Holds jobs, machines and attempts, and keeps them consistent with each other.
 
-    The other parts read it freely, and change it by its methods only. Owns the tables `jobs`,
-    `machines`, `zone_of` and `machine_types`, the teams' `usage`, the `estimates` of run times,
-    the counts of changes, the numbers of attempts, and the queues of what the outside is to do:
-    `to_command` (machines to send kills to directly), `releases` (machines to release, with the
-    reason) and `finished` (jobs to move to `over`).
+    Other parts of the scheduler may read it directly but change it only through its methods.
+    It owns the tables `jobs`, `machines`, `zone_of` and `machine_types`, the teams' `usage`, the
+    `estimates` of run times, the change counters, the attempt numbers, and the queues of work
+    for the callers: `to_command` (machines to send commands to directly), `releases` (machines
+    to release, with the reason) and `finished` (jobs whose records move to `over`).
     """
 
     def __init__(
@@ -65,10 +66,10 @@
         self.to_command: set[str] = set()
         self.releases: dict[str, str] = {}
         self.finished: list[Job] = []
-        # Counts what a round may depend on, time aside: jobs and machines that come, go or
-        # change their state, and tasks that are placed or are gone.
+        # Counts every change, other than the passing of time, that may alter a scheduling
+        # round: jobs and machines added, removed or changing state, tasks placed or removed.
         self.changes = 0
-        # Of these, machines that come, go, or become usable or unusable.
+        # The subset for machines that are added, removed, or become usable or unusable.
         self.fleet_changes = 0
         self._last_attempt_number = term * ATTEMPTS_PER_TERM
         self._guarantees_stale = True
@@ -78,24 +79,24 @@
         self._machine_removed_callbacks: list[Callable[[str], None]] = []
 
     def on_job_forgotten(self, forget: Callable[[str], None]) -> None:
-        """Have `forget` called with the id of each job that is over and has left all machines."""
+        """Call `forget` with the id of each ended job once it has no attempts left."""
         self._job_forgotten_callbacks.append(forget)
 
     def on_machine_removed(self, forget: Callable[[str], None]) -> None:
-        """Have `forget` called with the name of each machine that is proven gone."""
+        """Call `forget` with the name of each machine that is removed."""
         self._machine_removed_callbacks.append(forget)
 
     def count_changes(self, count: int = 1) -> None:
-        """Something changed that a round depends on."""
+        """Count changes that a scheduling round depends on."""
         self.changes += count
 
     def count_fleet_change(self) -> None:
-        """A machine came, went, or became usable or unusable."""
+        """Count a machine that was added, removed, or became usable or unusable."""
         self.changes += 1
         self.fleet_changes += 1
 
     def add_job(self, job: Job) -> None:
-        """A job is live: accepted just now, or found by a new leader."""
+        """Add a live job, just accepted or loaded by a new leader."""
         if job.id not in self.jobs and job.id not in self._ended_jobs:
             self.jobs[job.id] = job
             self.changes += 1
@@ -109,8 +110,8 @@
             self.last_arrival = max(self.last_arrival, job.arrived)
 
     def end_job(self, job_id: str, done: bool, ended_at: float) -> Job | None:
-        """The job was moved to `over`; None if it is not known here, or is over already."""
-        # Also one that is not known here yet: its submission may be heard of later.
+        """End a job whose record was moved to `over`; None if it is unknown or already ended."""
+        # Also remembered for an unknown job: its submission may arrive after its end.
         self._ended_jobs.add(job_id)
         job = self.jobs.get(job_id)
         if job is None or job.state is not JobState.LIVE:
@@ -122,24 +123,24 @@
             log.info("job %s done", job_id)
         else:
             job.abort(ended_at)
-            log.info("job %s aborted, tasks on machines: %d", job_id, len(job.attempts))
+            log.info("job %s aborted, tasks still on machines: %d", job_id, len(job.attempts))
         return job
 
     def forget_if_ended(self, job: Job) -> None:
-        """Drop a job that is over once no attempt of it is left on any machine."""
+        """Remove an ended job that has no attempt left on any machine."""
         if job.state is not JobState.LIVE and not job.attempts:
             self.jobs.pop(job.id, None)
             for forget in self._job_forgotten_callbacks:
                 forget(job.id)
 
     def record_success(self, job_id: str, index: int) -> None:
-        """A task has completed; a job that this completes is queued in `finished`."""
+        """Mark a task as completed; queue its job in `finished` if that completes the job."""
         job = self.jobs.get(job_id)
         if job is None or job.state is not JobState.LIVE or index >= job.spec.tasks:
             return
         done_before = job.completed_count
         if job.gang:
-            # A gang completes together: one task done means all are.
+            # The tasks of a gang complete together, so one completion counts for all.
             for task_index in range(job.spec.tasks):
                 job.mark_completed(task_index)
         else:
@@ -148,12 +149,12 @@
         self.queue_if_complete(job)
 
     def queue_if_complete(self, job: Job) -> None:
-        """Queue a live job in `finished` once all its tasks are done."""
+        """Queue a job in `finished` if all its tasks have completed."""
         if job.is_complete and job not in self.finished:
             self.finished.append(job)
 
     def refresh_guarantees(self) -> None:
-        """Mark anew which jobs are within their teams' guaranteed quota, if that may differ."""
+        """Update which jobs are within their teams' guaranteed quota, if that may have changed."""
         if self._guarantees_stale:
             live = [job for job in self.jobs.values() if job.state is JobState.LIVE]
             quota.mark_guaranteed(live, self.usage.teams)
@@ -162,7 +163,7 @@
     def add_machine(
         self, name: str, zone: str, spot: bool, machine_type: str, now: float
     ) -> Machine:
-        """A machine was rented, listed, heard of by a heartbeat or found in the intents."""
+        """Return a machine, adding one newly rented, listed or named by a heartbeat or intent."""
         machine = self.machines.get(name)
         if machine is None:
             machine = Machine(name, zone, spot, self.machine_types.get(machine_type), now)
@@ -172,27 +173,27 @@
         return machine
 
     def add_rented(self, name: str, zone: str, spot: bool, machine_type: str, now: float) -> None:
-        """The cloud names a machine in its answer to a scale-out request.
+        """Add a machine that the cloud's answer to a scale-out request names.
 
-        The request may have been repeated, and the machine may be gone by now.
+        The answer may be to a repeated request, so a machine that has been removed is ignored.
         """
         if name not in self._removed_machines:
             self.add_machine(name, zone, spot, machine_type, now)
 
     def is_removed(self, name: str) -> bool:
-        """Whether a machine was released, and what is heard of it now is late."""
+        """Return whether the machine was removed, so that any message about it is stale."""
         return name in self._removed_machines
 
     def remove_machine(self, name: str, now: float) -> None:
-        """A release was answered 200: the machine and all on it are gone."""
+        """Remove a machine, and the attempts on it, after its release was answered 200."""
         machine = self.machines.get(name)
         self._removed_machines.add(name)
         self.releases.pop(name, None)
         self.to_command.discard(name)
         if machine is None:
             return
-        # While the machine is still known: an attempt dropped after that would
-        # count against its team's limit for the rest of the term.
+        # Before the machine is deleted: an attempt removed afterwards would not be detached,
+        # and would count against its team's limit for the rest of the term.
         for attempt in list(machine.attempts.values()):
             self.remove_attempt(attempt, now)
         del self.machines[name]
@@ -201,55 +202,55 @@
             forget(name)
         self.zone_of.pop(name, None)
         machine.mark_gone(now)
-        log.info("machine %s gone: %s", name, machine.reason)
+        log.info("machine %s removed: %s", name, machine.reason)
 
     def release(self, machine: Machine, reason: str, now: float) -> None:
-        """Queue a machine in `releases`; what was never launched there is placed elsewhere."""
+        """Queue a machine in `releases` and remove its unsent attempts, to place them elsewhere."""
         if machine.state is not MachineState.RELEASING:
-            log.info("machine %s released: %s", machine.name, reason)
+            log.info("machine %s queued for release: %s", machine.name, reason)
             machine.release(reason, now)
             self.count_fleet_change()
             self.releases[machine.name] = reason
             self.remove_unsent(machine, now)
 
     def requeue_release(self, machine: Machine) -> None:
-        """Queue a machine that is being released, if it is not queued."""
+        """Queue a releasing machine in `releases` again, unless it is still queued."""
         self.releases.setdefault(machine.name, machine.reason)
 
     def must_be_released(self, name: str) -> bool:
-        """Whether a machine is released for a cancelled job's task."""
+        """Return whether a cancelled job still has an attempt on the machine."""
         machine = self.machines.get(name)
         return machine is not None and any(
             attempt.job.state is JobState.ABORTED for attempt in machine.attempts.values()
         )
 
     def queue_command(self, name: str) -> None:
-        """Queue a machine in `to_command`."""
+        """Queue a machine in `to_command`, to send it commands directly."""
         self.to_command.add(name)
 
     def silence_s(self, machine: Machine, now: float) -> float:
-        """Seconds since the machine's last heartbeat, or since this term began."""
+        """Return the seconds since the machine's last heartbeat, or since this term began."""
         return now - max(machine.last_seen_at, self.term_started_at)
 
     def usable(self, machine: Machine, now: float) -> bool:
-        """Whether new work may be planned there."""
+        """Return whether new work may be placed on the machine."""
         return (
             machine.state is MachineState.READY
             and machine.command_unreachable_since is None
             and machine.quarantined_until <= now
-            # Relayed heartbeats don't count: a launch needs an answer of our own.
+            # Forwarded heartbeats don't count: launches go out only in this controller's answers.
             and now - machine.last_own_heartbeat_at < self._max_heartbeat_age_s
         )
 
     def next_attempt_number(self) -> int:
-        """A number that no attempt of any term has."""
+        """Return an attempt number that is unique across all terms."""
         self._last_attempt_number += 1
         return self._last_attempt_number
 
     def new_attempt(
         self, job: Job, index: int, machine: Machine, attempt_number: int, now: float
     ) -> TaskAttempt:
-        """A new attempt that takes its resources and quota from now on; its job adds it itself."""
+        """Create an attempt that holds its resources and quota; the caller adds it to its job."""
         attempt = TaskAttempt(job, index, attempt_number, machine.name, now)
         attempt.incarnation = machine.incarnation
         machine.attach(attempt)
@@ -257,24 +258,24 @@
         return attempt
 
     def intents_fit(self, machine: Machine, count: int) -> bool:
-        """Whether the machine's intents still fit a stored value with so many more tasks."""
+        """Return whether the machine's intents fit a stored value with `count` more attempts."""
         return len(machine.attempts) + count <= self._max_machine_attempts
 
     def attach(self, attempt: TaskAttempt) -> None:
-        """An attempt that was not planned here may be on its machine."""
+        """Add an attempt that this leader did not plan but that may be on its machine."""
         self.changes += 1
         attempt.job.add_attempt(attempt)
         self.machines[attempt.machine].attach(attempt)
         self.usage.add(attempt.job)
 
     def adopt(self, attempt: TaskAttempt) -> None:
-        """An intent of an earlier term: possibly running."""
+        """Add an attempt from an earlier term's intent, which may be running."""
         attempt.possibly_running = True
         attempt.state = AttemptState.LAUNCH_SENT
         self.attach(attempt)
 
     def remove_attempt(self, attempt: TaskAttempt, now: float) -> None:
-        """An attempt is over: it ended, or is proven gone, or was never sent."""
+        """Remove an attempt that ended, is proven gone, or whose launch was never sent."""
         self.changes += 1
         machine = self.machines.get(attempt.machine)
         if machine is not None:
@@ -287,13 +288,13 @@
         self.forget_if_ended(attempt.job)
 
     def remove_unsent(self, machine: Machine, now: float) -> None:
-        """Drop the attempts on a machine whose launches were never sent and won't be."""
+        """Remove the attempts on a machine whose launches were not sent."""
         for attempt in list(machine.attempts.values()):
             if attempt.state in UNSENT and not attempt.possibly_running:
                 self.remove_attempt(attempt, now)
 
     def remaining_s(self, attempt: TaskAttempt, now: float) -> float:
-        """Seconds that a task is expected to run on."""
+        """Return the expected remaining run time of an attempt's task, in seconds."""
         spec = attempt.job.spec
         elapsed = attempt.job.progress_s
         if attempt.running_since is not None:
--- a/topazhold/core/completion_bitmap.py
+++ b/topazhold/core/completion_bitmap.py
@@ -1,4 +1,4 @@
-"""The stored form of completions: a bitmap as text, since values carry no binary data."""
+"""Packs task completions into text bitmaps, since stored values carry no binary data."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def pack_bitmap(completed: bytearray) -> str:
-    """One bit a task, the first in the lowest bit, in Base64; empty if none is completed."""
+    """Encode one bit per task, lowest bit first, as Base64; empty if no task is completed."""
     if not any(completed):
         return ""
     bits = 0
@@ -18,7 +18,7 @@
 
 
 def unpack_bitmap(text: str) -> Iterator[int]:
-    """The offsets of completed tasks, in order.
+    """Yield the offsets of completed tasks, in ascending order.
 
     Raises:
         ValueError: the text is wrongly padded Base64.
--- a/topazhold/core/intent_shards.py
+++ b/topazhold/core/intent_shards.py
@@ -1,7 +1,8 @@
-"""Which machines' intents share a value of the key-value store.
+"""Assigns machines to shards; the intents of a shard's machines share one stored value.
 
-With a value per machine, launches on many machines would cost as many changes, of which the
-store takes few in a second. Machines of a zone share a shard, so a gang or a burst costs a few.
+With one value per machine, launching on many machines would take as many writes, and the store
+accepts only a few per second. Machines of a zone share shards, so a gang or a burst of launches
+takes only a few writes.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 from topazhold.core.machines import Machine
 from topazhold.wire.codec import json_size
 
-#: Machines that share a value; fewer if their intents don't fit.
+#: Machines per shard; fewer if their intents exceed the value size limit.
 MAX_MACHINES_PER_SHARD = 16
 
 
 class IntentShard:
-    """One value: its revision, and the machines whose intents it has."""
+    """A stored value's revision, and the machines whose intents it holds."""
 
     __slots__ = ("name", "revision", "machines")
 
@@ -29,17 +30,17 @@
 
 
 class IntentShards:
-    """All shards of a term."""
+    """The shards of a leader's term."""
 
     def __init__(self, max_value_bytes: int) -> None:
-        self._max_value_bytes = max_value_bytes  # bytes of a value
+        self._max_value_bytes = max_value_bytes
         self._shards: dict[str, IntentShard] = {}
         self._by_machine: dict[str, IntentShard] = {}
-        self._unwritten_splits: set[IntentShard] = set()  # got machines of others since
-        self._last_number = 0  # names of shards are numbers
+        self._unwritten_splits: set[IntentShard] = set()  # not written since the split
+        self._last_number = 0  # shards are named by number
 
     def adopt(self, name: str, revision: int, machines: Iterable[str]) -> None:
-        """A shard that an earlier term has left."""
+        """Add a shard of an earlier term; a machine in two shards stays in the newer one."""
         assert name not in self._shards
         shard = self._shards[name] = IntentShard(name, revision)
         if name.isdecimal():
@@ -63,7 +64,7 @@
         return shard
 
     def shard_of(self, machine: Machine, machines: Mapping[str, Machine]) -> IntentShard:
-        """The machine's shard; it gets one of its zone's with a free place."""
+        """Return the machine's shard, assigning it to one of its zone with room if it has none."""
         shard = self._by_machine.get(machine.name)
         if shard is None:
             for other in self._shards.values():
@@ -79,14 +80,14 @@
         return shard
 
     def forget_machine(self, machine: str) -> IntentShard | None:
-        """A machine is gone; the shard that still has its intents, if any does."""
+        """Remove a machine; return the shard whose stored value may still name it, if any."""
         shard = self._by_machine.pop(machine, None)
         if shard is not None:
             shard.machines.discard(machine)
         return shard
 
     def set_revision(self, name: str, revision: int) -> None:
-        """A shard was written, or read again after its precondition failed."""
+        """Set the revision of a shard that was written, or re-read after a failed precondition."""
         shard = self._shards.get(name)
         if shard is not None:
             shard.revision = revision
@@ -94,26 +95,26 @@
                 self._unwritten_splits.discard(shard)
 
     def unwritten_splits(self) -> list[IntentShard]:
-        """Shards that have got machines of others and were not written since, by name."""
+        """Return the shards split off from others and not written since, sorted by name."""
         return sorted(self._unwritten_splits, key=lambda shard: shard.name)
 
     @staticmethod
     def value(shard: IntentShard, machines: Mapping[str, Machine], token: str) -> Any:
-        """What the shard's value is to be."""
+        """Return the value to write for a shard."""
         present = sorted(name for name in shard.machines if name in machines)
         return records.intents_value([machines[name] for name in present], token)
 
     def values(
         self, shards: Iterable[IntentShard], machines: Mapping[str, Machine], token: str
     ) -> dict[str, tuple[int, Any]]:
-        """Revision and new value of each shard; one that is too full gives machines away.
+        """Return the revision and new value of each shard, splitting those that are too large.
 
-        A shard whose only machine is too large for a value has none here: it can't be
-        written, and what the key-value store has of it stays.
+        A shard that can't be split to fit is omitted: it can't be written, and its stored value
+        stays as it is.
 
-        A shard that has got machines of another goes along until it is written: if a
-        transaction with both failed and the next one had the old shard alone, the intents
-        of the machines that left it would be nowhere.
+        Split-off shards are included until they are written: if a transaction with both shards
+        failed and the next one had only the old shard, the intents of the machines moved out of
+        it would be lost.
         """
         values: dict[str, tuple[int, Any]] = {}
         pending = sorted({*shards, *self._unwritten_splits}, key=lambda shard: shard.name)
@@ -129,11 +130,11 @@
         return values
 
     def _split(self, shard: IntentShard, machines: Mapping[str, Machine]) -> IntentShard | None:
-        """Give half of a shard's machines to a new one; None if that is no help.
+        """Move half of a shard's machines to a new shard; None if no machine can be moved.
 
-        The old value still names them: a new leader reads both as they are. A machine
-        whose intents alone are too large, as an earlier version left them under larger
-        limits, stays: that value names it already, and no other could.
+        Until the old value is rewritten it names them too; a new leader can read both. A machine
+        whose intents alone exceed the limit (an earlier version wrote them under a larger one)
+        stays: the stored value holds them already, and no new value could.
         """
         present = sorted(name for name in shard.machines if name in machines)
         movable = [name for name in present if self._fits_alone(machines[name])]
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -1,4 +1,4 @@
-"""Accepted jobs with their tasks' progress, and gangs as explicit state machines."""
+"""Accepted jobs with the progress of their tasks, and the states of jobs and gangs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from topazhold.wire import messages as wire
 from topazhold.wire.jobs import JobSpec
 
-#: Tasks whose completion bitmap shares one value of the key-value store: a part.
+#: Tasks per part; the completion bitmap of a part is one value of the key-value store.
 TASKS_PER_PART = 4096
 
-#: Seconds; the wait objective of a class that has none for its start.
+#: Seconds; wait objective of a job whose class has no start objective.
 NO_OBJECTIVE = 1e9
 #: Seconds; earlier than any time of a steady clock.
 DISTANT_PAST = -1e9
@@ -24,7 +24,7 @@
 
 
 class GangState(Enum):
-    """How far a gang as a whole has come."""
+    """State of a gang as a whole."""
 
     WAITING = "waiting"
     STARTING = "starting"
@@ -33,7 +33,7 @@
 
 
 class JobState(Enum):
-    """Whether a job still has work to do, and how it ended if not."""
+    """Whether a job is live, and how it ended if not."""
 
     LIVE = "live"
     DONE = "done"
@@ -41,13 +41,13 @@
 
 
 class Job:
-    """An accepted job with its tasks' progress."""
+    """An accepted job with the progress of its tasks."""
 
     def __init__(self, spec: JobSpec, arrived: float, submitted: float, node: str) -> None:
-        """`node` is the controller that accepted it; times are seconds.
+        """Create a live job.
 
-        `arrived` and what follows from it are on the local steady clock, `submitted` is the
-        time of day.
+        `node` is the controller that accepted it. All times are seconds: `submitted` is the time
+        of day, `arrived` and all others are on the local steady clock.
         """
         self.spec = spec
         self.id = spec.id
@@ -62,37 +62,37 @@
         self.urgency_level = wire.URGENCIES.index(spec.urgency)
         self.within_guarantee = False
         self.wait_objective_s = NO_OBJECTIVE
-        self.is_aged = False  # a gang that has waited so long that it goes first
-        self.preempting_until = DISTANT_PAST  # till then others are preempted on all its machines
+        self.is_aged = False  # a gang moved to the front for its long wait
+        self.preempting_until = DISTANT_PAST  # other tasks are preempted for it until then
         self.attempts: dict[int, TaskAttempt] = {}  # by task index
         self.completed = bytearray(spec.tasks)
         self.completed_count = 0
-        self.unsaved_parts: set[int] = set()  # with completions that are not stored yet
+        self.unsaved_parts: set[int] = set()  # parts with completions not yet stored
         self.saved_at = arrived
-        self.next_unplaced = 0  # no task from here on was ever placed
-        self.requeued: list[int] = []  # a heap of tasks to place again
+        self.next_unplaced = 0  # tasks from this index on were never placed
+        self.requeued: list[int] = []  # heap of task indices to place again
         self.gang_state = GangState.WAITING
         self.gang_since = arrived
-        self.progress_s = 0.0  # of a gang, as its checkpoints have it
-        self.failed_on: dict[str, float] = {}  # machine -> when a task failed there
-        self.not_before = 0.0  # no task is placed earlier
+        self.progress_s = 0.0  # of a gang, as of its last checkpoint
+        self.failed_on: dict[str, float] = {}  # machine -> time of the failure
+        self.not_before = 0.0  # time before which no task is placed
         self.cancelled_at: float | None = None
-        self.starting_reservation = 0  # serial of the reservation that the gang starts with
-        self.used_reservation = 0  # serial of the newest reservation that is used up
+        self.starting_reservation = 0  # serial of the one the gang starts with
+        self.used_reservation = 0  # serial of the newest one used up
 
     # -- tasks -----------------------------------------------------------
 
     @property
     def waiting_count(self) -> int:
-        """Tasks that are neither completed nor on a machine."""
+        """Number of tasks that are neither completed nor have an attempt."""
         return self.spec.tasks - self.completed_count - len(self.attempts)
 
     def running_count(self) -> int:
-        """Tasks that are running."""
+        """Return the number of running tasks."""
         return sum(1 for attempt in self.attempts.values() if attempt.state is AttemptState.RUNNING)
 
     def pop_waiting_tasks(self) -> Iterator[int]:
-        """Tasks to place, lowest first; each is taken off as it is yielded."""
+        """Yield the tasks to place, requeued ones first, removing each from the queue."""
         while self.requeued:
             index = heapq.heappop(self.requeued)
             if not self.completed[index] and index not in self.attempts:
@@ -104,23 +104,23 @@
                 yield index
 
     def requeue(self, index: int) -> None:
-        """Queue a task that was taken off the queue."""
+        """Put a task back in the queue of tasks to place."""
         if index < self.next_unplaced and not self.completed[index]:
             heapq.heappush(self.requeued, index)
 
     def add_attempt(self, attempt: TaskAttempt) -> None:
-        """Make it the attempt of its task."""
+        """Set the current attempt of its task."""
         self.attempts[attempt.index] = attempt
 
     def remove_attempt(self, attempt: TaskAttempt) -> None:
-        """Forget an attempt that has ended or is proven gone."""
+        """Remove an attempt and, if the job is live, requeue its task."""
         if self.attempts.get(attempt.index) is attempt:
             del self.attempts[attempt.index]
             if self.state is JobState.LIVE:
                 self.requeue(attempt.index)
 
     def mark_completed(self, index: int) -> None:
-        """A task has completed; a service's replica never does, whatever its worker says."""
+        """Mark a task as completed; a service's replicas never count as completed."""
         if not self.completed[index] and not self.service:
             self.completed[index] = 1
             self.completed_count += 1
@@ -132,7 +132,7 @@
         return self.completed_count == self.spec.tasks
 
     def zones_used(self, zone_of: dict[str, str]) -> dict[str, int]:
-        """Present attempts per zone; machines unknown by now count under ''."""
+        """Return the number of active attempts by zone; unknown machines count under ''."""
         zones: dict[str, int] = {}
         for attempt in self.attempts.values():
             if attempt.is_active:
@@ -143,17 +143,17 @@
     # -- changes of state ------------------------------------------------
 
     def finish(self) -> None:
-        """All tasks have completed."""
+        """Mark a live job as done."""
         assert self.state is JobState.LIVE
         self.state = JobState.DONE
 
     def abort(self, cancelled_at: float) -> None:
-        """The job was cancelled at that time of the steady clock."""
+        """Mark the job as aborted; `cancelled_at` is on the steady clock."""
         self.state = JobState.ABORTED
         self.cancelled_at = cancelled_at
 
     def enter_gang_state(self, state: GangState, now: float) -> None:
-        """Change the gang's state; entering the present one changes nothing."""
+        """Change the gang's state; entering the current state has no effect."""
         if state is not self.gang_state:
             self.gang_state = state
             self.gang_since = now
@@ -161,11 +161,11 @@
     # -- the stored form --------------------------------------------------
 
     def part_text(self, part: int) -> str:
-        """Completions of one part as they are stored."""
+        """Return the completion bitmap of one part in its stored form."""
         return pack_bitmap(self.completed[part * TASKS_PER_PART : (part + 1) * TASKS_PER_PART])
 
     def load_part(self, part: int, text: str) -> None:
-        """Take over stored completions; a service has none, whatever is stored.
+        """Add stored completions; those stored for a service are ignored.
 
         Raises:
             ValueError: the text is wrongly padded Base64.
--- a/topazhold/core/leadership.py
+++ b/topazhold/core/leadership.py
@@ -1,9 +1,9 @@
-"""Who is leader, as one controller knows it.
+"""A controller's role, and the leader and term that it knows of.
 
-The leader has a leased key in the key-value store. Its terms are numbered; the number is the
-fencing token that workers check. It is kept in a second key that is never leased: both are
-written in one compare-and-swap, so a number is given once. Every transaction of a term has the
-leased key's revision as a precondition, so a late one fails once the term is over.
+The leader holds a leased key in the key-value store. Terms are numbered, and the term number is
+the fencing token that workers check. It is also stored in a second key without a lease: both
+keys are written in one compare-and-swap, so each number is used once. Every transaction of a
+term has the leased key's revision as a precondition, so it fails once the term is over.
 
 The stored keys and fields keep the names of the first version.
 """
@@ -18,7 +18,7 @@
 
 
 class Role(Enum):
-    """What a controller is in the election."""
+    """Role of a controller in the election."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -31,7 +31,7 @@
     def __init__(self, node: str) -> None:
         self.node = node
         self.role = Role.FOLLOWER
-        self.leader: str | None = None  # name of the controller that leads
+        self.leader: str | None = None  # name of the leading controller
         self.term = 0  # newest term known
 
     @property
@@ -40,18 +40,18 @@
         return self.role is Role.LEADER
 
     def become_candidate(self) -> None:
-        """The leased key is free: try for it."""
+        """Become a candidate, because the leased key is free."""
         if self.role is Role.FOLLOWER:
             self.role = Role.CANDIDATE
 
     def become_leader(self, term: int) -> None:
-        """The election transaction was carried out."""
+        """Become the leader, after the election transaction was committed."""
         self.role = Role.LEADER
         self.leader = self.node
         self.term = max(term, self.term)
 
     def become_follower(self) -> bool:
-        """Give up the role; whether this controller has led."""
+        """Give up the role; return whether this controller was the leader."""
         was_leader = self.role is Role.LEADER
         self.role = Role.FOLLOWER
         if self.leader == self.node:
@@ -59,7 +59,7 @@
         return was_leader
 
     def observe_term(self, leader: str, term: int) -> bool:
-        """Take note of a term; True if it ends this controller's own."""
+        """Record a leader and its term; return True if that ends this controller's own term."""
         if term < self.term or (term == self.term and self.is_leader):
             return False
         ended = self.is_leader and term > self.term
@@ -70,19 +70,19 @@
         return ended
 
     def mark_vacant(self, term: int | None = None) -> None:
-        """The leased key of term `term`, or of any, is gone."""
+        """Record that the leased key of `term`, or of any term if None, no longer exists."""
         if self.role is Role.LEADER:
             return
         if term is None or term >= self.term:
             self.leader = None
 
     def leader_value(self, term: int) -> dict[str, Any]:
-        """The leased key's value."""
+        """Return the value of the leased key."""
         return {"node": self.node, "crown": term}
 
 
 def read_leader_value(data: Any) -> tuple[str, int] | None:
-    """The leader's name and term out of the leased key's value; None if it is none."""
+    """Read the leader's name and term from the leased key's value; None if it is invalid."""
     if not isinstance(data, dict):
         return None
     node, term = data.get("node"), data.get("crown")
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -1,4 +1,4 @@
-"""Machines: what they run, what capacity they have, what is known of them."""
+"""Machines: their state, their attempts and their free resources."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 from topazhold.core.task_attempts import WITH_IMAGE, TaskAttempt
 from topazhold.wire.cloud import MachineType
 
-#: Reason of a drain and release, as it is recorded: jobs that are not at fault fail there.
+#: Recorded reason of a drain and release: jobs that are not themselves at fault fail there.
 QUARANTINED = "sick"
-#: The same, as it is recorded: its heartbeats arrive, and no command reaches it.
+#: Recorded reason of a drain and release: heartbeats arrive, but commands don't reach the worker.
 COMMANDS_UNREACHABLE = "deaf"
 
 
 class MachineState(Enum):
-    """Where a machine stands, from its rental to the proof that it is gone."""
+    """Lifecycle of a machine, from its rental to its confirmed release."""
 
-    STARTING = "starting"  # rented, its worker has not been heard
-    UNSYNCED = "unsynced"  # heard of, but not yet under this term
+    STARTING = "starting"  # rented, no heartbeat yet
+    UNSYNCED = "unsynced"  # heartbeats arrive, but none from this term yet
     READY = "ready"
-    DRAINING = "draining"  # takes no new work: notice, fault or return
-    RELEASING = "releasing"  # release asked; nothing may be launched any more
+    DRAINING = "draining"  # takes no new work: termination notice, fault or scale-in
+    RELEASING = "releasing"  # release requested; nothing may be launched
     GONE = "gone"
 
 
 class Machine:
-    """One rented machine."""
+    """A rented machine, with the attempts on it."""
 
     def __init__(
         self, name: str, zone: str, spot: bool, machine_type: MachineType | None, now: float
@@ -46,26 +46,26 @@
         self.sequence = -1
         self.term = 0
         self.last_heartbeat_at: float | None = None
-        self.last_answered_at = DISTANT_PAST  # last heartbeat answered, here or by a follower
-        self.incarnation_since = now  # when the present incarnation was first heard of
-        self.lost_commands = 0  # answers with launches that can be seen not to have arrived
+        self.last_answered_at = DISTANT_PAST  # by this controller or a follower
+        self.incarnation_since = now  # when the incarnation was first seen
+        self.lost_commands = 0  # launch answers known to be lost, in a row
         self.command_unreachable_since: float | None = None
-        self.unconfirmed = False  # known by a heartbeat alone that may be a late copy
-        self.terminates_at: float | None = None  # end announced by a notice
+        self.unconfirmed = False  # known only from a possibly stale heartbeat
+        self.terminates_at: float | None = None  # from a termination notice
         self.attempts: dict[tuple[str, int], TaskAttempt] = {}
         self.used: Resources = NO_RESOURCES
-        self.orphans: dict[tuple[str, int], str] = {}  # (name, attempt) -> stage; of no job here
+        self.orphans: dict[tuple[str, int], str] = {}  # (task, attempt) -> stage, of unknown jobs
         self.images = ImageCache()
         self.error_jobs: set[str] = set()
         self.quarantined_until = 0.0
         self.idle_since = now
-        self.missed_lists = 0  # lists in a row, asked for after it fell silent, without it
+        self.missed_lists = 0  # consecutive lists without it, requested since its last heartbeat
         self.reason = ""
-        self.last_own_heartbeat_at = DISTANT_PAST  # last one received by this controller itself
+        self.last_own_heartbeat_at = DISTANT_PAST  # received by this controller itself
         self.term_announced_at = DISTANT_PAST
-        self.last_commanded_at = DISTANT_PAST  # last commanded directly
-        self.offer_changes = 0  # of what its resource offer says
-        self.wake_tasks: list[tuple[str, int]] = []  # ended tasks kept to wake its worker with
+        self.last_commanded_at = DISTANT_PAST  # by a direct command
+        self.offer_changes = 0  # changes that affect its resource offer
+        self.wake_tasks: list[tuple[str, int]] = []  # ended tasks whose clear wakes the worker
 
     # -- changes of state ------------------------------------------------
 
@@ -77,11 +77,11 @@
 
     @property
     def last_seen_at(self) -> float:
-        """When the last heartbeat arrived; without any, when the machine entered its state."""
+        """Time of the last heartbeat, or of entering the state if there was none."""
         return self.last_heartbeat_at if self.last_heartbeat_at is not None else self.state_since
 
     def on_heartbeat(self, synced: bool, now: float) -> None:
-        """A heartbeat arrived; `synced`: it was written under this term."""
+        """Record a heartbeat; `synced` if its worker knew this term when sending it."""
         self.last_heartbeat_at = now
         self.missed_lists = 0
         if self.state is MachineState.STARTING:
@@ -93,14 +93,14 @@
                 self._enter(MachineState.READY, now)
 
     def mark_command_unreachable(self, now: float) -> bool:
-        """Heartbeats arrive, but commands don't reach the worker; whether that is a change."""
+        """Record that commands don't reach the worker; return whether that is new."""
         if self.command_unreachable_since is not None:
             return False
         self.command_unreachable_since = now
         return True
 
     def mark_command_reachable(self) -> bool:
-        """The worker has acted on a command; whether that is a change."""
+        """Record that commands reach the worker; return whether they did not before."""
         self.lost_commands = 0
         was_unreachable = self.command_unreachable_since is not None
         self.command_unreachable_since = None
@@ -108,126 +108,126 @@
 
     @property
     def command_unreachable(self) -> bool:
-        """Whether heartbeats arrive from the worker, but commands don't reach it."""
+        """Whether the worker sends heartbeats but commands don't reach it."""
         return self.command_unreachable_since is not None
 
     def drain(self, reason: str, now: float) -> None:
-        """Take no new work."""
+        """Stop placing new work on the machine, unless it is already draining or releasing."""
         if self.state in (MachineState.UNSYNCED, MachineState.READY):
             self.reason = reason
             self._enter(MachineState.DRAINING, now)
 
     def release(self, reason: str, now: float) -> None:
-        """The release is about to be asked for; no way back."""
+        """Mark the machine as releasing; this can't be undone."""
         if self.state is not MachineState.GONE:
             self.reason = reason
             self._enter(MachineState.RELEASING, now)
 
     def mark_gone(self, now: float) -> None:
-        """It is proven that the machine and everything on it are gone."""
+        """Mark the machine, and everything on it, as confirmed gone."""
         self._enter(MachineState.GONE, now)
 
-    # -- what is learnt of it ----------------------------------------------
+    # -- observations ------------------------------------------------------
 
     def restore_incarnation(self, incarnation: int, now: float) -> None:
-        """Intents of an earlier term name the machine: it was up, and is not heard yet."""
+        """Restore the incarnation from an earlier term's intents: the machine was up then."""
         self.incarnation = incarnation
         if self.state is MachineState.STARTING and incarnation:
             self.on_heartbeat(False, now)
             self.last_heartbeat_at = None
 
     def mark_unconfirmed(self) -> None:
-        """Nothing but a heartbeat that may be a late copy tells of the machine."""
+        """Mark the machine as known only from a heartbeat that may be stale."""
         self.unconfirmed = True
 
     def set_machine_type(self, machine_type: MachineType | None) -> None:
-        """Take the machine's type from the catalog, if that has it by now."""
+        """Set the machine's type if it is unknown; None if the catalog lacks it still."""
         if self.machine_type is None:
             self.machine_type = machine_type
 
     def set_age(self, age_s: float, now: float) -> None:
-        """The cloud says that the machine was rented `age_s` seconds ago."""
+        """Set the rental time from the age that the cloud reports."""
         self.rented_at = now - age_s
 
     def announce_term(self, now: float) -> None:
-        """The worker is about to be told of this term directly."""
+        """Record that this term is being announced to the worker directly."""
         self.term_announced_at = now
 
     def note_listed(self, endpoint: str | None) -> None:
-        """The cloud's list names the machine."""
+        """Record that the cloud's list names the machine."""
         self.unconfirmed = False
         if self.endpoint is None:
             self.endpoint = endpoint
         self.missed_lists = 0
 
     def begin_incarnation(self, incarnation: int, now: float) -> None:
-        """The worker has a new incarnation: the one before has ended, with all its tasks."""
+        """Start a new incarnation of the worker; the previous one and all its tasks have ended."""
         self.incarnation = incarnation
         self.incarnation_since = now
         self.orphans.clear()
 
     def note_answered(self, directly: bool, now: float) -> None:
-        """A heartbeat that awaits an answer came; `directly`: to this controller itself."""
+        """Record a heartbeat that gets an answer; `directly` if this controller received it."""
         self.last_answered_at = now
         if directly:
             self.last_own_heartbeat_at = now
 
     def update_from_heartbeat(self, sequence: int, endpoint: str, term: int) -> None:
-        """The newest heartbeat of the present incarnation; its worker knows `term`."""
+        """Update from the current incarnation's newest heartbeat; its worker knows `term`."""
         self.sequence = sequence
         self.endpoint = endpoint
         self.term = term
 
     def note_busy(self, now: float) -> None:
-        """There was a task on the machine, or there could be one, until now."""
+        """Record that the machine had, or may have had, a task until now."""
         self.idle_since = now
 
     def note_termination_notice(self, left_s: float, now: float) -> None:
-        """The cloud takes the machine in `left_s` seconds."""
+        """Drain the machine: the cloud terminates it in `left_s` seconds."""
         self.terminates_at = now + left_s
         self.drain("notice", now)
 
     def count_lost_command(self) -> int:
-        """An answer with launches did not arrive; how many since one did."""
+        """Count a lost answer with launches; return the number since commands last arrived."""
         self.lost_commands += 1
         return self.lost_commands
 
     def count_missed_list(self) -> None:
-        """One more list lacks the machine, asked for after it fell silent."""
+        """Count a list without the machine that was requested after its last heartbeat."""
         self.missed_lists += 1
 
     def record_error(self, job_id: str) -> int:
-        """A job that is not at fault itself failed here; how many such jobs there are."""
+        """Record a failure of a job not known to be faulty; return the number of such jobs."""
         self.error_jobs.add(job_id)
         return len(self.error_jobs)
 
     def forget_error(self, job_id: str) -> None:
-        """The errors of a job count no more: it is at fault itself."""
+        """Stop counting a job's failure against the machine: the job itself is faulty."""
         self.error_jobs.discard(job_id)
 
     def forget_errors(self) -> None:
-        """A task has completed here: earlier errors count no more."""
+        """Clear the recorded failures, because a task has completed on the machine."""
         self.error_jobs.clear()
 
     def set_orphans(self, orphans: dict[tuple[str, int], str]) -> None:
-        """What the newest heartbeat names that no intent explains."""
+        """Store the tasks of the newest heartbeat that match no attempt."""
         self.orphans = orphans
 
     def quarantine_until(self, at: float) -> None:
-        """A launch found no capacity: take no new work before `at`."""
+        """Take no new work before `at`, because a launch found no capacity."""
         self.quarantined_until = at
 
     def count_offer_change(self) -> None:
-        """Something changed that the machine's resource offer says."""
+        """Count a change that affects the machine's resource offer."""
         self.offer_changes += 1
 
     def set_wake_tasks(self, tasks: list[tuple[str, int]]) -> None:
-        """Ended tasks (name, attempt) that are left uncleared, to wake the worker with."""
+        """Store ended tasks (name, attempt) left uncleared: clearing one wakes the worker."""
         self.offer_changes += bool(self.wake_tasks) is not bool(tasks)
         self.wake_tasks = tasks
 
     def pop_wake_task(self) -> tuple[str, int]:
-        """The ended task (name, attempt) to clear now; IndexError if none is kept."""
+        """Remove and return an ended task (name, attempt) to clear; IndexError if there is none."""
         task = self.wake_tasks.pop()
         self.offer_changes += not self.wake_tasks
         return task
@@ -236,32 +236,32 @@
 
     @property
     def total(self) -> Resources:
-        """Resources of the whole machine; none while its type is not known."""
+        """Total resources of the machine; zero while its type is unknown."""
         if self.machine_type is None:
             return NO_RESOURCES
         return (self.machine_type.cpus, self.machine_type.gpus, self.machine_type.memory_gb)
 
     def attach(self, attempt: TaskAttempt) -> None:
-        """An attempt is, or may come to be, on the machine."""
+        """Add an attempt that is, or may come to be, on the machine."""
         self.offer_changes += 1
         self.attempts[(attempt.job.id, attempt.index)] = attempt
         self.used = add_resources(self.used, attempt.job.need)
 
     def detach(self, attempt: TaskAttempt) -> bool:
-        """An attempt is not here any more; whether it was."""
+        """Remove an attempt; return whether it was on the machine."""
         key = (attempt.job.id, attempt.index)
         if self.attempts.get(key) is not attempt:
             return False
         del self.attempts[key]
         self.offer_changes += 1
-        # Sums drift; an empty machine is exactly empty again.
+        # Floating-point sums drift, so the usage of an empty machine is reset to zero.
         self.used = (
             add_resources(self.used, attempt.job.need, -1.0) if self.attempts else NO_RESOURCES
         )
         return True
 
     def free(self) -> Resources:
-        """Resources that nothing on the machine, or on its way there, takes."""
+        """Return the resources that no attempt, launched or planned, holds."""
         machine_type = self.machine_type
         if machine_type is None:
             return NO_RESOURCES
@@ -278,12 +278,12 @@
         return not self.orphans and not self.attempts
 
     def note_image_fetched(self, image: str, size_gb: float) -> None:
-        """An image is there."""
+        """Record the use of an image that the machine has fetched."""
         capacity_gb = self.machine_type.cache_gb if self.machine_type else 0.0
         self.offer_changes += self.images.use(image, size_gb, capacity_gb)
 
     def fetch_s(self, image: str, size_gb: float) -> float:
-        """Expected seconds until the image is there, other fetches included."""
+        """Return the expected seconds until the image is fetched, behind the pending fetches."""
         if image in self.images or self.machine_type is None:
             return 0.0
         queue = {image: size_gb}
--- a/topazhold/core/placement_hints.py
+++ b/topazhold/core/placement_hints.py
@@ -1,8 +1,8 @@
-"""Where tasks may be, as a follower knows it.
+"""Hints about which machines may have which jobs' tasks, as known to a follower.
 
-Hints, for one purpose: to end the tasks of cancelled jobs when no leader can. They come from
-the leader's messages about machines that change, and from the heartbeats that this controller
-answers itself.
+They are used only to end the tasks of cancelled jobs when no leader can. They come from the
+leader's messages about changed machines, from the heartbeats that this controller answers
+itself, and from the cloud's list of machines.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 from topazhold.wire.cloud import ListedMachine
 from topazhold.wire.workers import Heartbeat
 
-#: Machines known; the leader's list is bounded by what it can use.
+#: Maximum number of hints; the leader's list is bounded by the machines that it can use.
 MAX_MACHINES_KNOWN = 10_000
 
 
 class PlacementHint:
-    """One machine: how to reach its worker, and whose tasks may be on it."""
+    """How to reach a machine's worker, and the jobs whose tasks may be on the machine."""
 
     __slots__ = ("endpoint", "jobs", "incarnation", "sequence", "last_probed_at")
 
@@ -28,14 +28,14 @@
         self.jobs: frozenset[str] = frozenset()
         self.incarnation = 0  # of the newest heartbeat, as is the sequence
         self.sequence = -1
-        self.last_probed_at = 0.0  # when its worker was last probed, on the steady clock
+        self.last_probed_at = 0.0  # on the steady clock
 
 
 class PlacementHints:
-    """All machines of which this controller knows, by name."""
+    """The hints of all machines known to this controller."""
 
     def __init__(self) -> None:
-        self.term = 0  # of the newest leader whose message has come
+        self.term = 0  # newest term of which a message has arrived
         self.by_machine: dict[str, PlacementHint] = {}
 
     def _hint(self, name: str, endpoint: str | None) -> PlacementHint:
@@ -49,7 +49,7 @@
         return hint
 
     def update_from_leader(self, term: int, items: Iterable[Any]) -> None:
-        """A leader's items: machine, endpoint, and jobs, or None if the machine is gone."""
+        """Apply a leader's items: machine, endpoint, and jobs, or None if it was removed."""
         if term < self.term:
             return
         self.term = term
@@ -60,7 +60,7 @@
                 self._hint(str(name), endpoint).jobs = frozenset(map(str, jobs))
 
     def update_from_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """A worker's own heartbeat; one that is not newer than the last changes nothing."""
+        """Apply a worker's heartbeat unless it is older than the last one, or a copy of it."""
         hint = self._hint(heartbeat.machine, heartbeat.endpoint)
         if (heartbeat.incarnation, heartbeat.sequence) <= (hint.incarnation, hint.sequence):
             return
@@ -70,17 +70,17 @@
         )
 
     def update_from_list(self, listed_machines: Iterable[ListedMachine]) -> None:
-        """The cloud's list, for machines that no message and no heartbeat has named."""
+        """Apply the cloud's list, for machines that no message or heartbeat has named."""
         for item in listed_machines:
             if item.endpoint is not None:
                 self._hint(item.id, item.endpoint)
 
     def remove(self, name: str) -> None:
-        """The machine is proven gone."""
+        """Remove a machine that is proven gone."""
         self.by_machine.pop(name, None)
 
     def machines_of(self, jobs: frozenset[str]) -> dict[str, frozenset[str]]:
-        """Machines that may have tasks of these jobs, with which of the jobs."""
+        """Return the machines that may have tasks of `jobs`, each with those jobs."""
         return {
             name: present for name, hint in self.by_machine.items() if (present := hint.jobs & jobs)
         }
--- a/topazhold/core/recent_names.py
+++ b/topazhold/core/recent_names.py
@@ -1,20 +1,20 @@
-"""A bounded memory of names, against messages that come late."""
+"""A bounded set of recently added names, used to recognise stale messages."""
 
 from __future__ import annotations
 
-#: Machines that are gone, and jobs that are over, remembered: more than are lost, or end,
-#: while a message about them may be under way.
+#: Removed machines or ended jobs to remember: more than can be removed, or end, while a message
+#: about them is still in transit.
 MAX_REMEMBERED = 20_000
 
 
 class RecentNames:
-    """The newest `MAX_REMEMBERED` of the names that were added."""
+    """The `MAX_REMEMBERED` most recently added names."""
 
     def __init__(self) -> None:
         self._names: dict[str, None] = {}
 
     def add(self, name: str) -> None:
-        """Remember a name; the one added longest ago may be dropped for it."""
+        """Add a name, and drop the oldest one if there are too many."""
         self._names[name] = None
         if len(self._names) > MAX_REMEMBERED:
             del self._names[next(iter(self._names))]
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -1,6 +1,6 @@
-"""Records of jobs and intents in the key-value store, key by key.
+"""Keys and values of jobs and intents in the key-value store.
 
-Keys and fields keep the names of the first version, so that versions work side by side.
+Keys and fields keep the names of the first version, so that versions can run side by side.
 """
 
 from __future__ import annotations
@@ -21,40 +21,40 @@
 PART_PREFIX = "part/"
 INTENTS_PREFIX = "on/"
 SUMMARY_PREFIX = "sum/"
-#: Of the summary's part about jobs and operations; the others are of one zone each.
+#: Key of the summary of jobs and operations; every other summary is for one zone.
 SUMMARY_KEY = SUMMARY_PREFIX + "*"
 RELAY_PREFIX = "relay/"
 
-#: Share of a value's size limit that is used.
+#: Largest share of the store's value size limit that a value may use.
 MAX_VALUE_SHARE = 0.9
-#: Characters; names in the spec of a job that is over are cut to so many.
+#: Characters; names in the spec of an ended job are truncated to this length.
 MAX_ENDED_NAME_LENGTH = 40
-#: Size of one packed attempt, for the number of those on one machine that a value takes.
+#: Bytes assumed per packed attempt when computing how many of a machine fit a value.
 ATTEMPT_BYTES = 64
 
 
 def live_key(job: str) -> str:
-    """Of a live job."""
+    """Return the key of a live job."""
     return LIVE_PREFIX + job
 
 
 def ended_key(job: str) -> str:
-    """Of a job that is done or aborted."""
+    """Return the key of a done or aborted job."""
     return ENDED_PREFIX + job
 
 
 def part_key(job: str, part: int) -> str:
-    """Of the completion bitmap of a part, from the second on; the first is in the live value."""
+    """Return the key of a part's completion bitmap; part 0 is stored in the live value instead."""
     return f"{PART_PREFIX}{job}/{part:03d}"
 
 
 def intents_key(shard: str) -> str:
-    """Of a shard's intents."""
+    """Return the key of a shard's intents."""
     return INTENTS_PREFIX + shard
 
 
 def live_value(job: Job, token: str) -> dict[str, Any]:
-    """A live job: its spec and the completion bitmap of its first part."""
+    """Return the stored value of a live job, with the completion bitmap of its first part."""
     value = {
         "by": token,
         "spec": msgspec.to_builtins(job.spec),
@@ -69,17 +69,17 @@
 
 
 def max_bitmap_size(spec: JobSpec) -> int:
-    """Bytes by which a live value may grow with the completion bitmap of its first part."""
+    """Return the most bytes that the first part's completion bitmap adds to a live value."""
     if spec.service:
         return 0
     return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
 
 
 def read_live_job(data: Any, revision: int, wall_time: float, steady_time: float) -> Job:
-    """A job out of its live value; `wall_time` is the time of day.
+    """Read a live job; `wall_time` is the present time of day, `steady_time` the steady clock's.
 
     Raises:
-        InvalidMessageError, TypeError, ValueError: it is none.
+        InvalidMessageError, TypeError, ValueError: the value is not a valid live job.
     """
     if not isinstance(data, dict):
         raise InvalidMessageError("not a live job")
@@ -95,11 +95,11 @@
 
 
 def ended_value(spec: dict[str, Any], stage: str, at: float, token: str) -> dict[str, Any]:
-    """A job that is over; the spec stays for tasks still on machines.
+    """Return the stored value of an ended job, with its spec for tasks still on machines.
 
-    Of the spec, only what those tasks take of machines and of their team's limit is
-    needed, so the rest is cut: a live value may be larger than the key-value store takes
-    by the time the job ends.
+    Only the resources that those tasks hold on machines and in their team's limit are needed,
+    so the rest of the spec is dropped: by the time the job ends, the live value may exceed the
+    size that the key-value store accepts.
     """
     return {"by": token, "spec": _truncate_spec(spec), "stage": stage, "at": at}
 
@@ -115,10 +115,10 @@
 
 
 def read_ended_job(data: Any, wall_time: float, steady_time: float) -> Job:
-    """A job that is over, for tasks that may still be on machines; clocks as in `read_live_job`.
+    """Read an ended job, whose tasks may still be on machines; times as for `read_live_job`.
 
     Raises:
-        InvalidMessageError, TypeError, ValueError: it is none.
+        InvalidMessageError, TypeError, ValueError: the value is not a valid ended job.
     """
     if not isinstance(data, dict):
         raise InvalidMessageError("not a job that is over")
@@ -133,25 +133,25 @@
 
 
 def completed_count(data: Any) -> int:
-    """Completed tasks, for display; a record that can't be read still is an accepted job."""
+    """Return the number of completed tasks, for display; 0 if the record is unreadable."""
     count = data.get("count", 0) if isinstance(data, dict) else 0
     return count if isinstance(count, int) else 0
 
 
 def ended_stage(data: Any) -> str:
-    """The protocol's stage of a job that is over; aborted if the record can't be read."""
+    """Return the protocol's stage of an ended job; aborted if the record is unreadable."""
     done = isinstance(data, dict) and data.get("stage") == wire.DONE
     return wire.DONE if done else wire.ABORTED
 
 
 def ended_at(data: Any, default: float) -> float:
-    """When the job ended, by the time of day."""
+    """Return the time of day at which the job ended; `default` if it is unreadable."""
     at = data.get("at") if isinstance(data, dict) else None
     return float(at) if isinstance(at, int | float) else default
 
 
 def intents_value(machines: Iterable[Machine], token: str) -> Any:
-    """A shard's intents: all attempts that may be, or may come to be, on its machines."""
+    """Return a shard's value: all attempts that are, or may come to be, on its machines."""
     intents = {}
     for machine in machines:
         if machine.attempts:
@@ -170,7 +170,7 @@
 
 
 class AttemptIntent(NamedTuple):
-    """One attempt that may be on a machine."""
+    """An attempt that may be on a machine."""
 
     job: str
     task_index: int
@@ -189,7 +189,7 @@
 
 
 def read_intents(data: Any) -> tuple[list[Intents], list[str]]:
-    """The machines of a shard, and the names of those that can't be read."""
+    """Read a shard's intents; also return the names of machines with unreadable intents."""
     readable: list[Intents] = []
     unreadable: list[str] = []
     boxes = data.get("boxes") if isinstance(data, dict) else None
@@ -214,5 +214,5 @@
 
 
 def part_count(job: Job) -> int:
-    """Into how many parts the job's completions are divided."""
+    """Return the number of parts of the job's completion bitmap."""
     return (job.spec.tasks + TASKS_PER_PART - 1) // TASKS_PER_PART
--- a/topazhold/core/task_attempts.py
+++ b/topazhold/core/task_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of tasks on machines, as an explicit state machine."""
+"""Attempts to run tasks on machines, and their states."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class AttemptState(Enum):
-    """How far one attempt of one task has come."""
+    """State of a task attempt."""
 
     INTENDED = "intended"  # planned; the intent may not be written yet
     WRITTEN = "written"  # the intent is in the key-value store
-    LAUNCH_SENT = "ordered"  # the launch went out in the response to a heartbeat
+    LAUNCH_SENT = "ordered"  # the launch was sent in the response to a heartbeat
     PULLING = "pulling"
     GATHERING = "gathering"
     RUNNING = "running"
     FLUSHING = "flushing"
-    ENDED = "ended"  # a heartbeat shows its end; not cleared yet
+    ENDED = "ended"  # a heartbeat shows its end; not yet cleared on the worker
     GONE = "gone"  # proven not to be on its machine
 
 
@@ -32,17 +32,17 @@
     wire.FLUSHING: AttemptState.FLUSHING,
 }
 
-# Tuples: looking an enum's member up in a set calls its hash function, in Python.
+# Tuples, because a set lookup would call Enum.__hash__, which is written in Python.
 #: States in which the worker is known to have the task.
 ON_MACHINE = tuple(_OBSERVED.values())
 #: States in which the worker has the task's image.
 WITH_IMAGE = (AttemptState.GATHERING, AttemptState.RUNNING, AttemptState.FLUSHING)
-#: States in which no launch has left this controller, so that dropping the attempt is safe.
+#: States in which no launch has been sent, so the attempt can be removed safely.
 UNSENT = (AttemptState.INTENDED, AttemptState.WRITTEN)
 
 
 class TaskAttempt:
-    """One attempt of one task on one machine."""
+    """An attempt to run a task on a machine."""
 
     __slots__ = (
         "job",
@@ -63,22 +63,22 @@
     )
 
     def __init__(self, job: Job, index: int, attempt_number: int, machine: str, now: float) -> None:
-        """All times are seconds on the controller's steady clock, as `now` is."""
+        """Create an attempt; all times are seconds on the controller's steady clock."""
         self.job = job
         self.index = index  # of the task in its job
         self.attempt_number = attempt_number
         self.machine = machine
         self.task_name = wire.task_name_of(job.id, index)
-        self.incarnation = 0  # of the worker that the launch is for
+        self.incarnation = 0  # of the worker that the launch is sent to
         self.state = AttemptState.INTENDED
         self.state_since = now  # when it entered its state
         self.launch_sequence = -1  # of the heartbeat that the launch answered
         self.running_since: float | None = None
-        self.stop_grace_s: float | None = None  # seconds; None unless it is to stop
+        self.stop_grace_s: float | None = None  # None unless a stop is requested
         self.stop_requested_at = 0.0  # when the stop was first requested
-        self.possibly_running = False  # left by an earlier term, not in a heartbeat yet
-        self.cause: str | None = None  # of its end, as the worker names it
-        self.checkpoint_kept = False  # whether its checkpoint is kept, as the worker says
+        self.possibly_running = False  # from an earlier term, not seen in a heartbeat yet
+        self.cause: str | None = None  # reported cause of its end
+        self.checkpoint_kept = False  # as reported by the worker
 
     def _enter(self, state: AttemptState, now: float) -> None:
         if state is not self.state:
@@ -86,23 +86,23 @@
             self.state_since = now
 
     def mark_written(self, now: float) -> None:
-        """The intent is committed."""
+        """Record that the intent is committed."""
         assert self.state is AttemptState.INTENDED
         self._enter(AttemptState.WRITTEN, now)
 
     def mark_launch_sent(self, sequence: int, now: float) -> None:
-        """The launch goes out in the response to heartbeat `sequence`."""
+        """Record that the response to heartbeat `sequence` carries the launch."""
         assert self.state is AttemptState.WRITTEN
         self.launch_sequence = sequence
         self._enter(AttemptState.LAUNCH_SENT, now)
 
     def mark_launch_lost(self, now: float) -> None:
-        """A newer heartbeat lacks the task: that response was lost for good."""
+        """Record that the launch was lost: a newer heartbeat lacks the task."""
         assert self.state is AttemptState.LAUNCH_SENT
         self._enter(AttemptState.WRITTEN, now)
 
     def observe(self, stage: str, now: float) -> None:
-        """A heartbeat shows the task in `stage`, one of the protocol's."""
+        """Record the protocol's `stage` in which a heartbeat shows the task."""
         state = _OBSERVED.get(stage)
         if state is None or self.state in (AttemptState.ENDED, AttemptState.GONE):
             return
@@ -112,18 +112,18 @@
         self._enter(state, now)
 
     def mark_ended(self, cause: str, checkpoint_kept: bool, now: float) -> None:
-        """A heartbeat shows that the task has ended."""
+        """Record that a heartbeat shows the task as ended."""
         self.possibly_running = False
         self.cause = cause
         self.checkpoint_kept = checkpoint_kept
         self._enter(AttemptState.ENDED, now)
 
     def mark_gone(self, now: float) -> None:
-        """It is proven that the task is not on its machine and won't be."""
+        """Record proof that the task is not on its machine and never will be."""
         self._enter(AttemptState.GONE, now)
 
     def request_stop(self, grace_s: float, now: float) -> None:
-        """Request a stop; a later call can only shorten the grace, in seconds."""
+        """Request a stop; later calls can only shorten the grace period."""
         if self.stop_grace_s is None:
             self.stop_requested_at = now
             self.stop_grace_s = grace_s
@@ -137,5 +137,5 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it counts against resources, quota and placement constraints."""
+        """Whether the attempt counts against resources, quota and placement constraints."""
         return self.state not in (AttemptState.ENDED, AttemptState.GONE)
--- a/topazhold/core/timing.py
+++ b/topazhold/core/timing.py
@@ -1,4 +1,4 @@
-"""Periods that the scheduler's decisions depend on."""
+"""Time periods that the scheduler's decisions depend on."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Periods taken from the settings, all in seconds."""
+    """Periods from the settings, in seconds."""
 
     heartbeat_interval_s: float  # between two heartbeats of a worker
-    lease_s: float  # a worker that hears nothing for so long ends its tasks
-    cancel_s: float  # a cancelled job must have left every machine by then
-    list_lag_s: float  # the age that the cloud's list of machines may have
+    lease_s: float  # a worker without an answer for this long ends its tasks
+    cancel_s: float  # within which a cancelled job must leave every machine
+    list_lag_s: float  # maximum age of the cloud's machine list
     summary_s: float  # between two summaries in the key-value store
-    gang_wait_s: float  # the workers' own limit for a gang's start
+    gang_wait_s: float  # the workers' timeout for a gang to start
 
     @classmethod
     def from_settings(cls, settings: Settings, operator: Operator) -> Timing:
-        """The periods that the platform and the operators have set."""
+        """Return the periods from the platform's and the operators' settings."""
         workers = settings.cluster.workers
         return cls(
             heartbeat_interval_s=workers.heartbeat_interval_s,
--- a/topazhold/core/zone_summary.py
+++ b/topazhold/core/zone_summary.py
@@ -1,4 +1,4 @@
-"""What a zone's summary carries, cut to the value limit of the key-value store.
+"""Contents of a zone's summary, limited to the value size of the key-value store.
 
 A summary has a cache of the zone's best offers, and the names of all its machines, from which
 searches draw their pivots.
@@ -13,15 +13,15 @@
 
 from topazhold.core.resource_offer import ResourceOffer
 
-#: Machines in a zone's cache.
+#: Offers in a zone's cache.
 CACHE_LENGTH = 20
 
 
 def availability_key(offer: ResourceOffer) -> tuple[float, float]:
-    """Sort key of a cache: soonest free first, then the one with the most free GPUs.
+    """Return the sort key of an offer in a cache: soonest available first, then most free GPUs.
 
-    A machine with GPUs counts as free only when some of them are: CPUs and memory left beside
-    GPUs that are all taken serve no gang that searches the cache.
+    A machine with GPUs counts as available only once some GPUs are free: its CPUs and memory
+    alone are of no use to the gangs that search the cache.
     """
     has_gpus = bool(offer.availability) and offer.availability[-1][1][1] > 0
     for delay, available in offer.availability:
@@ -31,13 +31,13 @@
 
 
 def pack_names(names: Sequence[str]) -> list[str]:
-    """Names as [common prefix, the rest of each, joined by commas], so that one value takes all."""
+    """Pack names as [common prefix, comma-separated suffixes], so that all fit one value."""
     prefix = os.path.commonprefix(list(names))  # noqa: RUF071 (names, not paths)
     return [prefix, ",".join(name[len(prefix) :] for name in names)]
 
 
 def unpack_names(packed: Any) -> list[str]:
-    """Read what `pack_names` has made."""
+    """Return the names that `pack_names` packed."""
     prefix, suffixes = packed
     if not prefix and not suffixes:
         return []
@@ -45,7 +45,7 @@
 
 
 def sample_names(packed: list[str], limit: int, round_number: int) -> list[str]:
-    """Packed names cut to `limit` bytes: every n-th, beginning with others in each round."""
+    """Reduce packed names to `limit` bytes: every n-th name, from another offset each round."""
     prefix, suffixes = packed
     size = len(prefix) + len(suffixes) + len('["",""]')
     step = -(-size // max(1, limit))
@@ -55,7 +55,7 @@
 
 
 def truncate_summary(packed: Iterable[Any], limit: int, size_of: Callable[[Any], int]) -> list[Any]:
-    """The first of a zone's packed offers, as many as `limit` bytes take."""
+    """Return as many of the first items as fit in `limit` bytes."""
     items: list[Any] = []
     size = 0
     for item in packed:
