--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -93,7 +93,7 @@
         await simulation.wait_while_paused(name)
         return member(answer, "status"), member(answer, "body")
 
-    task = await curio.spawn(member(controller, "work"), daemon=True)
+    task = await curio.spawn(member(controller, "run_background_loops"), daemon=True)
     simulation.controllers[name] = controller
     simulation.processes[name] = (task, alive)
     simulation.network.hosts[host] = handle
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -91,12 +91,12 @@
 
 def no_answer_for_one(patch: pytest.MonkeyPatch) -> None:
     """The questions about a few jobs are never answered, all others are."""
-    state = users_module.Users._state
+    state = users_module.Users._status_response
 
     async def hidden(self: Any, job_id: str) -> Response | None:
         return Response(503) if job_id.endswith("7") else await state(self, job_id)
 
-    patch.setattr(users_module.Users, "_state", hidden)
+    patch.setattr(users_module.Users, "_status_response", hidden)
 
 
 def starve(patch: pytest.MonkeyPatch, left_out: Callable[[Job], bool]) -> None:
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -368,5 +368,5 @@
 def test_checker_catches_workers_kept_by_who_knows_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(HeartbeatService, "_is_informed", lambda self, now: True)
+    monkeypatch.setattr(HeartbeatService, "_may_extend_leases", lambda self, now: True)
     assert breaks_on_some_seed(all_restart, monkeypatch)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -59,7 +59,7 @@
         zone: [member(offer, "pack")() for offer in cache]
         for zone, cache in member(cluster_view, "caches").items()
     }
-    names = ("directory", "waiting", "running", "all_waiting", "term")
+    names = ("directory", "waiting", "running", "lists_all_waiting", "term")
     return caches, *(member(cluster_view, name) for name in names)
 
 
@@ -119,7 +119,7 @@
     return (
         member(lead, "leader"),
         member(lead, "term"),
-        sorted(member(member(controller, "follower_heartbeats"), "_silent")),
+        sorted(member(member(controller, "follower_heartbeats"), "_silent_machines")),
         sorted(member(cancelled, "_entries").items()),
         member(cancelled, "receipts")(),
         member(cancelled, "_acknowledged"),
--- a/tests/test_gang_reservations.py
+++ b/tests/test_gang_reservations.py
@@ -56,7 +56,7 @@
 
 
 def reserved(found: PendingGangs) -> set[str]:
-    return set(found.reservations.mine["wk-000001"].slots)
+    return set(found.reservations.own["wk-000001"].slots)
 
 
 def test_reservation_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
@@ -85,13 +85,13 @@
     clock = Clock(monkeypatch)
     found = pending_gangs(clock)
     found.search_round(cluster_view(m1=100.0), 0.0)
-    first = found.reservations.mine["wk-000001"].serial
+    first = found.reservations.own["wk-000001"].serial
     clock.now += 61.0
     found.search_round(cluster_view(m1=50.0, m2=49.0), 61.0)
-    assert reserved(found) == {"m1"} and found.reservations.mine["wk-000001"].serial > first
+    assert reserved(found) == {"m1"} and found.reservations.own["wk-000001"].serial > first
     clock.now += 61.0
     found.search_round(cluster_view(), 122.0)
-    assert found.reservations.mine == {}, "nothing is known of it any more"
+    assert found.reservations.own == {}, "nothing is known of it any more"
 
 
 def test_all_gangs_are_searched_for_in_turns(monkeypatch: Any) -> None:
@@ -112,11 +112,11 @@
     """All holds were thrown away at a conflict, those that stood before included."""
     found = pending_gangs(Clock(monkeypatch))
     found.search_round(cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
-    found.reservations.table.reservations["hive-0"] = dict(found.reservations.mine)
+    found.reservations.table.reservations["hive-0"] = dict(found.reservations.own)
     found.reservations.table.revisions["hive-0"] = 3
     for number, name in ((2, "m2"), (3, "m3")):
         job = Job(make_spec(number, tasks=1, gpus=4.0), 0.0, 1e9, "hive-0")
-        found.reservations.mine[job.id] = Reservation(
+        found.reservations.own[job.id] = Reservation(
             job.id, {name: 1}, job.need, 0.0, 9, 1e9, True, queue_key(job)
         )
     before = dict(found.reservations.table.revisions)
@@ -125,17 +125,17 @@
     found.reservations.table.reservations["hive-1"] = {
         other.id: Reservation(other.id, {"m2": 1}, other.need, 0.0, 9, 1e9, True, queue_key(other))
     }
-    found.reservations.yield_contested(before)
-    assert set(found.reservations.mine) == {"wk-000001", "wk-000003"}
+    found.reservations.drop_contested(before)
+    assert set(found.reservations.own) == {"wk-000001", "wk-000003"}
 
 
 def test_gang_left_out_of_a_cut_list_still_waits() -> None:
     """Sixty gangs were told of; followers dropped the holds of all others."""
     told = ClusterView()
     told.read_jobs({"crown": 1, "waiting": [], "cut": True})
-    assert not told.all_waiting
+    assert not told.lists_all_waiting
     told.read_jobs({"crown": 1, "waiting": []})
-    assert told.all_waiting
+    assert told.lists_all_waiting
 
 
 def test_searches_a_round_follow_the_share_of_a_core() -> None:
@@ -153,8 +153,12 @@
     others, whose controllers then gave up searching."""
     told = ClusterView()
     told.read_jobs({"crown": 2, "at": 100.0, "waiting": []})
-    assert told.older({"crown": 2, "at": 95.0}) and told.older({"crown": 1, "at": 200.0})
-    assert not told.older({"crown": 2, "at": 105.0}) and not told.older({"crown": 3, "at": 99.0})
+    assert told.is_outdated({"crown": 2, "at": 95.0}) and told.is_outdated(
+        {"crown": 1, "at": 200.0}
+    )
+    assert not told.is_outdated({"crown": 2, "at": 105.0}) and not told.is_outdated(
+        {"crown": 3, "at": 99.0}
+    )
 
 
 def test_a_round_of_searches_ends_when_its_time_is_up(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -84,7 +84,7 @@
         assert (answer.status, answer.body["stage"]) == (200, "aborted")
         assert (await submit(node)).body["stage"] == "aborted"
         assert (await submit(node, team="green")).body["stage"] == "aborted"
-        node.users._final.clear()
+        node.users._final_stages.clear()
         assert (await ask(node, "GET", "/api/jobs/wk-000001")).body["stage"] == "aborted"
 
     run_with_controller(monkeypatch, act)
@@ -155,7 +155,7 @@
         assert answer.status == 200 and simulation.clock.now - before < 0.5
         for user in users:
             await user.join()
-        assert node.users._busy == 0
+        assert node.users._requests_in_progress == 0
 
     run_with_controller(monkeypatch, act)
     assert statuses.count(503) > 300 and 10 < statuses.count(201) < 200
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -12,6 +12,7 @@
 import logging
 import time
 from collections.abc import Set
+from http import HTTPStatus
 from typing import Protocol
 
 import curio
@@ -35,27 +36,27 @@
 #: Shares of `cancel_s`. A controller looks for itself once no leader has seen to a
 #: cancellation for so long: an ordinary change of leader takes less. It looks again
 #: where a task may be after so long.
-LOOK_SHARE = 0.1
-AGAIN_SHARE = 0.08
+PROBE_DELAY_SHARE = 0.1
+REPROBE_SHARE = 0.08
 #: After the confirmation, a task that can't be shown to be gone takes its machine with
 #: it; a controller that has only just begun to look gives it some time more, up to a
 #: last moment. Later than the end nothing is left to do.
-RELEASE_SHARE = 0.6
-GRACE_SHARE = 0.2
-LAST_SHARE = 0.8
-END_SHARE = 1.25
+RELEASE_DELAY_SHARE = 0.6
+RELEASE_GRACE_SHARE = 0.2
+GRACE_END_SHARE = 0.8
+ENFORCEMENT_END_SHARE = 1.25
 #: Machines that are not known to hold such a task are looked at so many times: a launch
 #: may have been on its way at the first.
-SWEEPS = 2
+FLEET_SWEEPS = 2
 #: Looks under way at once, as a share of the sockets, and at the least.
-LOOKING_SHARE = 1 / 32
-MIN_LOOKS = 4
+PROBE_SOCKET_SHARE = 1 / 32
+MIN_CONCURRENT_PROBES = 4
 #: Heartbeat intervals between two rounds, and before a release that failed is tried again.
-ROUND_HEARTBEATS = 0.2
+ROUND_INTERVAL_HEARTBEATS = 0.2
 RELEASE_RETRY_HEARTBEATS = 0.25
 
 
-class LeaderHandles(Protocol):
+class IsHandledByLeader(Protocol):
     """Whether a leader with a loaded term knows that the job is cancelled, and sees to it."""
 
     def __call__(self, job: str, now: float, /) -> bool: ...
@@ -70,7 +71,7 @@
         cloud: Cloud,
         dial: Dial,
         state: ControllerState,
-        leader_handles: LeaderHandles,
+        is_handled_by_leader: IsHandledByLeader,
         announce_released: AnnounceReleased,
     ) -> None:
         workers = settings.cluster.workers
@@ -79,26 +80,28 @@
         self._cancellations = state.cancellations
         self._placement_hints = state.placement_hints
         self._cloud = cloud
-        self._leader_handles = leader_handles
+        self._is_handled_by_leader = is_handled_by_leader
         self._announce_released = announce_released
-        self._max_looks = max(MIN_LOOKS, int(settings.cluster.limits.sockets * LOOKING_SHARE))
-        self._looking: set[str] = set()
-        self._clients = Clients(dial, self._max_looks)
-        self._left_since: dict[str, float] = {}  # jobs that no leader sees to, since when
+        self._max_concurrent_probes = max(
+            MIN_CONCURRENT_PROBES, int(settings.cluster.limits.sockets * PROBE_SOCKET_SHARE)
+        )
+        self._probing: set[str] = set()
+        self._clients = Clients(dial, self._max_concurrent_probes)
+        self._unhandled_since: dict[str, float] = {}  # jobs that no leader sees to, since when
         self._listed_at = -1e9
         self._releasing = False
 
     async def loop(self) -> None:
         """Look for what is left to this controller, a few times per heartbeat interval."""
-        await wait_then_work(ROUND_HEARTBEATS * self._heartbeat_interval_s, self.round)
+        await wait_then_work(ROUND_INTERVAL_HEARTBEATS * self._heartbeat_interval_s, self.round)
 
     async def round(self) -> None:
         """Begin the looks and the release that are due."""
         now = await curio.clock()
-        ages = self.left_to_this_controller(now)
+        ages = self.unhandled_cancellations(now)
         if not ages:
             return
-        await self._list(now)
+        await self._refresh_machine_list(now)
         holders = self._placement_hints.machines_of(frozenset(ages))
         await self._release(
             [
@@ -107,23 +110,29 @@
                 if any(self._must_release(job, ages[job], now) for job in jobs)
             ]
         )
-        for name in self._machines_to_look_at(frozenset(ages), holders.keys(), now):
-            place = self._placement_hints.by_machine[name]
-            place.last_probed_at = now
-            self._looking.add(name)
-            await curio.spawn(self._look, name, place, daemon=True)
+        for name in self._machines_to_probe(frozenset(ages), holders.keys(), now):
+            hint = self._placement_hints.by_machine[name]
+            hint.last_probed_at = now
+            self._probing.add(name)
+            await curio.spawn(self._probe, name, hint, daemon=True)
 
-    def left_to_this_controller(self, now: float) -> dict[str, float]:
+    def unhandled_cancellations(self, now: float) -> dict[str, float]:
         """Cancelled jobs that are left to this controller, by their age in seconds."""
         wall = time.time()
         ages = {
             job: wall - at
-            for job, at in self._cancellations.cancelled_since(wall - END_SHARE * self._cancel_s)
-            if not self._leader_handles(job, now)
+            for job, at in self._cancellations.cancelled_since(
+                wall - ENFORCEMENT_END_SHARE * self._cancel_s
+            )
+            if not self._is_handled_by_leader(job, now)
+        }
+        self._unhandled_since = {job: self._unhandled_since.get(job, now) for job in ages}
+        probe_delay_s = PROBE_DELAY_SHARE * self._cancel_s
+        return {
+            job: age
+            for job, age in ages.items()
+            if now - self._unhandled_since[job] > probe_delay_s
         }
-        self._left_since = {job: self._left_since.get(job, now) for job in ages}
-        look_s = LOOK_SHARE * self._cancel_s
-        return {job: age for job, age in ages.items() if now - self._left_since[job] > look_s}
 
     def _must_release(self, job: str, age: float, now: float) -> bool:
         """Whether a machine that may hold the job's task is to be released.
@@ -131,55 +140,56 @@
         Just after a change of leader the former one knows of machines that its successor is
         about to see to: it gives them time.
         """
-        looked = now - self._left_since[job] > GRACE_SHARE * self._cancel_s
-        late = age > LAST_SHARE * self._cancel_s
-        return age > RELEASE_SHARE * self._cancel_s and (looked or late)
+        grace_over = now - self._unhandled_since[job] > RELEASE_GRACE_SHARE * self._cancel_s
+        deadline_passed = age > GRACE_END_SHARE * self._cancel_s
+        return age > RELEASE_DELAY_SHARE * self._cancel_s and (grace_over or deadline_passed)
 
-    def _machines_to_look_at(
-        self, jobs: frozenset[str], holders: Set[str], now: float
-    ) -> list[str]:
+    def _machines_to_probe(self, jobs: frozenset[str], holders: Set[str], now: float) -> list[str]:
         """Machines that may hold a task of these jobs first; no more than may be under way.
 
         Every machine is looked at some time after the last of the jobs was left to this
         controller, and once more.
         """
-        again_s = AGAIN_SHARE * self._cancel_s
-        newest = max(self._left_since[job] for job in jobs)
-        sweeps = [newest + (1 + n) * LOOK_SHARE * self._cancel_s for n in range(SWEEPS)]
-        first: list[str] = []
-        others: list[str] = []
-        for name, place in self._placement_hints.by_machine.items():
-            if place.endpoint is None or name in self._looking:
+        reprobe_s = REPROBE_SHARE * self._cancel_s
+        last_unhandled_at = max(self._unhandled_since[job] for job in jobs)
+        sweep_times = [
+            last_unhandled_at + (1 + n) * PROBE_DELAY_SHARE * self._cancel_s
+            for n in range(FLEET_SWEEPS)
+        ]
+        due_holders: list[str] = []
+        due_others: list[str] = []
+        for name, hint in self._placement_hints.by_machine.items():
+            if hint.endpoint is None or name in self._probing:
                 continue
             if name in holders:
-                if place.last_probed_at < newest or now - place.last_probed_at > again_s:
-                    first.append(name)
-            elif any(place.last_probed_at < at <= now for at in sweeps):
-                others.append(name)
-        return (first + others)[: self._max_looks - len(self._looking)]
+                if hint.last_probed_at < last_unhandled_at or now - hint.last_probed_at > reprobe_s:
+                    due_holders.append(name)
+            elif any(hint.last_probed_at < at <= now for at in sweep_times):
+                due_others.append(name)
+        return (due_holders + due_others)[: self._max_concurrent_probes - len(self._probing)]
 
-    async def _list(self, now: float) -> None:
+    async def _refresh_machine_list(self, now: float) -> None:
         """Machines that no leader has named, from the cloud, off and on."""
-        if now - self._listed_at < LOOK_SHARE * self._cancel_s:
+        if now - self._listed_at < PROBE_DELAY_SHARE * self._cancel_s:
             return
         self._listed_at = now
-        await curio.spawn(self._read_list, daemon=True)
+        await curio.spawn(self._fetch_machine_list, daemon=True)
 
-    async def _read_list(self) -> None:
+    async def _fetch_machine_list(self) -> None:
         try:
             self._placement_hints.update_from_list(await self._cloud.machines())
         except CloudUnavailableError as exc:
             log.debug("machine list: %s", exc)
 
-    async def _look(self, name: str, place: PlacementHint) -> None:
+    async def _probe(self, name: str, hint: PlacementHint) -> None:
         """Ask a worker what it has, and kill what it must not have."""
-        assert place.endpoint is not None
+        assert hint.endpoint is not None
         try:
-            client = await self._clients.client_for(address(place.endpoint), len(self._looking))
+            client = await self._clients.client_for(address(hint.endpoint), len(self._probing))
             status, body = await client.ask(
                 "GET", wire.STATUS_PATH, None, self._heartbeat_interval_s
             )
-            if status != 200:
+            if status != HTTPStatus.OK:
                 return
             heartbeat = read(body, Heartbeat)
             self._placement_hints.update_from_heartbeat(heartbeat)
@@ -192,12 +202,12 @@
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, message, self._heartbeat_interval_s
             )
-            if status in (200, 409):
+            if status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
                 self._placement_hints.update_from_heartbeat(read(body, Heartbeat))
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("look at %s: %s", name, exc)
         finally:
-            self._looking.discard(name)
+            self._probing.discard(name)
 
     async def _release(self, names: list[str]) -> None:
         """Machines with a task that nobody can show to be gone: only those, never a zone."""
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -12,7 +12,7 @@
 from topazhold.core.cancellations import Cancellations
 
 #: How long a cancellation's answer waits for the first peer to have it.
-RECEIPT_HEARTBEATS = 0.1
+RECEIPT_TIMEOUT_HEARTBEATS = 0.1
 
 
 class OnCancelled(Protocol):
@@ -49,7 +49,7 @@
         self._peers = peers
         self._reaches_peers = reaches_peers
         self._on_cancelled = on_cancelled
-        self._receipt = curio.Event()  # set, and replaced, when a peer acknowledges
+        self._receipt_arrived = curio.Event()  # set, and replaced, when a peer acknowledges
 
     async def confirm(self, job: str, at: float) -> None:
         """A user is about to be told that the job is cancelled.
@@ -63,27 +63,32 @@
         for peer in self._peers.names():
             await self._send_missing(peer)
         now = await curio.clock()
-        end = now + RECEIPT_HEARTBEATS * self._heartbeat_interval_s
-        while now < end and self._reaches_peers(now):
+        deadline = now + RECEIPT_TIMEOUT_HEARTBEATS * self._heartbeat_interval_s
+        while now < deadline and self._reaches_peers(now):
             if any(self._cancellations.peer_has(peer, job) for peer in self._peers.names()):
                 return
-            await curio.ignore_after(end - now, self._receipt.wait)
+            await curio.ignore_after(deadline - now, self._receipt_arrived.wait)
             now = await curio.clock()
 
     async def _send_missing(self, peer: str) -> None:
         """Send a peer what it lacks; it acknowledges, or gets it again after the next ping."""
-        news = self._cancellations.changes_for(peer)
-        if news is not None:
-            message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *news)
+        changes = self._cancellations.changes_for(peer)
+        if changes is not None:
+            message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *changes)
             await self._peers.send(peer, message)
 
-    async def on_cancellations(self, news: Cancelled) -> None:
+    async def on_cancellations(self, cancelled: Cancelled) -> None:
         """A peer's message with cancellations; it is acknowledged."""
-        peer = str(news.node)
-        fresh = self._cancellations.receive(
-            peer, str(news.incarnation), int(news.after), int(news.upto), news.entries, time.time()
+        peer = str(cancelled.node)
+        added = self._cancellations.receive(
+            peer,
+            str(cancelled.incarnation),
+            int(cancelled.after),
+            int(cancelled.upto),
+            cancelled.entries,
+            time.time(),
         )
-        for job, at in fresh:
+        for job, at in added:
             await self._on_cancelled(job, at)
         if self._peers.is_known(peer):
             incarnation, upto = self._cancellations.receipts()[peer]
@@ -91,8 +96,8 @@
 
     async def on_receipt(self, peer: str, incarnation: str, upto: int) -> None:
         """A peer acknowledges all up to a number; what it still lacks is sent."""
-        lacks = self._cancellations.record_acknowledgement(peer, incarnation, upto)
-        passed, self._receipt = self._receipt, curio.Event()
-        await passed.set()
-        if lacks:
+        lacks_entries = self._cancellations.record_acknowledgement(peer, incarnation, upto)
+        arrived, self._receipt_arrived = self._receipt_arrived, curio.Event()
+        await arrived.set()
+        if lacks_entries:
             await self._send_missing(peer)
--- a/topazhold/control/cluster_view.py
+++ b/topazhold/control/cluster_view.py
@@ -14,13 +14,13 @@
     """Offers of each zone, gangs that wait, and how many tasks of each job run."""
 
     def __init__(self) -> None:
-        self.at = -1e9  # steady clock, seconds: as old as the summary is
+        self.observed_at = -1e9  # steady clock, seconds: as old as the summary is
         self.term = 0
-        self.written = 0.0  # time of day at which the leader made it
+        self.made_at = 0.0  # time of day at which the leader made it
         self.directory: list[tuple[str, str]] = []  # machine, zone
         self.caches: dict[str, Sequence[ResourceOffer]] = {}
         self.waiting: dict[str, tuple[str, QueueKey, bool]] = {}
-        self.all_waiting = True  # whether `waiting` names every gang that waits
+        self.lists_all_waiting = True  # whether `waiting` names every gang that waits
         self.running: dict[str, int] = {}
 
     def read_zone(self, zone: str, data: Any) -> None:
@@ -35,18 +35,24 @@
         self.directory = [pair for pair in self.directory if pair[1] != zone]
         self.directory += [(name, zone) for name in unpack_names(data.get("all", ("", "")))]
 
-    def older(self, data: Any) -> bool:
+    def is_outdated(self, data: Any) -> bool:
         """Whether a jobs' value is a late copy of one made before what is known."""
-        made = (int(data.get("crown", 0)), float(data.get("at", 0.0)))
-        return made < (self.term, self.written)
+        version = (int(data.get("crown", 0)), float(data.get("at", 0.0)))
+        return version < (self.term, self.made_at)
 
     def read_jobs(self, data: Any) -> None:
         """Take over the jobs' part of a summary; raises ValueError or TypeError for an odd one."""
         self.term = int(data.get("crown", 0))
-        self.written = float(data.get("at", 0.0))
+        self.made_at = float(data.get("at", 0.0))
         self.waiting = {
-            str(job): (str(node), (int(outside), int(urgency_level), float(submitted)), bool(wants))
-            for job, node, outside, urgency_level, submitted, wants in data.get("waiting", ())
+            str(job): (
+                str(node),
+                (int(outside), int(urgency_level), float(submitted)),
+                bool(needs_reservation),
+            )
+            for job, node, outside, urgency_level, submitted, needs_reservation in data.get(
+                "waiting", ()
+            )
         }
-        self.all_waiting = not data.get("cut", False)
+        self.lists_all_waiting = not data.get("cut", False)
         self.running = {str(job): int(count) for job, count in data.get("running", {}).items()}
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -4,6 +4,7 @@
 
 import logging
 import time
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -25,10 +26,10 @@
 from topazhold.control.leadership_service import LeadershipService
 from topazhold.control.peer_announcer import PeerAnnouncer
 from topazhold.control.peer_group import PeerGroup
-from topazhold.control.peer_service import PeerListeners, PeerService
+from topazhold.control.peer_service import PeerMessageRecipients, PeerService
 from topazhold.control.pending_gangs import PendingGangs
 from topazhold.control.placement_search import PlacementSearch
-from topazhold.control.users import Users, users_request
+from topazhold.control.users import Users, is_user_request
 from topazhold.core.jobs import NO_OBJECTIVE, Job
 from topazhold.io.client import Client
 from topazhold.io.cpu_accounting import CpuAccounting, WorkCategory
@@ -42,12 +43,12 @@
 log = logging.getLogger(__name__)
 
 #: The most time that a round of searches takes, as a share of a lease's.
-ROUND_CONTROLLER_LEASES = 0.1
+SEARCH_ROUND_LEASE_SHARE = 0.1
 #: Share of the sockets for those who connect to this controller.
-SERVED_SHARE = 0.8
+SERVER_SOCKET_SHARE = 0.8
 #: Seconds after which an idle connection is closed: of a worker or user, and of a peer.
-IDLE_S = 120.0
-PEER_IDLE_S = 60.0
+IDLE_TIMEOUT_S = 120.0
+PEER_IDLE_TIMEOUT_S = 60.0
 
 
 class Controller:
@@ -80,7 +81,7 @@
             operator,
             self.reservations,
             self.services.rng,
-            max_round_s=ROUND_CONTROLLER_LEASES * self.services.controller_lease_s,
+            max_round_s=SEARCH_ROUND_LEASE_SHARE * self.services.controller_lease_s,
         )
         self.leadership_service = LeadershipService(
             self.services,
@@ -126,7 +127,7 @@
         self.peer_service = PeerService(
             state,
             self.leadership_service,
-            PeerListeners(
+            PeerMessageRecipients(
                 self.cancellation_exchange,
                 self.follower_heartbeats,
                 self.placement_search,
@@ -140,14 +141,14 @@
             services.dial,
             state,
             self.peer_service.is_handled_by_leader,
-            self.announcer.machines_released,
+            self.announcer.announce_released,
         )
         self.users = Users(
             self.settings,
             services.store,
             services.catalog.machine_types,
             self._on_accepted,
-            self._running_count,
+            self._running_task_count,
             self.cancellation_exchange.confirm,
         )
 
@@ -161,12 +162,12 @@
         sockets = self.settings.cluster.limits.sockets
         public = Server(
             self.handle,
-            int(sockets * SERVED_SHARE),
-            idle_s=IDLE_S,
-            is_limited=users_request,
+            int(sockets * SERVER_SOCKET_SHARE),
+            idle_s=IDLE_TIMEOUT_S,
+            is_limited=is_user_request,
             max_limited=int(sockets * self.operator.user_socket_share),
         )
-        peers = PeerListener(self.peer_message, idle_s=PEER_IDLE_S)
+        peers = PeerListener(self.peer_message, idle_s=PEER_IDLE_TIMEOUT_S)
         async with curio.TaskGroup(wait=any) as group:
             await group.spawn(public.run, address(self.settings.bind))
             await group.spawn(peers.run, address(self.settings.peer_listen))
@@ -179,12 +180,12 @@
                 self.settings.cluster.workers.heartbeat_interval_s,
                 log.info,
             )
-            await group.spawn(self.work)
+            await group.spawn(self.run_background_loops)
             log.info("node %s serves %s", self.settings.node_name, self.settings.bind)
         if group.exception is not None:
             raise group.exception
 
-    async def work(self) -> None:
+    async def run_background_loops(self) -> None:
         """All that goes on besides answering requests."""
         leadership = self.leadership_service
         async with curio.TaskGroup(wait=any) as group:
@@ -208,16 +209,20 @@
         if request.path == wire.HEARTBEAT_PATH:
             self.cpu_accounting.enter(WorkCategory.HEARTBEATS)
             if request.method != "POST":
-                return Response(405)
+                return Response(HTTPStatus.METHOD_NOT_ALLOWED)
             return await self.heartbeat_service.handle(request.body)
         if request.path == wire.HEALTH_PATH:
             self.cpu_accounting.enter(WorkCategory.HEALTH)
             if request.method != "GET":
-                return Response(405)
-            return Response(200 if self._is_healthy(await curio.clock()) else 503)
+                return Response(HTTPStatus.METHOD_NOT_ALLOWED)
+            return Response(
+                HTTPStatus.OK
+                if self._is_healthy(await curio.clock())
+                else HTTPStatus.SERVICE_UNAVAILABLE
+            )
         self.cpu_accounting.enter(WorkCategory.USERS)
         answer = await self.users.handle(request)
-        return answer if answer is not None else Response(404)
+        return answer if answer is not None else Response(HTTPStatus.NOT_FOUND)
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
         """Take in a message of another controller; raises as `PeerService.handle` does."""
@@ -233,7 +238,9 @@
         """
         if not self.services.catalog.machine_types:
             return False
-        return self.services.store.is_available(now) or not self.follower_heartbeats.is_alone(now)
+        return self.services.store.is_available(now) or not self.follower_heartbeats.is_isolated(
+            now
+        )
 
     async def _on_accepted(self, job: Job) -> None:
         """A user's job is accepted here: a leader schedules it, and a gang is searched for."""
@@ -242,9 +249,9 @@
         if job.gang:
             waits = self.settings.cluster.wait_objectives()
             job.wait_objective_s = waits.get(job.spec.job_class, (NO_OBJECTIVE, NO_OBJECTIVE))[0]
-            await self.pending_gangs.accepted(job, await curio.clock())
+            await self.pending_gangs.add(job, await curio.clock())
 
-    def _running_count(self, job_id: str) -> int:
+    def _running_task_count(self, job_id: str) -> int:
         """How many of a job's tasks run, as the leader or its last summary has it."""
         if self._current.loaded_term is not None:
             job = self._current.loaded_term.scheduler.jobs.get(job_id)
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -28,7 +28,7 @@
 
 #: Time limits of a request: of the store as a share of the controller's lease, so
 #: that a renewal can be tried again in time, and of the cloud in seconds.
-STORE_TIMEOUT_CONTROLLER_LEASES = 0.4
+STORE_TIMEOUT_LEASE_SHARE = 0.4
 CLOUD_TIMEOUT_S = 5.0
 #: Idle connections that are kept: to the store for requests and for watches, and to
 #: the cloud.
@@ -72,7 +72,7 @@
         dial(state, STORE_CONNECTIONS),
         dial(state, WATCH_CONNECTIONS),
         cluster.state,
-        timeout_s=STORE_TIMEOUT_CONTROLLER_LEASES * controller_lease_s,
+        timeout_s=STORE_TIMEOUT_LEASE_SHARE * controller_lease_s,
     )
     cloud = Cloud(
         dial(address(settings.outside.cloud), CLOUD_CONNECTIONS),
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -9,7 +9,7 @@
 
 import curio
 
-from topazhold.control.key_value_store import KeyValueStore
+from topazhold.control.key_value_store import MS_PER_S, KeyValueStore
 from topazhold.core import records
 from topazhold.core.group_search import Group
 from topazhold.core.reservations import (
@@ -29,20 +29,20 @@
 log = logging.getLogger(__name__)
 
 #: Size of a small gang's reservation, and of what else a value holds, in bytes.
-RESERVATION_BYTES = 96
+MIN_RESERVATION_BYTES = 96
 VALUE_OVERHEAD_BYTES = 200
 #: Least time between two writes, in seconds, and the part of it after which a write that
 #: another controller's came before is tried again.
-WRITE_PERIOD_S = 1.0
-CONFLICT_PAUSE_S = 0.25
+MIN_WRITE_INTERVAL_S = 1.0
+CONFLICT_BACKOFF_S = 0.25
 #: Seconds after which the outcome of a write is given up.
-OUTCOME_S = 2.0
+OUTCOME_TIMEOUT_S = 2.0
 
 
 class GangReservations:
-    """This controller's reservations as they are to be (`mine`), beside all as they are stored.
+    """This controller's reservations as they are to be (`own`), beside all as they are stored.
 
-    `table` has what was last read or written; `mine` differs until the next write.
+    `table` has what was last read or written; `own` differs until the next write.
     """
 
     def __init__(
@@ -54,32 +54,32 @@
         self._rng = rng
         self._max_bytes = int(settings.cluster.state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         self.table = table
-        self.mine: dict[str, Reservation] = {}
+        self.own: dict[str, Reservation] = {}
         self.search_due = curio.Event()
         self.wrote_at = -1e9  # steady clock, seconds
-        self._written: list[Any] | None = None
+        self._last_written: list[Any] | None = None
         self._serial = 0
         self._sequence = 0
 
     def reset(self) -> None:
         """The lease ended, and with it all that was written."""
-        self.mine.clear()
-        self._written = None
+        self.own.clear()
+        self._last_written = None
 
     def is_full(self) -> bool:
         """Whether no further gang's reservation fits the value."""
-        return len(self.mine) >= self._max_bytes // RESERVATION_BYTES
+        return len(self.own) >= self._max_bytes // MIN_RESERVATION_BYTES
 
-    def draft(self) -> ReservationTable:
+    def planned_table(self) -> ReservationTable:
         """Others' reservations as they were read, our own as they are to be written."""
-        draft = ReservationTable(self.node)
-        draft.reservations = {**self.table.reservations, self.node: self.mine}
-        return draft
+        planned = ReservationTable(self.node)
+        planned.reservations = {**self.table.reservations, self.node: self.own}
+        return planned
 
     def reserve(self, spec: JobSpec, queue_key: QueueKey, group: Group, wall: float) -> None:
         """Reserve a group for a gang, in place of its former one; `wall`: time of day."""
-        self._serial = max(self._serial + 1, int(wall * 1000))
-        self.mine[spec.id] = Reservation(
+        self._serial = max(self._serial + 1, int(wall * MS_PER_S))
+        self.own[spec.id] = Reservation(
             spec.id,
             group.slots,
             (spec.cpus, spec.gpus, spec.memory_gb),
@@ -99,14 +99,14 @@
 
     async def write(self, lease_id: int, now: float) -> bool:
         """Write what has changed; False if another controller's came between, or on trouble."""
-        self._cut_to_size()
-        packed = [reservation.pack() for reservation in self.mine.values()]
-        if packed == self._written:
+        self._trim_to_size()
+        packed = [reservation.pack() for reservation in self.own.values()]
+        if packed == self._last_written:
             return True
         self.wrote_at = now
         self._sequence += 1
         token = f"{self.node}-{lease_id}-{self._sequence}"
-        value = pack_value(self.mine.values(), token)
+        value = pack_value(self.own.values(), token)
         key = RESERVATION_PREFIX + self.node
         preconditions = [Precondition(*each) for each in self.table.preconditions()]
         try:
@@ -116,7 +116,7 @@
                 DECISION_PRIORITY,
                 key,
                 token,
-                OUTCOME_S,
+                OUTCOME_TIMEOUT_S,
             )
         except PreconditionFailedError:
             await self._on_conflict(now)
@@ -124,21 +124,21 @@
         except KeyValueStoreError as exc:
             log.debug("reservations not written: %s", exc)
             return False
-        self._written = packed
+        self._last_written = packed
         self.table.update(self.node, value, revision)
         return True
 
     async def _on_conflict(self, now: float) -> None:
         """Two controllers booked at once, and the other one won; soon search once more."""
-        self._written = None
-        pause_s = CONFLICT_PAUSE_S * (1.0 + self._rng.random())
-        self.wrote_at = now - WRITE_PERIOD_S + pause_s
-        before = dict(self.table.revisions)
+        self._last_written = None
+        backoff_s = CONFLICT_BACKOFF_S * (1.0 + self._rng.random())
+        self.wrote_at = now - MIN_WRITE_INTERVAL_S + backoff_s
+        previous_revisions = dict(self.table.revisions)
         await self.read_all()
-        self.yield_contested(before)
+        self.drop_contested(previous_revisions)
         await self.search_due.set()
 
-    def yield_contested(self, before: Mapping[str, int]) -> None:
+    def drop_contested(self, previous_revisions: Mapping[str, int]) -> None:
         """Drop new reservations that touch what others have booked since `before`.
 
         All that was stored before, and all that nobody else touched, stays: with several
@@ -146,33 +146,33 @@
         has waited for.
         """
         written = self.table.reservations.get(self.node, {})
-        touched = {
+        newly_reserved = {
             name
-            for node, part in self.table.reservations.items()
-            if node != self.node and self.table.revisions.get(node) != before.get(node)
-            for reservation in part.values()
+            for node, reservations in self.table.reservations.items()
+            if node != self.node and self.table.revisions.get(node) != previous_revisions.get(node)
+            for reservation in reservations.values()
             for name in reservation.slots
         }
-        for job, reservation in list(self.mine.items()):
-            known = written.get(job)
-            if known is not None and known.serial == reservation.serial:
+        for job, reservation in list(self.own.items()):
+            written_reservation = written.get(job)
+            if written_reservation is not None and written_reservation.serial == reservation.serial:
                 continue
-            if touched & reservation.slots.keys():
-                if known is not None:
-                    self.mine[job] = known
+            if newly_reserved & reservation.slots.keys():
+                if written_reservation is not None:
+                    self.own[job] = written_reservation
                 else:
-                    del self.mine[job]
+                    del self.own[job]
 
-    def _cut_to_size(self) -> None:
+    def _trim_to_size(self) -> None:
         """The value has a limit: reservations whose turn comes last give way."""
         order = sorted(
-            self.mine.values(), key=lambda reservation: (reservation.queue_key, reservation.made_at)
+            self.own.values(), key=lambda reservation: (reservation.queue_key, reservation.made_at)
         )
         size = VALUE_OVERHEAD_BYTES
         for reservation in order:
             size += json_size(reservation.pack()) + 1
             if size > self._max_bytes:
-                del self.mine[reservation.job]
+                del self.own[reservation.job]
 
     async def read_all(self) -> None:
         """All controllers' reservations, as the store has them; raises KeyValueStoreError."""
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -47,9 +47,9 @@
         state = settings.cluster.state
         self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         # Of the changes a second, as many as a share allows, in a transaction's worth.
-        by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
-        by_size = TXN_BYTES // self._value_limit
-        self._max_values = max(1, int(min(by_rate, state.lasting_txn_ops, by_size)))
+        max_by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
+        max_by_size = TXN_BYTES // self._value_limit
+        self._max_values = max(1, int(min(max_by_rate, state.lasting_txn_ops, max_by_size)))
         self._store = store
         self._leadership = leadership
         self._follower_heartbeats = follower_heartbeats
@@ -65,18 +65,18 @@
         if not self._peers.is_known(leader):
             return
         if self._follower_heartbeats.is_leader_silent(await curio.clock()):
-            await self._forward_by_store()
+            await self._forward_through_store()
         else:
-            await self._forward_by_link(leader)
+            await self._forward_to_leader(leader)
 
-    async def _forward_by_link(self, leader: str) -> None:
+    async def _forward_to_leader(self, leader: str) -> None:
         for _ in range(MAX_FORWARD_FRAMES):
             heartbeats = self._follower_heartbeats.take_for_forwarding(FORWARD_FRAME_BYTES)
             if not heartbeats:
                 break
             await self._peers.send(leader, Relay(RELAY, self._leadership.term, heartbeats))
 
-    async def _forward_by_store(self) -> None:
+    async def _forward_through_store(self) -> None:
         """A whole zone's heartbeats don't fit one value: several, in one transaction."""
         changes = []
         for number in range(self._max_values):
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -9,6 +9,7 @@
 from __future__ import annotations
 
 import logging
+from http import HTTPStatus
 
 import curio
 
@@ -49,17 +50,17 @@
             heartbeat = read(body, Heartbeat)
         except InvalidMessageError as exc:
             log.debug("heartbeat refused: %s", exc)
-            return Response(400)
+            return Response(HTTPStatus.BAD_REQUEST)
         if heartbeat.fencing_token > self._leadership.term:
             return await self._on_higher_term(heartbeat.fencing_token)
         leader_term = self._current.leader_term
         now = await curio.clock()
-        if self._is_partitioned(now) and not self._keeps_while_partitioned(heartbeat, now):
+        if self._is_partitioned(now) and not self._should_serve_while_partitioned(heartbeat, now):
             return _redirect(None)
         if leader_term is None or not self._leadership.is_leader:
             return self._answer_as_follower(heartbeat, now)
         if not leader_term.loaded:
-            if not self._is_informed(now):
+            if not self._may_extend_leases(now):
                 return _redirect(None)
             return self._answer_locally(heartbeat, leader_term.term)
         return await self._answer_as_leader(leader_term, heartbeat)
@@ -79,16 +80,16 @@
         partitioned = self._follower_heartbeats.is_partitioned(self._store.is_available(now), now)
         return partitioned and not self._leadership_service.lease.is_valid(now)
 
-    def _keeps_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
-        return self._is_informed(now) and self._follower_heartbeats.keeps_while_partitioned(
-            heartbeat, now
-        )
+    def _should_serve_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
+        return self._may_extend_leases(
+            now
+        ) and self._follower_heartbeats.should_serve_while_partitioned(heartbeat, now)
 
     def _answer_as_follower(self, heartbeat: Heartbeat, now: float) -> Response:
         """Keep the worker here where the leader can't be reached by it; else send it there."""
         leadership = self._leadership
-        if self._is_informed(now) and self._follower_heartbeats.should_keep(heartbeat, now):
-            self._follower_heartbeats.keep_for_forwarding(heartbeat)
+        if self._may_extend_leases(now) and self._follower_heartbeats.should_serve(heartbeat, now):
+            self._follower_heartbeats.queue_for_forwarding(heartbeat)
             return self._answer_locally(heartbeat, leadership.term)
         return _redirect(leadership.leader if leadership.leader != leadership.node else None)
 
@@ -96,11 +97,13 @@
         _, commands = await leader_term.on_heartbeat(heartbeat)
         if self._current.leader_term is not leader_term:
             return _redirect(None)  # the term ended while a plan was waited for
-        return Response(200, Commands(leader_term.term, commands))
+        return Response(HTTPStatus.OK, Commands(leader_term.term, commands))
 
-    def _is_informed(self, now: float) -> bool:
+    def _may_extend_leases(self, now: float) -> bool:
         """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
-        return self._cancellations.informed and self._follower_heartbeats.is_informed(now)
+        return self._cancellations.informed and self._follower_heartbeats.can_enforce_cancellations(
+            now
+        )
 
     def _answer_locally(self, heartbeat: Heartbeat, term: int) -> Response:
         """A 200 without a scheduler: nothing but the kills that the record asks for."""
@@ -112,8 +115,8 @@
                 len(commands),
                 heartbeat.machine,
             )
-        return Response(200, Commands(term, commands))
+        return Response(HTTPStatus.OK, Commands(term, commands))
 
 
 def _redirect(leader: str | None) -> Response:
-    return Response(421, wire.redirect(leader))
+    return Response(HTTPStatus.MISDIRECTED_REQUEST, wire.redirect(leader))
--- a/topazhold/control/leadership_service.py
+++ b/topazhold/control/leadership_service.py
@@ -68,7 +68,7 @@
 
     def _set_store_share(self, is_leader: bool) -> None:
         """Set this controller's share of the store's limits; the leader needs most of them."""
-        controllers = self._peers.controllers
+        controllers = self._peers.controller_count
         if controllers == 1:
             share = 1.0
         elif is_leader:
@@ -83,7 +83,7 @@
         self.current.leader_term = LeaderTerm(
             self._services,
             self._state,
-            self._announcer.machines_released,
+            self._announcer.announce_released,
             self._peers.broadcast,
             self.lease,
             result,
--- a/topazhold/control/peer_announcer.py
+++ b/topazhold/control/peer_announcer.py
@@ -14,7 +14,7 @@
 from topazhold.core.zone_summary import pack_names
 
 #: Time between two pings, as a share of a controller's lease.
-PING_CONTROLLER_LEASES = 0.25
+PING_LEASE_SHARE = 0.25
 
 
 class PeerAnnouncer:
@@ -27,7 +27,7 @@
         peers: PeerGroup,
         current: CurrentTerm,
     ) -> None:
-        self._name = services.settings.node_name
+        self._node = services.settings.node_name
         self._services = services
         self._state = state
         self._peers = peers
@@ -35,7 +35,7 @@
 
     async def loop(self) -> None:
         """Ping a few times per lease of a controller."""
-        await work_then_wait(PING_CONTROLLER_LEASES * self._services.controller_lease_s, self.ping)
+        await work_then_wait(PING_LEASE_SHARE * self._services.controller_lease_s, self.ping)
 
     async def ping(self) -> None:
         """Tell all peers now whom this controller follows, and what it knows.
@@ -43,23 +43,23 @@
         The leader adds the machines whose heartbeats don't reach it.
         """
         state = self._state
-        silent: list[str] | None = None
+        silent_machines: list[str] | None = None
         leader_term = self._current.loaded_term
         if leader_term is not None:
-            silent = pack_names(
+            silent_machines = pack_names(
                 leader_term.scheduler.machines_without_heartbeat(await curio.clock())
             )
         cancellations = state.cancellations
         await self._peers.broadcast(
             Ping(
                 PING,
-                self._name,
+                self._node,
                 state.leadership.term,
                 state.leadership.leader or "",
-                silent,
-                served=self._services.store.failing_since is None,
-                enforces=silent is not None or bool(state.placement_hints.by_machine),
-                record=[
+                silent_machines,
+                store_available=self._services.store.failing_since is None,
+                can_enforce=silent_machines is not None or bool(state.placement_hints.by_machine),
+                cancellation_record=[
                     cancellations.incarnation,
                     cancellations.last_number,
                     cancellations.informed,
@@ -68,12 +68,12 @@
             )
         )
 
-    async def machines_released(self, machines: list[str]) -> None:
+    async def announce_released(self, machines: list[str]) -> None:
         """The cloud has confirmed a release that is not recorded: the others must know."""
-        await self._peers.broadcast(Released(RELEASED, self._name, machines))
-        await self.learn_released(machines)
+        await self._peers.broadcast(Released(RELEASED, self._node, machines))
+        await self.mark_released(machines)
 
-    async def learn_released(self, machines: Iterable[object]) -> None:
+    async def mark_released(self, machines: Iterable[object]) -> None:
         """Machines are gone, as the cloud confirmed to this controller or a peer."""
         names = [str(name) for name in machines]
         self._state.released.add(names)
--- a/topazhold/control/peer_group.py
+++ b/topazhold/control/peer_group.py
@@ -9,7 +9,7 @@
 from topazhold.settings import Seed, address
 
 #: Seconds between two tries to connect to a peer.
-RECONNECT_S = 0.5
+RECONNECT_DELAY_S = 0.5
 
 
 class Broadcast(Protocol):
@@ -26,11 +26,11 @@
 
     def __init__(self, seeds: Iterable[Seed]) -> None:
         self.connections = {
-            seed.node_name: PeerConnection(address(seed.addr), RECONNECT_S) for seed in seeds
+            seed.node_name: PeerConnection(address(seed.addr), RECONNECT_DELAY_S) for seed in seeds
         }
 
     @property
-    def controllers(self) -> int:
+    def controller_count(self) -> int:
         """How many controllers there are, this one included."""
         return 1 + len(self.connections)
 
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -24,10 +24,10 @@
     node: str
     term: int
     leader: str
-    silent: Any  # packed names of machines without heartbeats; None: not the leader
-    served: bool  # whether the store answers it
-    enforces: bool  # whether it could end tasks that others keep
-    record: list[Any]  # of cancellations: incarnation, last number, whether it knows all
+    silent_machines: Any  # packed names of machines without heartbeats; None: not the leader
+    store_available: bool  # whether the store answers it
+    can_enforce: bool  # whether it could end tasks that others keep
+    cancellation_record: list[Any]  # incarnation, last number, whether it knows all
     receipts: dict[str, list[Any]]
 
 
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -11,8 +11,8 @@
 from topazhold.control.cancellation_exchange import CancellationExchange
 from topazhold.control.controller_services import ControllerState
 from topazhold.control.follower_heartbeats import (
-    QUIET_SILENCES,
-    SILENT_CONTROLLER_LEASES,
+    PEER_EXPIRY_SILENCES,
+    SILENCE_LEASE_SHARE,
     FollowerHeartbeats,
 )
 from topazhold.control.leadership_service import LeadershipService
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class PeerListeners:
+class PeerMessageRecipients:
     """The parts of a controller that peers' messages are for."""
 
     cancellation_exchange: CancellationExchange
@@ -54,14 +54,14 @@
         self,
         state: ControllerState,
         leadership_service: LeadershipService,
-        listeners: PeerListeners,
+        recipients: PeerMessageRecipients,
         controller_lease_s: float,
     ) -> None:
         self._state = state
         self._leadership_service = leadership_service
         self._current = leadership_service.current
-        self._listeners = listeners
-        self._quiet_s = QUIET_SILENCES * SILENT_CONTROLLER_LEASES * controller_lease_s
+        self._recipients = recipients
+        self._peer_expiry_s = PEER_EXPIRY_SILENCES * SILENCE_LEASE_SHARE * controller_lease_s
         self._loaded_leader = ""  # who last pinged as leader of a loaded term
         self._loaded_leader_at = -1e9
         self._peer_incarnations: dict[str, str] = {}
@@ -89,7 +89,7 @@
         """Whether a leader with a loaded term, here or elsewhere, knows the job's cancellation."""
         if self._current.loaded_term is not None:
             return True
-        if now - self._loaded_leader_at > self._quiet_s:
+        if now - self._loaded_leader_at > self._peer_expiry_s:
             return False
         return self._state.cancellations.peer_has(self._loaded_leader, job)
 
@@ -97,18 +97,18 @@
         """A peer lives; what it knows of the leader and of cancellations."""
         ping = Ping(*message)
         peer = str(ping.node)
-        from_leader = ping.silent is not None and ping.node == ping.leader
+        from_leader = ping.silent_machines is not None and ping.node == ping.leader
         now = await curio.clock()
-        self._listeners.follower_heartbeats.on_ping(
+        self._recipients.follower_heartbeats.on_ping(
             peer,
-            bool(ping.served),
-            unpack_names(ping.silent) if from_leader else None,
+            bool(ping.store_available),
+            unpack_names(ping.silent_machines) if from_leader else None,
             now,
-            bool(ping.enforces),
+            bool(ping.can_enforce),
         )
         if from_leader:
             self._loaded_leader, self._loaded_leader_at = peer, now
-        await self._compare_records(peer, ping.record, ping.receipts)
+        await self._compare_records(peer, ping.cancellation_record, ping.receipts)
         leadership = self._state.leadership
         if ping.leader and int(ping.term) >= leadership.term:
             if leadership.observe_term(str(ping.leader), int(ping.term)):
@@ -124,20 +124,22 @@
             self._peer_incarnations[peer] = str(incarnation)
             if self._current.leader_term is not None:
                 self._current.leader_term.resend_placements()
-        of_incarnation, upto = receipts.get(self._state.leadership.node, ("", -1))
-        await self._listeners.cancellation_exchange.on_receipt(peer, str(of_incarnation), int(upto))
+        receipt_incarnation, upto = receipts.get(self._state.leadership.node, ("", -1))
+        await self._recipients.cancellation_exchange.on_receipt(
+            peer, str(receipt_incarnation), int(upto)
+        )
 
     async def _on_cancelled(self, message: tuple[Any, ...]) -> None:
-        await self._listeners.cancellation_exchange.on_cancellations(Cancelled(*message))
+        await self._recipients.cancellation_exchange.on_cancellations(Cancelled(*message))
 
     async def _on_receipt(self, message: tuple[Any, ...]) -> None:
         receipt = Receipt(*message)
-        await self._listeners.cancellation_exchange.on_receipt(
+        await self._recipients.cancellation_exchange.on_receipt(
             str(receipt.node), str(receipt.incarnation), int(receipt.upto)
         )
 
     async def _on_released(self, message: tuple[Any, ...]) -> None:
-        await self._listeners.announcer.learn_released(Released(*message).machines)
+        await self._recipients.announcer.mark_released(Released(*message).machines)
 
     async def _on_placed(self, message: tuple[Any, ...]) -> None:
         placed = Placed(*message)
@@ -153,4 +155,4 @@
     async def _on_summary(self, message: tuple[Any, ...]) -> None:
         summary = Summary(*message)
         if int(summary.term) >= self._state.leadership.term and self._current.leader_term is None:
-            self._listeners.placement_search.read_summary(summary.values, await curio.clock())
+            self._recipients.placement_search.read_summary(summary.values, await curio.clock())
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -10,7 +10,7 @@
 
 from topazhold.control.cluster_view import ClusterView
 from topazhold.control.election import ControllerLease
-from topazhold.control.gang_reservations import WRITE_PERIOD_S
+from topazhold.control.gang_reservations import MIN_WRITE_INTERVAL_S
 from topazhold.control.key_value_store import KeyValueStore
 from topazhold.control.leader_term import CurrentTerm, LeaderTerm
 from topazhold.control.pending_gangs import (
@@ -33,10 +33,12 @@
 
 #: How often the leader tells its peers the summary, about.
 PEER_SUMMARY_S = 1.0
+#: Summaries that must leave out a gang before its search ends.
+REMOVAL_SUMMARIES = 2
 #: Times between two summaries after which the leader searches for another controller's gang.
-STEP_IN_SUMMARIES = 2
+TAKEOVER_SUMMARIES = 2
 #: Time left to heartbeats and users after a round of searches, as a multiple of its own.
-SEARCH_PAUSE = 4.0
+SEARCH_PAUSE_FACTOR = 4.0
 
 
 class PlacementSearch:
@@ -63,20 +65,20 @@
         self._current = current
         self._lease = lease
         self._fetched_at = -1e9
-        self._searches = max_follower_searches(settings.cluster.limits.cpu_share)
+        self._max_searches = max_follower_searches(settings.cluster.limits.cpu_share)
 
     def read_summary(self, values: dict[str, Any], now: float) -> None:
         """A summary, as old as it is: a transaction may be carried out late, after newer
         ones, and a message may be held up on its way."""
         jobs = values.get("")
-        if not isinstance(jobs, dict) or self.cluster_view.older(jobs):
+        if not isinstance(jobs, dict) or self.cluster_view.is_outdated(jobs):
             return
         for zone, data in values.items():
             if zone:
                 self.cluster_view.read_zone(zone, data)
             else:
                 self.cluster_view.read_jobs(data)
-        self.cluster_view.at = now - max(0.0, time.time() - self.cluster_view.written)
+        self.cluster_view.observed_at = now - max(0.0, time.time() - self.cluster_view.made_at)
 
     async def _fetch_summary(self, now: float) -> None:
         entries, _ = await self._store.entries(records.SUMMARY_PREFIX)
@@ -90,10 +92,10 @@
         """Search, with at most one write of reservations a second."""
         reservations = self._reservations
         while True:
-            await curio.ignore_after(WRITE_PERIOD_S, reservations.search_due.wait)
+            await curio.ignore_after(MIN_WRITE_INTERVAL_S, reservations.search_due.wait)
             now = await curio.clock()
-            if now - reservations.wrote_at < WRITE_PERIOD_S:
-                await curio.sleep(WRITE_PERIOD_S - (now - reservations.wrote_at))
+            if now - reservations.wrote_at < MIN_WRITE_INTERVAL_S:
+                await curio.sleep(MIN_WRITE_INTERVAL_S - (now - reservations.wrote_at))
             reservations.search_due.clear()
             lease_id = self._lease.id
             if lease_id is None:
@@ -103,7 +105,7 @@
             except KeyValueStoreError as exc:
                 log.debug("search for gangs: %s", exc)
             else:
-                await curio.sleep(busy_s * SEARCH_PAUSE)
+                await curio.sleep(busy_s * SEARCH_PAUSE_FACTOR)
 
     async def _search_and_write(self, lease_id: int, now: float) -> float:
         """One round of searches; the seconds that it kept this process busy."""
@@ -114,7 +116,7 @@
             cluster_view, limit = self._prepare_as_leader(leader_term, now), MAX_SEARCHES
         else:
             await self._prepare_as_follower(now)
-            cluster_view, limit = self.cluster_view, self._searches
+            cluster_view, limit = self.cluster_view, self._max_searches
         began = time.monotonic()
         self._pending_gangs.search_round(cluster_view, now, limit)
         busy_s = time.monotonic() - began
@@ -123,48 +125,48 @@
         return busy_s
 
     def _prepare_as_leader(self, leader_term: LeaderTerm, now: float) -> ClusterView:
-        self._pending_of_leader(leader_term, now)
+        self._update_pending_as_leader(leader_term, now)
         return leader_term.cluster_view(now) if self._pending_gangs.by_id else self.cluster_view
 
     async def _prepare_as_follower(self, now: float) -> None:
-        if now - max(self.cluster_view.at, self._fetched_at) > self._summary_s:
+        if now - max(self.cluster_view.observed_at, self._fetched_at) > self._summary_s:
             self._fetched_at = now
             await self._fetch_summary(now)
-        await self._pending_of_follower(now)
+        await self._update_pending_as_follower(now)
         if self._pending_gangs.by_id:
             await self._reservations.read_all()
 
-    def _pending_of_leader(self, leader_term: LeaderTerm, now: float) -> None:
+    def _update_pending_as_leader(self, leader_term: LeaderTerm, now: float) -> None:
         """Its own gangs, and those whose controller is gone or finds nothing."""
-        pending_gangs, mine = self._pending_gangs, self._reservations.mine
+        pending_gangs, own = self._pending_gangs, self._reservations.own
         waiting = {job.id: job for job in leader_term.scheduler.waiting_gangs(now)}
         for job_id in list(pending_gangs.by_id):
             if job_id not in waiting:
-                pending_gangs.forget(job_id)
+                pending_gangs.remove(job_id)
         for job in waiting.values():
             # Its own controller searches; two at once would only replace each
             # other's reservations. The leader steps in where nothing comes of it.
-            if self._is_left_to_other(leader_term, job, now) and job.id not in mine:
-                pending_gangs.forget(job.id)
+            if self._is_searched_elsewhere(leader_term, job, now) and job.id not in own:
+                pending_gangs.remove(job.id)
                 continue
-            known = pending_gangs.by_id.get(job.id)
-            if known is None:
+            pending = pending_gangs.by_id.get(job.id)
+            if pending is None:
                 pending_gangs.by_id[job.id] = PendingGang(job.spec, queue_key(job), job.arrived)
             else:
-                known.queue_key = queue_key(job)
-            reservation = mine.get(job.id)
+                pending.queue_key = queue_key(job)
+            reservation = own.get(job.id)
             if reservation is not None and leader_term.scheduler.is_consumed_or_rejected(
                 job, reservation
             ):
-                del mine[job.id]
+                del own[job.id]
 
-    def _is_left_to_other(self, leader_term: LeaderTerm, job: Job, now: float) -> bool:
+    def _is_searched_elsewhere(self, leader_term: LeaderTerm, job: Job, now: float) -> bool:
         """Whether another controller, which accepted the gang, has time left to find a group."""
         if job.node == self._node or job.node not in self._reservations.table.revisions:
             return False
-        return leader_term.scheduler.unreserved_s(job, now) < STEP_IN_SUMMARIES * self._summary_s
+        return leader_term.scheduler.unreserved_s(job, now) < TAKEOVER_SUMMARIES * self._summary_s
 
-    async def _pending_of_follower(self, now: float) -> None:
+    async def _update_pending_as_follower(self, now: float) -> None:
         """Gangs accepted here that the leader still lists as waiting."""
         pending_gangs, waiting = self._pending_gangs, self.cluster_view.waiting
         for job_id, pending in list(pending_gangs.by_id.items()):
@@ -173,25 +175,26 @@
                 # Started, or over; if the leader has only not heard of it yet,
                 # it will name this controller as its searcher.
                 if (
-                    self.cluster_view.at - pending.since > 2 * PEER_SUMMARY_S
-                    and self.cluster_view.all_waiting
+                    self.cluster_view.observed_at - pending.pending_since
+                    > REMOVAL_SUMMARIES * PEER_SUMMARY_S
+                    and self.cluster_view.lists_all_waiting
                 ):
-                    pending_gangs.forget(job_id)
+                    pending_gangs.remove(job_id)
                 continue
             _, pending.queue_key, needs_reservation = listed
             if needs_reservation:
-                self._drop_refused(job_id)
-        for job_id, (node, its_turn, _) in waiting.items():
+                self._drop_stale_reservation(job_id)
+        for job_id, (node, gang_queue_key, _) in waiting.items():
             if node == self._node and job_id not in pending_gangs.by_id:
                 spec = await self._read_spec(job_id)
                 if spec is not None:
-                    pending_gangs.by_id[job_id] = PendingGang(spec, its_turn, now)
+                    pending_gangs.by_id[job_id] = PendingGang(spec, gang_queue_key, now)
 
-    def _drop_refused(self, job_id: str) -> None:
+    def _drop_stale_reservation(self, job_id: str) -> None:
         """The leader finds no reservation of this gang in force: an older one is of no use."""
-        reservation = self._reservations.mine.get(job_id)
+        reservation = self._reservations.own.get(job_id)
         if reservation is not None and time.time() - reservation.made_at > self._summary_s:
-            del self._reservations.mine[job_id]
+            del self._reservations.own[job_id]
 
     async def _read_spec(self, job_id: str) -> JobSpec | None:
         """What a live job asks for; raises KeyValueStoreError."""
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -100,7 +100,7 @@
         """Return a current view of the fleet for this controller's own searches."""
         scheduler = self._context.scheduler
         cluster_view = ClusterView()
-        cluster_view.at = now
+        cluster_view.observed_at = now
         cluster_view.term = self._context.term
         cluster_view.directory = scheduler.directory()
         largest = scheduler.largest_gang(now)
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -5,6 +5,7 @@
 import logging
 import time
 from collections import OrderedDict
+from http import HTTPStatus
 from typing import Any, Protocol
 
 import curio
@@ -30,17 +31,17 @@
 log = logging.getLogger(__name__)
 
 #: Final answers kept in memory.
-MAX_FINAL_ANSWERS = 5000
+MAX_FINAL_STAGES = 5000
 #: User requests under way at once; what comes on top is refused at once.
 MAX_CONCURRENT_REQUESTS = 24
 #: How long an open outcome is looked into; users wait 5 s for a submission.
-OUTCOME_S = 3.0
+OUTCOME_TIMEOUT_S = 3.0
 #: Retry-After while the store is out of reach.
-OUTAGE_RETRY_S = 2.0
+OUTAGE_RETRY_AFTER_S = 2.0
 #: Retry-After at the least, and where nothing tells how long it will take.
-RETRY_S = 1.0
+MIN_RETRY_AFTER_S = 1.0
 #: Tries of a cancellation before the user is asked to come again.
-CANCEL_TRIES = 8
+MAX_CANCEL_ATTEMPTS = 8
 
 
 class OnAccepted(Protocol):
@@ -61,7 +62,7 @@
     async def __call__(self, job_id: str, at: float, /) -> None: ...
 
 
-def users_request(request: Request) -> bool:
+def is_user_request(request: Request) -> bool:
     """Whether a request is a user's, and not a worker's or a probe."""
     return request.path.startswith(wire.JOBS_PATH)
 
@@ -86,8 +87,8 @@
         self._on_accepted = on_accepted
         self._count_running = count_running
         self._confirm_cancellation = confirm_cancellation
-        self._final: OrderedDict[str, str] = OrderedDict()
-        self._busy = 0
+        self._final_stages: OrderedDict[str, str] = OrderedDict()
+        self._requests_in_progress = 0
         self._sequence = 0
         self._incarnation = f"{self._node}-{time.time_ns():x}"
 
@@ -98,43 +99,43 @@
             return None
         rest = path[len(wire.JOBS_PATH) + 1 :]
         cancel = rest.endswith(wire.CANCEL_END)
-        job = rest[: -len(wire.CANCEL_END)] if cancel else rest
-        wanted = "POST" if cancel or not rest else "GET"
-        if "/" in job:
-            return Response(404)
-        if request.method != wanted:
-            return Response(405)
-        if rest and not wire.valid_job_id(job):
-            return Response(404)
-        if self._busy >= MAX_CONCURRENT_REQUESTS:
-            return Response(503, retry_after=await self._busy_wait())
-        self._busy += 1
+        job_id = rest[: -len(wire.CANCEL_END)] if cancel else rest
+        allowed_method = "POST" if cancel or not rest else "GET"
+        if "/" in job_id:
+            return Response(HTTPStatus.NOT_FOUND)
+        if request.method != allowed_method:
+            return Response(HTTPStatus.METHOD_NOT_ALLOWED)
+        if rest and not wire.valid_job_id(job_id):
+            return Response(HTTPStatus.NOT_FOUND)
+        if self._requests_in_progress >= MAX_CONCURRENT_REQUESTS:
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=await self._retry_after_s())
+        self._requests_in_progress += 1
         try:
             if not rest:
                 return await self._submit(request.body)
-            return await (self._cancel(job) if cancel else self._poll(job))
+            return await (self._cancel(job_id) if cancel else self._poll(job_id))
         except OutcomeUnknownError:
-            return Response(504, retry_after=OUTAGE_RETRY_S)
+            return Response(HTTPStatus.GATEWAY_TIMEOUT, retry_after=OUTAGE_RETRY_AFTER_S)
         except KeyValueStoreError as exc:
             log.debug("request refused: %s", exc)
-            return Response(503, retry_after=await self._busy_wait())
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=await self._retry_after_s())
         finally:
-            self._busy -= 1
+            self._requests_in_progress -= 1
 
-    async def _busy_wait(self) -> float:
+    async def _retry_after_s(self) -> float:
         """When to come back: after an outage's pause, or when the limits allow."""
         if self._store.failing_since is not None:
-            return OUTAGE_RETRY_S
-        return max(RETRY_S, await self._store.wait_s(USER_PRIORITY, 1))
+            return OUTAGE_RETRY_AFTER_S
+        return max(MIN_RETRY_AFTER_S, await self._store.wait_s(USER_PRIORITY, 1))
 
     def _token(self) -> str:
         self._sequence += 1
         return f"{self._incarnation}-{self._sequence}"
 
-    def _keep_final(self, job: str, stage: str) -> None:
-        self._final[job] = stage
-        if len(self._final) > MAX_FINAL_ANSWERS:
-            self._final.popitem(last=False)
+    def _cache_final_stage(self, job_id: str, stage: str) -> None:
+        self._final_stages[job_id] = stage
+        if len(self._final_stages) > MAX_FINAL_STAGES:
+            self._final_stages.popitem(last=False)
 
     # -- submit ------------------------------------------------------------
 
@@ -142,19 +143,22 @@
         try:
             raw = unpack(body)
         except InvalidMessageError:
-            return Response(400)
+            return Response(HTTPStatus.BAD_REQUEST)
         job_id = raw.get("id") if isinstance(raw, dict) else None
         if not isinstance(job_id, str) or not wire.valid_job_id(job_id):
-            return Response(400)
+            return Response(HTTPStatus.BAD_REQUEST)
         status, spec, reason = self._validate(raw)
-        if status == 201 and spec is not None:
+        if status == HTTPStatus.CREATED and spec is not None:
             return await self._store_job(spec)
         # A repeat of an accepted job is answered with its state, whatever
         # its body would get now.
-        known = await self._state(job_id)
-        if known is None:
+        existing = await self._status_response(job_id)
+        if existing is None:
             log.info("job %s refused: %d, %s", job_id, status, reason)
-        return known or Response(status, retry_after=RETRY_S if status == 503 else None)
+        return existing or Response(
+            status,
+            retry_after=MIN_RETRY_AFTER_S if status == HTTPStatus.SERVICE_UNAVAILABLE else None,
+        )
 
     async def _store_job(self, spec: JobSpec) -> Response:
         """Accept a job: it must be stored before its user is told."""
@@ -162,16 +166,18 @@
         token = self._token()
         value = records.live_value(job, token)
         if json_size(value) + records.max_bitmap_size(spec) > self._value_limit:
-            return Response(400)
+            return Response(HTTPStatus.BAD_REQUEST)
         key = records.live_key(job.id)
         preconditions = [Precondition(key, 0), Precondition(records.ended_key(job.id), 0)]
         try:
             job.revision = await self._store.commit(
-                preconditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_S
+                preconditions, [wire.put(key, value)], USER_PRIORITY, key, token, OUTCOME_TIMEOUT_S
             )
         except PreconditionFailedError:
-            known = await self._state(job.id)
-            return known or Response(503, retry_after=RETRY_S)
+            existing = await self._status_response(job.id)
+            return existing or Response(
+                HTTPStatus.SERVICE_UNAVAILABLE, retry_after=MIN_RETRY_AFTER_S
+            )
         log.info(
             "job %s accepted: %s, %s %s of %d for %s",
             job.id,
@@ -182,48 +188,48 @@
             spec.team,
         )
         await self._on_accepted(job)
-        return Response(201, wire.job_answer(job.id, wire.PENDING))
+        return Response(HTTPStatus.CREATED, wire.job_answer(job.id, wire.PENDING))
 
     def _validate(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
         """The status that a new job would get, with the reason."""
         try:
             spec = convert(raw, JobSpec)
         except InvalidMessageError as exc:
-            return 400, None, str(exc)
+            return HTTPStatus.BAD_REQUEST, None, str(exc)
         fault = spec.fault()
         if fault is not None:
-            return 400, None, f"bad {fault}"
+            return HTTPStatus.BAD_REQUEST, None, f"bad {fault}"
         if not self._machine_types:
-            return 503, None, "machine types not known yet"
+            return HTTPStatus.SERVICE_UNAVAILABLE, None, "machine types not known yet"
         if spec.machine_types is not None:
             # Types that the cloud does not have can't be used; this bounds the list.
-            known = sorted(set(spec.machine_types) & self._machine_types.keys())
-            spec = msgspec.structs.replace(spec, machine_types=known)
+            offered = sorted(set(spec.machine_types) & self._machine_types.keys())
+            spec = msgspec.structs.replace(spec, machine_types=offered)
         team = self._teams.get(spec.team)
-        if team is None or not self._team_takes(team, spec):
-            return 422, None, "unknown team, or more than its limit"
+        if team is None or not self._team_allows(team, spec):
+            return HTTPStatus.UNPROCESSABLE_ENTITY, None, "unknown team, or more than its limit"
         if not autoscaling.fits_some_type(spec, self._machine_types.values()):
-            return 422, None, "fits no allowed machine type"
-        return 201, spec, ""
+            return HTTPStatus.UNPROCESSABLE_ENTITY, None, "fits no allowed machine type"
+        return HTTPStatus.CREATED, spec, ""
 
     @staticmethod
-    def _team_takes(team: Team, spec: JobSpec) -> bool:
+    def _team_allows(team: Team, spec: JobSpec) -> bool:
         tasks = spec.tasks if spec.needs_all else 1
         return team_limit_allows(team, spec.cpus * tasks, spec.gpus * tasks)
 
     # -- poll --------------------------------------------------------------
 
-    async def _state(self, job_id: str) -> Response | None:
+    async def _status_response(self, job_id: str) -> Response | None:
         """The job's present answer, or None if nobody submitted it."""
-        final = self._final.get(job_id)
+        final = self._final_stages.get(job_id)
         if final is not None:
-            return Response(200, wire.job_answer(job_id, final))
+            return Response(HTTPStatus.OK, wire.job_answer(job_id, final))
         entry = await self._store.get(records.live_key(job_id))
         if entry is not None:
             running = self._count_running(job_id)
             stage = wire.RUNNING if running else wire.PENDING
             done = records.completed_count(entry.data)
-            return Response(200, wire.job_answer(job_id, stage, done, running))
+            return Response(HTTPStatus.OK, wire.job_answer(job_id, stage, done, running))
         # Jobs move from live to over in one transaction, so this order
         # can't miss one.
         entry = await self._store.get(records.ended_key(job_id))
@@ -232,20 +238,20 @@
         stage = records.ended_stage(entry.data)
         if stage == wire.ABORTED:
             await self._confirm_cancellation(job_id, records.ended_at(entry.data, time.time()))
-        self._keep_final(job_id, stage)
-        return Response(200, wire.job_answer(job_id, stage))
+        self._cache_final_stage(job_id, stage)
+        return Response(HTTPStatus.OK, wire.job_answer(job_id, stage))
 
     async def _poll(self, job_id: str) -> Response:
-        return await self._state(job_id) or Response(404)
+        return await self._status_response(job_id) or Response(HTTPStatus.NOT_FOUND)
 
     # -- cancel ------------------------------------------------------------
 
     async def _cancel(self, job_id: str) -> Response:
-        final = self._final.get(job_id)
+        final = self._final_stages.get(job_id)
         if final is not None:
-            return Response(200, wire.job_answer(job_id, final))
+            return Response(HTTPStatus.OK, wire.job_answer(job_id, final))
         live, over = records.live_key(job_id), records.ended_key(job_id)
-        for _ in range(CANCEL_TRIES):
+        for _ in range(MAX_CANCEL_ATTEMPTS):
             entry = await self._store.get(live)
             if entry is None:
                 return await self._poll(job_id)
@@ -259,12 +265,12 @@
                     USER_PRIORITY,
                     over,
                     token,
-                    OUTCOME_S,
+                    OUTCOME_TIMEOUT_S,
                 )
             except PreconditionFailedError:
                 continue  # the leader saved progress, or another cancel came first
             await self._confirm_cancellation(job_id, at)
-            self._keep_final(job_id, wire.ABORTED)
+            self._cache_final_stage(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
-            return Response(200, wire.job_answer(job_id, wire.ABORTED))
-        return Response(503, retry_after=RETRY_S)
+            return Response(HTTPStatus.OK, wire.job_answer(job_id, wire.ABORTED))
+        return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=MIN_RETRY_AFTER_S)
