--- a/topazhold/control/__init__.py
+++ b/topazhold/control/__init__.py
@@ -1,1 +1,1 @@
-"""Joins the core to the outside world."""
+"""Controllers: leadership, HTTP handlers, and clients of the store and the cloud."""
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -1,10 +1,9 @@
 """Ends the tasks of cancelled jobs when no leader does.
 
-A leader that has loaded sees to the cancellations that it knows of. Where none
-can be seen to know one, each controller that does looks at the machines itself:
-it asks for their state, sends kills with the token that the worker names, and
-has a machine released on which a task can't be shown to be gone. All of it goes
-without the store.
+A leader with a loaded term enforces the cancellations that it knows of. If no leader is known
+to have received a cancellation, each controller that has it enforces it: it probes the workers,
+sends kills with the fencing token that the worker reports, and releases machines on which a
+task can't be shown to have ended. None of this needs the store.
 """
 
 from __future__ import annotations
@@ -33,37 +32,40 @@
 
 log = logging.getLogger(__name__)
 
-#: Shares of `cancel_s`. A controller looks for itself once no leader has seen to a
-#: cancellation for so long: an ordinary change of leader takes less. It looks again
-#: where a task may be after so long.
+#: Share of `cancel_s` for which no leader has handled a cancellation before this controller
+#: starts to probe workers; an ordinary change of leader takes less.
 PROBE_DELAY_SHARE = 0.1
+#: Share of `cancel_s` after which a machine that may hold a cancelled task is probed again.
 REPROBE_SHARE = 0.08
-#: After the confirmation, a task that can't be shown to be gone takes its machine with
-#: it; a controller that has only just begun to look gives it some time more, up to a
-#: last moment. Later than the end nothing is left to do.
+#: Age of a cancellation, as a share of `cancel_s`, from which on machines are released whose
+#: tasks can't be shown to have ended.
 RELEASE_DELAY_SHARE = 0.6
+#: Share of `cancel_s` for which a cancellation must have been unhandled before a release, until
+#: its age reaches `GRACE_END_SHARE`.
 RELEASE_GRACE_SHARE = 0.2
 GRACE_END_SHARE = 0.8
+#: Age of a cancellation, as a share of `cancel_s`, from which on nothing is left to enforce.
 ENFORCEMENT_END_SHARE = 1.25
-#: Machines that are not known to hold such a task are looked at so many times: a launch
-#: may have been on its way at the first.
+#: Times that machines not known to hold such a task are probed: a launch may have been in flight
+#: at the first.
 FLEET_SWEEPS = 2
-#: Looks under way at once, as a share of the sockets, and at the least.
+#: Maximum concurrent probes as a share of the sockets, and the minimum of that limit.
 PROBE_SOCKET_SHARE = 1 / 32
 MIN_CONCURRENT_PROBES = 4
-#: Heartbeat intervals between two rounds, and before a release that failed is tried again.
+#: Heartbeat intervals between two rounds.
 ROUND_INTERVAL_HEARTBEATS = 0.2
+#: Heartbeat intervals before a failed release is retried.
 RELEASE_RETRY_HEARTBEATS = 0.25
 
 
 class IsHandledByLeader(Protocol):
-    """Whether a leader with a loaded term knows that the job is cancelled, and sees to it."""
+    """Returns whether a leader with a loaded term knows that the job is cancelled."""
 
     def __call__(self, job: str, now: float, /) -> bool: ...
 
 
 class CancellationEnforcer:
-    """One controller's last word on cancelled jobs."""
+    """Enforces, on one controller, the cancellations that no leader handles."""
 
     def __init__(
         self,
@@ -87,16 +89,16 @@
         )
         self._probing: set[str] = set()
         self._clients = Clients(dial, self._max_concurrent_probes)
-        self._unhandled_since: dict[str, float] = {}  # jobs that no leader sees to, since when
+        self._unhandled_since: dict[str, float] = {}  # by job, monotonic clock
         self._listed_at = -1e9
         self._releasing = False
 
     async def loop(self) -> None:
-        """Look for what is left to this controller, a few times per heartbeat interval."""
+        """Run a round several times per heartbeat interval."""
         await wait_then_work(ROUND_INTERVAL_HEARTBEATS * self._heartbeat_interval_s, self.round)
 
     async def round(self) -> None:
-        """Begin the looks and the release that are due."""
+        """Start the probes and the release that are due."""
         now = await curio.clock()
         ages = self.unhandled_cancellations(now)
         if not ages:
@@ -117,7 +119,7 @@
             await curio.spawn(self._probe, name, hint, daemon=True)
 
     def unhandled_cancellations(self, now: float) -> dict[str, float]:
-        """Cancelled jobs that are left to this controller, by their age in seconds."""
+        """Return the age, in seconds, of each cancellation that this controller has to enforce."""
         wall = time.time()
         ages = {
             job: wall - at
@@ -135,20 +137,20 @@
         }
 
     def _must_release(self, job: str, age: float, now: float) -> bool:
-        """Whether a machine that may hold the job's task is to be released.
+        """Return whether machines that may hold tasks of the job must be released.
 
-        Just after a change of leader the former one knows of machines that its successor is
-        about to see to: it gives them time.
+        Just after a change of leader, the former leader's hints may name machines that the new
+        leader is about to handle, so it waits for `RELEASE_GRACE_SHARE`.
         """
         grace_over = now - self._unhandled_since[job] > RELEASE_GRACE_SHARE * self._cancel_s
         deadline_passed = age > GRACE_END_SHARE * self._cancel_s
         return age > RELEASE_DELAY_SHARE * self._cancel_s and (grace_over or deadline_passed)
 
     def _machines_to_probe(self, jobs: frozenset[str], holders: Set[str], now: float) -> list[str]:
-        """Machines that may hold a task of these jobs first; no more than may be under way.
+        """Return the machines to probe now, those that may hold a task of these jobs first.
 
-        Every machine is looked at some time after the last of the jobs was left to this
-        controller, and once more.
+        All others are probed `FLEET_SWEEPS` times after the latest of the cancellations became
+        unhandled. The result is limited to the probes that may still be started.
         """
         reprobe_s = REPROBE_SHARE * self._cancel_s
         last_unhandled_at = max(self._unhandled_since[job] for job in jobs)
@@ -169,7 +171,7 @@
         return (due_holders + due_others)[: self._max_concurrent_probes - len(self._probing)]
 
     async def _refresh_machine_list(self, now: float) -> None:
-        """Machines that no leader has named, from the cloud, off and on."""
+        """Add machines that no leader has named: fetch the cloud's list if the last one is old."""
         if now - self._listed_at < PROBE_DELAY_SHARE * self._cancel_s:
             return
         self._listed_at = now
@@ -179,10 +181,10 @@
         try:
             self._placement_hints.update_from_list(await self._cloud.machines())
         except CloudUnavailableError as exc:
-            log.debug("machine list: %s", exc)
+            log.debug("machine list not fetched: %s", exc)
 
     async def _probe(self, name: str, hint: PlacementHint) -> None:
-        """Ask a worker what it has, and kill what it must not have."""
+        """Ask a worker for its tasks, and kill those of cancelled jobs."""
         assert hint.endpoint is not None
         try:
             client = await self._clients.client_for(address(hint.endpoint), len(self._probing))
@@ -196,21 +198,28 @@
             commands = self._cancellations.kill_commands(heartbeat)
             if not commands:
                 return
-            # Kills are safe from anybody, and a token equal to the worker's is accepted.
+            # Kills are safe from any controller, and workers accept a token equal to their own.
             message = Commands(heartbeat.fencing_token, commands, heartbeat.incarnation)
-            log.info("%d tasks of cancelled jobs on %s killed from here", len(commands), name)
+            log.info(
+                "killing %d tasks of cancelled jobs on %s as no leader handles them",
+                len(commands),
+                name,
+            )
             status, body = await client.ask(
                 "POST", wire.COMMANDS_PATH, message, self._heartbeat_interval_s
             )
             if status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
                 self._placement_hints.update_from_heartbeat(read(body, Heartbeat))
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
-            log.debug("look at %s: %s", name, exc)
+            log.debug("probe of %s failed: %s", name, exc)
         finally:
             self._probing.discard(name)
 
     async def _release(self, names: list[str]) -> None:
-        """Machines with a task that nobody can show to be gone: only those, never a zone."""
+        """Start a release of machines whose cancelled tasks can't be shown to have ended.
+
+        Only these machines are released, never a whole zone.
+        """
         if not names or self._releasing:
             return
         self._releasing = True
@@ -218,10 +227,10 @@
 
     async def _release_now(self, names: list[str]) -> None:
         try:
-            log.info("%d machines with tasks of cancelled jobs released from here", len(names))
+            log.info("releasing %d machines that may hold tasks of cancelled jobs", len(names))
             await self._cloud.release(names)
         except CloudUnavailableError as exc:
-            log.debug("release: %s", exc)
+            log.debug("release failed: %s", exc)
             await curio.sleep(RELEASE_RETRY_HEARTBEATS * self._heartbeat_interval_s)
         else:
             for name in names:
--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -1,4 +1,4 @@
-"""Tells the other controllers of confirmed cancellations, and learns of theirs."""
+"""Replicates confirmed cancellations between controllers."""
 
 from __future__ import annotations
 
@@ -11,27 +11,26 @@
 from topazhold.control.peer_messages import CANCELLED, RECEIPT, Cancelled, Receipt
 from topazhold.core.cancellations import Cancellations
 
-#: How long a cancellation's answer waits for the first peer to have it.
+#: Maximum wait of a cancellation's response for a first receipt, in heartbeat intervals.
 RECEIPT_TIMEOUT_HEARTBEATS = 0.1
 
 
 class OnCancelled(Protocol):
-    """Tells whoever leads here of a cancelled job and the time of day of its confirmation."""
+    """Notifies the term led here of a cancelled job, with the time of day of the confirmation."""
 
     async def __call__(self, job_id: str, at: float, /) -> None: ...
 
 
 class ReachesPeers(Protocol):
-    """Whether any peer has pinged just before `now`, by the steady clock in seconds."""
+    """Returns whether any peer has pinged shortly before `now`, on the monotonic clock."""
 
     def __call__(self, now: float, /) -> bool: ...
 
 
 class CancellationExchange:
-    """Keeps the peers' records of cancellations level with this controller's.
+    """Sends cancellations to the peers until they acknowledge them, and receives theirs.
 
-    `on_cancelled` is called for each cancellation that is news here, and `reaches_peers`
-    says whether any peer has pinged just now.
+    `on_cancelled` is called for each cancellation that is new to this controller.
     """
 
     def __init__(
@@ -49,13 +48,13 @@
         self._peers = peers
         self._reaches_peers = reaches_peers
         self._on_cancelled = on_cancelled
-        self._receipt_arrived = curio.Event()  # set, and replaced, when a peer acknowledges
+        self._receipt_arrived = curio.Event()  # set and replaced at each receipt
 
     async def confirm(self, job: str, at: float) -> None:
-        """A user is about to be told that the job is cancelled.
+        """Record and replicate a cancellation before its user gets the response.
 
-        Before that, one peer at least is to have it, if one can be reached: this
-        controller may end just after its answer, and the store with it.
+        Waits until at least one peer has acknowledged it, if any is reachable: this controller
+        may fail just after its response, and the store with it.
         """
         if not self._cancellations.add(job, at, time.time()):
             return
@@ -71,14 +70,14 @@
             now = await curio.clock()
 
     async def _send_missing(self, peer: str) -> None:
-        """Send a peer what it lacks; it acknowledges, or gets it again after the next ping."""
+        """Send a peer the cancellations it lacks; without a receipt, its next ping repeats this."""
         changes = self._cancellations.changes_for(peer)
         if changes is not None:
             message = Cancelled(CANCELLED, self._node, self._cancellations.incarnation, *changes)
             await self._peers.send(peer, message)
 
     async def on_cancellations(self, cancelled: Cancelled) -> None:
-        """A peer's message with cancellations; it is acknowledged."""
+        """Add a peer's cancellations, and acknowledge them."""
         peer = str(cancelled.node)
         added = self._cancellations.receive(
             peer,
@@ -95,7 +94,7 @@
             await self._peers.send(peer, Receipt(RECEIPT, self._node, incarnation, upto))
 
     async def on_receipt(self, peer: str, incarnation: str, upto: int) -> None:
-        """A peer acknowledges all up to a number; what it still lacks is sent."""
+        """Record that a peer has all entries up to a number, and send it those it still lacks."""
         lacks_entries = self._cancellations.record_acknowledgement(peer, incarnation, upto)
         arrived, self._receipt_arrived = self._receipt_arrived, curio.Event()
         await arrived.set()
--- a/topazhold/control/cluster_view.py
+++ b/topazhold/control/cluster_view.py
@@ -1,4 +1,4 @@
-"""The cluster as a controller without a scheduler sees it: the leader's last summary."""
+"""A follower's view of the cluster, built from the leader's last summary."""
 
 from __future__ import annotations
 
@@ -11,20 +11,21 @@
 
 
 class ClusterView:
-    """Offers of each zone, gangs that wait, and how many tasks of each job run."""
+    """Resource offers of each zone, waiting gangs, and the number of running tasks of each job."""
 
     def __init__(self) -> None:
-        self.observed_at = -1e9  # steady clock, seconds: as old as the summary is
+        self.observed_at = -1e9  # monotonic clock, seconds: when the data was current
         self.term = 0
-        self.made_at = 0.0  # time of day at which the leader made it
-        self.directory: list[tuple[str, str]] = []  # machine, zone
+        self.made_at = 0.0  # time of day at which the leader made the summary
+        self.directory: list[tuple[str, str]] = []  # (machine, zone) of the whole fleet
         self.caches: dict[str, Sequence[ResourceOffer]] = {}
+        #: By job: the controller that accepted it, its queue key, whether it needs a reservation.
         self.waiting: dict[str, tuple[str, QueueKey, bool]] = {}
-        self.lists_all_waiting = True  # whether `waiting` names every gang that waits
+        self.lists_all_waiting = True  # False if `waiting` was truncated
         self.running: dict[str, int] = {}
 
     def read_zone(self, zone: str, data: Any) -> None:
-        """Take over a zone's part of a summary; offers that can't be read are left out."""
+        """Replace a zone's data by its part of a summary; malformed offers are skipped."""
         offers = []
         for item in data.get("cache", ()):
             try:
@@ -36,12 +37,12 @@
         self.directory += [(name, zone) for name in unpack_names(data.get("all", ("", "")))]
 
     def is_outdated(self, data: Any) -> bool:
-        """Whether a jobs' value is a late copy of one made before what is known."""
+        """Return whether the jobs' part of a summary is older than the one read last."""
         version = (int(data.get("crown", 0)), float(data.get("at", 0.0)))
         return version < (self.term, self.made_at)
 
     def read_jobs(self, data: Any) -> None:
-        """Take over the jobs' part of a summary; raises ValueError or TypeError for an odd one."""
+        """Replace the jobs' data by a summary's; raises ValueError or TypeError if malformed."""
         self.term = int(data.get("crown", 0))
         self.made_at = float(data.get("at", 0.0))
         self.waiting = {
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -1,4 +1,4 @@
-"""One controller process: wires its parts together, and serves until it is killed."""
+"""The controller process: creates its components and serves until it is killed."""
 
 from __future__ import annotations
 
@@ -42,20 +42,21 @@
 
 log = logging.getLogger(__name__)
 
-#: The most time that a round of searches takes, as a share of a lease's.
+#: Maximum duration of a round of searches, as a share of the controller's lease.
 SEARCH_ROUND_LEASE_SHARE = 0.1
-#: Share of the sockets for those who connect to this controller.
+#: Share of the sockets for incoming connections of workers, users and probes.
 SERVER_SOCKET_SHARE = 0.8
-#: Seconds after which an idle connection is closed: of a worker or user, and of a peer.
+#: Seconds after which an idle connection of a worker or user is closed.
 IDLE_TIMEOUT_S = 120.0
+#: Seconds after which an idle connection of a peer is closed.
 PEER_IDLE_TIMEOUT_S = 60.0
 
 
 class Controller:
     """A controller process.
 
-    `settings` and `operator` are read once, before the start. `dial` opens clients, and
-    `cpu_accounting` sums up processor time by kind of work.
+    `settings` and `operator` don't change during its life. `dial` creates HTTP clients, and
+    `cpu_accounting` records processor time by category of work.
     """
 
     def __init__(
@@ -95,7 +96,7 @@
         self._wire_request_handlers()
 
     def _wire_background_parts(self) -> None:
-        """What goes on whoever leads: forwarding, searches, cancellations."""
+        """Create the components of forwarding, searches and replication of cancellations."""
         services, state, lease = self.services, self.state, self.leadership_service.lease
         self.follower_heartbeats = _create_follower_heartbeats(services, state)
         self.cancellation_exchange = CancellationExchange(
@@ -119,7 +120,7 @@
         )
 
     def _wire_request_handlers(self) -> None:
-        """What answers workers, users and peers, and what acts on the peers' word."""
+        """Create the handlers of requests and peers' messages, and the cancellation enforcer."""
         services, state = self.services, self.state
         self.heartbeat_service = HeartbeatService(
             state, services.store, self.leadership_service, self.follower_heartbeats
@@ -154,11 +155,11 @@
 
     @property
     def leader_term(self) -> LeaderTerm | None:
-        """The term that this controller leads, loaded or not."""
+        """The term that this controller leads, loaded or not; None on a follower."""
         return self._current.leader_term
 
     async def run(self) -> None:
-        """Serve until killed; raises what ended a part that must not end."""
+        """Serve until killed; raises the exception that ended a component."""
         sockets = self.settings.cluster.limits.sockets
         public = Server(
             self.handle,
@@ -186,7 +187,7 @@
             raise group.exception
 
     async def run_background_loops(self) -> None:
-        """All that goes on besides answering requests."""
+        """Run all background loops; raises the exception that ended one of them."""
         leadership = self.leadership_service
         async with curio.TaskGroup(wait=any) as group:
             for category, loop in (
@@ -205,7 +206,7 @@
             raise group.exception
 
     async def handle(self, request: Request) -> Response:
-        """The answer to a request of a worker, a user or a health probe."""
+        """Return the response to a request of a worker, a user or a health probe."""
         if request.path == wire.HEARTBEAT_PATH:
             self.cpu_accounting.enter(WorkCategory.HEARTBEATS)
             if request.method != "POST":
@@ -225,16 +226,15 @@
         return answer if answer is not None else Response(HTTPStatus.NOT_FOUND)
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
-        """Take in a message of another controller; raises as `PeerService.handle` does."""
+        """Handle a message of another controller; raises what `PeerService.handle` raises."""
         self.cpu_accounting.enter(WorkCategory.PEERS)
         await self.peer_service.handle(message)
 
     def _is_healthy(self, now: float) -> bool:
-        """Whether requests can be taken here.
+        """Return whether the load balancer should send users here.
 
-        In an outage of the store for all, going unhealthy would only
-        add the load balancer's pauses to it. A controller that alone can't reach it
-        sends users elsewhere.
+        If the store is down for all controllers, failing health checks would only add the load
+        balancer's delays to the outage. A controller that alone can't reach it is unhealthy.
         """
         if not self.services.catalog.machine_types:
             return False
@@ -243,7 +243,7 @@
         )
 
     async def _on_accepted(self, job: Job) -> None:
-        """A user's job is accepted here: a leader schedules it, and a gang is searched for."""
+        """Handle a job accepted here: schedule it as leader, and search machines for a gang."""
         if self._current.leader_term is not None:
             await self._current.leader_term.on_job_accepted(job)
         if job.gang:
@@ -252,7 +252,7 @@
             await self.pending_gangs.add(job, await curio.clock())
 
     def _running_task_count(self, job_id: str) -> int:
-        """How many of a job's tasks run, as the leader or its last summary has it."""
+        """Return the number of a job's running tasks; a follower uses the last summary."""
         if self._current.loaded_term is not None:
             job = self._current.loaded_term.scheduler.jobs.get(job_id)
             return job.running_count() if job is not None else 0
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -1,8 +1,7 @@
-"""What a controller has for its whole life, whoever leads: services outside, and what it knows.
+"""Services and state that a controller's components share for the life of the process.
 
-`ControllerServices` are the ways to everything outside this process, and the settings, read
-once at the start. `ControllerState` is what a controller knows of the cluster with or without a
-term of its own. Both outlive every term; the parts of a controller share them.
+`ControllerServices` holds the settings and the clients of external services. `ControllerState`
+is what a controller knows of the cluster whether or not it leads. Both outlive every term.
 """
 
 from __future__ import annotations
@@ -26,26 +25,26 @@
 from topazhold.operator_settings import Operator
 from topazhold.settings import Settings, address
 
-#: Time limits of a request: of the store as a share of the controller's lease, so
-#: that a renewal can be tried again in time, and of the cloud in seconds.
+#: Timeout of a request to the store, as a share of the controller's lease, so that a renewal of
+#: the lease can be retried in time.
 STORE_TIMEOUT_LEASE_SHARE = 0.4
+#: Timeout of a request to the cloud, in seconds.
 CLOUD_TIMEOUT_S = 5.0
-#: Idle connections that are kept: to the store for requests and for watches, and to
-#: the cloud.
+#: Maximum idle connections: to the store for requests and for watches, and to the cloud.
 STORE_CONNECTIONS = 6
 WATCH_CONNECTIONS = 4
 CLOUD_CONNECTIONS = 2
 
 
 class Dial(Protocol):
-    """Opens a client of an address (host, port) that keeps so many idle connections."""
+    """Creates a client of a (host, port) address with a maximum of idle connections."""
 
     def __call__(self, address: tuple[str, int], connections: int, /) -> Client: ...
 
 
 @dataclass(frozen=True)
 class ControllerServices:
-    """Settings, and the ways to everything outside this process."""
+    """Settings, clients of external services, and other shared services."""
 
     settings: Settings
     operator: Operator
@@ -55,15 +54,15 @@
     dial: Dial
     cpu_accounting: CpuAccounting
     rng: Random
-    controller_lease_s: float  # how long this controller's lease in the store lasts
+    controller_lease_s: float  # duration of this controller's lease in the store
 
 
 def connect_services(
     settings: Settings, operator: Operator, dial: Dial, cpu_accounting: CpuAccounting
 ) -> ControllerServices:
-    """The services of a controller; connections are made with the first requests.
+    """Create a controller's services; connections are opened by the first requests.
 
-    Raises ValueError for an address in the settings that is none.
+    Raises ValueError for a malformed address in the settings.
     """
     cluster = settings.cluster
     controller_lease_s = controller_lease_duration_s(settings)
@@ -96,15 +95,15 @@
 class ControllerState:
     """What a controller knows of the cluster, whether it leads or not."""
 
-    leadership: Leadership  # its role, and the newest term it has heard of
+    leadership: Leadership  # its role, and the newest term it knows
     reservation_table: ReservationTable  # all controllers' reservations
-    cancellations: Cancellations  # confirmed to a user by any controller
-    placement_hints: PlacementHints  # where tasks may be
-    released: ReleasedMachines  # gone, as the cloud confirmed to any controller
+    cancellations: Cancellations  # confirmed by any controller
+    placement_hints: PlacementHints  # machines that may hold tasks
+    released: ReleasedMachines  # releases that the cloud confirmed to any controller
 
 
 def initial_state(settings: Settings) -> ControllerState:
-    """What a controller knows at its start: nothing."""
+    """Return the empty state with which a controller starts."""
     name, workers = settings.node_name, settings.cluster.workers
     return ControllerState(
         leadership=Leadership(name),
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -1,8 +1,8 @@
-"""What a follower does for workers that the leader can't reach.
+"""Decides which workers a follower serves itself instead of redirecting them to the leader.
 
-A follower sends workers to the leader. When it is cut from them, or there is
-none just now, that would cost them their leases and so their tasks. It then
-answers with the known term and no commands, and forwards their heartbeats.
+A follower normally redirects workers to the leader. If they can't reach the leader, or there
+is none, a redirect would cost them their leases and so their tasks. The follower then responds
+with the known term and no commands except kills, and forwards their heartbeats.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from topazhold.wire.codec import json_size
 from topazhold.wire.workers import Heartbeat
 
-#: A leader that has been silent for this share of a controller's lease can't be reached.
+#: A peer without pings for this share of a controller's lease counts as silent.
 SILENCE_LEASE_SHARE = 0.9
-#: Such silences after which a peer's word counts no more.
+#: Multiple of that time after which a peer's last ping is no longer used.
 PEER_EXPIRY_SILENCES = 2
-#: Steady clocks drift apart by at most this share.
+#: Maximum drift between two monotonic clocks, as a share of the elapsed time.
 MAX_CLOCK_DRIFT_SHARE = 0.002
 
 
@@ -31,36 +31,36 @@
 
 
 class PartitionedControllerPolicy:
-    """Which workers a controller keeps that is cut from all but its workers.
+    """Decides which workers to serve on a controller that reaches neither the store nor a peer.
 
-    Its answers keep their tasks alive and lead nowhere else. If only it
-    is cut, every worker is better off with another one. If its whole zone is,
-    a worker sent away finds nobody, and loses its lease on the way round.
-    Workers of other zones that arrive here, or one sent ahead that does not
-    come back, show which it is.
+    Its responses renew leases, but the leader gets no heartbeats from here. If only this
+    controller is partitioned, each worker is better served by another one. If its whole zone
+    is, a redirected worker finds no controller and loses its lease while it tries them all.
+    The zone is not partitioned if workers of other zones arrive here, or if a worker that was
+    redirected as a probe does not return within a lease.
     """
 
     def __init__(self, zone: str, lease_s: float) -> None:
         self._zone = zone
         self._lease_s = lease_s
-        self._probes: dict[str, float] = {}  # workers sent ahead, and not back yet
-        self._returned_at: dict[str, float] = {}  # those that found nobody
+        self._probes: dict[str, float] = {}  # redirected workers that have not returned, and when
+        self._returned_at: dict[str, float] = {}  # workers that found no other controller
         self._can_reach_others = False
 
     def reset(self) -> None:
-        """The controller is in touch again."""
+        """Forget all observations: the controller is connected again."""
         self._probes.clear()
         self._returned_at.clear()
         self._can_reach_others = False
 
     def should_serve(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether to answer a worker here; one that is sent ahead is expected back."""
+        """Return whether to serve a worker here; False redirects it as a probe."""
         probed_at = self._probes.pop(heartbeat.machine, None)
         if probed_at is not None:
             self._returned_at[heartbeat.machine] = now
             self._can_reach_others = False
         if heartbeat.machine in self._returned_at:
-            # It went round and found nobody. It stays for a lease time.
+            # It tried the other controllers without success: serve it for one lease.
             if now - self._returned_at[heartbeat.machine] < self._lease_s:
                 return True
             del self._returned_at[heartbeat.machine]
@@ -73,22 +73,22 @@
             return False
         is_idle = not heartbeat.tasks
         if is_idle or not (self._probes or self._returned_at):
-            # Those with nothing to lose go first; else one for all.
+            # Redirect idle workers, which lose nothing, or a single busy one as a probe.
             self._probes[heartbeat.machine] = now
             return False
         return True
 
 
 class FollowerTiming(NamedTuple):
-    """The times, in seconds, by which a follower decides for how long to keep workers."""
+    """Times, in seconds, that limit for how long a follower serves workers."""
 
     controller_lease_s: float  # a controller's lease
     lease_s: float  # a worker's lease
-    cancel_s: float = math.inf  # in which a cancelled job's tasks must be gone
+    cancel_s: float = math.inf  # time within which the tasks of a cancelled job must have ended
 
 
 class FollowerHeartbeats:
-    """Decides which workers to keep here, and collects their heartbeats."""
+    """Decides which workers to serve here, and queues their heartbeats for the leader."""
 
     def __init__(
         self,
@@ -105,14 +105,16 @@
         self._partition_policy = PartitionedControllerPolicy(zone, lease_s)
         self._silence_threshold_s = SILENCE_LEASE_SHARE * timing.controller_lease_s
         self._lease_s = lease_s
-        # A task that an answer keeps alive lives for a lease more. Until so long after
-        # the last word of a peer, whatever was cancelled since is gone in time.
+        # A response extends a task's life by one lease. Up to this long after the last ping,
+        # a task cancelled since then still ends within `cancel_s`.
         self._max_silence_s = max(0.0, timing.cancel_s - lease_s * (1 + MAX_CLOCK_DRIFT_SHARE))
-        self._peers_can_enforce = False  # whether peers could end tasks that are kept here
+        self._peers_can_enforce = (
+            False  # whether a peer can end tasks served here, as of the last ping
+        )
         self._started_at = now
-        self._last_ping_at: dict[str, float] = {}  # peers, by the time of their last ping
-        self._store_available: dict[str, bool] = {}  # whether the store serves them
-        self._silent_machines: set[str] = set()  # machines whose heartbeats don't reach the leader
+        self._last_ping_at: dict[str, float] = {}  # by peer
+        self._store_available: dict[str, bool] = {}  # by peer, as of its last ping
+        self._silent_machines: set[str] = set()  # according to the leader
         self._redirected_at: dict[str, float] = {}
         self._queued: dict[str, Heartbeat] = {}
 
@@ -124,7 +126,7 @@
         now: float,
         can_enforce: bool = True,
     ) -> None:
-        """A peer's ping; the leader's carries the machines whose heartbeats it lacks."""
+        """Record a peer's ping; the leader's lists the machines without heartbeats."""
         self._last_ping_at[peer] = now
         self._peers_can_enforce = can_enforce
         self._store_available[peer] = store_available
@@ -132,11 +134,14 @@
             self._silent_machines = set(silent_machines)
 
     def reaches_peers(self, now: float) -> bool:
-        """Whether any peer has pinged just now."""
+        """Return whether any peer has pinged recently."""
         return any(now - at < self._silence_threshold_s for at in self._last_ping_at.values())
 
     def is_isolated(self, now: float) -> bool:
-        """Whether peers are served while this controller is not, or none can be reached."""
+        """Return whether only this controller has lost the store.
+
+        True if a reachable peer has access to it, or if no peer pings any more.
+        """
         reachable = [
             peer
             for peer, at in self._last_ping_at.items()
@@ -147,11 +152,11 @@
         )
 
     def can_enforce_cancellations(self, now: float) -> bool:
-        """Whether every confirmed cancellation is met though workers are kept here.
+        """Return whether cancellations are enforced in time even if workers are served here.
 
-        Peers that ping tell of them. Those that are silent now, but knew
-        where tasks are, release what they can't stop. Of others nothing is known, and
-        workers are kept only for as long as `cancel_s` allows.
+        Peers that ping also send cancellations. Silent peers that knew the placements release
+        the machines of tasks that they can't stop. Nothing is known of other silent peers, so
+        workers are served only for as long as `cancel_s` allows.
         """
         if self._peer_count == 0:
             return True
@@ -163,7 +168,7 @@
         )
 
     def is_partitioned(self, store_available: bool, now: float) -> bool:
-        """Whether this controller reaches neither the store nor any peer."""
+        """Return whether this controller reaches neither the store nor any peer."""
         peer_expiry_s = PEER_EXPIRY_SILENCES * self._silence_threshold_s
         is_partitioned = (
             self._peer_count > 0
@@ -176,21 +181,21 @@
         return is_partitioned
 
     def should_serve_while_partitioned(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether to answer a worker here although nothing comes of it."""
+        """Return whether to serve a worker although its heartbeat can't be forwarded."""
         return (
             heartbeat.fencing_token == self._leadership.term > 0
             and self._partition_policy.should_serve(heartbeat, now)
         )
 
     def is_leader_silent(self, now: float) -> bool:
-        """Whether nothing has come from the leader for too long."""
+        """Return whether there is a leader and it has not pinged for too long."""
         leader = self._leadership.leader
         return leader is not None and (
             now - self._last_ping_at.get(leader, self._started_at) > self._silence_threshold_s
         )
 
     def should_serve(self, heartbeat: Heartbeat, now: float) -> bool:
-        """Whether to answer this worker here instead of sending it to the leader."""
+        """Return whether to serve this worker here instead of redirecting it to the leader."""
         leadership = self._leadership
         if leadership.term == 0 or heartbeat.fencing_token != leadership.term:
             return False
@@ -203,8 +208,8 @@
         if heartbeat.machine not in self._silent_machines:
             self._redirected_at.pop(heartbeat.machine, None)
             return False
-        # The leader lives, but this worker's heartbeats don't reach it. It is sent to it once
-        # per lease time, which it survives if the way is still closed.
+        # The leader is alive but gets no heartbeats from this worker. Redirect the worker once
+        # per lease; its lease survives one attempt that fails.
         redirected_at = self._redirected_at.setdefault(heartbeat.machine, now)
         if now - redirected_at < self._lease_s:
             return True
@@ -212,7 +217,7 @@
         return False
 
     def queue_for_forwarding(self, heartbeat: Heartbeat) -> None:
-        """Forward it with the next; a late copy does not take a newer one's place."""
+        """Queue a heartbeat for the leader; it replaces an older one of its machine only."""
         queued = self._queued.get(heartbeat.machine)
         if queued is None or (heartbeat.incarnation, heartbeat.sequence) > (
             queued.incarnation,
@@ -221,9 +226,9 @@
             self._queued[heartbeat.machine] = heartbeat
 
     def take_for_forwarding(self, max_bytes: int) -> list[Any]:
-        """Heartbeats to forward, as many as fit; the others follow next time.
+        """Remove and return packed heartbeats of at most `max_bytes` in total.
 
-        Those with ended tasks go first: the leader waits for them.
+        Those with ended tasks come first, since the leader waits for them.
         """
         packed: list[Any] = []
         packed_bytes = 0
@@ -235,7 +240,7 @@
             if item_bytes <= max_bytes and packed_bytes + item_bytes > max_bytes:
                 break
             del self._queued[machine_name]
-            if item_bytes <= max_bytes:  # one that fits no value only keeps its lease here
+            if item_bytes <= max_bytes:  # a larger one is dropped; it has renewed its lease
                 packed_bytes += item_bytes
                 packed.append(item)
         return packed
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -1,4 +1,4 @@
-"""The reservations that this controller books for gangs: made here, written to the store."""
+"""The reservations that this controller makes for gangs and writes to the store."""
 
 from __future__ import annotations
 
@@ -28,21 +28,23 @@
 
 log = logging.getLogger(__name__)
 
-#: Size of a small gang's reservation, and of what else a value holds, in bytes.
+#: Encoded bytes of a small gang's reservation.
 MIN_RESERVATION_BYTES = 96
+#: Encoded bytes of a value besides its reservations.
 VALUE_OVERHEAD_BYTES = 200
-#: Least time between two writes, in seconds, and the part of it after which a write that
-#: another controller's came before is tried again.
+#: Minimum seconds between two writes.
 MIN_WRITE_INTERVAL_S = 1.0
+#: Minimum seconds before a write that lost to another controller's is retried; a random backoff
+#: takes up to twice as long.
 CONFLICT_BACKOFF_S = 0.25
-#: Seconds after which the outcome of a write is given up.
+#: Maximum seconds to find out the outcome of a write.
 OUTCOME_TIMEOUT_S = 2.0
 
 
 class GangReservations:
-    """This controller's reservations as they are to be (`own`), beside all as they are stored.
+    """This controller's planned reservations (`own`), and those of all controllers as stored.
 
-    `table` has what was last read or written; `own` differs until the next write.
+    `table` holds what was last read or written; `own` may differ from it until the next write.
     """
 
     def __init__(
@@ -56,28 +58,28 @@
         self.table = table
         self.own: dict[str, Reservation] = {}
         self.search_due = curio.Event()
-        self.wrote_at = -1e9  # steady clock, seconds
+        self.wrote_at = -1e9  # monotonic clock, seconds
         self._last_written: list[Any] | None = None
         self._serial = 0
         self._sequence = 0
 
     def reset(self) -> None:
-        """The lease ended, and with it all that was written."""
+        """Drop all reservations: the lease ended, and with it the stored value."""
         self.own.clear()
         self._last_written = None
 
     def is_full(self) -> bool:
-        """Whether no further gang's reservation fits the value."""
+        """Return whether the value has no space for another gang's reservation."""
         return len(self.own) >= self._max_bytes // MIN_RESERVATION_BYTES
 
     def planned_table(self) -> ReservationTable:
-        """Others' reservations as they were read, our own as they are to be written."""
+        """Return the others' reservations as last read, and our own as planned."""
         planned = ReservationTable(self.node)
         planned.reservations = {**self.table.reservations, self.node: self.own}
         return planned
 
     def reserve(self, spec: JobSpec, queue_key: QueueKey, group: Group, wall: float) -> None:
-        """Reserve a group for a gang, in place of its former one; `wall`: time of day."""
+        """Reserve a group for a gang instead of its former one, if any; `wall` is a time of day."""
         self._serial = max(self._serial + 1, int(wall * MS_PER_S))
         self.own[spec.id] = Reservation(
             spec.id,
@@ -90,7 +92,7 @@
             queue_key,
         )
         log.info(
-            "reservation %s on %s, wait %.1f s, score %.1f",
+            "reservation for gang %s on %s, wait %.1f s, score %.1f",
             spec.id,
             ",".join(group.slots),
             group.wait_s,
@@ -98,7 +100,7 @@
         )
 
     async def write(self, lease_id: int, now: float) -> bool:
-        """Write what has changed; False if another controller's came between, or on trouble."""
+        """Write changes; False if another controller wrote in between, or the store failed."""
         self._trim_to_size()
         packed = [reservation.pack() for reservation in self.own.values()]
         if packed == self._last_written:
@@ -129,7 +131,7 @@
         return True
 
     async def _on_conflict(self, now: float) -> None:
-        """Two controllers booked at once, and the other one won; soon search once more."""
+        """Reread after another controller's concurrent write, and search again soon."""
         self._last_written = None
         backoff_s = CONFLICT_BACKOFF_S * (1.0 + self._rng.random())
         self.wrote_at = now - MIN_WRITE_INTERVAL_S + backoff_s
@@ -139,11 +141,11 @@
         await self.search_due.set()
 
     def drop_contested(self, previous_revisions: Mapping[str, int]) -> None:
-        """Drop new reservations that touch what others have booked since `before`.
+        """Drop new reservations of machines that others have reserved since `previous_revisions`.
 
-        All that was stored before, and all that nobody else touched, stays: with several
-        controllers conflicts are frequent, and a gang must not lose at each of them what it
-        has waited for.
+        Reservations that were stored already or that no other controller contests are kept:
+        with several controllers conflicts are frequent, and a gang must not lose the machines
+        it waits for at each one.
         """
         written = self.table.reservations.get(self.node, {})
         newly_reserved = {
@@ -164,7 +166,7 @@
                     del self.own[job]
 
     def _trim_to_size(self) -> None:
-        """The value has a limit: reservations whose turn comes last give way."""
+        """Drop reservations from the end of the queue until the value fits its size limit."""
         order = sorted(
             self.own.values(), key=lambda reservation: (reservation.queue_key, reservation.made_at)
         )
@@ -175,7 +177,7 @@
                 del self.own[reservation.job]
 
     async def read_all(self) -> None:
-        """All controllers' reservations, as the store has them; raises KeyValueStoreError."""
+        """Read all controllers' reservations from the store; raises KeyValueStoreError."""
         entries, _ = await self._store.entries(RESERVATION_PREFIX)
         self.table.replace(
             {
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -1,4 +1,4 @@
-"""Forwards heartbeats that a follower has answered to the leader."""
+"""Forwards heartbeats that a follower has answered itself to the leader."""
 
 from __future__ import annotations
 
@@ -23,15 +23,16 @@
 
 log = logging.getLogger(__name__)
 
-#: Messages with kept workers' heartbeats per heartbeat interval, and the size of one; the
-#: share of the changes a second for them where only the store is left.
+#: Maximum messages to the leader per heartbeat interval.
 MAX_FORWARD_FRAMES = 8
+#: Maximum bytes of heartbeats in one message.
 FORWARD_FRAME_BYTES = FRAME_LIMIT // 4
+#: Share of the store's write rate that forwarding through the store may use.
 FORWARD_WRITE_SHARE = 0.2
 
 
 class HeartbeatForwarding:
-    """Sends kept heartbeats by the connection to the leader, or through the store."""
+    """Sends queued heartbeats to the leader directly, or through the store if it is silent."""
 
     def __init__(
         self,
@@ -46,7 +47,7 @@
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
         state = settings.cluster.state
         self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
-        # Of the changes a second, as many as a share allows, in a transaction's worth.
+        # Values per interval: limited by the write rate and by the size of a transaction.
         max_by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
         max_by_size = TXN_BYTES // self._value_limit
         self._max_values = max(1, int(min(max_by_rate, state.lasting_txn_ops, max_by_size)))
@@ -57,7 +58,7 @@
         self._lease = lease
 
     async def loop(self) -> None:
-        """Forward kept workers' heartbeats once per heartbeat interval."""
+        """Forward queued heartbeats once per heartbeat interval."""
         await wait_then_work(self._heartbeat_interval_s, self._forward)
 
     async def _forward(self) -> None:
@@ -77,7 +78,7 @@
             await self._peers.send(leader, Relay(RELAY, self._leadership.term, heartbeats))
 
     async def _forward_through_store(self) -> None:
-        """A whole zone's heartbeats don't fit one value: several, in one transaction."""
+        """Write the heartbeats to several values at once: a zone's do not fit into one."""
         changes = []
         for number in range(self._max_values):
             heartbeats = self._follower_heartbeats.take_for_forwarding(self._value_limit)
@@ -91,4 +92,4 @@
         try:
             await self._store.compare_and_swap([], changes, DECISION_PRIORITY)
         except KeyValueStoreError as exc:
-            log.debug("heartbeats not forwarded: %s", exc)
+            log.debug("heartbeats not forwarded through the store: %s", exc)
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -1,9 +1,9 @@
-"""Workers' heartbeats: which are answered here, and which workers go to another controller.
+"""Responses to workers' heartbeats.
 
-- The leader, once its term is loaded, answers 200 with the machine's commands.
-- A leader whose term is still being loaded, and a follower whose leader can't be reached by the
-  worker, answer 200 with nothing but kills of cancelled jobs: that keeps the worker's lease.
-- Everybody else answers 421, with the leader's name where it is known.
+- The leader of a loaded term responds 200 with the machine's commands.
+- A leader that is still loading its term, and a follower whose leader the worker can't reach,
+  respond 200 with kills of cancelled jobs only, which renews the worker's lease.
+- Any other controller responds 421, with the leader's name if known.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class HeartbeatService:
-    """Answers workers' heartbeats on any controller."""
+    """Handles workers' heartbeats, on leaders and followers alike."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         self._follower_heartbeats = follower_heartbeats
 
     async def handle(self, body: bytes) -> Response:
-        """The answer to a heartbeat: 200, 421, or 400 for what is none."""
+        """Return the response to a heartbeat: 200, 421, or 400 if the body is malformed."""
         try:
             heartbeat = read(body, Heartbeat)
         except InvalidMessageError as exc:
-            log.debug("heartbeat refused: %s", exc)
+            log.debug("malformed heartbeat: %s", exc)
             return Response(HTTPStatus.BAD_REQUEST)
         if heartbeat.fencing_token > self._leadership.term:
             return await self._on_higher_term(heartbeat.fencing_token)
@@ -66,16 +66,16 @@
         return await self._answer_as_leader(leader_term, heartbeat)
 
     async def _on_higher_term(self, term: int) -> Response:
-        """A worker knows a term that this controller does not: a leader here is none any more."""
+        """Adopt a higher term that a worker has seen; a leader here steps down."""
         self._leadership.term = term
         await self._leadership_service.end_term("a worker knows a higher term")
         self._leadership.leader = None
         return _redirect(None)
 
     def _is_partitioned(self, now: float) -> bool:
-        """Whether nothing that arrives at this controller reaches anybody.
+        """Return whether this controller is partitioned from the store and all peers.
 
-        A leader may answer for as long as its lease can't have passed on.
+        A leader may respond until its lease may have passed to another controller.
         """
         partitioned = self._follower_heartbeats.is_partitioned(self._store.is_available(now), now)
         return partitioned and not self._leadership_service.lease.is_valid(now)
@@ -86,7 +86,7 @@
         ) and self._follower_heartbeats.should_serve_while_partitioned(heartbeat, now)
 
     def _answer_as_follower(self, heartbeat: Heartbeat, now: float) -> Response:
-        """Keep the worker here where the leader can't be reached by it; else send it there."""
+        """Serve the worker here if it can't reach the leader; otherwise redirect it there."""
         leadership = self._leadership
         if self._may_extend_leases(now) and self._follower_heartbeats.should_serve(heartbeat, now):
             self._follower_heartbeats.queue_for_forwarding(heartbeat)
@@ -96,22 +96,22 @@
     async def _answer_as_leader(self, leader_term: LeaderTerm, heartbeat: Heartbeat) -> Response:
         _, commands = await leader_term.on_heartbeat(heartbeat)
         if self._current.leader_term is not leader_term:
-            return _redirect(None)  # the term ended while a plan was waited for
+            return _redirect(None)  # the term ended while waiting for a plan
         return Response(HTTPStatus.OK, Commands(leader_term.term, commands))
 
     def _may_extend_leases(self, now: float) -> bool:
-        """Whether a 200 from here keeps no task alive past the end of its `cancel_s`."""
+        """Return whether a 200 can't keep a cancelled task alive for longer than `cancel_s`."""
         return self._cancellations.informed and self._follower_heartbeats.can_enforce_cancellations(
             now
         )
 
     def _answer_locally(self, heartbeat: Heartbeat, term: int) -> Response:
-        """A 200 without a scheduler: nothing but the kills that the record asks for."""
+        """Return a 200 with kills of cancelled jobs only; this needs no scheduler."""
         self._placement_hints.update_from_heartbeat(heartbeat)
         commands = self._cancellations.kill_commands(heartbeat)
         if commands:
             log.info(
-                "%d tasks of cancelled jobs on %s killed in an answer",
+                "killing %d tasks of cancelled jobs on %s in a heartbeat response",
                 len(commands),
                 heartbeat.machine,
             )
--- a/topazhold/control/peer_announcer.py
+++ b/topazhold/control/peer_announcer.py
@@ -1,4 +1,4 @@
-"""What a controller tells the others of itself: that it lives, and which machines are gone."""
+"""Broadcasts a controller's state and the machines it has released to its peers."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from topazhold.control.waiting_loops import work_then_wait
 from topazhold.core.zone_summary import pack_names
 
-#: Time between two pings, as a share of a controller's lease.
+#: Interval between two pings, as a share of a controller's lease.
 PING_LEASE_SHARE = 0.25
 
 
 class PeerAnnouncer:
-    """Pings the peers, and tells them of machines released without a record."""
+    """Pings the peers, and announces machines released without a stored record."""
 
     def __init__(
         self,
@@ -34,11 +34,11 @@
         self._current = current
 
     async def loop(self) -> None:
-        """Ping a few times per lease of a controller."""
+        """Ping several times per lease of a controller."""
         await work_then_wait(PING_LEASE_SHARE * self._services.controller_lease_s, self.ping)
 
     async def ping(self) -> None:
-        """Tell all peers now whom this controller follows, and what it knows.
+        """Send all peers the leader this controller follows and its record of cancellations.
 
         The leader adds the machines whose heartbeats don't reach it.
         """
@@ -69,12 +69,12 @@
         )
 
     async def announce_released(self, machines: list[str]) -> None:
-        """The cloud has confirmed a release that is not recorded: the others must know."""
+        """Announce a release that the cloud has confirmed and that has no stored record."""
         await self._peers.broadcast(Released(RELEASED, self._node, machines))
         await self.mark_released(machines)
 
     async def mark_released(self, machines: Iterable[object]) -> None:
-        """Machines are gone, as the cloud confirmed to this controller or a peer."""
+        """Mark machines as gone whose release the cloud confirmed to this controller or a peer."""
         names = [str(name) for name in machines]
         self._state.released.add(names)
         for name in names:
--- a/topazhold/control/peer_messages.py
+++ b/topazhold/control/peer_messages.py
@@ -1,7 +1,7 @@
-"""What controllers tell one another: a tagged tuple of a fixed length for each kind.
+"""Messages between controllers: a tagged tuple of a fixed length for each kind.
 
-The tags and the order of the members are those that earlier versions know; nothing can be
-added at the end of a kind, since its receivers take it apart by its length.
+Tags and the order of members are part of the protocol with earlier versions. No member can be
+appended to a kind, since receivers unpack it by its length.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 
 
 class Ping(NamedTuple):
-    """A controller lives, and what it knows of the leadership."""
+    """Shows that a controller is alive, and what it knows of the leader and of cancellations."""
 
     tag: str
     node: str
     term: int
     leader: str
-    silent_machines: Any  # packed names of machines without heartbeats; None: not the leader
-    store_available: bool  # whether the store answers it
-    can_enforce: bool  # whether it could end tasks that others keep
-    cancellation_record: list[Any]  # incarnation, last number, whether it knows all
-    receipts: dict[str, list[Any]]
+    silent_machines: Any  # packed names of machines without heartbeats; None if not leader
+    store_available: bool  # whether the sender has access to the store
+    can_enforce: bool  # whether the sender can end tasks served by others
+    cancellation_record: list[Any]  # incarnation, last number, whether it is complete
+    receipts: dict[str, list[Any]]  # by peer: incarnation, last number received
 
 
 class Cancelled(NamedTuple):
-    """Cancellations, numbered by the sender's record."""
+    """Cancellations, numbered within the sender's record: those above `after`, up to `upto`."""
 
     tag: str
     node: str
@@ -43,7 +43,7 @@
 
 
 class Receipt(NamedTuple):
-    """All cancellations of a record up to a number are known."""
+    """Acknowledges all cancellations of an incarnation's record up to a number."""
 
     tag: str
     node: str
@@ -52,7 +52,7 @@
 
 
 class Placed(NamedTuple):
-    """Where tasks may be, as the leader of a term tells it."""
+    """Placement hints of a term's leader: [machine, endpoint, jobs; None if it is gone]."""
 
     tag: str
     term: int
@@ -60,7 +60,7 @@
 
 
 class Relay(NamedTuple):
-    """Workers' heartbeats that a follower took in for the leader."""
+    """Workers' heartbeats that a follower forwards to the leader."""
 
     tag: str
     term: int
@@ -76,7 +76,7 @@
 
 
 class Released(NamedTuple):
-    """Machines that the cloud has confirmed to be gone, without a record."""
+    """Machines whose release the cloud has confirmed and that has no stored record."""
 
     tag: str
     node: str
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -1,4 +1,4 @@
-"""Messages of the other controllers: hints, of which none is needed for the rules."""
+"""Handles messages of the other controllers: hints, on none of which correctness depends."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class PeerMessageRecipients:
-    """The parts of a controller that peers' messages are for."""
+    """The components of a controller that receive peers' messages."""
 
     cancellation_exchange: CancellationExchange
     follower_heartbeats: FollowerHeartbeats
@@ -48,7 +48,7 @@
 
 
 class PeerService:
-    """Hands each message to the part it is for; kinds that are not known are dropped."""
+    """Dispatches each message to its recipient; unknown kinds are dropped."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self._current = leadership_service.current
         self._recipients = recipients
         self._peer_expiry_s = PEER_EXPIRY_SILENCES * SILENCE_LEASE_SHARE * controller_lease_s
-        self._loaded_leader = ""  # who last pinged as leader of a loaded term
+        self._loaded_leader = ""  # the last to ping as leader of a loaded term
         self._loaded_leader_at = -1e9
         self._peer_incarnations: dict[str, str] = {}
         self._handlers: dict[str, Callable[[tuple[Any, ...]], Awaitable[None]]] = {
@@ -76,17 +76,17 @@
         }
 
     async def handle(self, message: tuple[Any, ...]) -> None:
-        """Take in a message of another controller.
+        """Handle a message of another controller.
 
-        Raises ValueError, TypeError, IndexError or KeyError for one that can't be read; the
-        listener drops it.
+        Raises ValueError, TypeError, IndexError or KeyError for a malformed one; the listener
+        drops it.
         """
         handler = self._handlers.get(message[0])
         if handler is not None:
             await handler(message)
 
     def is_handled_by_leader(self, job: str, now: float) -> bool:
-        """Whether a leader with a loaded term, here or elsewhere, knows the job's cancellation."""
+        """Return whether the leader of a loaded term, here or a peer, knows the cancellation."""
         if self._current.loaded_term is not None:
             return True
         if now - self._loaded_leader_at > self._peer_expiry_s:
@@ -94,7 +94,7 @@
         return self._state.cancellations.peer_has(self._loaded_leader, job)
 
     async def _on_ping(self, message: tuple[Any, ...]) -> None:
-        """A peer lives; what it knows of the leader and of cancellations."""
+        """Record that a peer is alive, and what it knows of the leader and of cancellations."""
         ping = Ping(*message)
         peer = str(ping.node)
         from_leader = ping.silent_machines is not None and ping.node == ping.leader
@@ -115,7 +115,7 @@
                 await self._leadership_service.end_term("a peer follows a later leader")
 
     async def _compare_records(self, peer: str, record: Any, receipts: Any) -> None:
-        """Compare the records of cancellations with a peer's."""
+        """Compare the records of cancellations with a peer's, and send it what it lacks."""
         incarnation, last, informed = record
         cancellations = self._state.cancellations
         if informed and cancellations.has_all_of(peer, str(incarnation), int(last)):
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -1,4 +1,4 @@
-"""The search for groups of machines for pending gangs; each better group is booked at once."""
+"""Searches groups of machines for pending gangs, and reserves each better group it finds."""
 
 from __future__ import annotations
 
@@ -18,18 +18,20 @@
 from topazhold.settings import Settings
 from topazhold.wire.jobs import JobSpec
 
-#: Gangs searched for in one round; the rest wait their turn. A controller that is not leader
-#: has time for more, as its share of a core allows: a search lasts about `SEARCH_CPU_S` on a whole
-#: one, and a round must not keep a lease or an answer waiting.
+#: Maximum searches in one round of a leader; the remaining gangs come first in the next rounds.
 MAX_SEARCHES = 16
+#: Maximum searches in one round of a follower, which has more time for them. Its share of a core
+#: may allow fewer: a round longer than `FOLLOWER_ROUND_S` would delay lease renewals and responses.
 MAX_FOLLOWER_SEARCHES = 64
+#: Seconds that a search takes on a whole core, about.
 SEARCH_CPU_S = 0.003
+#: Maximum seconds of a follower's round.
 FOLLOWER_ROUND_S = 0.25
-#: A new group must be better by this many heartbeat intervals, and by this share of the
-#: reserved group's score, to replace a reservation.
+#: A new group replaces a reserved one only if its score is lower by this many heartbeat intervals
+#: and by this share of the reserved group's score.
 MIN_IMPROVEMENT_HEARTBEATS = 1.0
 MIN_IMPROVEMENT_SHARE = 0.25
-#: Expiry times after which a reservation that was not booked anew is dropped.
+#: Age, in expiry times, at which a reservation that was not renewed is dropped.
 MAX_RESERVATION_EXPIRIES = 2
 #: Cost of a placement preference that is not met, in heartbeat intervals.
 PREFERENCE_HEARTBEATS = 1.0
@@ -38,7 +40,7 @@
 
 
 def max_follower_searches(cpu_share: float) -> int:
-    """Searches a round of a controller that is not leader, on this share of a core."""
+    """Return the maximum searches in a follower's round on this share of a core."""
     return max(
         MAX_SEARCHES, min(MAX_FOLLOWER_SEARCHES, int(cpu_share * FOLLOWER_ROUND_S / SEARCH_CPU_S))
     )
@@ -53,18 +55,18 @@
         self.spec = spec
         self.queue_key = queue_key
         self.pending_since = pending_since
-        self.searched_at = -1e9  # steady clock, seconds
+        self.searched_at = -1e9  # monotonic clock, seconds
 
     @property
     def priority(self) -> Priority:
-        """By which others' work may be counted on to give way."""
+        """The priority that decides which running tasks the gang may preempt."""
         if self.queue_key[2] < NOT_AGED:
             return (AGED, self.queue_key[1])
         return self.queue_key[:2]
 
 
 class PendingGangs:
-    """Searches for pending gangs, and books each better group in `reservations`."""
+    """Searches for pending gangs, and reserves each better group in `reservations`."""
 
     def __init__(
         self,
@@ -92,24 +94,24 @@
         self._max_round_s = max_round_s
 
     async def add(self, job: Job, now: float) -> None:
-        """This controller has accepted a gang: search for it now."""
+        """Add a gang that this controller has accepted, and start a search soon."""
         self.by_id[job.id] = PendingGang(job.spec, queue_key(job), now)
         await self.reservations.search_due.set()
 
     def remove(self, job: str) -> None:
-        """Search for a gang no more, and drop its reservation."""
+        """Stop searching for a gang, and drop its reservation."""
         self.by_id.pop(job, None)
         self.reservations.own.pop(job, None)
 
     def search_round(
         self, cluster_view: ClusterView, now: float, limit: int = MAX_SEARCHES
     ) -> None:
-        """One round of searches; changes `reservations.own` where a better group turns up."""
+        """Run one round of searches; put each better group into `reservations.own`."""
         wall = time.time()
         self._drop_expired(wall)
         planned = self.reservations.planned_table()
-        # In turns: if those without a reservation always came first, reservations of machines
-        # that free late would be kept while others come up.
+        # The gang searched for least recently comes first. If gangs without a reservation always
+        # did, reservations of machines that become free late would never be improved.
         order = sorted(
             self.by_id.values(),
             key=lambda gang: (gang.searched_at, gang.queue_key, gang.pending_since),
@@ -117,7 +119,7 @@
         began = time.monotonic()
         for number, pending in enumerate(order[:limit]):
             if number and time.monotonic() - began > self._max_round_s:
-                break  # the others come first in the next round
+                break  # the remaining gangs come first in the next round
             pending.searched_at = now
             group = self._better_group(pending, cluster_view, planned, wall)
             if group is not None:
@@ -139,14 +141,14 @@
         planned: ReservationTable,
         wall: float,
     ) -> Group | None:
-        """The group to book for a gang now, if any."""
+        """Return the group to reserve for a gang now, if any."""
         reservation = self.reservations.own.get(pending.spec.id)
         if reservation is None:
             if self.reservations.is_full():
                 return None
             return self._search(pending, cluster_view, planned)
         if reservation.free_now and wall - reservation.made_at < self._start_grace_s:
-            return None  # about to be used
+            return None  # the leader is about to start the gang there
         group = self._search(pending, cluster_view, planned)
         return self._replacement_group(pending, reservation, group, cluster_view, planned, wall)
 
@@ -171,12 +173,12 @@
         planned: ReservationTable,
         wall: float,
     ) -> Group | None:
-        """The group to book instead of the reserved one, if any.
+        """Return the group to reserve instead of the reserved one, if any.
 
-        Estimates are often wrong: the reserved group is judged by what is known now,
-        not by what was hoped when it was booked. A new one must be clearly
-        better: a large gang that changes all its machines for a few seconds loses
-        those that have come free for it, again and again.
+        The reserved group is scored with current data, since the estimates made at its
+        reservation are often wrong. A new group must be clearly better: a large gang that
+        switches machines for a gain of a few seconds repeatedly loses those that have become
+        free for it.
         """
         reserved = planned.reserved_for_others(reservation.job, pending.queue_key, lambda _: True)
         current_score = score_reservation(
@@ -198,7 +200,7 @@
         )
         if group is not None and group.score < current_score - margin:
             return group
-        # Expired, and found to be the best all the same: booked anew.
+        # Renew an expired reservation that is still the best.
         return (
             Group(current_score, current_score, current_score, reservation.slots)
             if expired
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -1,4 +1,4 @@
-"""The loop that searches for gangs: which ones, in which view of the fleet."""
+"""The loop that selects the gangs to search for and the view of the cluster to search in."""
 
 from __future__ import annotations
 
@@ -31,20 +31,23 @@
 
 log = logging.getLogger(__name__)
 
-#: How often the leader tells its peers the summary, about.
+#: Approximate seconds between two summaries that the leader sends to its peers.
 PEER_SUMMARY_S = 1.0
-#: Summaries that must leave out a gang before its search ends.
+#: Intervals between those summaries after which a gang that a summary omits is no longer
+#: searched for.
 REMOVAL_SUMMARIES = 2
-#: Times between two summaries after which the leader searches for another controller's gang.
+#: Intervals between stored summaries after which the leader searches for another controller's
+#: gang that still has no reservation.
 TAKEOVER_SUMMARIES = 2
-#: Time left to heartbeats and users after a round of searches, as a multiple of its own.
+#: Pause after a round of searches, which leaves time to heartbeats and users, as a multiple of
+#: the round's duration.
 SEARCH_PAUSE_FACTOR = 4.0
 
 
 class PlacementSearch:
-    """Searches for the gangs that this controller accepted, as leader also for others.
+    """Searches for the gangs that this controller accepted; a leader also takes over others'.
 
-    The reservations hang on `lease`, and end with it.
+    The stored reservations are attached to `lease` and expire with it.
     """
 
     def __init__(
@@ -61,15 +64,17 @@
         self._store = store
         self._pending_gangs = pending_gangs
         self._reservations = pending_gangs.reservations
-        self.cluster_view = ClusterView()  # the fleet as the last summary shows it
+        self.cluster_view = ClusterView()  # from the last summary
         self._current = current
         self._lease = lease
         self._fetched_at = -1e9
         self._max_searches = max_follower_searches(settings.cluster.limits.cpu_share)
 
     def read_summary(self, values: dict[str, Any], now: float) -> None:
-        """A summary, as old as it is: a transaction may be carried out late, after newer
-        ones, and a message may be held up on its way."""
+        """Apply a summary unless it is outdated, with the age that it has already.
+
+        A transaction may be executed late, after newer ones, and a message may be delayed.
+        """
         jobs = values.get("")
         if not isinstance(jobs, dict) or self.cluster_view.is_outdated(jobs):
             return
@@ -89,7 +94,7 @@
         self.read_summary(values, now)
 
     async def loop(self) -> None:
-        """Search, with at most one write of reservations a second."""
+        """Search for gangs, and write reservations at most once per `MIN_WRITE_INTERVAL_S`."""
         reservations = self._reservations
         while True:
             await curio.ignore_after(MIN_WRITE_INTERVAL_S, reservations.search_due.wait)
@@ -103,12 +108,12 @@
             try:
                 busy_s = await self._search_and_write(lease_id, await curio.clock())
             except KeyValueStoreError as exc:
-                log.debug("search for gangs: %s", exc)
+                log.debug("search for gangs interrupted: %s", exc)
             else:
                 await curio.sleep(busy_s * SEARCH_PAUSE_FACTOR)
 
     async def _search_and_write(self, lease_id: int, now: float) -> float:
-        """One round of searches; the seconds that it kept this process busy."""
+        """Run a round of searches; return the seconds for which it kept this process busy."""
         leader_term = self._current.leader_term
         if leader_term is not None and not leader_term.loaded:
             return 0.0
@@ -137,15 +142,15 @@
             await self._reservations.read_all()
 
     def _update_pending_as_leader(self, leader_term: LeaderTerm, now: float) -> None:
-        """Its own gangs, and those whose controller is gone or finds nothing."""
+        """Select the leader's own gangs, and those whose controller is gone or finds no group."""
         pending_gangs, own = self._pending_gangs, self._reservations.own
         waiting = {job.id: job for job in leader_term.scheduler.waiting_gangs(now)}
         for job_id in list(pending_gangs.by_id):
             if job_id not in waiting:
                 pending_gangs.remove(job_id)
         for job in waiting.values():
-            # Its own controller searches; two at once would only replace each
-            # other's reservations. The leader steps in where nothing comes of it.
+            # The controller that accepted the gang searches first: two that search at once would
+            # replace each other's reservations. The leader takes over if it finds no group.
             if self._is_searched_elsewhere(leader_term, job, now) and job.id not in own:
                 pending_gangs.remove(job.id)
                 continue
@@ -161,19 +166,19 @@
                 del own[job.id]
 
     def _is_searched_elsewhere(self, leader_term: LeaderTerm, job: Job, now: float) -> bool:
-        """Whether another controller, which accepted the gang, has time left to find a group."""
+        """Return whether another controller, which accepted the gang, still has time to search."""
         if job.node == self._node or job.node not in self._reservations.table.revisions:
             return False
         return leader_term.scheduler.unreserved_s(job, now) < TAKEOVER_SUMMARIES * self._summary_s
 
     async def _update_pending_as_follower(self, now: float) -> None:
-        """Gangs accepted here that the leader still lists as waiting."""
+        """Select the gangs accepted here that the leader still lists as waiting."""
         pending_gangs, waiting = self._pending_gangs, self.cluster_view.waiting
         for job_id, pending in list(pending_gangs.by_id.items()):
             listed = waiting.get(job_id)
             if listed is None:
-                # Started, or over; if the leader has only not heard of it yet,
-                # it will name this controller as its searcher.
+                # It has started or ended. If the leader does not know it yet, a later summary
+                # will list it with this controller.
                 if (
                     self.cluster_view.observed_at - pending.pending_since
                     > REMOVAL_SUMMARIES * PEER_SUMMARY_S
@@ -191,13 +196,13 @@
                     pending_gangs.by_id[job_id] = PendingGang(spec, gang_queue_key, now)
 
     def _drop_stale_reservation(self, job_id: str) -> None:
-        """The leader finds no reservation of this gang in force: an older one is of no use."""
+        """Drop a reservation that the leader has had time to see but does not accept."""
         reservation = self._reservations.own.get(job_id)
         if reservation is not None and time.time() - reservation.made_at > self._summary_s:
             del self._reservations.own[job_id]
 
     async def _read_spec(self, job_id: str) -> JobSpec | None:
-        """What a live job asks for; raises KeyValueStoreError."""
+        """Return a live job's specification, if readable; raises KeyValueStoreError."""
         entry = await self._store.get(records.live_key(job_id), DECISION_PRIORITY)
         if entry is None:
             return None
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -1,4 +1,4 @@
-"""The users' interface: submit, poll, cancel."""
+"""The users' HTTP API: submit, poll and cancel jobs."""
 
 from __future__ import annotations
 
@@ -30,45 +30,45 @@
 
 log = logging.getLogger(__name__)
 
-#: Final answers kept in memory.
+#: Maximum final stages of jobs that are cached in memory.
 MAX_FINAL_STAGES = 5000
-#: User requests under way at once; what comes on top is refused at once.
+#: Maximum concurrent user requests; further ones are refused immediately.
 MAX_CONCURRENT_REQUESTS = 24
-#: How long an open outcome is looked into; users wait 5 s for a submission.
+#: Maximum seconds to find out the outcome of a write; users wait 5 s for a submission.
 OUTCOME_TIMEOUT_S = 3.0
-#: Retry-After while the store is out of reach.
+#: Seconds in Retry-After while the store is unavailable.
 OUTAGE_RETRY_AFTER_S = 2.0
-#: Retry-After at the least, and where nothing tells how long it will take.
+#: Minimum seconds in Retry-After, and the value where the necessary wait is unknown.
 MIN_RETRY_AFTER_S = 1.0
-#: Tries of a cancellation before the user is asked to come again.
+#: Attempts at a cancellation before the user is asked to retry.
 MAX_CANCEL_ATTEMPTS = 8
 
 
 class OnAccepted(Protocol):
-    """Called once a job is stored, before its user is told."""
+    """Called once a job is stored, before its user gets the response."""
 
     async def __call__(self, job: Job, /) -> None: ...
 
 
 class CountRunning(Protocol):
-    """How many tasks of a job run, as far as this controller knows."""
+    """Returns the number of running tasks of a job, as far as this controller knows."""
 
     def __call__(self, job_id: str, /) -> int: ...
 
 
 class ConfirmCancellation(Protocol):
-    """Called with the time of day of a job's cancellation, before any user is told of it."""
+    """Called with the time of day of a cancellation, before any user gets a response about it."""
 
     async def __call__(self, job_id: str, at: float, /) -> None: ...
 
 
 def is_user_request(request: Request) -> bool:
-    """Whether a request is a user's, and not a worker's or a probe."""
+    """Return whether a request is a user's, not a worker's or a health probe's."""
     return request.path.startswith(wire.JOBS_PATH)
 
 
 class Users:
-    """Answers users' requests on any controller."""
+    """Handles user requests, on leaders and followers alike."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self._incarnation = f"{self._node}-{time.time_ns():x}"
 
     async def handle(self, request: Request) -> Response | None:
-        """The answer to a users' request, or None if the path is not theirs."""
+        """Return the response to a user request, or None if the path is not part of the API."""
         path = request.path
         if path != wire.JOBS_PATH and not path.startswith(wire.JOBS_PATH + "/"):
             return None
@@ -117,13 +117,13 @@
         except OutcomeUnknownError:
             return Response(HTTPStatus.GATEWAY_TIMEOUT, retry_after=OUTAGE_RETRY_AFTER_S)
         except KeyValueStoreError as exc:
-            log.debug("request refused: %s", exc)
+            log.debug("user request refused: %s", exc)
             return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=await self._retry_after_s())
         finally:
             self._requests_in_progress -= 1
 
     async def _retry_after_s(self) -> float:
-        """When to come back: after an outage's pause, or when the limits allow."""
+        """Return the seconds for Retry-After: fixed in an outage, else the rate limit's."""
         if self._store.failing_since is not None:
             return OUTAGE_RETRY_AFTER_S
         return max(MIN_RETRY_AFTER_S, await self._store.wait_s(USER_PRIORITY, 1))
@@ -150,8 +150,8 @@
         status, spec, reason = self._validate(raw)
         if status == HTTPStatus.CREATED and spec is not None:
             return await self._store_job(spec)
-        # A repeat of an accepted job is answered with its state, whatever
-        # its body would get now.
+        # A repeated submission of an accepted job is answered with the job's state, even if its
+        # body would be rejected now.
         existing = await self._status_response(job_id)
         if existing is None:
             log.info("job %s refused: %d, %s", job_id, status, reason)
@@ -161,7 +161,7 @@
         )
 
     async def _store_job(self, spec: JobSpec) -> Response:
-        """Accept a job: it must be stored before its user is told."""
+        """Store a new job; only then may its user get a success response."""
         job = Job(spec, await curio.clock(), time.time(), self._node)
         token = self._token()
         value = records.live_value(job, token)
@@ -191,7 +191,7 @@
         return Response(HTTPStatus.CREATED, wire.job_answer(job.id, wire.PENDING))
 
     def _validate(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
-        """The status that a new job would get, with the reason."""
+        """Return the status for a new job, its specification if valid, and the reason if not."""
         try:
             spec = convert(raw, JobSpec)
         except InvalidMessageError as exc:
@@ -202,7 +202,7 @@
         if not self._machine_types:
             return HTTPStatus.SERVICE_UNAVAILABLE, None, "machine types not known yet"
         if spec.machine_types is not None:
-            # Types that the cloud does not have can't be used; this bounds the list.
+            # Drop types that the cloud does not offer; this bounds the size of the stored list.
             offered = sorted(set(spec.machine_types) & self._machine_types.keys())
             spec = msgspec.structs.replace(spec, machine_types=offered)
         team = self._teams.get(spec.team)
@@ -220,7 +220,7 @@
     # -- poll --------------------------------------------------------------
 
     async def _status_response(self, job_id: str) -> Response | None:
-        """The job's present answer, or None if nobody submitted it."""
+        """Return the response with the job's current state, or None if it was never submitted."""
         final = self._final_stages.get(job_id)
         if final is not None:
             return Response(HTTPStatus.OK, wire.job_answer(job_id, final))
@@ -230,8 +230,8 @@
             stage = wire.RUNNING if running else wire.PENDING
             done = records.completed_count(entry.data)
             return Response(HTTPStatus.OK, wire.job_answer(job_id, stage, done, running))
-        # Jobs move from live to over in one transaction, so this order
-        # can't miss one.
+        # A job moves from its live key to its over key in one transaction, so reading the
+        # live key first can't miss it.
         entry = await self._store.get(records.ended_key(job_id))
         if entry is None:
             return None
@@ -268,7 +268,7 @@
                     OUTCOME_TIMEOUT_S,
                 )
             except PreconditionFailedError:
-                continue  # the leader saved progress, or another cancel came first
+                continue  # the leader saved progress, or another cancellation was committed first
             await self._confirm_cancellation(job_id, at)
             self._cache_final_stage(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
