--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -15,8 +15,8 @@
 
 Response = tuple[int, Any]
 
-KEPT_LISTS_S = 12.0
-RELEASE_S = 0.2
+MACHINE_LIST_HISTORY_S = 12.0
+RELEASE_DELAY_S = 0.2
 #: Share of the rented machines whose worker never comes up.
 DEAD_ON_ARRIVAL_SHARE = 0.1
 CATALOG = {
@@ -51,7 +51,7 @@
         self.down = False
         self.rented: dict[str, list[str]] = {}  # machines, by the name of the request
         self._next_number = 0
-        self._past_lists: list[tuple[float, list[dict[str, Any]]]] = []
+        self._machine_list_history: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
         """Put a machine up; its worker comes up unless it never `boots`."""
@@ -67,7 +67,7 @@
 
     def remove(self, worker: FakeWorker) -> None:
         """A machine is gone with all that is on it."""
-        worker.gone = True
+        worker.terminated = True
         worker.tasks.clear()
         self.workers.pop(worker.name, None)
 
@@ -81,13 +81,15 @@
                 "breed": "b1",
                 "apiary": worker.zone,
                 "drones": worker.spot,
-                "stage": worker.state(now),
+                "stage": worker.listed_stage(now),
                 "age_s": now - worker.rented_at,
             }
             for worker in self.workers.values()
         ]
-        self._past_lists.append((now, machines))
-        self._past_lists = [item for item in self._past_lists if now - item[0] < KEPT_LISTS_S]
+        self._machine_list_history.append((now, machines))
+        self._machine_list_history = [
+            item for item in self._machine_list_history if now - item[0] < MACHINE_LIST_HISTORY_S
+        ]
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
         """A controller's request."""
@@ -105,15 +107,15 @@
     def _late_machine_list(self) -> list[dict[str, Any]]:
         """A list of up to twice the lag ago."""
         lag_s = self.rng.uniform(0.0, 2.0) * self.simulation.settings.cluster.cloud.list_lag_s
-        until = self.simulation.clock.now - lag_s
-        old = [machines for at, machines in self._past_lists if at <= until]
-        return old[-1] if old else []
+        cutoff = self.simulation.clock.now - lag_s
+        listed = [machines for at, machines in self._machine_list_history if at <= cutoff]
+        return listed[-1] if listed else []
 
     async def _release(self, source: str, body: Any) -> Response:
-        await curio.sleep(RELEASE_S)
-        there = [self.workers[name] for name in body["boxes"] if name in self.workers]
-        self.operations.released(source, there)
-        for worker in there:
+        await curio.sleep(RELEASE_DELAY_S)
+        released = [self.workers[name] for name in body["boxes"] if name in self.workers]
+        self.operations.released(source, released)
+        for worker in released:
             self.remove(worker)
         return 200, {}
 
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -51,7 +51,7 @@
     )
 
 
-def create_controller(simulation: Simulation, name: str, alive: dict[str, bool]) -> Any:
+def create_controller(simulation: Simulation, name: str, process: dict[str, bool]) -> Any:
     """A controller of the version that is installed there; it does nothing yet."""
     version = simulation.versions.get(name, CURRENT)
     settings = version.settings(simulation.controller_settings[name])
@@ -61,7 +61,7 @@
             simulation.network,
             name,
             address,
-            lambda: alive["yes"],
+            lambda: process["running"],
             simulation.wait_while_paused,
             version,
         )
@@ -81,8 +81,8 @@
 
 async def start_controller(simulation: Simulation, name: str) -> None:
     """Start a controller process, as the platform does after an end."""
-    alive = {"yes": True}
-    controller = create_controller(simulation, name, alive)
+    process = {"running": True}
+    controller = create_controller(simulation, name, process)
     request_kind = simulation.versions.get(name, CURRENT).load("io.http", "Request")
     host = simulation.controller_settings[name].bind
 
@@ -95,7 +95,7 @@
 
     task = await curio.spawn(member(controller, "run_background_loops"), daemon=True)
     simulation.controllers[name] = controller
-    simulation.processes[name] = (task, alive)
+    simulation.processes[name] = (task, process)
     simulation.network.hosts[host] = handle
     simulation.network.hosts[name] = handle
     simulation.network.zones[name] = simulation.zones[name]
@@ -103,8 +103,8 @@
 
 async def stop_controller(simulation: Simulation, name: str) -> None:
     """Kill a controller: no goodbye, nothing kept."""
-    task, alive = simulation.processes.pop(name)
-    alive["yes"] = False
+    task, process = simulation.processes.pop(name)
+    process["running"] = False
     settings = simulation.controller_settings[name]
     simulation.network.hosts.pop(settings.bind, None)
     simulation.network.hosts.pop(name, None)
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -30,27 +30,27 @@
         self._next_lease_id = 1
         self.changes: list[tuple[int, str, Any]] = []
         self.down = False
-        self.refused: set[str] = set()  # controllers that get 503
-        self.slow_s = 0.0  # an answer takes up to so long
+        self.refused_controllers: set[str] = set()  # controllers that get 503
+        self.max_delay_s = 0.0  # an answer takes up to so long
         self.value_bytes = 8 * 1024
         self.txn_ops = 8
         self.write_rps: float | None = None
-        self.refused_sizes: list[str] = []  # what was too large, by the key
-        self.refused_rates = 0
+        self.size_refusals: list[str] = []  # what was too large, by the key
+        self.rate_refusals = 0
         self.on_change: Callable[[str, Any], None] = lambda key, data: None
         self._tokens = (0.0, 0.0)  # changes that may come now, and as of when
         self._changed = curio.Event()
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
         """A controller's request."""
-        if self.slow_s and not path.startswith("/watch"):
-            await curio.sleep(self.slow_s * (0.1 + 0.9 * (self.revision % 7 == 0)))
+        if self.max_delay_s and not path.startswith("/watch"):
+            await curio.sleep(self.max_delay_s * (0.1 + 0.9 * (self.revision % 7 == 0)))
         await self._expire_leases()
         path, _, query = path.partition("?")
         args = dict(part.split("=", 1) for part in query.split("&") if part)
         if path == "/watch":
             return await self._watch(source, args)
-        if self.down or source in self.refused:
+        if self.down or source in self.refused_controllers:
             return 503, {}
         if path == "/store":
             return self._list(args)
@@ -81,7 +81,9 @@
     async def _end_lease(self, lease_id: int) -> None:
         """Drop a lease and all keys under it."""
         self.leases.pop(lease_id, None)
-        for key in [key for key, (_, _, held) in self.data.items() if held == lease_id]:
+        for key in [
+            key for key, (_, _, key_lease_id) in self.data.items() if key_lease_id == lease_id
+        ]:
             self.revision += 1
             del self.data[key]
             self.changes.append((self.revision, key, None))
@@ -118,27 +120,27 @@
         self.write_rps = limits.write_rps
         self._tokens = (limits.write_rps or 0.0, self.clock.now)
 
-    def _too_large(self, changes: list[dict[str, Any]]) -> bool:
-        large = [
+    def _exceeds_size_limits(self, changes: list[dict[str, Any]]) -> bool:
+        oversized = [
             change["put"]
             for change in changes
             if "put" in change and json_size(change["data"]) > self.value_bytes
         ]
         if len(changes) > self.txn_ops:
-            large.append(f"{len(changes)} changes")
-        self.refused_sizes += large
-        return bool(large)
+            oversized.append(f"{len(changes)} changes")
+        self.size_refusals += oversized
+        return bool(oversized)
 
-    def _too_many(self, changes: int) -> bool:
+    def _exceeds_write_rate(self, changes: int) -> bool:
         """Whether so many changes more are above the rate; bursts are worth a second."""
         if self.write_rps is None:
             return False
-        level, at = self._tokens
-        level = min(self.write_rps, level + (self.clock.now - at) * self.write_rps)
-        over = changes > level
-        self._tokens = (level - (0 if over else changes), self.clock.now)
-        self.refused_rates += over
-        return over
+        tokens, at = self._tokens
+        tokens = min(self.write_rps, tokens + (self.clock.now - at) * self.write_rps)
+        exceeded = changes > tokens
+        self._tokens = (tokens - (0 if exceeded else changes), self.clock.now)
+        self.rate_refusals += exceeded
+        return exceeded
 
     # -- keys --------------------------------------------------------------------
 
@@ -161,9 +163,9 @@
         return 200, {"entries": page, "truncated": len(keys) > limit, "harvest": self.revision}
 
     async def _compare_and_swap(self, body: Any) -> Response:
-        if self._too_large(body["then"]):
+        if self._exceeds_size_limits(body["then"]):
             return 400, {"error": "too large"}
-        if self._too_many(len(body["then"])):
+        if self._exceeds_write_rate(len(body["then"])):
             return 429, {}
         stale = [
             condition["key"]
@@ -193,7 +195,7 @@
         end = self.clock.now + int(args.get("block_ms", 0)) / 1000
         while True:
             await self._expire_leases()
-            hidden = self.down or source in self.refused
+            hidden = self.down or source in self.refused_controllers
             events = [] if hidden else self._events_since(since, args["under"])
             if events or self.clock.now >= end:
                 return 200, {"harvest": since if hidden else self.revision, "events": events}
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -13,7 +13,7 @@
     from tests.simulation.deployment import Simulation
 
 #: Messages between controllers that are kept of each kind.
-KEPT_MESSAGES = 200
+MAX_RECORDED_MESSAGES = 200
 
 
 class PeerLink:
@@ -34,13 +34,15 @@
         await self._simulation.wait_while_paused(self._source)
         await self._simulation.wait_while_paused(self._target)
         controller = self._simulation.controllers.get(self._target)
-        cut = self._simulation.peers_unreachable or network.is_cut(self._source, self._target)
-        cut = cut or network.loses(self._source, self._target)
-        if controller is None or cut or network.rng.random() < network.loss_share:
+        unreachable = self._simulation.peers_unreachable or network.is_cut(
+            self._source, self._target
+        )
+        unreachable = unreachable or network.is_cut_one_way(self._source, self._target)
+        if controller is None or unreachable or network.rng.random() < network.loss_share:
             return
         message = tuple(unpack(frame[4:]))
         self._simulation.peer_messages.setdefault(message[0], []).append(message)
-        del self._simulation.peer_messages[message[0]][:-KEPT_MESSAGES]
+        del self._simulation.peer_messages[message[0]][:-MAX_RECORDED_MESSAGES]
         try:
             await deliver_peer_message(controller, message)
         except (ValueError, TypeError, IndexError, KeyError) as exc:
--- a/tests/fakes/virtual_time.py
+++ b/tests/fakes/virtual_time.py
@@ -11,7 +11,7 @@
 from curio.task import Task as CurioTask
 
 
-def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+def run_nonblocking(coroutine: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine that never waits."""
     try:
         coroutine.send(None)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -7,7 +7,7 @@
 
 import curio
 
-from tests.fakes.network import read_body
+from tests.fakes.network import decode_body
 from topazhold.io.http import NoResponseError, RequestNotSentError
 
 if TYPE_CHECKING:
@@ -21,12 +21,12 @@
 #: A worker tries another controller after so long, or at once where it was sent to it.
 RETRY_S = 1.0
 REDIRECTED_RETRY_S = 0.1
-SESSION_ENDED_RETRY_S = 0.5
+NEW_INCARNATION_RETRY_S = 0.5
 #: A worker whose tasks have changed reports no earlier than this after its last heartbeat.
 MIN_HEARTBEAT_INTERVAL_S = 0.5
 #: A machine that died is listed as running for so long.
 FAILED_LISTED_AFTER_S = 8.0
-KEPT_HEARTBEATS = 40
+PAST_HEARTBEATS = 40
 NEVER_S = 1e9
 EPSILON = 1e-6
 
@@ -42,9 +42,9 @@
         self.spec = spec
         self.state = "pulling"
         self.cause: str | None = None
-        self.kept = False
-        self.left = spec["image_gb"]  # of its image in GB, then of its run or save in seconds
-        self.gathered_at = 0.0
+        self.progress_saved = False
+        self.remaining = spec["image_gb"]  # of its image in GB, then of its run or save in seconds
+        self.gathering_since = 0.0
 
 
 class FakeWorker:
@@ -65,25 +65,25 @@
         self.tasks: dict[tuple[str, int], FakeTask] = {}
         self.images: set[str] = set()
         self.up = False
-        self.gone = False
+        self.terminated = False
         self.hanging_until = 0.0
         self.commands_lost_until = 0.0  # its heartbeats arrive, answers and commands don't
         self.heartbeats_lost_until = 0.0  # direct commands reach it
         self.revoked_at: float | None = None
         self.fails_tasks = False
         self.failed_at: float | None = None
-        self.lease_from = 0.0
+        self.lease_renewed_at = 0.0
         self.late_commands = 0  # direct commands carried out when it went on after a while
         self.past_heartbeats: list[dict[str, Any]] = []
-        self.answered_by: dict[str, float] = {}  # controllers, by their last 200
+        self.last_answer_at: dict[str, float] = {}  # controllers, by their last 200
         self.controller_index = rng.randrange(len(simulation.controller_names))
-        self.changed = False
+        self.state_changed = False
         self.rented_at = simulation.clock.now
         self.hosted_jobs: set[str] = set()  # of all tasks that were ever launched here
 
     # -- what is there -----------------------------------------------------------
 
-    def state(self, now: float) -> str:
+    def listed_stage(self, now: float) -> str:
         """As the cloud lists it."""
         if self.failed_at is not None and now > self.failed_at:
             return "failed"
@@ -91,9 +91,11 @@
 
     def accepts(self, spec: dict[str, Any]) -> bool:
         """Whether the machine may take tasks of a job at all, just now."""
-        well = self.up and not self.gone and not self.fails_tasks and self.revoked_at is None
+        healthy = (
+            self.up and not self.terminated and not self.fails_tasks and self.revoked_at is None
+        )
         return (
-            well
+            healthy
             and self.simulation.clock.now > max(self.hanging_until, self.commands_lost_until)
             and spec["apiary"] in (None, self.zone)
             and (spec["drones"] or not self.spot)
@@ -101,14 +103,14 @@
 
     def free_slots(self, spec: dict[str, Any]) -> int:
         """How many more tasks of this size it takes."""
-        there = [task.spec for task in self.tasks.values() if task.state != "ended"]
+        placed = [task.spec for task in self.tasks.values() if task.state != "ended"]
         return min(
-            int((size - sum(each[name] for each in there) + EPSILON) // spec[name])
+            int((size - sum(each[name] for each in placed) + EPSILON) // spec[name])
             for name, size in MACHINE_SIZE.items()
             if spec[name] > 0
         )
 
-    def present(self) -> list[FakeTask]:
+    def active_tasks(self) -> list[FakeTask]:
         """What the checker calls being on the machine: all that has started and not ended."""
         return [task for task in self.tasks.values() if task.state not in ("ended", "pulling")]
 
@@ -122,7 +124,7 @@
             item = {"frame": task.task_name, "try": task.attempt_number, "stage": task.state}
             if task.cause:
                 item["cause"] = task.cause
-            if task.kept:
+            if task.progress_saved:
                 item["kept"] = True
             tasks.append(item)
         notice_s = None
@@ -146,8 +148,8 @@
         await curio.sleep(self.rng.uniform(0.5, 4.0))
         self.up = True
         clock = self.simulation.clock
-        self.lease_from = clock.now
-        while not self.gone:
+        self.lease_renewed_at = clock.now
+        while not self.terminated:
             if clock.now < self.hanging_until:
                 await curio.sleep(0.2)
                 continue
@@ -158,32 +160,36 @@
         clock, workers = self.simulation.clock, self.simulation.settings.cluster.workers
         end = clock.now + pause_s * self.rng.uniform(0.75, 1.25)
         earliest = clock.now + min(pause_s, MIN_HEARTBEAT_INTERVAL_S)
-        while clock.now < end and not self.gone:
-            if self.changed and clock.now >= earliest and pause_s == workers.heartbeat_interval_s:
+        while clock.now < end and not self.terminated:
+            if (
+                self.state_changed
+                and clock.now >= earliest
+                and pause_s == workers.heartbeat_interval_s
+            ):
                 break
             await curio.sleep(0.1)
             self._check_lease()
 
     async def _send_heartbeat(self) -> float:
         """Send one; how long to wait before the next."""
-        self.changed = False
+        self.state_changed = False
         sent = self.simulation.clock.now
         incarnation = self.incarnation
         controllers = self.simulation.controller_names
         target = controllers[self.controller_index % len(controllers)]
         heartbeat = self.next_heartbeat()
-        self.past_heartbeats = [*self.past_heartbeats[-KEPT_HEARTBEATS:], heartbeat]
-        await self.simulation.network.copy(
+        self.past_heartbeats = [*self.past_heartbeats[-PAST_HEARTBEATS:], heartbeat]
+        await self.simulation.network.maybe_duplicate(
             self.host, controllers, "POST", HEARTBEAT_PATH, heartbeat
         )
         try:
-            status, body = await self._ask(target, heartbeat, sent)
+            status, body = await self._exchange_heartbeat(target, heartbeat, sent)
         except (RequestNotSentError, NoResponseError):
             self.controller_index += 1
             return RETRY_S
-        if self.gone or incarnation != self.incarnation:
-            return SESSION_ENDED_RETRY_S
-        answer = read_body(body)
+        if self.terminated or incarnation != self.incarnation:
+            return NEW_INCARNATION_RETRY_S
+        answer = decode_body(body)
         if status == 421 and answer and self._follow_redirect(answer.get("queen")):
             return REDIRECTED_RETRY_S
         if status != 200:
@@ -192,12 +198,14 @@
         self._accept_answer(answer, target, sent)
         return float(self.simulation.settings.cluster.workers.heartbeat_interval_s)
 
-    async def _ask(self, target: str, heartbeat: dict[str, Any], sent: float) -> tuple[int, bytes]:
+    async def _exchange_heartbeat(
+        self, target: str, heartbeat: dict[str, Any], sent: float
+    ) -> tuple[int, bytes]:
         """Ask a controller, where heartbeats or their answers may be lost."""
         if sent < self.heartbeats_lost_until:
             await curio.sleep(0.5)
             raise RequestNotSentError(target)
-        answer = await self.simulation.network.ask(
+        answer = await self.simulation.network.request(
             self.host, target, "POST", HEARTBEAT_PATH, heartbeat, HEARTBEAT_TIMEOUT_S
         )
         if sent < self.commands_lost_until:
@@ -222,42 +230,42 @@
         if answer["crown"] < self.fencing_token:
             return
         self._accept_token(answer["crown"])
-        self.lease_from = sent
-        self.answered_by[target] = self.simulation.clock.now
+        self.lease_renewed_at = sent
+        self.last_answer_at[target] = self.simulation.clock.now
         self._carry_out(answer["calls"])
 
     def _accept_token(self, fencing_token: int) -> None:
         if fencing_token > self.fencing_token:
             self.fencing_token = fencing_token
-            self.changed = True
+            self.state_changed = True
 
     def _check_lease(self) -> None:
         lease_s = self.simulation.settings.cluster.workers.lease_s
-        if self.simulation.clock.now - self.lease_from > lease_s and self.up:
+        if self.simulation.clock.now - self.lease_renewed_at > lease_s and self.up:
             self.simulation.note(f"{self.name}: lease ended")
-            self.start_session()
+            self.start_incarnation()
 
     # -- what happens to the machine ---------------------------------------------
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """It stops with all that is on it, and is listed as running for a while."""
-        self.gone = True
+        self.terminated = True
         self.tasks.clear()
         self.failed_at = self.simulation.clock.now + FAILED_LISTED_AFTER_S
         self.simulation.network.hosts.pop(self.host, None)
 
-    def start_session(self) -> None:
+    def start_incarnation(self) -> None:
         """All tasks are gone, and the next session begins."""
         self.tasks.clear()
         self.incarnation += 1
-        self.lease_from = self.simulation.clock.now
-        self.changed = True
+        self.lease_renewed_at = self.simulation.clock.now
+        self.state_changed = True
 
     # -- commands ----------------------------------------------------------------
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         """A controller's direct request."""
-        if self.gone or self.simulation.clock.now < self.commands_lost_until:
+        if self.terminated or self.simulation.clock.now < self.commands_lost_until:
             await curio.sleep(NEVER_S)
         late = self.simulation.clock.now < self.hanging_until
         while self.simulation.clock.now < self.hanging_until:
@@ -289,13 +297,13 @@
         can_save = task.state == "running" and task.spec["cap_s"] > 0
         if can_save and grace_s >= task.spec["seal_s"]:
             task.state = "flushing"
-            task.left = task.spec["seal_s"]
+            task.remaining = task.spec["seal_s"]
         elif task.state != "flushing" or grace_s == 0:
             self.end_task(task, "stopped")
-        self.changed = True
+        self.state_changed = True
 
     def _launch(self, task_name: str, attempt_number: int) -> None:
-        self.changed = True
+        self.state_changed = True
         self.simulation.task_launched(self, task_name)
         spec = self.simulation.users.specs.get(task_name.partition("/")[0])
         task = FakeTask(task_name, attempt_number, spec or {"image_gb": 0})
@@ -315,17 +323,17 @@
 
     # -- tasks -------------------------------------------------------------------
 
-    def end_task(self, task: FakeTask, cause: str, kept: bool = False) -> None:
-        """A task ends; `kept` says that it has saved its progress."""
+    def end_task(self, task: FakeTask, cause: str, progress_saved: bool = False) -> None:
+        """A task ends; `progress_saved` says that it has saved its progress."""
         task.state = "ended"
         task.cause = cause
-        task.kept = kept
-        self.changed = True
+        task.progress_saved = progress_saved
+        self.state_changed = True
 
     def step(self, step_s: float) -> None:
         """Let the tasks get on."""
         now = self.simulation.clock.now
-        if self.gone or now < self.hanging_until:
+        if self.terminated or now < self.hanging_until:
             return
         if self.revoked_at is not None and now > self.revoked_at:
             self.simulation.cloud.remove(self)
@@ -335,23 +343,23 @@
 
     def _step_task(self, task: FakeTask, step_s: float) -> None:
         if task.state == "pulling":
-            task.left -= step_s * IMAGE_GB_PER_S
-            if task.left <= 0 or task.spec["comb"] in self.images:
+            task.remaining -= step_s * IMAGE_GB_PER_S
+            if task.remaining <= 0 or task.spec["comb"] in self.images:
                 self.images.add(task.spec["comb"])
                 self._start(task)
         elif task.state == "gathering":
             self.simulation.tasks.start_gang_if_complete(self, task)
         elif task.state == "running":
-            task.left -= step_s
-            if task.left <= 0:
+            task.remaining -= step_s
+            if task.remaining <= 0:
                 self.simulation.tasks.complete(self, task)
         elif task.state == "flushing":
-            task.left -= step_s
-            if task.left <= 0:
-                self.end_task(task, "stopped", kept=True)
+            task.remaining -= step_s
+            if task.remaining <= 0:
+                self.end_task(task, "stopped", progress_saved=True)
 
     def _start(self, task: FakeTask) -> None:
-        self.changed = True
+        self.state_changed = True
         self.simulation.task_started(self, task)
         if self.fails_tasks or task.spec["lane"] == "broken":
             self.end_task(task, "error")
@@ -359,7 +367,7 @@
             self.end_task(task, "done")
         elif task.spec["shape"] == "gang":
             task.state = "gathering"
-            task.gathered_at = self.simulation.clock.now
+            task.gathering_since = self.simulation.clock.now
         else:
             task.state = "running"
-            task.left = self.simulation.tasks.run_time_s(task)
+            task.remaining = self.simulation.tasks.run_time_s(task)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -90,7 +90,7 @@
         super().__init__(rng)
         self._clients = {name: Client((LOOPBACK, of["public"]), 8) for name, of in ports.items()}
 
-    async def ask(
+    async def request(
         self, source: str, target: str, method: str, path: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
         return await self._clients[target].ask(method, path, message, timeout_s)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -112,7 +112,9 @@
 
     def present_jobs(self) -> set[str]:
         """The jobs with a task that has started and not ended."""
-        return {task.job for worker in self.cloud.workers.values() for task in worker.present()}
+        return {
+            task.job for worker in self.cloud.workers.values() for task in worker.active_tasks()
+        }
 
     async def submit(self, via: str, run_s: float = LONG_S, **changes: Any) -> str:
         """A job that is accepted by this controller."""
@@ -163,7 +165,7 @@
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         """Ask this controller; no answer is status 0."""
         try:
-            status, data = await self.network.ask("user", via, method, path, body, 5.0)
+            status, data = await self.network.request("user", via, method, path, body, 5.0)
         except (RequestNotSentError, NoResponseError):
             return 0, None
         return status, unpack(data) if data else None
@@ -205,7 +207,7 @@
 
     def busy_workers(self) -> list[FakeWorker]:
         """The workers with a task that has started."""
-        return [worker for worker in self.cloud.workers.values() if worker.present()]
+        return [worker for worker in self.cloud.workers.values() if worker.active_tasks()]
 
     # -- users in the background --------------------------------------------------
 
@@ -218,7 +220,7 @@
 
     async def wait_for_all_users(self, max_s: float = 500.0) -> None:
         """The faults are over: every job ends, and none is left waiting."""
-        self.rules.calm_since = self.clock.now + SETTLING_S
+        self.rules.faults_over_at = self.clock.now + SETTLING_S
         await self.wait_until(lambda: all(user.terminated for user in self.background_users), max_s)
         assert not self.users.polled
         self.rules.check_starvation()
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -89,7 +89,7 @@
         """The workers of machines that are up."""
         return [worker for worker in self.cloud.workers.values() if worker.up]
 
-    def unfinished(self) -> list[str]:
+    def unfinished_jobs(self) -> list[str]:
         """Jobs whose users have not been told of an end."""
         return [job for job in self.users.specs if not self.rules.end_is_reported(job)]
 
@@ -141,14 +141,14 @@
             self.rules.check_waiting()
             self.cloud.record_machine_list()
 
-    def install_production(self, later: LaterLimits) -> None:
+    def install_production(self, later_limits: LaterLimits) -> None:
         """All controllers are of the production version; they know what is to come."""
         self.versions = dict.fromkeys(self.controller_names, production())
         self.cloud.operations.judges = False  # production records no orders
         for settings in self.controller_settings.values():
-            settings.cluster.state.next = later
+            settings.cluster.state.next = later_limits
 
-    async def upgrade(self, after_s: float, later: LaterLimits) -> None:
+    async def upgrade(self, after_s: float, later_limits: LaterLimits) -> None:
         """Controllers are replaced one after the other by ones of the current version.
 
         One that ends before its turn comes back as it was. Once all are new, services are
@@ -163,7 +163,7 @@
         self.users.service_share = SERVICE_SHARE_AFTER_UPGRADE
         await curio.sleep(self.rng.uniform(0.0, 5.0))
         self.note("limits lowered")
-        self.store.lower_limits(later)
+        self.store.lower_limits(later_limits)
 
     async def run_day(
         self,
@@ -171,25 +171,25 @@
         trouble_s: float,
         calm_s: float,
         kinds: list[str],
-        later: LaterLimits | None = None,
+        later_limits: LaterLimits | None = None,
     ) -> None:
         """A day: jobs come while things fail, then a calm time to finish in.
 
-        With `later`, the production version serves at its beginning, and is upgraded.
+        With `later_limits`, the production version serves at its beginning, and is upgraded.
         """
-        if later is not None:
-            self.install_production(later)
+        if later_limits is not None:
+            self.install_production(later_limits)
         await self._start_deployment()
         steps = await curio.spawn(self.run_steps, daemon=True)
         unknown_jobs = await curio.spawn(self.users.poll_unknown_jobs, daemon=True)
         faults = await curio.spawn(self.faults.run, kinds, daemon=True) if kinds else None
-        if later is not None:
-            await curio.spawn(self.upgrade, 0.2 * trouble_s, later, daemon=True)
+        if later_limits is not None:
+            await curio.spawn(self.upgrade, 0.2 * trouble_s, later_limits, daemon=True)
         users = await self._submit_jobs(jobs, trouble_s)
         if faults is not None:
             await faults.cancel()
         self.note("calm")
-        self.rules.calm_since = self.clock.now + SETTLING_S
+        self.rules.faults_over_at = self.clock.now + SETTLING_S
         await self._wait_for_users(users, calm_s)
         for task in (steps, unknown_jobs, *users):
             await task.cancel()
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -43,16 +43,16 @@
 async def restart_worker(simulation: Simulation, fault: Fault) -> None:
     """Machines lose all tasks and begin a new session."""
     for worker in _draw_workers(simulation):
-        worker.start_session()
+        worker.start_incarnation()
 
 
-async def give_notice(simulation: Simulation, fault: Fault) -> None:
+async def revoke_with_notice(simulation: Simulation, fault: Fault) -> None:
     """Machines are told that they will be taken within seconds."""
     for worker in _draw_workers(simulation):
         worker.revoked_at = simulation.clock.now + simulation.rng.uniform(2.0, 10.0)
 
 
-async def take_machine(simulation: Simulation, fault: Fault) -> None:
+async def revoke_without_notice(simulation: Simulation, fault: Fault) -> None:
     """The cloud takes machines without notice."""
     for worker in _draw_workers(simulation):
         simulation.cloud.remove(worker)
@@ -73,7 +73,7 @@
 async def kill_third(simulation: Simulation, fault: Fault) -> None:
     """A third of the machines dies."""
     for worker in _draw_third_of_workers(simulation):
-        worker.die()
+        worker.crash()
 
 
 async def lose_answers_to_zone(simulation: Simulation, fault: Fault) -> None:
@@ -98,8 +98,8 @@
     "deaf": lose_answers,
     "mute": lose_heartbeats,
     "blink": restart_worker,
-    "notice": give_notice,
-    "taken": take_machine,
+    "notice": revoke_with_notice,
+    "taken": revoke_without_notice,
     "sick": fail_all_tasks,
     "mass_hang": hang_third,
     "mass_die": kill_third,
--- a/tests/simulation/network_faults.py
+++ b/tests/simulation/network_faults.py
@@ -18,14 +18,14 @@
 
 async def _partition(simulation: Simulation, fault: Fault, pairs: Pairs) -> None:
     """Cut connections, and perhaps deliver late what was sent meanwhile."""
-    simulation.network.delivers_cut_late = simulation.rng.random() < 0.5
+    simulation.network.delivers_cut_requests_late = simulation.rng.random() < 0.5
     cuts = {frozenset(pair) for pair in pairs}
     simulation.network.cuts |= cuts
     await curio.sleep(fault.duration_s)
     simulation.network.cuts -= cuts
 
 
-def _all_but_workers(simulation: Simulation, name: str) -> Pairs:
+def _peer_and_store_links(simulation: Simulation, name: str) -> Pairs:
     """A controller's connections to the other controllers and to the key-value store."""
     others = (*simulation.controller_names, FakeKeyValueStore.HOST)
     return [(name, other) for other in others if other != name]
@@ -45,44 +45,46 @@
     await _partition(simulation, fault, pairs)
 
 
-async def cut_controller_off_store(simulation: Simulation, fault: Fault) -> None:
+async def partition_controller_from_store(simulation: Simulation, fault: Fault) -> None:
     """One controller does not reach the key-value store."""
     await _partition(simulation, fault, [(fault.controller, FakeKeyValueStore.HOST)])
 
 
-async def leave_controller_its_workers(simulation: Simulation, fault: Fault) -> None:
+async def partition_controller_except_workers(simulation: Simulation, fault: Fault) -> None:
     """One controller reaches workers, users and the cloud only."""
-    await _partition(simulation, fault, _all_but_workers(simulation, fault.controller))
+    await _partition(simulation, fault, _peer_and_store_links(simulation, fault.controller))
 
 
-async def leave_leader_its_workers(simulation: Simulation, fault: Fault) -> None:
+async def partition_leader_except_workers(simulation: Simulation, fault: Fault) -> None:
     """The leader reaches workers, users and the cloud only."""
-    pairs = [pair for name in simulation.leaders() for pair in _all_but_workers(simulation, name)]
+    pairs = [
+        pair for name in simulation.leaders() for pair in _peer_and_store_links(simulation, name)
+    ]
     await _partition(simulation, fault, pairs)
 
 
-async def cut_leader_off_zone(simulation: Simulation, fault: Fault) -> None:
+async def partition_leader_from_zone(simulation: Simulation, fault: Fault) -> None:
     """The leader reaches nothing in one zone."""
     await _partition(simulation, fault, [(name, "b") for name in simulation.leaders()])
 
 
-async def cut_machines_off(simulation: Simulation, fault: Fault) -> None:
+async def isolate_machines(simulation: Simulation, fault: Fault) -> None:
     """Two machines reach no controller."""
     workers = list(simulation.cloud.workers.values())[:2]
     pairs = [(worker.host, name) for worker in workers for name in simulation.controller_names]
     await _partition(simulation, fault, pairs)
 
 
-async def lose_one_direction(simulation: Simulation, fault: Fault) -> None:
+async def partition_store_one_way(simulation: Simulation, fault: Fault) -> None:
     """The key-value store hears some controller, or it the store, and not both."""
     rng = simulation.rng
     name = rng.choice([*simulation.leaders(), fault.controller])
     lost = {(name, FakeKeyValueStore.HOST)}
     if rng.random() < 0.5:
         lost = {(FakeKeyValueStore.HOST, name)}
-    simulation.network.lost_directions |= lost
+    simulation.network.one_way_cuts |= lost
     await curio.sleep(2 * fault.duration_s)
-    simulation.network.lost_directions -= lost
+    simulation.network.one_way_cuts -= lost
 
 
 async def lose_requests(simulation: Simulation, fault: Fault) -> None:
@@ -92,11 +94,11 @@
     simulation.network.loss_share = 0.0
 
 
-async def copy_requests(simulation: Simulation, fault: Fault) -> None:
+async def duplicate_requests(simulation: Simulation, fault: Fault) -> None:
     """Heartbeats and submissions arrive once more, late."""
-    simulation.network.copy_share = 0.3
+    simulation.network.duplicate_share = 0.3
     await curio.sleep(fault.duration_s)
-    simulation.network.copy_share = 0.0
+    simulation.network.duplicate_share = 0.0
 
 
 async def delay_writes(simulation: Simulation, fault: Fault) -> None:
@@ -106,7 +108,7 @@
     simulation.network.late_write_share = 0.0
 
 
-async def delay_cloud_orders(simulation: Simulation, fault: Fault) -> None:
+async def delay_cloud_operations(simulation: Simulation, fault: Fault) -> None:
     """Orders to the cloud get no answer, and are carried out late."""
     simulation.network.late_operation_share = 0.4
     await curio.sleep(fault.duration_s)
@@ -123,15 +125,15 @@
 FAULTS = {
     "zones_cut": partition_zones,
     "node_cut": isolate_controller,
-    "node_off_state": cut_controller_off_store,
-    "node_off_all_but_workers": leave_controller_its_workers,
-    "leader_off_all_but_workers": leave_leader_its_workers,
-    "leader_off_zone": cut_leader_off_zone,
-    "machine_cut": cut_machines_off,
-    "state_one_way": lose_one_direction,
+    "node_off_state": partition_controller_from_store,
+    "node_off_all_but_workers": partition_controller_except_workers,
+    "leader_off_all_but_workers": partition_leader_except_workers,
+    "leader_off_zone": partition_leader_from_zone,
+    "machine_cut": isolate_machines,
+    "state_one_way": partition_store_one_way,
     "loss": lose_requests,
-    "late_copies": copy_requests,
+    "late_copies": duplicate_requests,
     "late_writes": delay_writes,
-    "cloud_held": delay_cloud_orders,
+    "cloud_held": delay_cloud_operations,
     "peers_refuse": cut_peer_links,
 }
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -33,7 +33,7 @@
         self.last_answer_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.cancel_confirmed_at: dict[str, float] = {}
-        self.calm_since: float | None = None  # from then on all faults are over
+        self.faults_over_at: float | None = None  # from then on all faults are over
         self._placeable_since: dict[str, float] = {}
         self._waiting_checked_at = 0.0
 
@@ -47,8 +47,8 @@
         """A task starts: no other copy of it runs, and the machine is one that it may have."""
         simulation = self._simulation
         for other in simulation.cloud.workers.values():
-            for there in other.present():
-                if there is not task and there.task_name == task.task_name:
+            for present in other.active_tasks():
+                if present is not task and present.task_name == task.task_name:
                     simulation.record_violation(
                         "ran_twice", f"{task.task_name} on {worker.name} and {other.name}"
                     )
@@ -63,8 +63,8 @@
         zones = [
             other.zone
             for other in simulation.cloud.workers.values()
-            for there in other.present()
-            if there.job == task.job and there is not task
+            for present in other.active_tasks()
+            if present.job == task.job and present is not task
         ]
         if spec["same_place"] and any(zone != worker.zone for zone in zones):
             simulation.record_violation("wrong_place", f"{task.task_name} not in its job's zone")
@@ -78,7 +78,7 @@
         simulation = self._simulation
         used_gpus: dict[str, float] = {}
         for worker in simulation.cloud.workers.values():
-            for task in worker.present():
+            for task in worker.active_tasks():
                 team = task.spec["crew"]
                 used_gpus[team] = used_gpus.get(team, 0.0) + task.spec["cards"]
                 self._check_cancelled(worker, task)
@@ -97,18 +97,18 @@
     # -- what users are told -----------------------------------------------------
 
     def check_answer(
-        self, job: str, status: int, body: Any, submitted: bool, sent: float | None = None
+        self, job: str, status: int, body: Any, is_submission: bool, sent_at: float | None = None
     ) -> None:
-        """A user got an answer about a job. To a question that was `sent` before the user
+        """A user got an answer about a job. To a question that was `sent_at` before the user
         was told of its end, an older answer is no fault."""
-        if sent is not None and sent < self.end_reported_at.get(job, 0.0):
+        if sent_at is not None and sent_at < self.end_reported_at.get(job, 0.0):
             return
         known = job in self.reported_stages
         if status in (200, 201):
             self.last_answer_at[job] = self._simulation.clock.now
         if status == 404 and known:
             self._simulation.record_violation("forgotten", job)
-        if submitted and status in (400, 422) and known:
+        if is_submission and status in (400, 422) and known:
             self._simulation.record_violation("forgotten", f"{job} refused on repeat")
         if status not in (200, 201):
             return
@@ -141,11 +141,11 @@
 
     def check_answered(self) -> None:
         """Once all faults are over, every accepted job is answered for."""
-        if self.calm_since is None:
+        if self.faults_over_at is None:
             return
         simulation = self._simulation
         for job in simulation.users.polled & self.reported_stages.keys():
-            last = max(self.calm_since, self.last_answer_at.get(job, 0.0))
+            last = max(self.faults_over_at, self.last_answer_at.get(job, 0.0))
             if simulation.clock.now - last > MAX_UNANSWERED_S:
                 simulation.record_violation(
                     "forgotten", f"{job}: no question answered for {MAX_UNANSWERED_S} s"
@@ -157,7 +157,7 @@
     def check_waiting(self) -> None:
         """Once all faults are over, no job waits while there is room for it."""
         simulation, now = self._simulation, self._simulation.clock.now
-        if self.calm_since is None or now < self.calm_since:
+        if self.faults_over_at is None or now < self.faults_over_at:
             return
         if now - self._waiting_checked_at < WAITING_CHECK_INTERVAL_S:
             return
@@ -201,13 +201,15 @@
         if is_gang and len(waiting) < spec["frames"]:
             return False
         needed = len(waiting) if is_gang else 1
-        if not self._limit_allows(spec, needed, used_gpus):
+        if not self._is_within_limit(spec, needed, used_gpus):
             return False
         if not is_gang and (spec["same_place"] or spec["scatter"]):
             return False  # its other tasks may bind it to a zone
         return self._free_slots(spec) >= needed
 
-    def _limit_allows(self, spec: dict[str, Any], needed: int, used_gpus: dict[str, float]) -> bool:
+    def _is_within_limit(
+        self, spec: dict[str, Any], needed: int, used_gpus: dict[str, float]
+    ) -> bool:
         """Whether so many more tasks stay within their team's limit."""
         teams = self._simulation.settings.cluster.teams
         limit = next(team.gpus_max for team in teams if team.name == spec["crew"])
@@ -247,10 +249,10 @@
                 groups.setdefault("largest", []).append(job)
         return groups
 
-    def _was_served(self, job: str, soon: bool) -> bool:
-        """Whether a job has begun, and as early as the largest gangs must if `soon`."""
+    def _was_served(self, job: str, is_largest_gang: bool) -> bool:
+        """Whether a job has begun, and as early as the largest gangs must if `is_largest_gang`."""
         simulation = self._simulation
         first_start_at = simulation.tasks.first_start_at.get(job)
-        if first_start_at is None or not soon:
+        if first_start_at is None or not is_largest_gang:
             return first_start_at is not None
         return first_start_at - simulation.users.submitted_at[job] <= MAX_LARGEST_GANG_WAIT_S
--- a/tests/simulation/service_faults.py
+++ b/tests/simulation/service_faults.py
@@ -21,34 +21,34 @@
 
 async def store_refuses_controller(simulation: Simulation, fault: Fault) -> None:
     """The key-value store refuses one controller."""
-    simulation.store.refused.add(fault.controller)
+    simulation.store.refused_controllers.add(fault.controller)
     await curio.sleep(fault.duration_s)
-    simulation.store.refused.discard(fault.controller)
+    simulation.store.refused_controllers.discard(fault.controller)
 
 
 async def store_refuses_leader(simulation: Simulation, fault: Fault) -> None:
     """The key-value store refuses whoever leads."""
-    simulation.store.refused |= set(simulation.leaders())
+    simulation.store.refused_controllers |= set(simulation.leaders())
     await curio.sleep(fault.duration_s)
-    simulation.store.refused.clear()
+    simulation.store.refused_controllers.clear()
 
 
 async def store_refuses_leader_then_all(simulation: Simulation, fault: Fault) -> None:
     """The key-value store refuses the leader, and then everybody for over a cancellation."""
     refused = set(simulation.leaders())
-    simulation.store.refused |= refused
+    simulation.store.refused_controllers |= refused
     await curio.sleep(simulation.rng.uniform(0.2, 2.0))
     simulation.store.set_down(True)
-    simulation.store.refused -= refused
+    simulation.store.refused_controllers -= refused
     await curio.sleep(1.2 * simulation.settings.cluster.workers.cancel_s)
     simulation.store.set_down(False)
 
 
 async def store_slow(simulation: Simulation, fault: Fault) -> None:
     """The key-value store answers late."""
-    simulation.store.slow_s = 0.4
+    simulation.store.max_delay_s = 0.4
     await curio.sleep(fault.duration_s)
-    simulation.store.slow_s = 0.0
+    simulation.store.max_delay_s = 0.0
 
 
 async def cloud_down(simulation: Simulation, fault: Fault) -> None:
--- a/tests/simulation/tasks.py
+++ b/tests/simulation/tasks.py
@@ -29,9 +29,9 @@
 
     def run_time_s(self, task: FakeTask) -> float:
         """How long a task runs, once it runs; a replica does not end."""
-        own = self.task_run_s.get((task.job, task.index))
-        if own is not None:
-            return own
+        run_s = self.task_run_s.get((task.job, task.index))
+        if run_s is not None:
+            return run_s
         if task.spec["shape"] == "daemon":
             return math.inf
         return self.job_run_s[task.job]
@@ -53,9 +53,9 @@
             for owner, member in self.gang_members(task):
                 if member.state == "gathering":
                     member.state = "running"
-                    member.left = self.run_time_s(task)
-                    owner.changed = True
-        elif self._simulation.clock.now - task.gathered_at > max_wait_s:
+                    member.remaining = self.run_time_s(task)
+                    owner.state_changed = True
+        elif self._simulation.clock.now - task.gathering_since > max_wait_s:
             worker.end_task(task, "incomplete")
 
     def complete(self, worker: FakeWorker, task: FakeTask) -> None:
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -125,12 +125,14 @@
             return 0, None
         name = self._rng.choice(up)
         try:
-            status, data = await simulation.network.ask("user", name, method, path, body, timeout_s)
+            status, data = await simulation.network.request(
+                "user", name, method, path, body, timeout_s
+            )
         except (RequestNotSentError, NoResponseError):
             return 0, None
         if method == "POST":
             # A repeat of a request that was carried out, up to a lease and more later.
-            await simulation.network.copy("user", up, method, path, body)
+            await simulation.network.maybe_duplicate("user", up, method, path, body)
         return status, unpack(data) if data else None
 
     async def _submit(self, spec: dict[str, Any]) -> int:
@@ -213,7 +215,7 @@
             if kind in ("huge", "lacking"):
                 status: int | None = await self._submit_impossible(kind, number)
             elif known:
-                status = await self._ask_unusually(kind, self._rng.choice(known))
+                status = await self._send_unusual_request(kind, self._rng.choice(known))
             else:
                 continue
             if status is not None:
@@ -231,7 +233,7 @@
             self._simulation.record_violation("invented", f"{kind} job {spec['id']} accepted")
         return status
 
-    async def _ask_unusually(self, kind: str, job: str) -> int | None:
+    async def _send_unusual_request(self, kind: str, job: str) -> int | None:
         """A repeat, one with a field left out, or a cancel of a job that is done.
 
         None if the job is not done and its cancel would not be unusual.
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -88,14 +88,14 @@
         await curio.sleep(3 * scenario.worker_settings.heartbeat_interval_s)
         if before is not None:
             before(scenario)
-        scenario.store.refused.add(leader)
+        scenario.store.refused_controllers.add(leader)
         scenario.peers_unreachable = not links
         await curio.sleep(0.3)
         for job in jobs:
             assert await scenario.cancel(job, confirmer) == 200
         assert scenario.leader() == leader, "the old leader leads still"
         scenario.store.set_down(True)
-        scenario.store.refused.clear()
+        scenario.store.refused_controllers.clear()
         await twist(scenario, leader, confirmer)
         await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
         assert scenario.store.down and len(scenario.rules.cancel_confirmed_at) == len(jobs)
@@ -196,7 +196,7 @@
     healthy: list[FakeWorker] = []
 
     def before(scenario: Scenario) -> None:
-        busy = [worker for worker in scenario.cloud.workers.values() if worker.present()]
+        busy = [worker for worker in scenario.cloud.workers.values() if worker.active_tasks()]
         assert len(busy) > 3
         healthy[:] = busy[2:]
         for worker in busy[:2]:
@@ -205,7 +205,7 @@
     scenario = cancel_before_outage(nothing, monkeypatch, site, before=before, links=links)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
-    gone = [worker.name for worker in healthy if worker.gone]
+    gone = [worker.name for worker in healthy if worker.terminated]
     assert gone == [], "machines that show their tasks gone are not released"
 
 
@@ -221,7 +221,7 @@
         assert old is not None
         confirmer = scenario.other_controllers(old)[0]
         jobs = await scenario.submit_running_jobs(4, confirmer)
-        scenario.store.refused.add(old)
+        scenario.store.refused_controllers.add(old)
         await curio.sleep(1.0)
         for job in jobs:
             assert await scenario.cancel(job, confirmer) == 200
@@ -238,7 +238,7 @@
         while not new():
             await curio.sleep(0.001)
         scenario.store.set_down(True)
-        scenario.store.refused.clear()
+        scenario.store.refused_controllers.clear()
         leading = scenario.controllers[elected[0]].leader_term
         assert not leading.loaded
         await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
@@ -274,12 +274,12 @@
                 )
 
             await scenario.wait_until(reached)
-            scenario.store.refused.add(leader)
+            scenario.store.refused_controllers.add(leader)
             assert await scenario.cancel(job, confirmer) == 200
             scenario.store.set_down(True)
             await curio.sleep(0.6 * scenario.worker_settings.cancel_s)
             scenario.store.set_down(False)
-            scenario.store.refused.clear()
+            scenario.store.refused_controllers.clear()
             await curio.sleep(2 * scenario.worker_settings.heartbeat_interval_s)
             found = scenario.leader()
             assert found is not None
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -140,7 +140,7 @@
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 1)
         simulation.versions = {CONTROLLER_NAMES[0]: version}
-        node = create_controller(simulation, CONTROLLER_NAMES[0], {"yes": True})
+        node = create_controller(simulation, CONTROLLER_NAMES[0], {"running": True})
         for message in messages:
             await deliver_peer_message(node, tuple(message))
             known.append(controller_meaning(node))
--- a/tests/test_compound_failures_elections.py
+++ b/tests/test_compound_failures_elections.py
@@ -65,8 +65,8 @@
             scenario.cut_off(worker.host, scenario.controller_names)
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
-        used = sum(task.spec["cards"] for w in scenario.busy_workers() for task in w.present())
-        assert used == 12.0 and any(worker.present() for worker in cut), "at its limit"
+        used = sum(task.spec["cards"] for w in scenario.busy_workers() for task in w.active_tasks())
+        assert used == 12.0 and any(worker.active_tasks() for worker in cut), "at its limit"
         for job in jobs[:2]:
             assert await scenario.cancel(job, new) == 200
         await curio.sleep(0.5 * scenario.worker_settings.lease_s)
@@ -185,14 +185,15 @@
         assert old is not None
         await scenario.submit_running_jobs(3, old, run_s=60.0, gpus=2.0)
         cut, unhearing = scenario.busy_workers()[:2]
-        scenario.network.delivers_cut_late = True
+        scenario.network.delivers_cut_requests_late = True
         scenario.cut_off(cut.host, scenario.controller_names)
         unhearing.commands_lost_until = scenario.clock.now + 2.5 * scenario.worker_settings.lease_s
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
         await curio.sleep(1.0)
         assert (
-            cut.present() and unhearing.fencing_token < scenario.controllers[new].leader_term.term
+            cut.active_tasks()
+            and unhearing.fencing_token < scenario.controllers[new].leader_term.term
         )
         await scenario.run_users(10, 1.2 * scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -22,7 +22,7 @@
         held = first.past_heartbeats[-1]
         assert any(task_name["frame"].startswith(job) for task_name in held["frames"])
         await scenario.stop(old)
-        first.start_session()
+        first.start_incarnation()
         first.heartbeats_lost_until = scenario.clock.now + 60.0
         first.controller_index = 0
         new = await scenario.wait_for_new_leader(old)
@@ -34,7 +34,7 @@
                 task.task_name in lost
                 for worker in scenario.busy_workers()
                 if worker is not first
-                for task in worker.present()
+                for task in worker.active_tasks()
             )
 
         await scenario.wait_until(placed_again, 60.0)
@@ -138,7 +138,7 @@
             await curio.sleep(1.0)
             workers = list(scenario.cloud.workers.values())
             if second % 8 == 4:  # drawn, there were sometimes none
-                scenario.rng.choice(workers).start_session()
+                scenario.rng.choice(workers).start_incarnation()
             for worker in workers:
                 past = [
                     heartbeat
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -20,7 +20,7 @@
 ) -> None:
     async def act(scenario: Scenario) -> None:
         scenario.cloud.capacity = 4
-        scenario.network.delay_s = 0.4
+        scenario.network.max_extra_delay_s = 0.4
         await scenario.start(machines=4)
         await scenario.run_users(30, 15.0)
         waiting = [
@@ -61,7 +61,7 @@
         await curio.sleep(2.0)
         assert await scenario.cancel(jobs[0], leader) == 200
         await curio.sleep(1.4 * scenario.worker_settings.lease_s)
-        kept = [w for w in inside if not w.gone and w.incarnation == sessions[w.name]]
+        kept = [w for w in inside if not w.terminated and w.incarnation == sessions[w.name]]
         assert kept, "longer than a lease, and not all was lost"
         await curio.sleep(scenario.worker_settings.cancel_s - scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
@@ -94,11 +94,11 @@
             hit = [worker for worker in scenario.busy_workers() if worker.zone == "a"]
             hit = hit or scenario.busy_workers()
             for worker in hit[:1]:
-                lost += len(worker.present())
+                lost += len(worker.active_tasks())
                 if scenario.rng.random() < 0.5:
                     scenario.cloud.remove(worker)
                 else:
-                    worker.start_session()
+                    worker.start_incarnation()
         assert lost > 0
         await scenario.run_users(6, 5.0)
         await scenario.wait_for_all_users()
@@ -120,14 +120,14 @@
         await scenario.start()
         coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(8.0)
-        scenario.store.slow_s = 0.4
+        scenario.store.max_delay_s = 0.4
         await curio.sleep(8.0)
         leader = scenario.leader()
         assert leader is not None
-        scenario.store.refused.add(leader)
+        scenario.store.refused_controllers.add(leader)
         await curio.sleep(scenario.rng.uniform(0.5, 4.0))
         scenario.store.set_down(True)
-        scenario.store.refused.clear()
+        scenario.store.refused_controllers.clear()
         confirmed = scenario.rules.cancel_confirmed_at
         cancelled = len(confirmed)
         await curio.sleep(1.2 * scenario.worker_settings.cancel_s)
@@ -135,7 +135,7 @@
             "nothing is confirmed in an outage"
         )
         scenario.store.set_down(False)
-        scenario.store.slow_s = 0.0
+        scenario.store.max_delay_s = 0.0
         await coming.join()
         await scenario.wait_for_all_users()
 
@@ -158,7 +158,7 @@
         at = scenario.clock.now
         scenario.cut_off(old, [*scenario.controller_names, FakeKeyValueStore.HOST])
         new = await scenario.wait_for_new_leader(old)
-        served = [w for w in busy if w.answered_by.get(old, 0.0) > at]
+        served = [w for w in busy if w.last_answer_at.get(old, 0.0) > at]
         assert served, "workers still report to the old one"
         for worker in busy[:hung]:
             worker.hanging_until = scenario.clock.now + scenario.worker_settings.cancel_s
@@ -188,12 +188,12 @@
         await scenario.submit_running_jobs(1, scenario.controller_names[0])
         leader = scenario.leader()
         assert leader is not None
-        scenario.network.lost_directions.add((FakeKeyValueStore.HOST, leader))
+        scenario.network.one_way_cuts.add((FakeKeyValueStore.HOST, leader))
         new = await scenario.wait_for_new_leader(
             leader, 10 * scenario.controllers[leader].services.controller_lease_s
         )
         await scenario.submit_running_jobs(1, new)
-        scenario.network.lost_directions.clear()
+        scenario.network.one_way_cuts.clear()
         await scenario.wait_until(lambda: scenario.controllers[leader].leader_term is None)
         await curio.sleep(scenario.worker_settings.lease_s)
         assert scenario.leader() == new
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -8,7 +8,7 @@
 import cbor2
 import h11
 
-from tests.fakes.virtual_time import finish
+from tests.fakes.virtual_time import run_nonblocking
 from topazhold.io.http import Request, Response
 from topazhold.io.http_heads import MAX_HEADS, parse_request_head, render_response_head
 from topazhold.io.server import Connection
@@ -37,9 +37,9 @@
     seen: list[Any] = []
     while True:
         try:
-            request = finish(connection.receive())
+            request = run_nonblocking(connection.receive())
         except h11.RemoteProtocolError as exc:
-            finish(connection.refuse(exc.error_status_hint or 400))
+            run_nonblocking(connection.refuse(exc.error_status_hint or 400))
             seen.append(type(exc))
             break
         if request is None:
@@ -50,7 +50,7 @@
         else:
             seen.append(request.status)
             answer = request
-        if not finish(connection.send(answer)):
+        if not run_nonblocking(connection.send(answer)):
             break
     return seen, b"".join(sock.sent), sock
 
--- a/tests/test_loopback_unlimited_teams.py
+++ b/tests/test_loopback_unlimited_teams.py
@@ -63,7 +63,9 @@
 
         def running() -> bool:
             tasks = [
-                task for worker in simulation.cloud.workers.values() for task in worker.present()
+                task
+                for worker in simulation.cloud.workers.values()
+                for task in worker.active_tasks()
             ]
             return [task.state for task in tasks].count("running") == GANG["tasks"]
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -232,7 +232,7 @@
         assert await scenario.cancel(job, via) == 200
         await curio.sleep(0.5)
         scenario.store.set_down(True)
-        await scenario.wait_until(lambda: worker.gone)
+        await scenario.wait_until(lambda: worker.terminated)
         await curio.sleep(1.0)
         assert scenario.cloud.operations.forced == [worker.name]
         for node in scenario.controllers.values():
@@ -252,7 +252,7 @@
 
     async def act(scenario: Scenario) -> None:
         leader = await begin(scenario)
-        idle = next(w for w in scenario.cloud.workers.values() if not w.present())
+        idle = next(w for w in scenario.cloud.workers.values() if not w.active_tasks())
         await scenario.submit(scenario.other_controllers(leader)[0], 10.0, tasks=4, gpus=4.0)
         written = "on/"
         await scenario.wait_until(
@@ -265,7 +265,7 @@
         new = await scenario.wait_for_new_leader(leader)
         scheduler = scenario.controllers[new].leader_term.scheduler
         scheduler.release(scheduler.machines[idle.name], "chosen", scenario.clock.now)
-        await scenario.wait_until(lambda: idle.gone)
+        await scenario.wait_until(lambda: idle.terminated)
         await settle(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -49,7 +49,7 @@
     story = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], f"seed {seed}\n{story}"
     assert simulation.starts > 20, f"seed {seed}: hardly anything ran"
-    assert simulation.unfinished() == [], f"seed {seed}\n{story}"
+    assert simulation.unfinished_jobs() == [], f"seed {seed}\n{story}"
 
 
 def test_rules_hold_in_a_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -62,4 +62,4 @@
     story = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], story
     assert simulation.starts > 300
-    assert simulation.unfinished() == [], story
+    assert simulation.unfinished_jobs() == [], story
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -37,7 +37,7 @@
     story = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], story
     assert simulation.starts > 20, "hardly anything ran"
-    assert simulation.unfinished() == [], story
+    assert simulation.unfinished_jobs() == [], story
 
 
 @pytest.mark.parametrize(("seed", "kinds"), SERVICE_DAYS)
@@ -56,4 +56,4 @@
     assert_no_violations(simulation)
     assert simulation.versions == {}, "not all were upgraded"
     assert simulation.store.txn_ops == LATER.txn_ops
-    assert simulation.store.refused_sizes == [], "too large for the lowered limits"
+    assert simulation.store.size_refusals == [], "too large for the lowered limits"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -365,7 +365,7 @@
         leader = scenario.leader()
         assert leader is not None
         jobs = await scenario.submit_running_jobs(6, leader, **SERVICE)
-        scenario.busy_workers()[0].die()
+        scenario.busy_workers()[0].crash()
         for job in jobs:
             assert await scenario.cancel(job, leader) == 200
         await scenario.wait_until(lambda: not scenario.present_jobs() & set(jobs), 60.0)
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -60,7 +60,7 @@
     name = idle_machines(scenario, leader)[0]
     worker = scenario.cloud.workers[name]
     scheduler.release(scheduler.machines[name], "chosen", scenario.clock.now)
-    return Shown(lambda: name in scenario.cloud.operations.returns, lambda: worker.gone)
+    return Shown(lambda: name in scenario.cloud.operations.returns, lambda: worker.terminated)
 
 
 async def scale_out(scenario: Scenario, leader: str) -> Shown:
--- a/tools/record_messages.py
+++ b/tools/record_messages.py
@@ -25,7 +25,11 @@
 
 #: Where the harness has what is hooked or called; the first place that exists counts.
 PLACES = {
-    "ask": ("tests.fakes.network:Network.ask", "tests.standins:Net.ask"),
+    "ask": (
+        "tests.fakes.network:Network.request",
+        "tests.fakes.network:Network.ask",
+        "tests.standins:Net.ask",
+    ),
     "send": ("tests.fakes.peer_link:PeerLink.send", "tests.standins:PeerLink.send"),
     "play": ("tests.random_days:play", "tests.test_random_days:play"),
     "later": (
