--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from random import Random
 from typing import TYPE_CHECKING, Any
 
@@ -17,6 +18,8 @@
 
 MACHINE_LIST_HISTORY_S = 12.0
 RELEASE_DELAY_S = 0.2
+#: Longest lag of a returned machine list, as a multiple of the configured lag.
+MAX_LIST_LAG_FACTOR = 2.0
 #: Share of the rented machines whose worker never comes up.
 DEAD_ON_ARRIVAL_SHARE = 0.1
 CATALOG = {
@@ -94,11 +97,11 @@
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
         """A controller's request."""
         if self.down:
-            return 503, {"error": "trouble"}
+            return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "trouble"}
         if method == "GET" and path.startswith("/machines"):
-            return 200, {"boxes": self._late_machine_list(), "truncated": False}
+            return HTTPStatus.OK, {"boxes": self._late_machine_list(), "truncated": False}
         if path == "/catalog":
-            return 200, CATALOG
+            return HTTPStatus.OK, CATALOG
         self.operations.arrived(source)
         if path == "/machines/release":
             return await self._release(source, body)
@@ -106,27 +109,30 @@
 
     def _late_machine_list(self) -> list[dict[str, Any]]:
         """A list of up to twice the lag ago."""
-        lag_s = self.rng.uniform(0.0, 2.0) * self.simulation.settings.cluster.cloud.list_lag_s
+        lag_s = (
+            self.rng.uniform(0.0, MAX_LIST_LAG_FACTOR)
+            * self.simulation.settings.cluster.cloud.list_lag_s
+        )
         cutoff = self.simulation.clock.now - lag_s
         listed = [machines for at, machines in self._machine_list_history if at <= cutoff]
         return listed[-1] if listed else []
 
     async def _release(self, source: str, body: Any) -> Response:
         await curio.sleep(RELEASE_DELAY_S)
-        released = [self.workers[name] for name in body["boxes"] if name in self.workers]
-        self.operations.released(source, released)
-        for worker in released:
+        to_remove = [self.workers[name] for name in body["boxes"] if name in self.workers]
+        self.operations.released(source, to_remove)
+        for worker in to_remove:
             self.remove(worker)
-        return 200, {}
+        return HTTPStatus.OK, {}
 
     async def _rent(self, source: str, body: Any) -> Response:
         """Rent machines; a repeated request gets the machines of the first one."""
         request = body["swarm_ask"]
         if request in self.rented:
-            return 200, {"boxes": self.rented[request]}
+            return HTTPStatus.OK, {"boxes": self.rented[request]}
         available = self.capacity - len(self.workers)
         if available <= 0:
-            return 503, {"error": "no capacity"}
+            return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "no capacity"}
         names = [
             await self.add(
                 body["apiary"], body["drones"], self.rng.random() > DEAD_ON_ARRIVAL_SHARE
@@ -135,4 +141,4 @@
         ]
         self.rented[request] = names
         self.operations.rented(source, request, names)
-        return 200, {"boxes": names}
+        return HTTPStatus.OK, {"boxes": names}
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -15,6 +16,14 @@
 
 #: Keys in a page of a list, however many are asked for.
 MAX_PAGE_KEYS = 7
+DEFAULT_PAGE_KEYS = 1000
+#: While responses are slow, each takes at least this share of `max_delay_s`; those at every
+#: `SLOWEST_REVISION_STEP`-th revision take the remaining share on top.
+MIN_DELAY_SHARE = 0.1
+EXTRA_DELAY_SHARE = 0.9
+SLOWEST_REVISION_STEP = 7
+#: Seconds between checks of a blocked watch for expired leases and its own timeout.
+WATCH_CHECK_INTERVAL_S = 0.1
 
 
 class FakeKeyValueStore:
@@ -44,14 +53,20 @@
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
         """A controller's request."""
         if self.max_delay_s and not path.startswith("/watch"):
-            await curio.sleep(self.max_delay_s * (0.1 + 0.9 * (self.revision % 7 == 0)))
+            await curio.sleep(
+                self.max_delay_s
+                * (
+                    MIN_DELAY_SHARE
+                    + EXTRA_DELAY_SHARE * (self.revision % SLOWEST_REVISION_STEP == 0)
+                )
+            )
         await self._expire_leases()
         path, _, query = path.partition("?")
         args = dict(part.split("=", 1) for part in query.split("&") if part)
         if path == "/watch":
             return await self._watch(source, args)
         if self.down or source in self.refused_controllers:
-            return 503, {}
+            return HTTPStatus.SERVICE_UNAVAILABLE, {}
         if path == "/store":
             return self._list(args)
         if path.startswith("/store/"):
@@ -93,17 +108,17 @@
         lease_id = self._next_lease_id
         self._next_lease_id += 1
         self.leases[lease_id] = (ttl_s, self.clock.now + ttl_s)
-        return 200, {"permit": lease_id}
+        return HTTPStatus.OK, {"permit": lease_id}
 
     async def _change_lease(self, lease_id: int, revoke: bool) -> Response:
         """Revoke or renew a lease."""
         if lease_id not in self.leases:
-            return 404, {}
+            return HTTPStatus.NOT_FOUND, {}
         if revoke:
             await self._end_lease(lease_id)
         else:
             self._renew_lease(lease_id)
-        return 200, {}
+        return HTTPStatus.OK, {}
 
     def _renew_lease(self, lease_id: int) -> None:
         ttl_s, _ = self.leases[lease_id]
@@ -150,34 +165,38 @@
 
     def _get(self, key: str) -> Response:
         if key not in self.data:
-            return 404, {"harvest": self.revision}
+            return HTTPStatus.NOT_FOUND, {"harvest": self.revision}
         data, revision, lease_id = self.data[key]
-        return 200, {"key": key, "data": data, "mark": revision, "permit": lease_id}
+        return HTTPStatus.OK, {"key": key, "data": data, "mark": revision, "permit": lease_id}
 
     def _list(self, args: dict[str, str]) -> Response:
         keys = sorted(
             key for key in self.data if key.startswith(args["under"]) and key > args.get("from", "")
         )
-        limit = min(int(args.get("most", 1000)), MAX_PAGE_KEYS)
+        limit = min(int(args.get("most", DEFAULT_PAGE_KEYS)), MAX_PAGE_KEYS)
         page = [{"key": k, "data": self.data[k][0], "mark": self.data[k][1]} for k in keys[:limit]]
-        return 200, {"entries": page, "truncated": len(keys) > limit, "harvest": self.revision}
+        return HTTPStatus.OK, {
+            "entries": page,
+            "truncated": len(keys) > limit,
+            "harvest": self.revision,
+        }
 
     async def _compare_and_swap(self, body: Any) -> Response:
         if self._exceeds_size_limits(body["then"]):
-            return 400, {"error": "too large"}
+            return HTTPStatus.BAD_REQUEST, {"error": "too large"}
         if self._exceeds_write_rate(len(body["then"])):
-            return 429, {}
+            return HTTPStatus.TOO_MANY_REQUESTS, {}
         stale = [
             condition["key"]
             for condition in body["guards"]
             if self.data.get(condition["key"], (None, 0, None))[1] != condition["mark"]
         ]
         if stale:
-            return 409, {"failed": stale, "harvest": self.revision}
+            return HTTPStatus.CONFLICT, {"failed": stale, "harvest": self.revision}
         for change in body["then"]:
             lease_id = change.get("permit")
             if lease_id is not None and lease_id not in self.leases:
-                return 400, {"error": "no such lease"}
+                return HTTPStatus.BAD_REQUEST, {"error": "no such lease"}
         if body["then"]:
             self.revision += 1
         for change in body["then"]:
@@ -188,7 +207,7 @@
             elif self.data.pop(change["drop"], None) is not None:
                 self.changes.append((self.revision, change["drop"], None))
         await self._wake_watches()
-        return 200, {"harvest": self.revision}
+        return HTTPStatus.OK, {"harvest": self.revision}
 
     async def _watch(self, source: str, args: dict[str, str]) -> Response:
         since = int(args["from"])
@@ -198,8 +217,11 @@
             hidden = self.down or source in self.refused_controllers
             events = [] if hidden else self._events_since(since, args["under"])
             if events or self.clock.now >= end:
-                return 200, {"harvest": since if hidden else self.revision, "events": events}
-            await curio.ignore_after(0.1, self._changed.wait)
+                return HTTPStatus.OK, {
+                    "harvest": since if hidden else self.revision,
+                    "events": events,
+                }
+            await curio.ignore_after(WATCH_CHECK_INTERVAL_S, self._changed.wait)
 
     def _events_since(self, revision: int, prefix: str) -> list[dict[str, Any]]:
         return [
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -15,6 +15,15 @@
 
 Handler = Callable[[str, str, str, Any], Awaitable[tuple[int, Any]]]
 
+#: Seconds that a request, a response or a message between controllers takes.
+MIN_DELAY_S = 0.001
+MAX_DELAY_S = 0.01
+#: Share of the lost and the cut-off requests that are nevertheless delivered, late.
+LATE_DELIVERY_SHARE = 0.5
+#: A sender learns of a lost response after this share of its timeout.
+LOST_RESPONSE_WAIT_SHARE = 0.5
+#: Longer than any run: for a request that is never answered.
+NEVER_S = 1e9
 #: How late a copy of a request may arrive, and a transaction without an answer be carried out.
 LATE_DELIVERY_DELAY_S = (1.0, 40.0)
 LATE_WRITE_DELAY_S = (2.0, 12.0)
@@ -96,7 +105,7 @@
     ) -> tuple[int, bytes]:
         """Send a request and wait for the answer; NotSent or NoAnswer if there is none."""
         body = pack(message) if message is not None else b""
-        await curio.sleep(self.rng.uniform(0.001, 0.01 + self.max_extra_delay_s))
+        await curio.sleep(self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S + self.max_extra_delay_s))
         handler = self.hosts.get(target)
         if handler is None:
             raise RequestNotSentError(target)
@@ -108,15 +117,15 @@
         await self._maybe_delay(request)
         draw = self.rng.random()
         if draw < self.loss_share:
-            if self.rng.random() < 0.5:
+            if self.rng.random() < LATE_DELIVERY_SHARE:
                 await self._schedule_late_delivery(request)
             await request.time_out()
         status, answer = await self._deliver(request)
-        await curio.sleep(self.rng.uniform(0.001, 0.01))
+        await curio.sleep(self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S))
         if self.is_cut_one_way(target, source):
             await request.time_out()
         if draw < 2 * self.loss_share or self.hosts.get(target) is not handler:
-            await curio.sleep(timeout_s * 0.5)
+            await curio.sleep(timeout_s * LOST_RESPONSE_WAIT_SHARE)
             raise NoResponseError(target)
         return status, pack(answer) if answer is not None else b""
 
@@ -136,7 +145,7 @@
         """It comes to a cut: refused at once, or kept, and perhaps delivered late."""
         if not self.delivers_cut_requests_late:
             raise RequestNotSentError(request.target)
-        if self.rng.random() < 0.5:
+        if self.rng.random() < LATE_DELIVERY_SHARE:
             await self._schedule_late_delivery(request)
             await request.time_out()
         await curio.sleep(request.timeout_s)
@@ -211,7 +220,7 @@
     ) -> tuple[int, bytes]:
         """Send a request; errors are those of the controller's version."""
         if not self._is_alive():
-            await curio.sleep(1e9)
+            await curio.sleep(NEVER_S)
         # What a paused controller was about to send leaves once it goes on, and what
         # came in between is read only then.
         await self._wait_while_paused(self._source)
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -6,6 +6,7 @@
 
 import curio
 
+from tests.fakes.network import MAX_DELAY_S, MIN_DELAY_S
 from tests.versions import deliver_peer_message
 from topazhold.wire.codec import unpack
 
@@ -14,6 +15,8 @@
 
 #: Messages between controllers that are kept of each kind.
 MAX_RECORDED_MESSAGES = 200
+#: Bytes of the length field in front of a frame's body.
+FRAME_LENGTH_BYTES = 4
 
 
 class PeerLink:
@@ -30,7 +33,7 @@
 
     async def _deliver(self, frame: bytes) -> None:
         network = self._simulation.network
-        await curio.sleep(network.rng.uniform(0.001, 0.01))
+        await curio.sleep(network.rng.uniform(MIN_DELAY_S, MAX_DELAY_S))
         await self._simulation.wait_while_paused(self._source)
         await self._simulation.wait_while_paused(self._target)
         controller = self._simulation.controllers.get(self._target)
@@ -40,7 +43,7 @@
         unreachable = unreachable or network.is_cut_one_way(self._source, self._target)
         if controller is None or unreachable or network.rng.random() < network.loss_share:
             return
-        message = tuple(unpack(frame[4:]))
+        message = tuple(unpack(frame[FRAME_LENGTH_BYTES:]))
         self._simulation.peer_messages.setdefault(message[0], []).append(message)
         del self._simulation.peer_messages[message[0]][:-MAX_RECORDED_MESSAGES]
         try:
--- a/tests/fakes/virtual_time.py
+++ b/tests/fakes/virtual_time.py
@@ -10,6 +10,14 @@
 from curio.kernel import Kernel
 from curio.task import Task as CurioTask
 
+#: Virtual time at which a run starts, in seconds.
+START_S = 1000.0
+#: Added to virtual time for the wall clock, to give a plausible Unix time.
+EPOCH_OFFSET_S = 1.7e9
+NS_PER_S = 1e9
+#: Seconds by which a jump passes the next timer, so that rounding can't leave it pending.
+TIMER_MARGIN_S = 1e-6
+
 
 def run_nonblocking(coroutine: Coroutine[Any, Any, Any]) -> Any:
     """Run a coroutine that never waits."""
@@ -23,7 +31,7 @@
 class VirtualTime(selectors.BaseSelector):
     """A selector that never waits: time jumps to the next timer."""
 
-    def __init__(self, start: float = 1000.0) -> None:
+    def __init__(self, start: float = START_S) -> None:
         self.now = start
         self._keys: dict[Any, selectors.SelectorKey] = {}
 
@@ -41,7 +49,7 @@
         if timeout is None:
             raise RuntimeError("every task waits for ever")
         if timeout > 0:
-            self.now += timeout + 1e-6
+            self.now += timeout + TIMER_MARGIN_S
         return []
 
     def get_map(self) -> Any:
@@ -52,8 +60,8 @@
     """Run a coroutine function in virtual time."""
     clock = VirtualTime()
     monkeypatch.setattr(time, "monotonic", lambda: clock.now)
-    monkeypatch.setattr(time, "time", lambda: 1.7e9 + clock.now)
-    monkeypatch.setattr(time, "time_ns", lambda: int((1.7e9 + clock.now) * 1e9))
+    monkeypatch.setattr(time, "time", lambda: EPOCH_OFFSET_S + clock.now)
+    monkeypatch.setattr(time, "time_ns", lambda: int((EPOCH_OFFSET_S + clock.now) * NS_PER_S))
     # curio keeps waiting tasks in sets; by their numbers the order is the same
     # in every run, by their addresses it is not.
     monkeypatch.setattr(CurioTask, "__hash__", lambda task: task.id)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -2,12 +2,13 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from random import Random
 from typing import TYPE_CHECKING, Any
 
 import curio
 
-from tests.fakes.network import decode_body
+from tests.fakes.network import NEVER_S, decode_body
 from topazhold.io.http import NoResponseError, RequestNotSentError
 
 if TYPE_CHECKING:
@@ -16,6 +17,15 @@
 #: What a machine has, by the protocol's names.
 MACHINE_SIZE = {"vcpus": 16.0, "cards": 4.0, "ram_gb": 64.0}
 IMAGE_GB_PER_S = 2.0
+#: Range of the seconds from the rental of a machine to its first heartbeat.
+BOOT_S = (0.5, 4.0)
+#: Range of the factor by which each pause between heartbeats varies.
+HEARTBEAT_JITTER = (0.75, 1.25)
+#: Seconds between checks whether a hanging machine resumes, and of the worker's own lease.
+HANG_CHECK_INTERVAL_S = 0.2
+LEASE_CHECK_INTERVAL_S = 0.1
+#: Seconds until a heartbeat that can't leave the machine fails.
+CONNECTION_FAILURE_S = 0.5
 HEARTBEAT_PATH = "/v1/report"
 HEARTBEAT_TIMEOUT_S = 4.0
 #: A worker tries another controller after so long, or at once where it was sent to it.
@@ -27,7 +37,6 @@
 #: A machine that died is listed as running for so long.
 FAILED_LISTED_AFTER_S = 8.0
 PAST_HEARTBEATS = 40
-NEVER_S = 1e9
 EPSILON = 1e-6
 
 
@@ -145,20 +154,20 @@
 
     async def run(self) -> None:
         """Send heartbeats until the machine is gone."""
-        await curio.sleep(self.rng.uniform(0.5, 4.0))
+        await curio.sleep(self.rng.uniform(*BOOT_S))
         self.up = True
         clock = self.simulation.clock
         self.lease_renewed_at = clock.now
         while not self.terminated:
             if clock.now < self.hanging_until:
-                await curio.sleep(0.2)
+                await curio.sleep(HANG_CHECK_INTERVAL_S)
                 continue
             await self._wait_for_next_heartbeat(await self._send_heartbeat())
 
     async def _wait_for_next_heartbeat(self, pause_s: float) -> None:
         """Wait about so long, or less once tasks have changed."""
         clock, workers = self.simulation.clock, self.simulation.settings.cluster.workers
-        end = clock.now + pause_s * self.rng.uniform(0.75, 1.25)
+        end = clock.now + pause_s * self.rng.uniform(*HEARTBEAT_JITTER)
         earliest = clock.now + min(pause_s, MIN_HEARTBEAT_INTERVAL_S)
         while clock.now < end and not self.terminated:
             if (
@@ -167,7 +176,7 @@
                 and pause_s == workers.heartbeat_interval_s
             ):
                 break
-            await curio.sleep(0.1)
+            await curio.sleep(LEASE_CHECK_INTERVAL_S)
             self._check_lease()
 
     async def _send_heartbeat(self) -> float:
@@ -190,9 +199,13 @@
         if self.terminated or incarnation != self.incarnation:
             return NEW_INCARNATION_RETRY_S
         answer = decode_body(body)
-        if status == 421 and answer and self._follow_redirect(answer.get("queen")):
+        if (
+            status == HTTPStatus.MISDIRECTED_REQUEST
+            and answer
+            and self._follow_redirect(answer.get("queen"))
+        ):
             return REDIRECTED_RETRY_S
-        if status != 200:
+        if status != HTTPStatus.OK:
             self.controller_index += 1
             return RETRY_S
         self._accept_answer(answer, target, sent)
@@ -203,7 +216,7 @@
     ) -> tuple[int, bytes]:
         """Ask a controller, where heartbeats or their answers may be lost."""
         if sent < self.heartbeats_lost_until:
-            await curio.sleep(0.5)
+            await curio.sleep(CONNECTION_FAILURE_S)
             raise RequestNotSentError(target)
         answer = await self.simulation.network.request(
             self.host, target, "POST", HEARTBEAT_PATH, heartbeat, HEARTBEAT_TIMEOUT_S
@@ -269,15 +282,15 @@
             await curio.sleep(NEVER_S)
         late = self.simulation.clock.now < self.hanging_until
         while self.simulation.clock.now < self.hanging_until:
-            await curio.sleep(0.2)
+            await curio.sleep(HANG_CHECK_INTERVAL_S)
         self.late_commands += late and path == "/commands"
         if path != "/commands":
-            return 200, self.next_heartbeat()
+            return HTTPStatus.OK, self.next_heartbeat()
         if body["crown"] < self.fencing_token or body["flight"] != self.incarnation:
-            return 409, self.next_heartbeat()
+            return HTTPStatus.CONFLICT, self.next_heartbeat()
         self._accept_token(body["crown"])
         self._carry_out(body["calls"])
-        return 200, self.next_heartbeat()
+        return HTTPStatus.OK, self.next_heartbeat()
 
     def _carry_out(self, commands: list[dict[str, Any]]) -> None:
         for command in commands:
--- a/tests/simulation/controller_faults.py
+++ b/tests/simulation/controller_faults.py
@@ -13,6 +13,12 @@
 
 #: Delays of a controller that is back within a moment.
 QUICK_RESTART_DELAYS_S = [0.02, 0.1, 0.3]
+ROLLING_RESTART_PAUSE_S = 2.0
+#: Newly elected leaders that crash one after another, and the range of the pauses between.
+ELECTION_CRASHES = 3
+ELECTION_CRASH_PAUSE_S = (0.0, 2.0)
+#: Range of the time that an overloaded controller spends on each message.
+MESSAGE_COST_S = (0.03, 0.08)
 
 
 async def crash(simulation: Simulation, fault: Fault) -> None:
@@ -29,7 +35,7 @@
     """All controllers end, one after the other."""
     for name in simulation.controller_names:
         await simulation.restart_controllers([name])
-        await curio.sleep(2.0)
+        await curio.sleep(ROLLING_RESTART_PAUSE_S)
 
 
 async def crash_leader(simulation: Simulation, fault: Fault) -> None:
@@ -39,9 +45,9 @@
 
 async def crash_during_election(simulation: Simulation, fault: Fault) -> None:
     """Whoever is elected ends at once, and is back within a moment."""
-    for _ in range(3):
+    for _ in range(ELECTION_CRASHES):
         await simulation.restart_controllers(simulation.leaders(), QUICK_RESTART_DELAYS_S)
-        await curio.sleep(simulation.rng.uniform(0.0, 2.0))
+        await curio.sleep(simulation.rng.uniform(*ELECTION_CRASH_PAUSE_S))
 
 
 async def pause_controller(simulation: Simulation, fault: Fault) -> None:
@@ -57,7 +63,7 @@
 
 async def overload_controllers(simulation: Simulation, fault: Fault) -> None:
     """Leaders get more messages than they have time for; all else is late by less."""
-    simulation.message_cost_s = simulation.rng.uniform(0.03, 0.08)
+    simulation.message_cost_s = simulation.rng.uniform(*MESSAGE_COST_S)
     await curio.sleep(2 * fault.duration_s)
     simulation.message_cost_s = 0.0
 
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -11,7 +11,7 @@
 from tests.fakes.controllers import make_settings, start_controller, stop_controller
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.fakes.network import Network
-from tests.fakes.virtual_time import VirtualTime
+from tests.fakes.virtual_time import START_S, VirtualTime
 from tests.fakes.worker import FakeTask, FakeWorker
 from tests.simulation.faults import FaultInjector
 from tests.simulation.rules import CHECK_INTERVAL_S, RuleChecker
@@ -28,6 +28,12 @@
 SETTLING_S = 40.0
 #: Share of the jobs that are services, once all controllers know services.
 SERVICE_SHARE_AFTER_UPGRADE = 0.3
+#: Share of the time with faults that passes before the first controller is upgraded.
+UPGRADE_START_SHARE = 0.2
+#: Range of the seconds between the upgrades of two controllers.
+UPGRADE_PAUSE_S = (1.0, 8.0)
+#: Range of the seconds from the last upgrade until the key-value store lowers its limits.
+LIMITS_LOWERED_AFTER_S = (0.0, 5.0)
 
 
 class Simulation:
@@ -69,7 +75,7 @@
 
     def note(self, text: str) -> None:
         """Write a line of the day's story."""
-        self.notes.append(f"{self.clock.now - 1000:8.2f} {text}")
+        self.notes.append(f"{self.clock.now - START_S:8.2f} {text}")
 
     def record_violation(self, rule: str, text: str) -> None:
         """A rule is broken."""
@@ -159,9 +165,9 @@
             self.versions.pop(name, None)
             await self.restart_controllers([name])
             self.note(f"{name} upgraded")
-            await curio.sleep(self.rng.uniform(1.0, 8.0))
+            await curio.sleep(self.rng.uniform(*UPGRADE_PAUSE_S))
         self.users.service_share = SERVICE_SHARE_AFTER_UPGRADE
-        await curio.sleep(self.rng.uniform(0.0, 5.0))
+        await curio.sleep(self.rng.uniform(*LIMITS_LOWERED_AFTER_S))
         self.note("limits lowered")
         self.store.lower_limits(later_limits)
 
@@ -184,7 +190,9 @@
         unknown_jobs = await curio.spawn(self.users.poll_unknown_jobs, daemon=True)
         faults = await curio.spawn(self.faults.run, kinds, daemon=True) if kinds else None
         if later_limits is not None:
-            await curio.spawn(self.upgrade, 0.2 * trouble_s, later_limits, daemon=True)
+            await curio.spawn(
+                self.upgrade, UPGRADE_START_SHARE * trouble_s, later_limits, daemon=True
+            )
         users = await self._submit_jobs(jobs, trouble_s)
         if faults is not None:
             await faults.cancel()
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -13,6 +13,10 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+#: Ranges of the seconds between two faults and of the duration of a fault.
+FAULT_INTERVAL_S = (2.0, 10.0)
+FAULT_DURATION_S = (3.0, 20.0)
+
 FaultFunction = Callable[["Simulation", Fault], Awaitable[None]]
 
 #: Every kind of fault, by the name that the lists of a day use.
@@ -34,13 +38,13 @@
         """Let faults of the given kinds happen, without end."""
         rng = self._simulation.rng
         while True:
-            await curio.sleep(rng.uniform(2.0, 10.0))
+            await curio.sleep(rng.uniform(*FAULT_INTERVAL_S))
             await curio.spawn(self.inject, rng.choice(kinds), daemon=True)
 
     async def inject(self, kind: str) -> None:
         """Let one fault happen; it is over when this returns, or ends by itself later."""
         simulation = self._simulation
         simulation.note(f"trouble: {kind}")
-        duration_s = simulation.rng.uniform(3.0, 20.0)
+        duration_s = simulation.rng.uniform(*FAULT_DURATION_S)
         controller = simulation.rng.choice(simulation.controller_names)
         await FAULTS[kind](simulation, Fault(duration_s, controller))
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -10,6 +10,10 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+#: Range of the seconds from the notice until a machine is revoked.
+NOTICE_S = (2.0, 10.0)
+ENDED_REPLICA_SHARE = 0.3
+
 
 def _draw_workers(simulation: Simulation) -> list[FakeWorker]:
     """One or two workers that are up."""
@@ -49,7 +53,7 @@
 async def revoke_with_notice(simulation: Simulation, fault: Fault) -> None:
     """Machines are told that they will be taken within seconds."""
     for worker in _draw_workers(simulation):
-        worker.revoked_at = simulation.clock.now + simulation.rng.uniform(2.0, 10.0)
+        worker.revoked_at = simulation.clock.now + simulation.rng.uniform(*NOTICE_S)
 
 
 async def revoke_without_notice(simulation: Simulation, fault: Fault) -> None:
@@ -89,7 +93,7 @@
     for worker in simulation.cloud.workers.values():
         for task in worker.tasks.values():
             if task.spec.get("shape") == "daemon" and task.state == "running":
-                if simulation.rng.random() < 0.3:
+                if simulation.rng.random() < ENDED_REPLICA_SHARE:
                     worker.end_task(task, simulation.rng.choice(["done", "error"]))
 
 
--- a/tests/simulation/network_faults.py
+++ b/tests/simulation/network_faults.py
@@ -13,12 +13,22 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+#: Share of the partitions that deliver, late, what was sent while they lasted.
+LATE_DELIVERY_SHARE = 0.5
+#: Share of the one-way cuts of the key-value store that lose its responses, not the requests.
+TO_CONTROLLER_SHARE = 0.5
+#: Shares of the requests that are lost, duplicated or carried out late while a fault lasts.
+LOSS_SHARE = 0.1
+DUPLICATE_SHARE = 0.3
+LATE_WRITE_SHARE = 0.2
+LATE_OPERATION_SHARE = 0.4
+
 Pairs = list[tuple[str, str]]
 
 
 async def _partition(simulation: Simulation, fault: Fault, pairs: Pairs) -> None:
     """Cut connections, and perhaps deliver late what was sent meanwhile."""
-    simulation.network.delivers_cut_requests_late = simulation.rng.random() < 0.5
+    simulation.network.delivers_cut_requests_late = simulation.rng.random() < LATE_DELIVERY_SHARE
     cuts = {frozenset(pair) for pair in pairs}
     simulation.network.cuts |= cuts
     await curio.sleep(fault.duration_s)
@@ -80,7 +90,7 @@
     rng = simulation.rng
     name = rng.choice([*simulation.leaders(), fault.controller])
     lost = {(name, FakeKeyValueStore.HOST)}
-    if rng.random() < 0.5:
+    if rng.random() < TO_CONTROLLER_SHARE:
         lost = {(FakeKeyValueStore.HOST, name)}
     simulation.network.one_way_cuts |= lost
     await curio.sleep(2 * fault.duration_s)
@@ -89,28 +99,28 @@
 
 async def lose_requests(simulation: Simulation, fault: Fault) -> None:
     """Requests and answers are lost now and then."""
-    simulation.network.loss_share = 0.1
+    simulation.network.loss_share = LOSS_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.loss_share = 0.0
 
 
 async def duplicate_requests(simulation: Simulation, fault: Fault) -> None:
     """Heartbeats and submissions arrive once more, late."""
-    simulation.network.duplicate_share = 0.3
+    simulation.network.duplicate_share = DUPLICATE_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.duplicate_share = 0.0
 
 
 async def delay_writes(simulation: Simulation, fault: Fault) -> None:
     """Transactions get no answer, and are carried out late."""
-    simulation.network.late_write_share = 0.2
+    simulation.network.late_write_share = LATE_WRITE_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.late_write_share = 0.0
 
 
 async def delay_cloud_operations(simulation: Simulation, fault: Fault) -> None:
     """Orders to the cloud get no answer, and are carried out late."""
-    simulation.network.late_operation_share = 0.4
+    simulation.network.late_operation_share = LATE_OPERATION_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.late_operation_share = 0.0
 
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 from tests.fakes.worker import FakeTask, FakeWorker
@@ -104,13 +105,17 @@
         if sent_at is not None and sent_at < self.end_reported_at.get(job, 0.0):
             return
         known = job in self.reported_stages
-        if status in (200, 201):
+        if status in (HTTPStatus.OK, HTTPStatus.CREATED):
             self.last_answer_at[job] = self._simulation.clock.now
-        if status == 404 and known:
+        if status == HTTPStatus.NOT_FOUND and known:
             self._simulation.record_violation("forgotten", job)
-        if is_submission and status in (400, 422) and known:
+        if (
+            is_submission
+            and status in (HTTPStatus.BAD_REQUEST, HTTPStatus.UNPROCESSABLE_ENTITY)
+            and known
+        ):
             self._simulation.record_violation("forgotten", f"{job} refused on repeat")
-        if status not in (200, 201):
+        if status not in (HTTPStatus.OK, HTTPStatus.CREATED):
             return
         if job not in self._simulation.users.specs:
             self._simulation.record_violation("invented", job)
--- a/tests/simulation/service_faults.py
+++ b/tests/simulation/service_faults.py
@@ -11,6 +11,14 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+MAX_STORE_DELAY_S = 0.4
+#: Range of the seconds for which the leader alone is refused before everyone is.
+REFUSAL_BEFORE_OUTAGE_S = (0.2, 2.0)
+#: Length of that outage as a multiple of the time limit of a cancellation.
+OUTAGE_CANCEL_FACTOR = 1.2
+#: Share of the ending jobs that are cancelled at that moment.
+CANCEL_AT_END_SHARE = 0.3
+
 
 async def store_down(simulation: Simulation, fault: Fault) -> None:
     """The key-value store refuses everybody."""
@@ -37,16 +45,16 @@
     """The key-value store refuses the leader, and then everybody for over a cancellation."""
     refused = set(simulation.leaders())
     simulation.store.refused_controllers |= refused
-    await curio.sleep(simulation.rng.uniform(0.2, 2.0))
+    await curio.sleep(simulation.rng.uniform(*REFUSAL_BEFORE_OUTAGE_S))
     simulation.store.set_down(True)
     simulation.store.refused_controllers -= refused
-    await curio.sleep(1.2 * simulation.settings.cluster.workers.cancel_s)
+    await curio.sleep(OUTAGE_CANCEL_FACTOR * simulation.settings.cluster.workers.cancel_s)
     simulation.store.set_down(False)
 
 
 async def store_slow(simulation: Simulation, fault: Fault) -> None:
     """The key-value store answers late."""
-    simulation.store.max_delay_s = 0.4
+    simulation.store.max_delay_s = MAX_STORE_DELAY_S
     await curio.sleep(fault.duration_s)
     simulation.store.max_delay_s = 0.0
 
@@ -65,7 +73,7 @@
 
 async def cancel_ending_jobs(simulation: Simulation, fault: Fault) -> None:
     """Users cancel jobs as they end."""
-    simulation.users.cancel_at_end_share = 0.3
+    simulation.users.cancel_at_end_share = CANCEL_AT_END_SHARE
     await curio.sleep(fault.duration_s)
     simulation.users.cancel_at_end_share = 0.0
 
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 import curio
@@ -15,6 +16,30 @@
 
 SUBMIT_TIMEOUT_S = 5.0
 POLL_TIMEOUT_S = 2.0
+#: Stands for the status of a request without a response.
+NO_RESPONSE = 0
+#: Shares of the drawn jobs: gangs (the others are arrays), jobs that must stay in one zone or
+#: may use spot machines, zone-independent jobs that spread over the zones, jobs whose tasks
+#: all fail, long jobs, and jobs that are cancelled.
+GANG_SHARE = 0.4
+SAME_ZONE_SHARE = 0.4
+SPOT_SHARE = 0.5
+SPREAD_SHARE = 0.5
+BROKEN_SHARE = 0.05
+LONG_RUN_SHARE = 0.1
+CANCEL_SHARE = 0.25
+#: Run time of long jobs, and the range of the others' run times.
+LONG_RUN_S = 45.0
+RUN_S = (2.0, 15.0)
+#: Ranges of the seconds from the first submission of a job or a service to its cancellation.
+CANCEL_AFTER_S = (1.0, 30.0)
+SERVICE_CANCEL_AFTER_S = (20.0, 120.0)
+#: Jobs whose tasks all fail are cancelled after this time, since they would never end.
+BROKEN_CANCEL_AFTER_S = 25.0
+#: Share of the polls of an accepted job that are replaced by a repeated submission.
+REPEAT_SHARE = 0.05
+#: Polls after a final answer, to check that it stays the same.
+POLLS_AFTER_END = 3
 #: Numbers of jobs that nobody submits, and of those that no machine can run.
 UNKNOWN_JOB_NUMBER = 900_000
 UNUSUAL_JOB_NUMBER = 700_000
@@ -45,7 +70,7 @@
     def draw_spec(self, number: int) -> dict[str, Any]:
         """A gang or an array, as a submission's body."""
         rng = self._rng
-        gang = rng.random() < 0.4
+        gang = rng.random() < GANG_SHARE
         tasks = rng.choice([1, 2, 3, 4]) if gang else rng.choice([1, 3, 6, 12])
         gpus = rng.choice([1.0, 2.0])
         return {
@@ -62,9 +87,9 @@
             "image_gb": rng.uniform(1.0, 6.0),
             "breeds": rng.choice([None, ["b1", "b9"]]),
             "apiary": rng.choice([None, None, None, "a", "b"]),
-            "same_place": rng.random() < 0.4,
+            "same_place": rng.random() < SAME_ZONE_SHARE,
             "scatter": False,
-            "drones": rng.random() < 0.5,
+            "drones": rng.random() < SPOT_SHARE,
             "forage_s": 8.0,
             "cap_s": rng.choice([0.0, 5.0]),
             "seal_s": 1.0,
@@ -94,24 +119,24 @@
         """A job that its user now submits, and when it will be cancelled."""
         rng, now = self._rng, self._simulation.clock.now
         spec = self.draw_spec(number)
-        if not spec["same_place"] and spec["apiary"] is None and rng.random() < 0.5:
+        if not spec["same_place"] and spec["apiary"] is None and rng.random() < SPREAD_SHARE:
             spec["scatter"] = True
         service = self.service_share > 0 and rng.random() < self.service_share
         if service:
             spec.update(self.draw_service_fields())
-        if rng.random() < 0.05:
+        if rng.random() < BROKEN_SHARE:
             spec["lane"] = "broken"
         job = spec["id"]
         self.specs[job] = spec
         self.submitted_at[job] = now
         self.polled.add(job)
-        long_run = rng.random() < 0.1
-        self._simulation.tasks.job_run_s[job] = 45.0 if long_run else rng.uniform(2.0, 15.0)
-        cancel_at = now + rng.uniform(1.0, 30.0) if rng.random() < 0.25 else None
+        long_run = rng.random() < LONG_RUN_SHARE
+        self._simulation.tasks.job_run_s[job] = LONG_RUN_S if long_run else rng.uniform(*RUN_S)
+        cancel_at = now + rng.uniform(*CANCEL_AFTER_S) if rng.random() < CANCEL_SHARE else None
         if spec["lane"] == "broken":
-            cancel_at = now + 25.0
+            cancel_at = now + BROKEN_CANCEL_AFTER_S
         elif service:
-            cancel_at = now + rng.uniform(20.0, 120.0)
+            cancel_at = now + rng.uniform(*SERVICE_CANCEL_AFTER_S)
         return spec, cancel_at
 
     # -- requests ----------------------------------------------------------------
@@ -122,14 +147,14 @@
         up = [name for name in simulation.controller_names if name in simulation.controllers]
         if not up:
             await curio.sleep(0.5)
-            return 0, None
+            return NO_RESPONSE, None
         name = self._rng.choice(up)
         try:
             status, data = await simulation.network.request(
                 "user", name, method, path, body, timeout_s
             )
         except (RequestNotSentError, NoResponseError):
-            return 0, None
+            return NO_RESPONSE, None
         if method == "POST":
             # A repeat of a request that was carried out, up to a lease and more later.
             await simulation.network.maybe_duplicate("user", up, method, path, body)
@@ -163,19 +188,19 @@
         accepted = False
         while not rules.end_is_reported(job):
             if not accepted:
-                accepted = await self._submit(spec) in (200, 201)
+                accepted = await self._submit(spec) in (HTTPStatus.OK, HTTPStatus.CREATED)
                 await curio.sleep(rng.uniform(0.5, 1.5))
                 continue
             if cancel_at is not None and self._simulation.clock.now > cancel_at:
                 rules.cancel_requested.add(job)
                 await self._cancel(job)
-            elif rng.random() < 0.05:
+            elif rng.random() < REPEAT_SHARE:
                 await self._repeat(spec)
             else:
                 await self._poll(job)
             await curio.sleep(rng.uniform(0.5, 3.0))
         self.polled.discard(job)
-        for _ in range(3):  # a final answer stays
+        for _ in range(POLLS_AFTER_END):  # a final answer stays
             await curio.sleep(rng.uniform(1.0, 20.0))
             await self._poll(job)
 
@@ -229,7 +254,7 @@
         else:
             del spec[self._rng.choice(REQUIRED_FIELDS)]
         status, _ = await self.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
-        if status in (200, 201):
+        if status in (HTTPStatus.OK, HTTPStatus.CREATED):
             self._simulation.record_violation("invented", f"{kind} job {spec['id']} accepted")
         return status
 
