--- a/tests/fakes/__init__.py
+++ b/tests/fakes/__init__.py
@@ -1,5 +1,5 @@
-"""In-memory fakes of everything around the controllers, in virtual time.
+"""In-memory fakes of the services and machines around the controllers, in virtual time.
 
-They speak the real messages with the real control code. All is drawn from one seeded generator,
-so that a seed gives the same run every time.
+They exchange the real messages with the real controller code. All random choices come from one
+seeded generator, so a run can be repeated with its seed.
 """
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""The cloud that rents machines out, and takes them back."""
+"""A fake of the cloud, which rents out machines and takes them back."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 
 Response = tuple[int, Any]
 
+#: Seconds for which past machine lists are retained.
 MACHINE_LIST_HISTORY_S = 12.0
+#: Seconds that the cloud takes to release machines.
 RELEASE_DELAY_S = 0.2
 #: Longest lag of a returned machine list, as a multiple of the configured lag.
 MAX_LIST_LAG_FACTOR = 2.0
-#: Share of the rented machines whose worker never comes up.
+#: Share of the rented machines whose worker never starts.
 DEAD_ON_ARRIVAL_SHARE = 0.1
 CATALOG = {
     "breeds": [
@@ -41,7 +43,7 @@
 
 
 class FakeCloud:
-    """Rents machines; its list is late and may run backwards."""
+    """Rents machines. Its machine list is stale, and may be older than the one before."""
 
     HOST = "cloud:1"
 
@@ -52,12 +54,12 @@
         self.workers: dict[str, FakeWorker] = {}
         self.operations = CloudOperationHistory(simulation)
         self.down = False
-        self.rented: dict[str, list[str]] = {}  # machines, by the name of the request
+        self.rented: dict[str, list[str]] = {}  # machine names, by request name
         self._next_number = 0
         self._machine_list_history: list[tuple[float, list[dict[str, Any]]]] = []
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
-        """Put a machine up; its worker comes up unless it never `boots`."""
+        """Add a machine and return its name; without `boots`, its worker never starts."""
         name = f"host-{self._next_number:06d}"
         self._next_number += 1
         worker = FakeWorker(self.simulation, name, zone, spot, self.rng)
@@ -69,13 +71,13 @@
         return name
 
     def remove(self, worker: FakeWorker) -> None:
-        """A machine is gone with all that is on it."""
+        """Remove a machine with all its tasks."""
         worker.terminated = True
         worker.tasks.clear()
         self.workers.pop(worker.name, None)
 
     def record_machine_list(self) -> None:
-        """Keep the list of this moment, to be handed out later."""
+        """Record the current machine list, which is returned to controllers later."""
         now = self.simulation.clock.now
         machines = [
             {
@@ -95,7 +97,7 @@
         ]
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
-        """A controller's request."""
+        """Handle a request of a controller."""
         if self.down:
             return HTTPStatus.SERVICE_UNAVAILABLE, {"error": "trouble"}
         if method == "GET" and path.startswith("/machines"):
@@ -108,7 +110,7 @@
         return await self._rent(source, body)
 
     def _late_machine_list(self) -> list[dict[str, Any]]:
-        """A list of up to twice the lag ago."""
+        """Return a machine list that is up to `MAX_LIST_LAG_FACTOR` times the lag old."""
         lag_s = (
             self.rng.uniform(0.0, MAX_LIST_LAG_FACTOR)
             * self.simulation.settings.cluster.cloud.list_lag_s
@@ -126,7 +128,7 @@
         return HTTPStatus.OK, {}
 
     async def _rent(self, source: str, body: Any) -> Response:
-        """Rent machines; a repeated request gets the machines of the first one."""
+        """Rent machines. A repeated request returns the machines of the first one."""
         request = body["swarm_ask"]
         if request in self.rented:
             return HTTPStatus.OK, {"boxes": self.rented[request]}
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -1,4 +1,4 @@
-"""Controllers of either version: their settings, processes, and what is asked of them."""
+"""Settings and simulated processes of controllers of the current and production versions."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 def make_settings(name: str, zone: str, others: list[tuple[str, str]]) -> Settings:
-    """A small deployment: two zones, two teams, short times."""
+    """Return a controller's settings: two zones, two teams, short intervals.
+
+    `others` are the names and zones of the other controllers.
+    """
     return msgspec.convert(
         {
             "node_name": name,
@@ -52,7 +55,11 @@
 
 
 def create_controller(simulation: Simulation, name: str, process: dict[str, bool]) -> Any:
-    """A controller of the version that is installed there; it does nothing yet."""
+    """Create a controller of the version that is installed under its name, without starting it.
+
+    `process["running"]` is set to False when its process is killed; its clients then send
+    nothing more.
+    """
     version = simulation.versions.get(name, CURRENT)
     settings = version.settings(simulation.controller_settings[name])
 
@@ -80,7 +87,7 @@
 
 
 async def start_controller(simulation: Simulation, name: str) -> None:
-    """Start a controller process, as the platform does after an end."""
+    """Start a controller process, as the platform does after an exit."""
     process = {"running": True}
     controller = create_controller(simulation, name, process)
     request_kind = simulation.versions.get(name, CURRENT).load("io.http", "Request")
@@ -102,7 +109,7 @@
 
 
 async def stop_controller(simulation: Simulation, name: str) -> None:
-    """Kill a controller: no goodbye, nothing kept."""
+    """Kill a controller process without a clean shutdown; its memory is lost."""
     task, process = simulation.processes.pop(name)
     process["running"] = False
     settings = simulation.controller_settings[name]
--- a/tests/fakes/key_value_store.py
+++ b/tests/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""The key-value store: keys with revisions, leases, conditional transactions and watches."""
+"""A fake of the key-value store that holds the controllers' shared state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 Response = tuple[int, Any]
 
-#: Keys in a page of a list, however many are asked for.
+#: Most keys in a page of a list, whatever page size is requested.
 MAX_PAGE_KEYS = 7
 DEFAULT_PAGE_KEYS = 1000
 #: While responses are slow, each takes at least this share of `max_delay_s`; those at every
@@ -27,7 +27,7 @@
 
 
 class FakeKeyValueStore:
-    """Keys with revisions, leases, conditional transactions and watches."""
+    """Stores keys with revisions, leases, conditional transactions and watches."""
 
     HOST = "state:1"
 
@@ -35,23 +35,25 @@
         self.clock = clock
         self.data: dict[str, tuple[Any, int, int | None]] = {}  # value, revision, lease
         self.revision = 100
-        self.leases: dict[int, tuple[float, float]] = {}  # time to live, end
+        self.leases: dict[int, tuple[float, float]] = {}  # time to live and expiry, in seconds
         self._next_lease_id = 1
-        self.changes: list[tuple[int, str, Any]] = []
+        self.changes: list[tuple[int, str, Any]] = []  # revision, key, value or None if deleted
         self.down = False
-        self.refused_controllers: set[str] = set()  # controllers that get 503
-        self.max_delay_s = 0.0  # an answer takes up to so long
+        self.refused_controllers: set[str] = set()  # answered with 503
+        self.max_delay_s = 0.0  # longest delay of a response, other than a watch's
         self.value_bytes = 8 * 1024
         self.txn_ops = 8
         self.write_rps: float | None = None
-        self.size_refusals: list[str] = []  # what was too large, by the key
-        self.rate_refusals = 0
+        # Keys of too large values, and numbers of changes of too large transactions.
+        self.size_refusals: list[str] = []
+        self.rate_refusals = 0  # transactions refused because of the write rate
         self.on_change: Callable[[str, Any], None] = lambda key, data: None
-        self._tokens = (0.0, 0.0)  # changes that may come now, and as of when
+        # Token bucket of the write rate: the tokens, and when they were counted.
+        self._tokens = (0.0, 0.0)
         self._changed = curio.Event()
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> Response:
-        """A controller's request."""
+        """Handle a request of a controller."""
         if self.max_delay_s and not path.startswith("/watch"):
             await curio.sleep(
                 self.max_delay_s
@@ -80,7 +82,7 @@
     # -- leases ------------------------------------------------------------------
 
     def set_down(self, down: bool) -> None:
-        """Refuse everybody, or serve again; no lease expires meanwhile."""
+        """Refuse all requests, or serve again. No lease expires during an outage."""
         if self.down and not down:
             for lease_id in list(self.leases):
                 self._renew_lease(lease_id)
@@ -94,7 +96,7 @@
                 await self._end_lease(lease_id)
 
     async def _end_lease(self, lease_id: int) -> None:
-        """Drop a lease and all keys under it."""
+        """Remove a lease and delete all keys attached to it."""
         self.leases.pop(lease_id, None)
         for key in [
             key for key, (_, _, key_lease_id) in self.data.items() if key_lease_id == lease_id
@@ -127,7 +129,7 @@
     # -- limits ------------------------------------------------------------------
 
     def lower_limits(self, limits: LaterLimits) -> None:
-        """From now on, without notice, smaller values and transactions, and fewer changes."""
+        """Apply lower limits on value size, transaction size and write rate, without notice."""
         if limits.value_kb is not None:
             self.value_bytes = int(limits.value_kb * 1024)
         if limits.txn_ops is not None:
@@ -136,6 +138,7 @@
         self._tokens = (limits.write_rps or 0.0, self.clock.now)
 
     def _exceeds_size_limits(self, changes: list[dict[str, Any]]) -> bool:
+        """Return whether a transaction or one of its values is too large."""
         oversized = [
             change["put"]
             for change in changes
@@ -147,7 +150,7 @@
         return bool(oversized)
 
     def _exceeds_write_rate(self, changes: int) -> bool:
-        """Whether so many changes more are above the rate; bursts are worth a second."""
+        """Return whether more changes would exceed the write rate; bursts of 1 s are allowed."""
         if self.write_rps is None:
             return False
         tokens, at = self._tokens
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -1,4 +1,4 @@
-"""A network that delivers requests between named hosts, late, twice or not at all."""
+"""A simulated network that delays, duplicates and loses requests between named hosts."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 
 Handler = Callable[[str, str, str, Any], Awaitable[tuple[int, Any]]]
 
-#: Seconds that a request, a response or a message between controllers takes.
+#: Range of the latency of requests, responses and messages between controllers, in seconds.
 MIN_DELAY_S = 0.001
 MAX_DELAY_S = 0.01
-#: Share of the lost and the cut-off requests that are nevertheless delivered, late.
+#: Share of the lost and partitioned requests that are delivered late after all.
 LATE_DELIVERY_SHARE = 0.5
 #: A sender learns of a lost response after this share of its timeout.
 LOST_RESPONSE_WAIT_SHARE = 0.5
-#: Longer than any run: for a request that is never answered.
+#: Longer than any run: the delay of a request or response that never arrives.
 NEVER_S = 1e9
-#: How late a copy of a request may arrive, and a transaction without an answer be carried out.
+#: Ranges of the seconds after which a late request is delivered, and a late transaction is
+#: carried out.
 LATE_DELIVERY_DELAY_S = (1.0, 40.0)
 LATE_WRITE_DELAY_S = (2.0, 12.0)
 #: Paths of the key-value store's transactions and of the cloud's operations.
@@ -46,44 +47,44 @@
 
     @property
     def is_transaction(self) -> bool:
-        """Whether it goes to the key-value store to change something."""
+        """Return whether the request is a transaction of the key-value store."""
         return self.path == TRANSACTIONS_PATH
 
     @property
     def is_cloud_operation(self) -> bool:
-        """Whether it tells the cloud to rent or to release machines."""
+        """Return whether the request tells the cloud to rent or release machines."""
         return self.method == "POST" and self.path.startswith(CLOUD_OPERATIONS_PATH)
 
     async def carry_out(self) -> tuple[int, Any]:
-        """Hand it to its host."""
+        """Pass the request to its target's handler and return the response."""
         return await self.handler(self.source, self.method, self.path, decode_body(self.body))
 
     async def time_out(self) -> None:
-        """Nothing comes back."""
+        """Wait for the timeout, then fail without a response."""
         await curio.sleep(self.timeout_s)
         raise NoResponseError(self.target)
 
 
 class Network:
-    """Delivers requests between named hosts, late, twice or not at all."""
+    """Delivers requests between named hosts, with delays, duplicates and losses."""
 
     def __init__(self, rng: Random) -> None:
         self.rng = rng
         self.hosts: dict[str, Handler] = {}
-        self.zones: dict[str, str] = {}  # by host, for cuts between zones
-        self.cuts: set[frozenset[str]] = set()
-        self.one_way_cuts: set[tuple[str, str]] = set()  # (from, to)
-        self.delivers_cut_requests_late = False  # cuts keep requests and deliver them late
-        self.loss_share = 0.0
-        self.max_extra_delay_s = 0.0  # a request takes up to so much longer
-        self.duplicate_share = 0.0  # share of workers' reports that arrive once more, late
-        self.late_operation_share = 0.0  # of operations of the cloud, without an answer
-        self.late_write_share = 0.0  # of transactions, without an answer
-        self.overtaken_writes = 0  # late ones carried out after a newer one of their sender
-        self._timely_writes: dict[str, int] = {}  # transactions carried out in time, by sender
+        self.zones: dict[str, str] = {}  # by host, for partitions between zones
+        self.cuts: set[frozenset[str]] = set()  # pairs of hosts or zones
+        self.one_way_cuts: set[tuple[str, str]] = set()  # (source, target), hosts or zones
+        self.delivers_cut_requests_late = False  # else requests that meet a cut fail at once
+        self.loss_share = 0.0  # of requests; as many responses are lost
+        self.max_extra_delay_s = 0.0  # added to the latency of requests
+        self.duplicate_share = 0.0  # of heartbeats and POST requests of users
+        self.late_operation_share = 0.0  # of cloud operations; the sender gets no response
+        self.late_write_share = 0.0  # of transactions; the sender gets no response
+        self.overtaken_writes = 0  # late transactions, carried out after newer ones of their sender
+        self._timely_writes: dict[str, int] = {}  # transactions without added delay, by sender
 
     def is_cut(self, one: str, other: str) -> bool:
-        """Whether nothing passes between two hosts, by themselves or by their zones."""
+        """Return whether two hosts or their zones are cut off from each other."""
         return any(
             a != b and frozenset((a, b)) in self.cuts
             for a in self._names(one)
@@ -91,19 +92,24 @@
         )
 
     def is_cut_one_way(self, source: str, target: str) -> bool:
-        """Whether what goes from one host to another is lost, the other way round or not."""
+        """Return whether messages from `source` to `target` are lost, whatever the reverse does."""
         return any(
             (a, b) in self.one_way_cuts for a in self._names(source) for b in self._names(target)
         )
 
     def _names(self, host: str) -> set[str]:
-        """A host's name and its zone's."""
+        """Return the names of a host and its zone."""
         return {host, self.zones.get(host, host)}
 
     async def request(
         self, source: str, target: str, method: str, path: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Send a request and wait for the answer; NotSent or NoAnswer if there is none."""
+        """Send a request and return the status and body of the response.
+
+        Raises:
+            RequestNotSentError: the target can't be reached.
+            NoResponseError: the request may have been, or may yet be, carried out.
+        """
         body = pack(message) if message is not None else b""
         await curio.sleep(self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S + self.max_extra_delay_s))
         handler = self.hosts.get(target)
@@ -132,7 +138,10 @@
     async def maybe_duplicate(
         self, source: str, targets: list[str], method: str, path: str, message: Any
     ) -> None:
-        """Perhaps a copy that arrives seconds to well over a lease later, anywhere."""
+        """Deliver a duplicate to one of the targets with probability `duplicate_share`.
+
+        It arrives between seconds and more than a worker's lease later.
+        """
         if self.rng.random() < self.duplicate_share:
             target = self.rng.choice(targets)
             handler = self.hosts.get(target)
@@ -142,7 +151,7 @@
                 )
 
     async def _fail_at_cut(self, request: Request) -> None:
-        """It comes to a cut: refused at once, or kept, and perhaps delivered late."""
+        """Fail a request that meets a cut: at once, or on timeout with late delivery of a share."""
         if not self.delivers_cut_requests_late:
             raise RequestNotSentError(request.target)
         if self.rng.random() < LATE_DELIVERY_SHARE:
@@ -152,7 +161,7 @@
         raise RequestNotSentError(request.target)
 
     async def _maybe_delay(self, request: Request) -> None:
-        """A share of transactions and of operations of the cloud is carried out late."""
+        """Deliver a share of the transactions and cloud operations late, without a response."""
         if request.is_transaction:
             if self.rng.random() < self.late_write_share:
                 await curio.spawn(self._write_late, request, daemon=True)
@@ -175,7 +184,7 @@
         await curio.spawn(self._deliver_late, request, daemon=True)
 
     async def _deliver_late(self, request: Request) -> None:
-        """A copy that arrives when its sender has long given up."""
+        """Deliver a request after its sender has given up."""
         await curio.sleep(self.rng.uniform(*LATE_DELIVERY_DELAY_S))
         try:
             await request.carry_out()
@@ -183,7 +192,7 @@
             pass
 
     async def _write_late(self, request: Request) -> None:
-        """A transaction that is carried out seconds later, often after newer ones."""
+        """Carry out a transaction seconds later, often after newer ones of its sender."""
         before = self._timely_writes.get(request.source, 0)
         await curio.sleep(self.rng.uniform(*LATE_WRITE_DELAY_S))
         await request.carry_out()
@@ -191,12 +200,12 @@
 
 
 def decode_body(body: bytes) -> Any:
-    """What a body says; None if it is empty."""
+    """Return the decoded body, or None if it is empty."""
     return unpack(body) if body else None
 
 
 class FakeClient:
-    """A controller's pooled HTTP client, which sends through the network."""
+    """Stands in for a controller's HTTP client, and sends through the simulated network."""
 
     def __init__(
         self,
@@ -218,11 +227,10 @@
     async def ask(
         self, method: str, target: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
-        """Send a request; errors are those of the controller's version."""
+        """Send a request; raises the error classes of the controller's version."""
         if not self._is_alive():
             await curio.sleep(NEVER_S)
-        # What a paused controller was about to send leaves once it goes on, and what
-        # came in between is read only then.
+        # A paused controller sends pending requests and reads responses only once it resumes.
         await self._wait_while_paused(self._source)
         try:
             return await self._network.request(
@@ -236,4 +244,4 @@
             await self._wait_while_paused(self._source)
 
     async def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: there is no connection to close."""
--- a/tests/fakes/peer_link.py
+++ b/tests/fakes/peer_link.py
@@ -1,4 +1,4 @@
-"""Links between controllers."""
+"""Simulated links between controllers."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
-#: Messages between controllers that are kept of each kind.
+#: Most recent messages between controllers that are recorded per tag.
 MAX_RECORDED_MESSAGES = 200
 #: Bytes of the length field in front of a frame's body.
 FRAME_LENGTH_BYTES = 4
 
 
 class PeerLink:
-    """One direction between two controllers."""
+    """Carries messages from one controller to another."""
 
     def __init__(self, simulation: Simulation, source: str, target: str) -> None:
         self._simulation = simulation
@@ -28,7 +28,7 @@
         self._target = target
 
     async def send(self, frame: bytes) -> None:
-        """Deliver a message a moment later, if nothing is in between."""
+        """Deliver a message after the network's latency, unless it is lost or cut off."""
         await curio.spawn(self._deliver, frame, daemon=True)
 
     async def _deliver(self, frame: bytes) -> None:
@@ -49,7 +49,7 @@
         try:
             await deliver_peer_message(controller, message)
         except (ValueError, TypeError, IndexError, KeyError) as exc:
-            # The real listener drops it; between versions that must not happen.
+            # The real listener drops such a message; no version may send one to another.
             self._simulation.record_violation(
                 "peer_message", f"{message[0]} at {self._target}: {exc!r}"
             )
--- a/tests/fakes/virtual_time.py
+++ b/tests/fakes/virtual_time.py
@@ -20,16 +20,16 @@
 
 
 def run_nonblocking(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Run a coroutine that never waits."""
+    """Return the result of a coroutine that must not wait."""
     try:
         coroutine.send(None)
     except StopIteration as exc:
         return exc.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine waits")
 
 
 class VirtualTime(selectors.BaseSelector):
-    """A selector that never waits: time jumps to the next timer."""
+    """A selector that advances the clock to the next timer instead of waiting."""
 
     def __init__(self, start: float = START_S) -> None:
         self.now = start
@@ -47,7 +47,7 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("every task waits for ever")
+            raise RuntimeError("deadlock: all tasks wait, and no timer is set")
         if timeout > 0:
             self.now += timeout + TIMER_MARGIN_S
         return []
@@ -62,8 +62,8 @@
     monkeypatch.setattr(time, "monotonic", lambda: clock.now)
     monkeypatch.setattr(time, "time", lambda: EPOCH_OFFSET_S + clock.now)
     monkeypatch.setattr(time, "time_ns", lambda: int((EPOCH_OFFSET_S + clock.now) * NS_PER_S))
-    # curio keeps waiting tasks in sets; by their numbers the order is the same
-    # in every run, by their addresses it is not.
+    # curio keeps waiting tasks in sets. Hashing them by id instead of address gives the sets
+    # the same order in every run.
     monkeypatch.setattr(CurioTask, "__hash__", lambda task: task.id)
     monkeypatch.setattr(CurioTask, "_lastid", 1)
     kernel = Kernel(selector=clock)
--- a/tests/fakes/worker.py
+++ b/tests/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A machine's worker: it sends heartbeats, and carries out launches, kills and clears."""
+"""A fake of a machine and its worker, which sends heartbeats and carries out commands."""
 
 from __future__ import annotations
 
@@ -14,34 +14,38 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
-#: What a machine has, by the protocol's names.
+#: Resources of a machine, by the protocol's field names.
 MACHINE_SIZE = {"vcpus": 16.0, "cards": 4.0, "ram_gb": 64.0}
+#: Speed of image downloads.
 IMAGE_GB_PER_S = 2.0
 #: Range of the seconds from the rental of a machine to its first heartbeat.
 BOOT_S = (0.5, 4.0)
 #: Range of the factor by which each pause between heartbeats varies.
 HEARTBEAT_JITTER = (0.75, 1.25)
-#: Seconds between checks whether a hanging machine resumes, and of the worker's own lease.
+#: Seconds between checks whether a hanging machine resumes, and whether the lease has ended.
 HANG_CHECK_INTERVAL_S = 0.2
 LEASE_CHECK_INTERVAL_S = 0.1
 #: Seconds until a heartbeat that can't leave the machine fails.
 CONNECTION_FAILURE_S = 0.5
 HEARTBEAT_PATH = "/v1/report"
 HEARTBEAT_TIMEOUT_S = 4.0
-#: A worker tries another controller after so long, or at once where it was sent to it.
+#: Seconds before the next heartbeat: to another controller after a failure, to the leader after
+#: a redirect, and after a new incarnation began during the request.
 RETRY_S = 1.0
 REDIRECTED_RETRY_S = 0.1
 NEW_INCARNATION_RETRY_S = 0.5
-#: A worker whose tasks have changed reports no earlier than this after its last heartbeat.
+#: Shortest time between heartbeats when a change calls for an early one.
 MIN_HEARTBEAT_INTERVAL_S = 0.5
-#: A machine that died is listed as running for so long.
+#: Seconds for which a crashed machine is still listed as running.
 FAILED_LISTED_AFTER_S = 8.0
+#: Heartbeats before the latest one that are recorded, to be replayed by tests.
 PAST_HEARTBEATS = 40
+#: Tolerance for rounding errors of summed resources.
 EPSILON = 1e-6
 
 
 class FakeTask:
-    """A task on a worker."""
+    """A task attempt on a worker."""
 
     def __init__(self, task_name: str, attempt_number: int, spec: dict[str, Any]) -> None:
         self.task_name = task_name
@@ -52,12 +56,13 @@
         self.state = "pulling"
         self.cause: str | None = None
         self.progress_saved = False
-        self.remaining = spec["image_gb"]  # of its image in GB, then of its run or save in seconds
+        # GB of the image to pull, later the seconds to run or to save progress.
+        self.remaining = spec["image_gb"]
         self.gathering_since = 0.0
 
 
 class FakeWorker:
-    """One machine with its worker."""
+    """A machine and its worker."""
 
     def __init__(
         self, simulation: Simulation, name: str, zone: str, spot: bool, rng: Random
@@ -76,30 +81,31 @@
         self.up = False
         self.terminated = False
         self.hanging_until = 0.0
-        self.commands_lost_until = 0.0  # its heartbeats arrive, answers and commands don't
-        self.heartbeats_lost_until = 0.0  # direct commands reach it
+        self.commands_lost_until = 0.0  # heartbeats arrive, answers and commands don't
+        self.heartbeats_lost_until = 0.0  # direct commands arrive
         self.revoked_at: float | None = None
         self.fails_tasks = False
         self.failed_at: float | None = None
         self.lease_renewed_at = 0.0
-        self.late_commands = 0  # direct commands carried out when it went on after a while
+        # Direct commands that arrived while the machine hung, and were handled once it resumed.
+        self.late_commands = 0
         self.past_heartbeats: list[dict[str, Any]] = []
-        self.last_answer_at: dict[str, float] = {}  # controllers, by their last 200
+        self.last_answer_at: dict[str, float] = {}  # by controller; successful answers only
         self.controller_index = rng.randrange(len(simulation.controller_names))
-        self.state_changed = False
+        self.state_changed = False  # since the last heartbeat; the next one is sent early
         self.rented_at = simulation.clock.now
-        self.hosted_jobs: set[str] = set()  # of all tasks that were ever launched here
+        self.hosted_jobs: set[str] = set()  # jobs of all tasks launched here so far
 
-    # -- what is there -----------------------------------------------------------
+    # -- state and capacity -------------------------------------------------------
 
     def listed_stage(self, now: float) -> str:
-        """As the cloud lists it."""
+        """Return the machine's stage in the cloud's list."""
         if self.failed_at is not None and now > self.failed_at:
             return "failed"
         return "running" if self.up else "starting"
 
     def accepts(self, spec: dict[str, Any]) -> bool:
-        """Whether the machine may take tasks of a job at all, just now."""
+        """Return whether the machine is healthy, reachable and allowed for a job."""
         healthy = (
             self.up and not self.terminated and not self.fails_tasks and self.revoked_at is None
         )
@@ -111,7 +117,7 @@
         )
 
     def free_slots(self, spec: dict[str, Any]) -> int:
-        """How many more tasks of this size it takes."""
+        """Return how many more tasks of a job fit on the machine."""
         placed = [task.spec for task in self.tasks.values() if task.state != "ended"]
         return min(
             int((size - sum(each[name] for each in placed) + EPSILON) // spec[name])
@@ -120,13 +126,13 @@
         )
 
     def active_tasks(self) -> list[FakeTask]:
-        """What the checker calls being on the machine: all that has started and not ended."""
+        """Return the tasks that have started and not ended."""
         return [task for task in self.tasks.values() if task.state not in ("ended", "pulling")]
 
     # -- heartbeats --------------------------------------------------------------
 
     def next_heartbeat(self) -> dict[str, Any]:
-        """The message with all its tasks."""
+        """Return the next heartbeat message, with all tasks."""
         self.sequence += 1
         tasks = []
         for task in self.tasks.values():
@@ -153,7 +159,7 @@
         }
 
     async def run(self) -> None:
-        """Send heartbeats until the machine is gone."""
+        """Boot, then send heartbeats until the machine is terminated."""
         await curio.sleep(self.rng.uniform(*BOOT_S))
         self.up = True
         clock = self.simulation.clock
@@ -165,7 +171,7 @@
             await self._wait_for_next_heartbeat(await self._send_heartbeat())
 
     async def _wait_for_next_heartbeat(self, pause_s: float) -> None:
-        """Wait about so long, or less once tasks have changed."""
+        """Wait for about `pause_s`, or less if the state has changed."""
         clock, workers = self.simulation.clock, self.simulation.settings.cluster.workers
         end = clock.now + pause_s * self.rng.uniform(*HEARTBEAT_JITTER)
         earliest = clock.now + min(pause_s, MIN_HEARTBEAT_INTERVAL_S)
@@ -180,7 +186,7 @@
             self._check_lease()
 
     async def _send_heartbeat(self) -> float:
-        """Send one; how long to wait before the next."""
+        """Send a heartbeat and return the pause before the next one, in seconds."""
         self.state_changed = False
         sent = self.simulation.clock.now
         incarnation = self.incarnation
@@ -214,7 +220,7 @@
     async def _exchange_heartbeat(
         self, target: str, heartbeat: dict[str, Any], sent: float
     ) -> tuple[int, bytes]:
-        """Ask a controller, where heartbeats or their answers may be lost."""
+        """Send a heartbeat and return its answer, unless a fault loses either."""
         if sent < self.heartbeats_lost_until:
             await curio.sleep(CONNECTION_FAILURE_S)
             raise RequestNotSentError(target)
@@ -228,7 +234,7 @@
         return answer
 
     def _follow_redirect(self, leader: Any) -> bool:
-        """Turn to the controller that another one names; False if it is the same."""
+        """Switch to the leader that an answer names; return False if that changes nothing."""
         controllers = self.simulation.controller_names
         if leader not in controllers:
             return False
@@ -239,7 +245,7 @@
         return True
 
     def _accept_answer(self, answer: dict[str, Any], target: str, sent: float) -> None:
-        """Renew the lease and carry out the commands, unless a newer leader was heard."""
+        """Renew the lease and carry out the commands, unless a newer leader is known."""
         if answer["crown"] < self.fencing_token:
             return
         self._accept_token(answer["crown"])
@@ -258,17 +264,17 @@
             self.simulation.note(f"{self.name}: lease ended")
             self.start_incarnation()
 
-    # -- what happens to the machine ---------------------------------------------
+    # -- failures and incarnations -----------------------------------------------
 
     def crash(self) -> None:
-        """It stops with all that is on it, and is listed as running for a while."""
+        """Stop the machine and all its tasks; the cloud lists it as running for a while."""
         self.terminated = True
         self.tasks.clear()
         self.failed_at = self.simulation.clock.now + FAILED_LISTED_AFTER_S
         self.simulation.network.hosts.pop(self.host, None)
 
     def start_incarnation(self) -> None:
-        """All tasks are gone, and the next session begins."""
+        """Drop all tasks and start the next incarnation."""
         self.tasks.clear()
         self.incarnation += 1
         self.lease_renewed_at = self.simulation.clock.now
@@ -277,7 +283,7 @@
     # -- commands ----------------------------------------------------------------
 
     async def handle(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """A controller's direct request."""
+        """Handle a direct request of a controller."""
         if self.terminated or self.simulation.clock.now < self.commands_lost_until:
             await curio.sleep(NEVER_S)
         late = self.simulation.clock.now < self.hanging_until
@@ -306,7 +312,7 @@
                 self._kill(task, command.get("settle_s", 0))
 
     def _kill(self, task: FakeTask, grace_s: float) -> None:
-        """End a task, or let it save if it can within the time that it gets."""
+        """End a task, or let it save its progress if the grace period allows."""
         can_save = task.state == "running" and task.spec["cap_s"] > 0
         if can_save and grace_s >= task.spec["seal_s"]:
             task.state = "flushing"
@@ -337,14 +343,14 @@
     # -- tasks -------------------------------------------------------------------
 
     def end_task(self, task: FakeTask, cause: str, progress_saved: bool = False) -> None:
-        """A task ends; `progress_saved` says that it has saved its progress."""
+        """End a task, and report `cause` and whether its progress was saved."""
         task.state = "ended"
         task.cause = cause
         task.progress_saved = progress_saved
         self.state_changed = True
 
     def step(self, step_s: float) -> None:
-        """Let the tasks get on."""
+        """Advance all tasks by `step_s` seconds; terminate the machine once it is revoked."""
         now = self.simulation.clock.now
         if self.terminated or now < self.hanging_until:
             return
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""A small deployment in virtual time: tasks, users and faults, and a checker of the rules."""
+"""A simulated deployment in virtual time: tasks, users, faults and a checker of invariants."""
--- a/tests/simulation/controller_faults.py
+++ b/tests/simulation/controller_faults.py
@@ -1,4 +1,4 @@
-"""Faults of controllers: they end, stand still, or fall behind."""
+"""Faults of controllers: crashes, pauses and overload."""
 
 from __future__ import annotations
 
@@ -11,8 +11,9 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
-#: Delays of a controller that is back within a moment.
+#: Seconds until a controller is up again after a quick restart; one of these is drawn.
 QUICK_RESTART_DELAYS_S = [0.02, 0.1, 0.3]
+#: Seconds between the restarts of two controllers.
 ROLLING_RESTART_PAUSE_S = 2.0
 #: Newly elected leaders that crash one after another, and the range of the pauses between.
 ELECTION_CRASHES = 3
@@ -22,47 +23,47 @@
 
 
 async def crash(simulation: Simulation, fault: Fault) -> None:
-    """One controller ends."""
+    """Crash and restart one controller."""
     await simulation.restart_controllers([fault.controller])
 
 
 async def crash_all(simulation: Simulation, fault: Fault) -> None:
-    """All controllers end at once."""
+    """Crash and restart all controllers at once."""
     await simulation.restart_controllers(list(simulation.controllers))
 
 
 async def rolling_restart(simulation: Simulation, fault: Fault) -> None:
-    """All controllers end, one after the other."""
+    """Restart all controllers one after another."""
     for name in simulation.controller_names:
         await simulation.restart_controllers([name])
         await curio.sleep(ROLLING_RESTART_PAUSE_S)
 
 
 async def crash_leader(simulation: Simulation, fault: Fault) -> None:
-    """Whoever leads ends."""
+    """Crash and restart the leader."""
     await simulation.restart_controllers(simulation.leaders())
 
 
 async def crash_during_election(simulation: Simulation, fault: Fault) -> None:
-    """Whoever is elected ends at once, and is back within a moment."""
+    """Crash newly elected leaders repeatedly, each with a quick restart."""
     for _ in range(ELECTION_CRASHES):
         await simulation.restart_controllers(simulation.leaders(), QUICK_RESTART_DELAYS_S)
         await curio.sleep(simulation.rng.uniform(*ELECTION_CRASH_PAUSE_S))
 
 
 async def pause_controller(simulation: Simulation, fault: Fault) -> None:
-    """One controller stands still; its clocks run on."""
+    """Pause one controller; its clocks keep running."""
     simulation.paused_until[fault.controller] = simulation.clock.now + fault.duration_s
 
 
 async def pause_leader(simulation: Simulation, fault: Fault) -> None:
-    """The leader stands still, or whoever was drawn if nobody leads."""
+    """Pause the leader, or the drawn controller if there is no leader."""
     name = next(iter(simulation.leaders()), fault.controller)
     simulation.paused_until[name] = simulation.clock.now + fault.duration_s
 
 
 async def overload_controllers(simulation: Simulation, fault: Fault) -> None:
-    """Leaders get more messages than they have time for; all else is late by less."""
+    """Make each message cost processing time: the leader falls behind, other controllers less."""
     simulation.message_cost_s = simulation.rng.uniform(*MESSAGE_COST_S)
     await curio.sleep(2 * fault.duration_s)
     simulation.message_cost_s = 0.0
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -1,4 +1,8 @@
-"""The simulated deployment: controllers, key-value store, cloud and machines, and its days."""
+"""The simulated deployment: controllers, key-value store, cloud and machines.
+
+A simulated run is called a day: jobs are submitted while faults occur, then the faults stop and
+the jobs get time to finish.
+"""
 
 from __future__ import annotations
 
@@ -22,11 +26,11 @@
 
 CONTROLLER_NAMES = ("hive-0", "hive-1", "hive-2")
 ZONES = {"hive-0": "a", "hive-1": "b", "hive-2": "a"}
-#: How long a controller is away when it is restarted; one of these is drawn.
+#: Seconds until a restarted controller is up again; one of these is drawn.
 RESTART_DELAYS_S = [0.05, 0.2, 1.0, 3.0]
-#: What is under way when the last fault has begun has ended so much later.
+#: Seconds after the last fault began until all faults and late requests are over.
 SETTLING_S = 40.0
-#: Share of the jobs that are services, once all controllers know services.
+#: Share of services among the jobs, once all controllers support services.
 SERVICE_SHARE_AFTER_UPGRADE = 0.3
 #: Share of the time with faults that passes before the first controller is upgraded.
 UPGRADE_START_SHARE = 0.2
@@ -37,7 +41,7 @@
 
 
 class Simulation:
-    """The controllers and everything around them; `violations` lists the rules broken."""
+    """The controllers and everything around them; `violations` lists the broken rules."""
 
     def __init__(self, clock: VirtualTime, seed: int, capacity: int = 9) -> None:
         self.clock = clock
@@ -56,11 +60,11 @@
         self.settings = self.controller_settings[CONTROLLER_NAMES[0]]
         self.controllers: dict[str, Any] = {}
         self.processes: dict[str, Any] = {}
-        self.versions: dict[str, Version] = {}  # controllers of another version than the current
+        self.versions: dict[str, Version] = {}  # by controller, if not the current one
         self.paused_until: dict[str, float] = {}  # by controller
-        self.message_cost_s = 0.0  # what each message, in or out, keeps a controller busy
+        self.message_cost_s = 0.0  # time for which each message in or out occupies a controller
         self.peers_unreachable = False
-        self.peer_messages: dict[str, list[tuple[Any, ...]]] = {}  # by tag, the last ones
+        self.peer_messages: dict[str, list[tuple[Any, ...]]] = {}  # most recent ones, by tag
         self.notes: list[str] = []
         self.violations: list[str] = []
         self.store = FakeKeyValueStore(clock)
@@ -74,35 +78,35 @@
         self.faults = FaultInjector(self)
 
     def note(self, text: str) -> None:
-        """Write a line of the day's story."""
+        """Append a line with the elapsed time to the log of the run."""
         self.notes.append(f"{self.clock.now - START_S:8.2f} {text}")
 
     def record_violation(self, rule: str, text: str) -> None:
-        """A rule is broken."""
+        """Record that a rule is broken."""
         self.violations.append(rule)
         self.note(f"BROKEN {rule}: {text}")
 
     @property
     def starts(self) -> int:
-        """How many tasks have started."""
+        """The number of tasks that have started."""
         return self.tasks.starts
 
     def leaders(self) -> list[str]:
-        """The controllers that have been elected; several while one does not know better."""
+        """Return the elected controllers; there may be several until a deposed one steps down."""
         return [name for name, controller in self.controllers.items() if is_leading(controller)]
 
     def running_workers(self) -> list[FakeWorker]:
-        """The workers of machines that are up."""
+        """Return the workers that have booted."""
         return [worker for worker in self.cloud.workers.values() if worker.up]
 
     def unfinished_jobs(self) -> list[str]:
-        """Jobs whose users have not been told of an end."""
+        """Return the jobs whose end has not been reported to a user."""
         return [job for job in self.users.specs if not self.rules.end_is_reported(job)]
 
-    # -- what happens to controllers and tasks -----------------------------------
+    # -- events of controllers and tasks -----------------------------------------
 
     async def wait_while_paused(self, name: str) -> None:
-        """Wait while a controller is paused, or busy with earlier messages; its clocks run on."""
+        """Wait while a controller is paused or busy with messages; its clocks keep running."""
         while self.clock.now < self.paused_until.get(name, 0.0):
             await curio.sleep(self.paused_until[name] - self.clock.now)
         if self.message_cost_s:
@@ -111,7 +115,7 @@
     async def restart_controllers(
         self, names: list[str], delays_s: list[float] | None = None
     ) -> None:
-        """Kill controllers and start them again after a while; who is away already comes back."""
+        """Kill controllers and start them after a delay, including those that were down before."""
         for name in names:
             if name in self.controllers:
                 await stop_controller(self, name)
@@ -121,22 +125,22 @@
                 await start_controller(self, name)
 
     def task_launched(self, worker: FakeWorker, task_name: str) -> None:
-        """A worker carries out a launch."""
+        """Record that a worker carries out a launch command."""
         self.cloud.operations.launched(worker, task_name)
 
     def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
-        """A task has its image: the moment that the rules look at."""
+        """Record that a task starts, its image being pulled, and check the rules for starts."""
         self.tasks.record_start(task)
         self.rules.check_start(worker, task)
 
     def check_running_tasks(self) -> None:
-        """Check the rules that hold for running tasks at every moment."""
+        """Check the rules that apply to running tasks at every step."""
         self.rules.check_running_tasks()
 
     # -- a day -------------------------------------------------------------------
 
     async def run_steps(self) -> None:
-        """Let tasks run and check the rules, step by step, without end."""
+        """Advance tasks and check the rules, step by step, until cancelled."""
         while True:
             await curio.sleep(CHECK_INTERVAL_S)
             for worker in list(self.cloud.workers.values()):
@@ -148,17 +152,17 @@
             self.cloud.record_machine_list()
 
     def install_production(self, later_limits: LaterLimits) -> None:
-        """All controllers are of the production version; they know what is to come."""
+        """Install the production version everywhere, and announce the lower limits to it."""
         self.versions = dict.fromkeys(self.controller_names, production())
-        self.cloud.operations.judges = False  # production records no orders
+        self.cloud.operations.judges = False  # production does not record its operations
         for settings in self.controller_settings.values():
             settings.cluster.state.next = later_limits
 
     async def upgrade(self, after_s: float, later_limits: LaterLimits) -> None:
-        """Controllers are replaced one after the other by ones of the current version.
+        """Replace the controllers one after another by ones of the current version.
 
-        One that ends before its turn comes back as it was. Once all are new, services are
-        submitted, and the key-value store lowers its limits.
+        One that crashes before its turn restarts with its old version. Once all are upgraded,
+        services are submitted, and the key-value store lowers its limits.
         """
         await curio.sleep(after_s)
         for name in self.rng.sample(self.controller_names, len(self.controller_names)):
@@ -179,9 +183,9 @@
         kinds: list[str],
         later_limits: LaterLimits | None = None,
     ) -> None:
-        """A day: jobs come while things fail, then a calm time to finish in.
+        """Submit jobs during `trouble_s` of faults, then wait up to `calm_s` for them to finish.
 
-        With `later_limits`, the production version serves at its beginning, and is upgraded.
+        With `later_limits`, the run begins with the production version, which is then upgraded.
         """
         if later_limits is not None:
             self.install_production(later_limits)
@@ -206,7 +210,7 @@
             await stop_controller(self, name)
 
     async def _start_deployment(self) -> None:
-        """Start the controllers, and machines for four ninths of the capacity."""
+        """Start the controllers, and machines for four ninths of the cloud's capacity."""
         for name in self.controller_names:
             await start_controller(self, name)
         for number in range(self.cloud.capacity * 4 // 9):
--- a/tests/simulation/fault.py
+++ b/tests/simulation/fault.py
@@ -1,4 +1,4 @@
-"""What is drawn for every fault, whatever its kind."""
+"""The parameters that are drawn for every fault, whatever its kind."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """How long a fault lasts, and which controller it hits, where its kind hits any."""
+    """A fault's duration, and the controller it affects if its kind affects a single one."""
 
     duration_s: float
     controller: str
--- a/tests/simulation/faults.py
+++ b/tests/simulation/faults.py
@@ -1,4 +1,4 @@
-"""Faults of all kinds, drawn one after another and overlapping."""
+"""Random injection of faults of all kinds; faults may overlap."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 FaultFunction = Callable[["Simulation", Fault], Awaitable[None]]
 
-#: Every kind of fault, by the name that the lists of a day use.
+#: The function that injects each kind of fault, by the kind's name in the lists of a run.
 FAULTS: dict[str, FaultFunction] = {
     **controller_faults.FAULTS,
     **network_faults.FAULTS,
@@ -29,20 +29,20 @@
 
 
 class FaultInjector:
-    """Draws faults and lets them happen."""
+    """Draws faults at random and injects them."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
 
     async def run(self, kinds: list[str]) -> None:
-        """Let faults of the given kinds happen, without end."""
+        """Inject random faults of the given kinds until cancelled."""
         rng = self._simulation.rng
         while True:
             await curio.sleep(rng.uniform(*FAULT_INTERVAL_S))
             await curio.spawn(self.inject, rng.choice(kinds), daemon=True)
 
     async def inject(self, kind: str) -> None:
-        """Let one fault happen; it is over when this returns, or ends by itself later."""
+        """Inject one fault. It ends when this returns, or by itself later."""
         simulation = self._simulation
         simulation.note(f"trouble: {kind}")
         duration_s = simulation.rng.uniform(*FAULT_DURATION_S)
--- a/tests/simulation/machine_faults.py
+++ b/tests/simulation/machine_faults.py
@@ -12,11 +12,12 @@
 
 #: Range of the seconds from the notice until a machine is revoked.
 NOTICE_S = (2.0, 10.0)
+#: Share of the running replicas that end.
 ENDED_REPLICA_SHARE = 0.3
 
 
 def _draw_workers(simulation: Simulation) -> list[FakeWorker]:
-    """One or two workers that are up."""
+    """Draw one or two running workers."""
     workers = simulation.running_workers()
     return simulation.rng.sample(workers, min(len(workers), simulation.rng.choice([1, 2])))
 
@@ -27,61 +28,61 @@
 
 
 async def hang(simulation: Simulation, fault: Fault) -> None:
-    """Machines stand still."""
+    """Hang machines: their tasks make no progress, and they answer nothing."""
     for worker in _draw_workers(simulation):
         worker.hanging_until = simulation.clock.now + fault.duration_s
 
 
 async def lose_answers(simulation: Simulation, fault: Fault) -> None:
-    """Machines send heartbeats, and no answer or command reaches them."""
+    """Lose all answers and commands to machines; their heartbeats arrive."""
     for worker in _draw_workers(simulation):
         worker.commands_lost_until = simulation.clock.now + 2 * fault.duration_s
 
 
 async def lose_heartbeats(simulation: Simulation, fault: Fault) -> None:
-    """Machines reach no controller; direct commands reach them."""
+    """Lose all heartbeats of machines; direct commands to them arrive."""
     for worker in _draw_workers(simulation):
         worker.heartbeats_lost_until = simulation.clock.now + fault.duration_s
 
 
 async def restart_worker(simulation: Simulation, fault: Fault) -> None:
-    """Machines lose all tasks and begin a new session."""
+    """Restart workers: they lose all tasks and start a new incarnation."""
     for worker in _draw_workers(simulation):
         worker.start_incarnation()
 
 
 async def revoke_with_notice(simulation: Simulation, fault: Fault) -> None:
-    """Machines are told that they will be taken within seconds."""
+    """Give machines notice that the cloud revokes them within seconds."""
     for worker in _draw_workers(simulation):
         worker.revoked_at = simulation.clock.now + simulation.rng.uniform(*NOTICE_S)
 
 
 async def revoke_without_notice(simulation: Simulation, fault: Fault) -> None:
-    """The cloud takes machines without notice."""
+    """Revoke machines without notice."""
     for worker in _draw_workers(simulation):
         simulation.cloud.remove(worker)
 
 
 async def fail_all_tasks(simulation: Simulation, fault: Fault) -> None:
-    """Machines fail every task from now on."""
+    """Make machines fail every task from now on."""
     for worker in _draw_workers(simulation):
         worker.fails_tasks = True
 
 
 async def hang_third(simulation: Simulation, fault: Fault) -> None:
-    """A third of the machines stands still."""
+    """Hang a third of the machines."""
     for worker in _draw_third_of_workers(simulation):
         worker.hanging_until = simulation.clock.now + fault.duration_s
 
 
 async def kill_third(simulation: Simulation, fault: Fault) -> None:
-    """A third of the machines dies."""
+    """Crash a third of the machines."""
     for worker in _draw_third_of_workers(simulation):
         worker.crash()
 
 
 async def lose_answers_to_zone(simulation: Simulation, fault: Fault) -> None:
-    """No answer or command reaches the machines of a zone."""
+    """Lose all answers and commands to the machines of a zone."""
     zone = simulation.rng.choice("ab")
     for worker in simulation.cloud.workers.values():
         if worker.zone == zone:
@@ -89,7 +90,7 @@
 
 
 async def end_replicas(simulation: Simulation, fault: Fault) -> None:
-    """Some replicas end by themselves, with whatever cause."""
+    """End some running replicas, as done or failed."""
     for worker in simulation.cloud.workers.values():
         for task in worker.tasks.values():
             if task.spec.get("shape") == "daemon" and task.state == "running":
--- a/tests/simulation/network_faults.py
+++ b/tests/simulation/network_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the network: partitions, losses and late copies."""
+"""Faults of the network: partitions, losses, duplicates and late deliveries."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
-#: Share of the partitions that deliver, late, what was sent while they lasted.
+#: Share of the partitions after which some of the cut-off requests are delivered late.
 LATE_DELIVERY_SHARE = 0.5
 #: Share of the one-way cuts of the key-value store that lose its responses, not the requests.
 TO_CONTROLLER_SHARE = 0.5
@@ -27,7 +27,10 @@
 
 
 async def _partition(simulation: Simulation, fault: Fault, pairs: Pairs) -> None:
-    """Cut connections, and perhaps deliver late what was sent meanwhile."""
+    """Cut the connections between pairs of hosts or zones for the fault's duration.
+
+    In a share of the partitions, some of the requests that meet a cut are delivered late.
+    """
     simulation.network.delivers_cut_requests_late = simulation.rng.random() < LATE_DELIVERY_SHARE
     cuts = {frozenset(pair) for pair in pairs}
     simulation.network.cuts |= cuts
@@ -36,18 +39,18 @@
 
 
 def _peer_and_store_links(simulation: Simulation, name: str) -> Pairs:
-    """A controller's connections to the other controllers and to the key-value store."""
+    """Return a controller's connections to the other controllers and the key-value store."""
     others = (*simulation.controller_names, FakeKeyValueStore.HOST)
     return [(name, other) for other in others if other != name]
 
 
 async def partition_zones(simulation: Simulation, fault: Fault) -> None:
-    """Nothing passes between the zones."""
+    """Partition the zones from each other."""
     await _partition(simulation, fault, [("a", "b")])
 
 
 async def isolate_controller(simulation: Simulation, fault: Fault) -> None:
-    """One controller reaches nobody."""
+    """Isolate one controller from everything else."""
     name = fault.controller
     hosts = (*simulation.controller_names, "user", FakeKeyValueStore.HOST, FakeCloud.HOST)
     pairs = [(name, zone) for zone in ("a", "b")]
@@ -56,17 +59,17 @@
 
 
 async def partition_controller_from_store(simulation: Simulation, fault: Fault) -> None:
-    """One controller does not reach the key-value store."""
+    """Partition one controller from the key-value store."""
     await _partition(simulation, fault, [(fault.controller, FakeKeyValueStore.HOST)])
 
 
 async def partition_controller_except_workers(simulation: Simulation, fault: Fault) -> None:
-    """One controller reaches workers, users and the cloud only."""
+    """Partition one controller from the other controllers and the key-value store."""
     await _partition(simulation, fault, _peer_and_store_links(simulation, fault.controller))
 
 
 async def partition_leader_except_workers(simulation: Simulation, fault: Fault) -> None:
-    """The leader reaches workers, users and the cloud only."""
+    """Partition the leader from the other controllers and the key-value store."""
     pairs = [
         pair for name in simulation.leaders() for pair in _peer_and_store_links(simulation, name)
     ]
@@ -74,19 +77,19 @@
 
 
 async def partition_leader_from_zone(simulation: Simulation, fault: Fault) -> None:
-    """The leader reaches nothing in one zone."""
+    """Partition the leader from one zone."""
     await _partition(simulation, fault, [(name, "b") for name in simulation.leaders()])
 
 
 async def isolate_machines(simulation: Simulation, fault: Fault) -> None:
-    """Two machines reach no controller."""
+    """Isolate two machines from all controllers."""
     workers = list(simulation.cloud.workers.values())[:2]
     pairs = [(worker.host, name) for worker in workers for name in simulation.controller_names]
     await _partition(simulation, fault, pairs)
 
 
 async def partition_store_one_way(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store hears some controller, or it the store, and not both."""
+    """Cut one direction between the key-value store and a controller, perhaps the leader."""
     rng = simulation.rng
     name = rng.choice([*simulation.leaders(), fault.controller])
     lost = {(name, FakeKeyValueStore.HOST)}
@@ -98,35 +101,35 @@
 
 
 async def lose_requests(simulation: Simulation, fault: Fault) -> None:
-    """Requests and answers are lost now and then."""
+    """Lose a share of requests and of responses."""
     simulation.network.loss_share = LOSS_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.loss_share = 0.0
 
 
 async def duplicate_requests(simulation: Simulation, fault: Fault) -> None:
-    """Heartbeats and submissions arrive once more, late."""
+    """Deliver late duplicates of heartbeats and of users' POST requests."""
     simulation.network.duplicate_share = DUPLICATE_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.duplicate_share = 0.0
 
 
 async def delay_writes(simulation: Simulation, fault: Fault) -> None:
-    """Transactions get no answer, and are carried out late."""
+    """Carry out a share of the transactions late, without a response."""
     simulation.network.late_write_share = LATE_WRITE_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.late_write_share = 0.0
 
 
 async def delay_cloud_operations(simulation: Simulation, fault: Fault) -> None:
-    """Orders to the cloud get no answer, and are carried out late."""
+    """Carry out a share of the cloud operations late, without a response."""
     simulation.network.late_operation_share = LATE_OPERATION_SHARE
     await curio.sleep(fault.duration_s)
     simulation.network.late_operation_share = 0.0
 
 
 async def cut_peer_links(simulation: Simulation, fault: Fault) -> None:
-    """Controllers do not reach each other; all else works."""
+    """Cut the links between controllers; everything else works."""
     simulation.peers_unreachable = True
     await curio.sleep(fault.duration_s)
     simulation.peers_unreachable = False
--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -1,4 +1,4 @@
-"""The rules that hold under every fault, checked at each step and at each answer."""
+"""The rules that must hold under every fault, checked at each step and each answer."""
 
 from __future__ import annotations
 
@@ -10,42 +10,44 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+#: Seconds between two steps of a simulation.
 CHECK_INTERVAL_S = 0.1
-#: How long a question may go unanswered once the faults are over.
+#: Longest time without a successful answer about a job once the faults are over.
 MAX_UNANSWERED_S = 75.0
-#: How long a job may be left waiting then though there is room, and how often it is looked.
+#: Longest time for which a job may wait despite free capacity once the faults are over, and the
+#: interval between checks of that.
 MAX_WAITING_S = 90.0
 WAITING_CHECK_INTERVAL_S = 5.0
-#: Tasks of the largest gangs, and how soon they must begin.
+#: Tasks of the largest gangs, and the time within which they must start.
 LARGEST_GANG_TASKS = 4
 MAX_LARGEST_GANG_WAIT_S = 240.0
 FINAL_STAGES = ("done", "aborted")
-#: Rounding of resources that were added up.
+#: Tolerance for rounding errors of summed resources.
 EPSILON = 1e-6
 
 
 class RuleChecker:
-    """Judges what runs on the machines, and what users are told."""
+    """Checks the tasks on the machines and the answers to users against the rules."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
-        self.reported_stages: dict[str, str] = {}  # what users were told last, by job
-        self.end_reported_at: dict[str, float] = {}  # by when a user was first told of the end
+        self.reported_stages: dict[str, str] = {}  # last stage reported to users, by job
+        self.end_reported_at: dict[str, float] = {}  # time of the first report of a job's end
         self.last_answer_at: dict[str, float] = {}
         self.cancel_requested: set[str] = set()
         self.cancel_confirmed_at: dict[str, float] = {}
-        self.faults_over_at: float | None = None  # from then on all faults are over
+        self.faults_over_at: float | None = None  # no fault is active from this time on
         self._placeable_since: dict[str, float] = {}
         self._waiting_checked_at = 0.0
 
     def end_is_reported(self, job: str) -> bool:
-        """Whether a user was told that a job is done or aborted."""
+        """Return whether a user has been told that a job is done or aborted."""
         return self.reported_stages.get(job) in FINAL_STAGES
 
     # -- tasks on machines -------------------------------------------------------
 
     def check_start(self, worker: FakeWorker, task: FakeTask) -> None:
-        """A task starts: no other copy of it runs, and the machine is one that it may have."""
+        """Check that a starting task does not run elsewhere, and that its machine is allowed."""
         simulation = self._simulation
         for other in simulation.cloud.workers.values():
             for present in other.active_tasks():
@@ -75,7 +77,7 @@
             )
 
     def check_running_tasks(self) -> None:
-        """No task outlives its job's cancellation, and no team is above its limit."""
+        """Check that no task outlives its job's cancellation and no team exceeds its limit."""
         simulation = self._simulation
         used_gpus: dict[str, float] = {}
         for worker in simulation.cloud.workers.values():
@@ -84,7 +86,7 @@
                 used_gpus[team] = used_gpus.get(team, 0.0) + task.spec["cards"]
                 self._check_cancelled(worker, task)
         for team in simulation.settings.cluster.teams:
-            # A limit of 0 means none.
+            # A limit of 0 means that the team has no limit.
             if team.gpus_max and used_gpus.get(team.name, 0.0) > team.gpus_max + EPSILON:
                 simulation.record_violation("quota", f"{team.name} uses {used_gpus[team.name]}")
 
@@ -95,13 +97,16 @@
         if confirmed_at is not None and simulation.clock.now - confirmed_at > max_s:
             simulation.record_violation("ran_cancelled", f"{task.task_name} on {worker.name}")
 
-    # -- what users are told -----------------------------------------------------
+    # -- answers to users --------------------------------------------------------
 
     def check_answer(
         self, job: str, status: int, body: Any, is_submission: bool, sent_at: float | None = None
     ) -> None:
-        """A user got an answer about a job. To a question that was `sent_at` before the user
-        was told of its end, an older answer is no fault."""
+        """Check an answer to a user about a job.
+
+        An answer to a request sent before the user was told of the job's end may be outdated;
+        it is ignored if `sent_at` shows that.
+        """
         if sent_at is not None and sent_at < self.end_reported_at.get(job, 0.0):
             return
         known = job in self.reported_stages
@@ -145,7 +150,7 @@
                 self.end_reported_at[job] = now
 
     def check_answered(self) -> None:
-        """Once all faults are over, every accepted job is answered for."""
+        """Check that requests about every accepted job are answered once the faults are over."""
         if self.faults_over_at is None:
             return
         simulation = self._simulation
@@ -157,10 +162,10 @@
                 )
                 simulation.users.polled.discard(job)
 
-    # -- jobs that wait ----------------------------------------------------------
+    # -- waiting jobs ------------------------------------------------------------
 
     def check_waiting(self) -> None:
-        """Once all faults are over, no job waits while there is room for it."""
+        """Check that no job waits despite free capacity once the faults are over."""
         simulation, now = self._simulation, self._simulation.clock.now
         if self.faults_over_at is None or now < self.faults_over_at:
             return
@@ -178,7 +183,7 @@
                 self._placeable_since.pop(job, None)
 
     def _placed_tasks(self) -> tuple[set[tuple[str, int]], dict[str, float]]:
-        """All tasks on machines, and the GPUs that each team uses with them."""
+        """Return all unended tasks on machines, and the GPUs that they use per team."""
         placed: set[tuple[str, int]] = set()
         used_gpus: dict[str, float] = {}
         for worker in self._simulation.cloud.workers.values():
@@ -192,7 +197,7 @@
     def _is_placeable(
         self, job: str, placed: set[tuple[str, int]], used_gpus: dict[str, float]
     ) -> bool:
-        """Whether a task of an array, or a whole gang, waits though there is room."""
+        """Return whether an array task or a complete gang waits despite free capacity."""
         spec = self._simulation.users.specs[job]
         completed = self._simulation.tasks.completed
         waiting = [
@@ -209,20 +214,20 @@
         if not self._is_within_limit(spec, needed, used_gpus):
             return False
         if not is_gang and (spec["same_place"] or spec["scatter"]):
-            return False  # its other tasks may bind it to a zone
+            return False  # the job's other tasks may restrict it to a zone
         return self._free_slots(spec) >= needed
 
     def _is_within_limit(
         self, spec: dict[str, Any], needed: int, used_gpus: dict[str, float]
     ) -> bool:
-        """Whether so many more tasks stay within their team's limit."""
+        """Return whether `needed` more tasks stay within their team's limit."""
         teams = self._simulation.settings.cluster.teams
         limit = next(team.gpus_max for team in teams if team.name == spec["crew"])
         used = used_gpus.get(spec["crew"], 0.0)
         return not limit or used + needed * spec["cards"] <= limit + EPSILON
 
     def _free_slots(self, spec: dict[str, Any]) -> int:
-        """How many tasks of a job the machines have room for, where its tasks may be together."""
+        """Return how many tasks of a job fit on the machines under its zone constraints."""
         slots: dict[str, int] = {}
         for worker in self._simulation.cloud.workers.values():
             if worker.accepts(spec):
@@ -233,7 +238,7 @@
         return max(slots.values(), default=0) if spec["same_place"] else sum(slots.values())
 
     def check_starvation(self) -> None:
-        """At a day's end: of each class, team and largest size, half was served or more."""
+        """Check that half of the jobs of each class, each team and the largest gangs were served."""
         for name, jobs in self._service_groups().items():
             served = [job for job in jobs if self._was_served(job, name == "largest")]
             if 2 * len(served) < len(jobs):
@@ -242,7 +247,7 @@
                 )
 
     def _service_groups(self) -> dict[str, list[str]]:
-        """The accepted jobs that should be served, by class, by team, and the largest gangs."""
+        """Return the accepted jobs that should run, by class, by team, and the largest gangs."""
         groups: dict[str, list[str]] = {}
         for job in self.reported_stages:
             spec = self._simulation.users.specs[job]
@@ -255,7 +260,7 @@
         return groups
 
     def _was_served(self, job: str, is_largest_gang: bool) -> bool:
-        """Whether a job has begun, and as early as the largest gangs must if `is_largest_gang`."""
+        """Return whether a job has started, and in time if it is one of the largest gangs."""
         simulation = self._simulation
         first_start_at = simulation.tasks.first_start_at.get(job)
         if first_start_at is None or not is_largest_gang:
--- a/tests/simulation/service_faults.py
+++ b/tests/simulation/service_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the key-value store and of the cloud, and unusual users."""
+"""Faults of the key-value store and the cloud, and unusual requests of users."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
+#: Longest delay of a response of the slow key-value store.
 MAX_STORE_DELAY_S = 0.4
 #: Range of the seconds for which the leader alone is refused before everyone is.
 REFUSAL_BEFORE_OUTAGE_S = (0.2, 2.0)
@@ -21,28 +22,28 @@
 
 
 async def store_down(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store refuses everybody."""
+    """Let the key-value store refuse all requests."""
     simulation.store.set_down(True)
     await curio.sleep(fault.duration_s)
     simulation.store.set_down(False)
 
 
 async def store_refuses_controller(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store refuses one controller."""
+    """Let the key-value store refuse one controller."""
     simulation.store.refused_controllers.add(fault.controller)
     await curio.sleep(fault.duration_s)
     simulation.store.refused_controllers.discard(fault.controller)
 
 
 async def store_refuses_leader(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store refuses whoever leads."""
+    """Let the key-value store refuse the leader."""
     simulation.store.refused_controllers |= set(simulation.leaders())
     await curio.sleep(fault.duration_s)
     simulation.store.refused_controllers.clear()
 
 
 async def store_refuses_leader_then_all(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store refuses the leader, and then everybody for over a cancellation."""
+    """Let the key-value store refuse the leader, then everyone for longer than a cancellation."""
     refused = set(simulation.leaders())
     simulation.store.refused_controllers |= refused
     await curio.sleep(simulation.rng.uniform(*REFUSAL_BEFORE_OUTAGE_S))
@@ -53,26 +54,26 @@
 
 
 async def store_slow(simulation: Simulation, fault: Fault) -> None:
-    """The key-value store answers late."""
+    """Let the key-value store respond slowly."""
     simulation.store.max_delay_s = MAX_STORE_DELAY_S
     await curio.sleep(fault.duration_s)
     simulation.store.max_delay_s = 0.0
 
 
 async def cloud_down(simulation: Simulation, fault: Fault) -> None:
-    """The cloud refuses everybody."""
+    """Let the cloud refuse all requests."""
     simulation.cloud.down = True
     await curio.sleep(fault.duration_s)
     simulation.cloud.down = False
 
 
 async def unusual_requests(simulation: Simulation, fault: Fault) -> None:
-    """Users send requests that make no sense."""
+    """Let users send repeated, invalid and impossible requests."""
     await simulation.users.send_unusual_requests(fault.duration_s)
 
 
 async def cancel_ending_jobs(simulation: Simulation, fault: Fault) -> None:
-    """Users cancel jobs as they end."""
+    """Let users cancel jobs at the moment at which they end."""
     simulation.users.cancel_at_end_share = CANCEL_AT_END_SHARE
     await curio.sleep(fault.duration_s)
     simulation.users.cancel_at_end_share = 0.0
--- a/tests/simulation/tasks.py
+++ b/tests/simulation/tasks.py
@@ -1,4 +1,4 @@
-"""How tasks run on the simulated machines: gangs start and end together."""
+"""Execution of tasks on the simulated machines; gangs start and end together."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class TaskExecution:
-    """Starts and results of all tasks."""
+    """Tracks the starts and results of all tasks."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self.starts = 0
         self.first_start_at: dict[str, float] = {}  # by job
-        self.completed: set[tuple[str, int]] = set()  # tasks that are done, by job and index
-        self.job_run_s: dict[str, float] = {}
-        self.task_run_s: dict[tuple[str, int], float] = {}  # tasks that run for another time
+        self.completed: set[tuple[str, int]] = set()  # job and index of each task that is done
+        self.job_run_s: dict[str, float] = {}  # run time of each task, by job
+        self.task_run_s: dict[tuple[str, int], float] = {}  # overrides for single tasks
 
     def record_start(self, task: FakeTask) -> None:
-        """A task has its image."""
+        """Record the start of a task."""
         self.starts += 1
         self.first_start_at.setdefault(task.job, self._simulation.clock.now)
 
     def run_time_s(self, task: FakeTask) -> float:
-        """How long a task runs, once it runs; a replica does not end."""
+        """Return the run time of a task; a replica runs without end."""
         run_s = self.task_run_s.get((task.job, task.index))
         if run_s is not None:
             return run_s
@@ -37,7 +37,7 @@
         return self.job_run_s[task.job]
 
     def gang_members(self, task: FakeTask) -> list[tuple[FakeWorker, FakeTask]]:
-        """The tasks of a task's gang that are of the same attempt, and where they are."""
+        """Return the tasks of the same gang and attempt, with their workers."""
         return [
             (worker, member)
             for worker in self._simulation.cloud.workers.values()
@@ -46,7 +46,7 @@
         ]
 
     def start_gang_if_complete(self, worker: FakeWorker, task: FakeTask) -> None:
-        """A gang runs once all its tasks are there."""
+        """Run a gang once all its tasks have gathered, or end a task that waited too long."""
         max_wait_s = self._simulation.settings.cluster.workers.gang_wait_s
         gathered = [each for _, each in self.gang_members(task) if each.state == "gathering"]
         if len({each.index for each in gathered}) == task.spec["frames"]:
@@ -59,12 +59,12 @@
             worker.end_task(task, "incomplete")
 
     def complete(self, worker: FakeWorker, task: FakeTask) -> None:
-        """A task has run for its time."""
+        """End a task that has run for its time."""
         self._end_completed(worker, task)
         self._simulation.users.on_task_completed(task)
 
     def job_is_complete(self, task: FakeTask) -> bool:
-        """Whether all tasks of a task's job are done."""
+        """Return whether all tasks of the task's job are done."""
         return all((task.job, index) in self.completed for index in range(task.spec["frames"]))
 
     def _end_completed(self, worker: FakeWorker, task: FakeTask) -> None:
@@ -77,7 +77,7 @@
             worker.end_task(task, "done")
 
     def _end_gang(self, worker: FakeWorker, task: FakeTask) -> None:
-        """All tasks of a gang are done at once, or none is."""
+        """Complete all tasks of a gang at once, or end this one if some are missing."""
         running = [each for each in self.gang_members(task) if each[1].state == "running"]
         if len(running) != task.spec["frames"]:
             worker.end_task(task, "peers")
--- a/tests/simulation/users.py
+++ b/tests/simulation/users.py
@@ -1,4 +1,4 @@
-"""The users: they submit jobs, poll and cancel them, and send requests that make no sense."""
+"""Simulated users, who submit, poll and cancel jobs, and send unusual requests."""
 
 from __future__ import annotations
 
@@ -40,10 +40,10 @@
 REPEAT_SHARE = 0.05
 #: Polls after a final answer, to check that it stays the same.
 POLLS_AFTER_END = 3
-#: Numbers of jobs that nobody submits, and of those that no machine can run.
+#: First numbers of jobs that are never submitted, and of jobs of unusual requests.
 UNKNOWN_JOB_NUMBER = 900_000
 UNUSUAL_JOB_NUMBER = 700_000
-#: GPUs of a task that fits on no machine.
+#: GPUs of a task that does not fit on any machine.
 TOO_MANY_GPUS = 5.0
 REQUIRED_FIELDS = ["crew", "frames", "cards", "seal_s", "drones"]
 FIELDS_LEFT_OUT_OF_REPEATS = ["crew", "frames", "cards"]
@@ -51,24 +51,24 @@
 
 
 class Users:
-    """Everything that users ask for, and what they do with the answers."""
+    """Sends the requests of all users and passes the answers to the checker."""
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self._rng = simulation.rng
         self.specs: dict[str, dict[str, Any]] = {}
         self.submitted_at: dict[str, float] = {}
-        self.polled: set[str] = set()  # jobs whose users still ask
-        self.service_share = 0.0  # of the jobs
-        self.cancel_at_end_share = 0.0  # of the jobs that end
+        self.polled: set[str] = set()  # jobs whose users still send requests
+        self.service_share = 0.0  # share of services among the jobs
+        self.cancel_at_end_share = 0.0  # share of jobs that are cancelled as they end
         self.cancelled_at_end = 0
-        self.unusual_answers: dict[str, set[int]] = {}  # statuses, by kind of request
+        self.unusual_answers: dict[str, set[int]] = {}  # statuses of answers, by kind of request
         self._ending_jobs: list[str] = []
 
     # -- jobs --------------------------------------------------------------------
 
     def draw_spec(self, number: int) -> dict[str, Any]:
-        """A gang or an array, as a submission's body."""
+        """Draw a gang or an array, as the body of a submission."""
         rng = self._rng
         gang = rng.random() < GANG_SHARE
         tasks = rng.choice([1, 2, 3, 4]) if gang else rng.choice([1, 3, 6, 12])
@@ -97,7 +97,7 @@
         }
 
     def draw_service_fields(self) -> dict[str, Any]:
-        """What a service has instead of an array's or a gang's fields."""
+        """Draw the fields that turn the spec of a gang or an array into a service's."""
         return {
             "lane": "serve",
             "shape": "daemon",
@@ -116,7 +116,7 @@
         }
 
     def _draw_job(self, number: int) -> tuple[dict[str, Any], float | None]:
-        """A job that its user now submits, and when it will be cancelled."""
+        """Draw the job that a user submits now, and the time of its cancellation or None."""
         rng, now = self._rng, self._simulation.clock.now
         spec = self.draw_spec(number)
         if not spec["same_place"] and spec["apiary"] is None and rng.random() < SPREAD_SHARE:
@@ -142,7 +142,7 @@
     # -- requests ----------------------------------------------------------------
 
     async def request(self, method: str, path: str, body: Any, timeout_s: float) -> tuple[int, Any]:
-        """Ask one of the controllers that are up; no answer is status 0."""
+        """Send a request to a running controller; return `NO_RESPONSE` if there is no response."""
         simulation = self._simulation
         up = [name for name in simulation.controller_names if name in simulation.controllers]
         if not up:
@@ -156,7 +156,7 @@
         except (RequestNotSentError, NoResponseError):
             return NO_RESPONSE, None
         if method == "POST":
-            # A repeat of a request that was carried out, up to a lease and more later.
+            # A duplicate may arrive after the request was carried out, even after a lease period.
             await simulation.network.maybe_duplicate("user", up, method, path, body)
         return status, unpack(data) if data else None
 
@@ -178,10 +178,10 @@
         status, body = await self.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
         self._simulation.rules.check_answer(spec["id"], status, body, False)
 
-    # -- what users do -----------------------------------------------------------
+    # -- behaviour ---------------------------------------------------------------
 
     async def follow_job(self, number: int) -> None:
-        """Submit a job until it is accepted, poll it, perhaps cancel it."""
+        """Submit a job until it is accepted, then poll it until it ends, and perhaps cancel it."""
         rules, rng = self._simulation.rules, self._rng
         spec, cancel_at = self._draw_job(number)
         job = spec["id"]
@@ -200,18 +200,18 @@
                 await self._poll(job)
             await curio.sleep(rng.uniform(0.5, 3.0))
         self.polled.discard(job)
-        for _ in range(POLLS_AFTER_END):  # a final answer stays
+        for _ in range(POLLS_AFTER_END):
             await curio.sleep(rng.uniform(1.0, 20.0))
             await self._poll(job)
 
     def on_task_completed(self, task: FakeTask) -> None:
-        """Some users cancel their jobs at the very moment at which they end."""
+        """Draw whether the user cancels the job if this was its last task."""
         if self.cancel_at_end_share and self._rng.random() < self.cancel_at_end_share:
             if self._simulation.tasks.job_is_complete(task):
                 self._ending_jobs.append(task.job)
 
     async def cancel_ending_jobs(self) -> None:
-        """Cancel the jobs that have ended in this step."""
+        """Cancel the drawn jobs that have ended in this step."""
         while self._ending_jobs:
             job = self._ending_jobs.pop()
             self._simulation.rules.cancel_requested.add(job)
@@ -223,13 +223,13 @@
         await self._cancel(job)
 
     async def poll_unknown_jobs(self) -> None:
-        """Ask about jobs that nobody submitted."""
+        """Poll jobs that were never submitted, until cancelled."""
         while True:
             await curio.sleep(3.0)
             await self._poll(f"wk-{UNKNOWN_JOB_NUMBER + self._rng.randrange(1000)}")
 
     async def send_unusual_requests(self, for_s: float) -> None:
-        """Repeats of unfinished jobs, cancels of jobs that are done, jobs that can't be."""
+        """Send repeated and incomplete submissions, late cancellations and impossible jobs."""
         end = self._simulation.clock.now + for_s
         number = UNUSUAL_JOB_NUMBER
         while self._simulation.clock.now < end:
@@ -247,7 +247,7 @@
                 self.unusual_answers.setdefault(kind, set()).add(status)
 
     async def _submit_impossible(self, kind: str, number: int) -> int:
-        """A job that fits on no machine, or one that lacks a field."""
+        """Submit a job that fits on no machine, or one that lacks a required field."""
         spec = self.draw_spec(number)
         if kind == "huge":
             spec["cards"] = TOO_MANY_GPUS
@@ -259,9 +259,9 @@
         return status
 
     async def _send_unusual_request(self, kind: str, job: str) -> int | None:
-        """A repeat, one with a field left out, or a cancel of a job that is done.
+        """Repeat a submission, perhaps with a field left out, or cancel a job that is done.
 
-        None if the job is not done and its cancel would not be unusual.
+        Return the status, or None without a request if the job to cancel is not done.
         """
         rules = self._simulation.rules
         cancel = kind == "cancel_done"
