--- a/run.py
+++ b/run.py
@@ -9,9 +9,9 @@
 
 #: New objects after which garbage is collected among them. Nearly all are freed by their
 #: reference counts, so the interpreter's default collects too often.
-YOUNG_OBJECTS = 5000
+GC_YOUNG_THRESHOLD = 5000
 #: Collections of one generation after which the next older one is collected as well.
-OLDER_GENERATIONS = (10, 10)
+GC_OLDER_THRESHOLDS = (10, 10)
 TARGET = Path(__file__).resolve().parent / "target"
 sys.path.insert(0, str(TARGET / "deps"))
 
@@ -35,7 +35,7 @@
 
 # What has been imported stays: left out of collections, it does not lengthen their pauses.
 gc.freeze()
-gc.set_threshold(YOUNG_OBJECTS, *OLDER_GENERATIONS)
+gc.set_threshold(GC_YOUNG_THRESHOLD, *GC_OLDER_THRESHOLDS)
 gc.enable()
 
 if __name__ == "__main__":
--- a/tests/fakes/controllers.py
+++ b/tests/fakes/controllers.py
@@ -73,7 +73,7 @@
             version,
         )
 
-    operator = version.load("settings", "Operator")()
+    operator = version.load("settings", "OperatorSettings")()
     controller = version.load("control.controller", "Controller")(settings, operator, dial)
     member(controller, "services.rng").seed(simulation.rng.random())
     member(controller, "peers.connections").update(
--- a/tests/fakes/network.py
+++ b/tests/fakes/network.py
@@ -224,7 +224,7 @@
         self._target = f"{address[0]}:{address[1]}"
         self._is_alive = is_alive
 
-    async def ask(
+    async def request(
         self, method: str, target: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
         """Send a request; raises the error classes of the controller's version."""
@@ -243,5 +243,8 @@
         finally:
             await self._wait_while_paused(self._source)
 
+    #: Production's name of the method.
+    ask = request
+
     async def close(self) -> None:
         """Do nothing: there is no connection to close."""
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -93,7 +93,7 @@
     async def request(
         self, source: str, target: str, method: str, path: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
-        return await self._clients[target].ask(method, path, message, timeout_s)
+        return await self._clients[target].request(method, path, message, timeout_s)
 
 
 class SocketCloud(FakeCloud):
--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -11,7 +11,7 @@
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.wire.jobs import JobSpec
 from topazhold.wire.workers import Command, Heartbeat, TaskStatus
 
@@ -24,7 +24,7 @@
         settings = make_settings("hive-0", "a", [])
         self.reservation_table = ReservationTable("hive-0")
         self.scheduler = Scheduler(
-            settings, Operator(), term, self.reservation_table, Random(1), self.now
+            settings, OperatorSettings(), term, self.reservation_table, Random(1), self.now
         )
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
         self.sequences: dict[str, int] = {}
@@ -108,7 +108,7 @@
     ) -> None:
         """All tasks on a machine enter a stage."""
         for task in self.tasks[name].values():
-            task.state, task.cause, task.kept = stage, cause, kept
+            task.state, task.cause, task.checkpoint_saved = stage, cause, kept
 
     def all_heartbeats(self) -> list[Command]:
         """Every worker sends a heartbeat; the commands to all."""
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -156,7 +156,7 @@
         self.versions = dict.fromkeys(self.controller_names, production())
         self.cloud.operations.judges = False  # production does not record its operations
         for settings in self.controller_settings.values():
-            settings.cluster.state.next = later_limits
+            settings.cluster.key_value_store.next = later_limits
 
     async def upgrade(self, after_s: float, later_limits: LaterLimits) -> None:
         """Replace the controllers one after another by ones of the current version.
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -80,7 +80,7 @@
 
 def invent(patch: pytest.MonkeyPatch) -> None:
     async def poll(self: Any, job_id: str) -> Response:
-        return Response(200, wire.job_answer(job_id, wire.PENDING))
+        return Response(200, wire.job_status_body(job_id, wire.PENDING))
 
     patch.setattr(users_module.Users, "_poll", poll)
 
@@ -123,7 +123,7 @@
 def leave_some_waiting(patch: pytest.MonkeyPatch) -> None:
     """Some arrays; of those that are bound to zones the checker can't judge whether there
     is room, so which jobs these days draw must not decide whether it sees any."""
-    starve(patch, lambda job: not (job.gang or job.spec.same_place or job.spec.scatter))
+    starve(patch, lambda job: not (job.gang or job.spec.same_zone or job.spec.spread_zones))
 
 
 def believe_late_copies(patch: pytest.MonkeyPatch) -> None:
--- a/tests/test_compare_messages.py
+++ b/tests/test_compare_messages.py
@@ -25,10 +25,10 @@
     compare,
     day_of,
     describe,
+    extract_sources,
     first_difference,
     main,
     record,
-    sources_of,
 )
 from tools.record_messages import (
     UnknownLayoutError,
@@ -198,10 +198,10 @@
 
 
 def test_sources_of_a_commit_last_as_long_as_the_context() -> None:
-    with sources_of("HEAD") as folder:
+    with extract_sources("HEAD") as folder:
         assert {path.name for path in folder.iterdir()} == set(SOURCES)
     assert not folder.exists()
-    with pytest.raises(click.BadParameter), sources_of("no-such-commit"):
+    with pytest.raises(click.BadParameter), extract_sources("no-such-commit"):
         pass
 
 
--- a/tests/test_cpu_accounting.py
+++ b/tests/test_cpu_accounting.py
@@ -29,9 +29,9 @@
 def taken(cpu_accounting: CpuAccounting) -> dict[WorkCategory, tuple[float, int]]:
     """Seconds and pieces of all duties that had any."""
     return {
-        category: (entry.seconds, entry.pieces)
-        for category, entry in cpu_accounting.entries.items()
-        if entry.pieces
+        category: (usage.seconds, usage.slices)
+        for category, usage in cpu_accounting.usage_by_category.items()
+        if usage.slices
     }
 
 
@@ -63,7 +63,7 @@
     found = taken(cpu_accounting)
     assert found[WorkCategory.PLANNING] == (3.0, 1)
     assert found[WorkCategory.HEARTBEATS] == (0.5, 2)
-    assert cpu_accounting.statement().startswith(
+    assert cpu_accounting.report_line().startswith(
         "busy 100.0% of 4 s: planning 85.71% (1, 3000.00 ms, at most 3000)"
     )
 
@@ -75,7 +75,7 @@
     async def connection() -> None:
         for category in (WorkCategory.HEARTBEATS, WorkCategory.USERS):
             clock.work(1.0)
-            cpu_accounting.enter(category)
+            cpu_accounting.set_category(category)
             clock.work(1.0)
             await curio.sleep(0)
 
@@ -101,7 +101,7 @@
         clock.work(3.0)
 
     run(cpu_accounting, (WorkCategory.CLOUD, work))
-    assert "cloud" in cpu_accounting.statement()
+    assert "cloud" in cpu_accounting.report_line()
     clock.work(4.0)
-    assert cpu_accounting.statement().startswith("busy 0.0% of 4 s: ;")
+    assert cpu_accounting.report_line().startswith("busy 0.0% of 4 s: ;")
     assert cpu_accounting._categories == {}, "tasks that have ended are forgotten"
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -22,7 +22,7 @@
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 from topazhold.io.http import NoResponseError
 from topazhold.operations.operation_log import OperationLog
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 
 
 def cancelled_run(scheduler: Scheduler, number: int, name: str, now: float) -> TaskAttempt:
@@ -55,7 +55,7 @@
     def __init__(self, address: tuple[str, int], keep: int) -> None:
         self._name = address[0]
 
-    async def ask(self, *args: Any) -> Any:
+    async def request(self, *args: Any) -> Any:
         DeadClient.asked.append(self._name)
         await curio.sleep(args[-1])
         raise NoResponseError("dead")
@@ -66,7 +66,9 @@
 
 def fleet(machines: int) -> tuple[TermContext, Scheduler]:
     settings = make_settings("hive-0", "a", [])
-    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(
+        settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
+    )
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(machines):
         machine = scheduler.add_machine(f"host-{number:06d}", "a", False, "b1", 0.0)
--- a/tests/test_gang_reservations.py
+++ b/tests/test_gang_reservations.py
@@ -18,7 +18,7 @@
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import Reservation, ReservationTable
 from topazhold.core.resource_offer import ResourceOffer
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 
 ROOM = (16.0, 4.0, 64.0)
@@ -49,7 +49,7 @@
 
 def pending_gangs(clock: Clock) -> PendingGangs:
     settings = make_settings("hive-0", "a", [])
-    found = PendingGangs(settings, Operator(), gang_reservations(settings), Random(1))
+    found = PendingGangs(settings, OperatorSettings(), gang_reservations(settings), Random(1))
     job = Job(make_spec(tasks=1, gpus=4.0), 0.0, clock.now, "hive-0")
     found.by_id[job.id] = PendingGang(job.spec, queue_key(job), 0.0)
     return found
@@ -174,7 +174,7 @@
     monkeypatch.setattr(PendingGangs, "_search", search)
     settings = make_settings("hive-0", "a", [])
     found = PendingGangs(
-        settings, Operator(), gang_reservations(settings), Random(1), max_round_s=0.1
+        settings, OperatorSettings(), gang_reservations(settings), Random(1), max_round_s=0.1
     )
     for number in range(5):
         spec = make_spec(number)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -75,10 +75,10 @@
     async def main(address: tuple[str, int]) -> None:
         client = Client(address)
         for number in range(3):
-            status, body = await client.ask("POST", "/a?b=c", {"n": number}, 2.0)
+            status, body = await client.request("POST", "/a?b=c", {"n": number}, 2.0)
             assert status == 200
             assert cbor2.loads(body) == {"path": "/a", "query": "b=c", "body": {"n": number}}
-        status, _ = await client.ask("GET", "/fail", None, 2.0)
+        status, _ = await client.request("GET", "/fail", None, 2.0)
         assert status == 500
         await client.close()
 
@@ -93,7 +93,7 @@
         assert b" 413 " in await raw(address, huge)
         answer = await raw(address, b"GET /busy HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 503 " in answer and b"retry-after: 2" in answer.lower()
-        status, _ = await Client(address).ask("GET", "/", None, 2.0)
+        status, _ = await Client(address).request("GET", "/", None, 2.0)
         assert status == 200
 
     serve(main)
@@ -102,9 +102,9 @@
 def test_no_answer_and_not_sent_are_told_apart() -> None:
     async def main(address: tuple[str, int]) -> None:
         with pytest.raises(NoResponseError):
-            await Client(address).ask("GET", "/slow", None, 0.2)
+            await Client(address).request("GET", "/slow", None, 0.2)
         with pytest.raises(RequestNotSentError):
-            await Client(("127.0.0.1", 1)).ask("GET", "/", None, 0.5)
+            await Client(("127.0.0.1", 1)).request("GET", "/", None, 0.5)
 
     serve(main)
 
@@ -156,7 +156,7 @@
         assert not server.terminated
         await holder.close()
         await curio.sleep(0.5)
-        status, _ = await Client(address).ask("GET", "/", None, 2.0)
+        status, _ = await Client(address).request("GET", "/", None, 2.0)
         await server.cancel()
         return status
 
@@ -168,12 +168,12 @@
 
     async def main(address: tuple[str, int]) -> None:
         clients = [Client(address) for _ in range(4)]
-        statuses = [(await client.ask("GET", "/guest", None, 2.0))[0] for client in clients]
+        statuses = [(await client.request("GET", "/guest", None, 2.0))[0] for client in clients]
         assert statuses == [200, 200, 503, 503]
-        assert (await Client(address).ask("GET", "/report", None, 2.0))[0] == 200
+        assert (await Client(address).request("GET", "/report", None, 2.0))[0] == 200
         await clients[0].close()
         await curio.sleep(0.1)
-        assert (await clients[2].ask("GET", "/guest", None, 2.0))[0] == 200
+        assert (await clients[2].request("GET", "/guest", None, 2.0))[0] == 200
 
     serve(main, max_limited=2)
 
@@ -197,15 +197,15 @@
         link = peer_transport.PeerConnection(address, 0.2)
         runner = await curio.spawn(link.run, daemon=True)
         await curio.sleep(0.1)
-        await link.send(peer_transport.encode(("bad",)))
-        await link.send(peer_transport.encode(("ping", "hive-0", 7)))
+        await link.send(peer_transport.encode_frame(("bad",)))
+        await link.send(peer_transport.encode_frame(("ping", "hive-0", 7)))
         await raw(address, b"\x00\x00\x00\x01\xff")
         await raw(address, b"\xff\xff\xff\xff")
-        await link.send(peer_transport.encode(("ping", "hive-0", 8)))
+        await link.send(peer_transport.encode_frame(("ping", "hive-0", 8)))
         await curio.sleep(0.2)
-        assert peer_transport.encode(("big", "x" * peer_transport.FRAME_LIMIT)) == b"", (
-            "would end the link"
-        )
+        assert (
+            peer_transport.encode_frame(("big", "x" * peer_transport.MAX_MESSAGE_BYTES)) == b""
+        ), "would end the link"
         assert heard == [("ping", "hive-0", 7), ("ping", "hive-0", 8)]
         await runner.cancel()
         await listener.cancel()
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -10,7 +10,7 @@
 
 from tests.fakes.virtual_time import run_nonblocking
 from topazhold.io.http import Request, Response
-from topazhold.io.http_heads import MAX_HEADS, parse_request_head, render_response_head
+from topazhold.io.http_heads import MAX_CACHED_HEADS, parse_request_head, render_response_head
 from topazhold.io.server import Connection
 
 
@@ -129,8 +129,8 @@
 
 def test_remembered_heads_are_bounded() -> None:
     """Users choose the paths, and so the heads."""
-    for number in range(2 * MAX_HEADS):
+    for number in range(2 * MAX_CACHED_HEADS):
         assert parse_request_head(b"GET /api/jobs/wk-%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
-    assert parse_request_head.cache_info().currsize == MAX_HEADS
+    assert parse_request_head.cache_info().currsize == MAX_CACHED_HEADS
     long = b"GET /" + b"a" * 2000 + b" HTTP/1.1\r\nHost: x\r\n\r\n"
     assert parse_request_head(long) is None
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -18,7 +18,7 @@
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.wire import messages as wire
 
 
@@ -55,9 +55,11 @@
     """A plan of so many one-task jobs over so many machines, written."""
     settings = make_settings("hive-0", "a", [])
     if txn_ops is not None:
-        settings.cluster.state.txn_ops = txn_ops
-    store = RecordingStore(settings.cluster.state.txn_ops)
-    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
+        settings.cluster.key_value_store.txn_ops = txn_ops
+    store = RecordingStore(settings.cluster.key_value_store.txn_ops)
+    scheduler = Scheduler(
+        settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
+    )
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     names = [f"host-{number:06d}" for number in range(machines)]
     for name in names:
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -31,7 +31,7 @@
 from topazhold.operations.cloud_operations import OperationState
 from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.requests import MAX_OPEN_SCALE_OUTS
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 
 LARGE_SIZES = st.integers(0, 40 * PROTOCOL_MACHINES)
 LARGE_DEMANDS = st.builds(
@@ -40,7 +40,7 @@
 #: Tasks that take a machine each, all in one zone; with the headroom, more than may be
 #: requested in one round.
 TASKS = 450
-WANTED = math.ceil(TASKS * (1.0 + Operator().headroom_share))
+WANTED = math.ceil(TASKS * (1.0 + OperatorSettings().headroom_share))
 assert WANTED > PROTOCOL_MACHINES * MAX_OPEN_SCALE_OUTS
 #: Machines are no capacity for tasks before the end of a scenario, and none is given up as late.
 BOOT_S = 10_000.0
--- a/tests/test_operation_records.py
+++ b/tests/test_operation_records.py
@@ -32,7 +32,7 @@
     read_record,
 )
 from topazhold.operations.schemas import page, schema_of
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 
 HEADER = {"by": "d4-1", "term": 4, "number": 1, "at": 1.0}
 SAMPLES: dict[str, dict[str, Any]] = {
@@ -147,7 +147,7 @@
         log = scenario.controllers[leader].leader_term.operations.operation_log
         operation = log.decide_scale_out(ScaleOutRequest("b1", "a", False, 1), 1.0)
         operation.record = msgspec.structs.replace(operation.record, count=0)
-        await curio.sleep(3 * Operator().summary_s)
+        await curio.sleep(3 * OperatorSettings().summary_s)
         store = scenario.controllers[leader].leader_term.context.store
         reports.append(await inspect(scenario.settings, lambda client, timeout_s: store))
         (shown,) = reports[0].refused
@@ -155,7 +155,7 @@
         assert operation.key in as_text(reports[0])
         await scenario.stop(leader)
         await scenario.wait_for_new_leader(leader)
-        await curio.sleep(3 * Operator().summary_s)
+        await curio.sleep(3 * OperatorSettings().summary_s)
         store = next(iter(scenario.controllers.values())).services.store
         reports.append(await inspect(scenario.settings, lambda client, timeout_s: store))
         assert reports[1].refused == [], "a successor knows nothing of it"
--- a/tests/test_scale_out_limits.py
+++ b/tests/test_scale_out_limits.py
@@ -124,7 +124,7 @@
                 "tasks": st.integers(1, MAX_DEMANDED),
                 "zone": ANYWHERE_OR_ZONE,
                 "spot": st.booleans(),
-                "same_place": st.booleans(),
+                "same_zone": st.booleans(),
             }
         ),
         max_size=4,
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -86,7 +86,7 @@
     for name in harness.scheduler.machines:
         harness.heartbeat(name)
     harness.now += 0.5
-    harness.add_job(make_spec(2, shape="batch", tasks=40, gpus=0.0, cpus=1.0, same_place=False))
+    harness.add_job(make_spec(2, shape="batch", tasks=40, gpus=0.0, cpus=1.0, same_zone=False))
     harness.plan_and_commit()
     assert attempt.machine in harness.scheduler.to_command
     commands = harness.scheduler.direct_commands(harness.scheduler.machines[attempt.machine])
@@ -151,5 +151,5 @@
     unknown_rate = msgspec.structs.replace(MACHINE_TYPE, fetch_gb_per_s=0.0)
     for machine in harness.scheduler.machines.values():
         machine.machine_type = unknown_rate
-    harness.add_job(make_spec(1, shape="batch", same_place=False))
+    harness.add_job(make_spec(1, shape="batch", same_zone=False))
     assert len(harness.plan_and_commit()) == 2
--- a/tests/test_scheduler_priorities.py
+++ b/tests/test_scheduler_priorities.py
@@ -50,7 +50,7 @@
             shape="batch",
             tasks=2,
             gpus=4.0,
-            same_place=False,
+            same_zone=False,
             team="blue",
             urgency="best_effort",
         )
@@ -118,7 +118,7 @@
             gpus=2.0,
             urgency="best_effort",
             team="red",
-            same_place=False,
+            same_zone=False,
         )
     )
     harness.plan_and_commit()
--- a/tests/test_scheduler_scale_out.py
+++ b/tests/test_scheduler_scale_out.py
@@ -39,7 +39,7 @@
     harness.reserve(long, {"host-1": 1, "host-3": 1})
     harness.plan_and_commit()
     harness.all_heartbeats()
-    harness.add_job(make_spec(6, tasks=2, gpus=4.0, same_place=False, scatter=True))
+    harness.add_job(make_spec(6, tasks=2, gpus=4.0, same_zone=False, spread_zones=True))
     harness.now += 300.0
     harness.all_heartbeats()
     harness.scheduler.tick(harness.now)
@@ -59,8 +59,8 @@
         shape="daemon",
         tasks=2,
         gpus=4.0,
-        same_place=False,
-        scatter=True,
+        same_zone=False,
+        spread_zones=True,
         estimated_run_s=0.0,
         checkpoint_s=0.0,
     )
@@ -78,7 +78,7 @@
 def test_machines_are_rented_for_a_team_without_a_gpu_limit(harness: SchedulerHarness) -> None:
     """A limit of 0 means none (deployment page, `gpus_max`)."""
     harness.scheduler.usage.teams["red"].gpus_max = 0.0
-    harness.add_job(make_spec(1, shape="batch", tasks=6, gpus=4.0, same_place=False))
+    harness.add_job(make_spec(1, shape="batch", tasks=6, gpus=4.0, same_zone=False))
     requests = harness.scheduler.scale_out(harness.now)
     assert sum(request.count for request in requests) >= 2, "six tasks, four machines"
 
@@ -88,7 +88,7 @@
     harness = SchedulerHarness(machines=0)
     harness.scheduler.usage.teams["red"].cpus_max = 2 * MACHINE_TYPE.cpus
     harness.add_job(
-        make_spec(1, shape="batch", tasks=6, cpus=MACHINE_TYPE.cpus, gpus=0.0, same_place=False)
+        make_spec(1, shape="batch", tasks=6, cpus=MACHINE_TYPE.cpus, gpus=0.0, same_zone=False)
     )
     harness.scheduler.last_arrival = -1e9  # no headroom while nothing comes
     requests = harness.scheduler.scale_out(harness.now)
@@ -100,7 +100,7 @@
 ) -> None:
     """Guards against: machines were requested for a job that can't start, and nothing said so."""
     harness = SchedulerHarness(machines=0)
-    harness.add_job(make_spec(1, shape="batch", team="gone", gpus=0.0, same_place=False))
+    harness.add_job(make_spec(1, shape="batch", team="gone", gpus=0.0, same_zone=False))
     harness.scheduler.last_arrival = -1e9
     assert harness.scheduler.scale_out(harness.now) == []
     assert "job wk-000001 can't start: the settings name no team gone" in caplog.text
--- a/tests/test_scheduling_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -45,7 +45,7 @@
             gpus=rng.choice((1.0, 2.0, 4.0)),
             team=rng.choice(("red", "blue")),
             urgency=rng.choice(("urgent", "normal", "best_effort")),
-            same_place=False,
+            same_zone=False,
         )
         job = self.harness.add_job(spec)
         if job.gang:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -77,7 +77,7 @@
 
 def test_scatter_keeps_half_in_each_zone() -> None:
     directory, caches = fleet(*(offer(f"m{n}", "ab"[n % 2]) for n in range(8)))
-    spec = make_spec(tasks=5, gpus=4.0, same_place=False, scatter=True)
+    spec = make_spec(tasks=5, gpus=4.0, same_zone=False, spread_zones=True)
     for seed in range(20):
         group = find(spec, directory, caches, seed)
         assert group is not None
@@ -87,7 +87,7 @@
 
 def test_gathers_alpha_times_n_from_pivots_all_over_the_fleet() -> None:
     directory, caches = fleet(*(offer(f"m{n:02d}", "abc"[n % 3]) for n in range(30)))
-    spec = make_spec(tasks=4, gpus=4.0, same_place=False)
+    spec = make_spec(tasks=4, gpus=4.0, same_zone=False)
     seen = set()
     for seed in range(30):
         slots = candidate_slots.gather_slots(
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -25,7 +25,7 @@
         "cpus": 1.0,
         "gpus": 0.0,
         "memory_gb": 2.0,
-        "same_place": False,
+        "same_zone": False,
         "estimated_run_s": 0.0,
         "checkpoint_s": 0.0,
         "save_s": 0.0,
@@ -154,7 +154,7 @@
 
 def test_scatter_counts_the_replicas_that_are_there(harness: SchedulerHarness) -> None:
     """At most half may be in one zone, also for a replacement."""
-    job = running_service(harness, tasks=2, scatter=True)
+    job = running_service(harness, tasks=2, spread_zones=True)
     lost = run_of(job)
     zone = harness.scheduler.zone_of[lost.machine]
     harness.set_task_states(lost.machine, "ended", "error")
@@ -265,7 +265,7 @@
 
 def test_machines_are_rented_for_a_service() -> None:
     harness = SchedulerHarness(machines=0)
-    harness.add_job(service_spec(tasks=2, scatter=True))
+    harness.add_job(service_spec(tasks=2, spread_zones=True))
     requests = harness.scheduler.scale_out(harness.now)
     assert {ask.zone for ask in requests} == {"a", "b"}
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -103,9 +103,9 @@
 def test_operators_file(good: Path, tmp_path: Path) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text("# a comment\nalpha: 3.0\nuse_spot: false\n")
-    own = conf.load_operator(path)
-    assert own.alpha == 3.0 and not own.use_spot and own.summary_s == 5.0
-    assert conf.load_operator(None) == conf.Operator()
+    own = conf.load_operator_settings(path)
+    assert own.candidates_per_task == 3.0 and not own.use_spot and own.summary_s == 5.0
+    assert conf.load_operator_settings(None) == conf.OperatorSettings()
 
 
 @pytest.mark.parametrize(
@@ -123,7 +123,7 @@
 
 def test_shipped_operators_file_and_version() -> None:
     shipped = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
-    assert conf.load_operator(shipped).headroom_share > 0
+    assert conf.load_operator_settings(shipped).headroom_share > 0
     result = CliRunner().invoke(main, ["--version"])
     assert result.exit_code == 0 and "topazhold" in result.output
     assert CliRunner().invoke(main, ["--help"]).exit_code == 0
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -31,7 +31,7 @@
 from topazhold.core.task_attempts import TaskAttempt
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import PreconditionFailedError, StoreUnavailableError
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import LaterLimits
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size, pack
@@ -46,7 +46,7 @@
 def test_later_limits_are_kept_from_the_start(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(GOOD + LATER)
-    state = conf.load(path).cluster.state
+    state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (2048, 5)
     assert (state.write_rps, state.lasting_write_rps) == (20.0, 15.0)
     assert state.lasting_rps == state.rps, "a limit that is not named stays as it is"
@@ -55,13 +55,13 @@
 def test_limits_that_grow_are_not_used_before(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(GOOD + LATER.replace("value_kb = 2.0", "value_kb = 64.0"))
-    assert conf.load(path).cluster.state.lasting_value_bytes == 8 * 1024
+    assert conf.load(path).cluster.key_value_store.lasting_value_bytes == 8 * 1024
 
 
 def test_without_later_limits_the_present_ones_last(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(GOOD)
-    state = conf.load(path).cluster.state
+    state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (8 * 1024, 16)
 
 
@@ -154,7 +154,7 @@
 
 def lowered_settings() -> Any:
     settings = make_settings("hive-0", "a", [])
-    settings.cluster.state.next = LaterLimits(value_kb=2.0, txn_ops=5)
+    settings.cluster.key_value_store.next = LaterLimits(value_kb=2.0, txn_ops=5)
     return settings
 
 
@@ -233,7 +233,9 @@
     settings = lowered_settings()
     settings.cluster.zones = list("abcdefgh")
     settings.cluster.teams[0].gpus_max = 1e6
-    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(
+        settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
+    )
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(5600):
         scheduler.add_machine(f"host-{number:06d}", "abcdefgh"[number % 8], False, "b1", 0.0)
@@ -296,7 +298,7 @@
         self.answers = answers
         self.asked = 0
 
-    async def ask(self, *_: Any) -> tuple[int, bytes]:
+    async def request(self, *_: Any) -> tuple[int, bytes]:
         self.asked += 1
         status, body = self.answers.pop(0)
         return status, pack(body)
@@ -304,17 +306,17 @@
 
 def write_some(client: Answering, rate: LaterLimits | None, monkeypatch: pytest.MonkeyPatch) -> Any:
     settings = make_settings("hive-0", "a", [])
-    settings.cluster.state.write_rps = 20.0
-    settings.cluster.state.next = rate
+    settings.cluster.key_value_store.write_rps = 20.0
+    settings.cluster.key_value_store.next = rate
     outcomes: list[Any] = []
 
     async def act(clock: VirtualTime) -> None:
-        store = KeyValueStore(client, client, settings.cluster.state, 1.0)  # type: ignore[arg-type]
+        store = KeyValueStore(client, client, settings.cluster.key_value_store, 1.0)  # type: ignore[arg-type]
         store.set_share(0.5)
         while client.answers:
             try:
                 outcomes.append(
-                    await store.compare_and_swap([], [wire.drop("a/b")], DECISION_PRIORITY)
+                    await store.compare_and_swap([], [wire.delete("a/b")], DECISION_PRIORITY)
                 )
             except (StoreUnavailableError, PreconditionFailedError) as exc:
                 outcomes.append(type(exc))
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -17,8 +17,8 @@
 from topazhold.core.jobs import Job
 from topazhold.core.reservations import ReservationTable
 from topazhold.core.scheduler import Scheduler
-from topazhold.io.peer_transport import FRAME_LIMIT, encode
-from topazhold.operator_settings import Operator
+from topazhold.io.peer_transport import MAX_MESSAGE_BYTES, encode_frame
+from topazhold.operator_settings import OperatorSettings
 from topazhold.wire.codec import json_size
 
 
@@ -27,9 +27,11 @@
     it was written. What is left out is said to be."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
-    settings.cluster.state.value_kb = 16.0
+    settings.cluster.key_value_store.value_kb = 16.0
     settings.cluster.teams[0].gpus_max = 1e6
-    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(
+        settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
+    )
     scheduler.machine_types = {"b1": MACHINE_TYPE}
     for number in range(900):
         scheduler.add_machine(f"host-{number:06d}", "abcdef"[number % 6], False, "b1", 0.0)
@@ -48,7 +50,7 @@
     run_virtual(main, monkeypatch)
     values, operations = told
     assert len(values[""]["waiting"]) == 400
-    assert 0 < len(encode(("summary", 3, values))) < FRAME_LIMIT
+    assert 0 < len(encode_frame(("summary", 3, values))) < MAX_MESSAGE_BYTES
     assert json_size(operations) < 60 * 1024
     assert all(json_size(change["data"]) < 16 * 1024 for change in operations)
     assert operations[0]["data"]["cut"] is True
@@ -58,7 +60,9 @@
     """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
-    scheduler = Scheduler(settings, Operator(), 3, ReservationTable("hive-0"), Random(1), 0.0)
+    scheduler = Scheduler(
+        settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
+    )
     turns: list[int] = []
     collected: list[dict[str, Any]] = []
 
--- a/tests/test_unlimited_teams.py
+++ b/tests/test_unlimited_teams.py
@@ -43,7 +43,7 @@
 def test_jobs_of_next_to_no_gpus_do_not_stop_scale_out() -> None:
     """Guards against: the limit divided by such an amount was no integer any more."""
     harness = SchedulerHarness(machines=2)
-    harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1e-320, same_place=False))
-    harness.add_job(make_spec(2, shape="batch", tasks=6, gpus=4.0, same_place=False, team="blue"))
+    harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1e-320, same_zone=False))
+    harness.add_job(make_spec(2, shape="batch", tasks=6, gpus=4.0, same_zone=False, team="blue"))
     requests = harness.scheduler.scale_out(harness.now)
     assert sum(request.count for request in requests) >= 1, "blue may use three machines"
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -148,8 +148,8 @@
     decide: Decide, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Control, and what the operators' page advises: with `record_orders` off others go on."""
-    unrecorded = partial(topazhold.settings.Operator, record_orders=False)
-    monkeypatch.setattr(topazhold.settings, "Operator", unrecorded)
+    unrecorded = partial(topazhold.settings.OperatorSettings, record_operations=False)
+    monkeypatch.setattr(topazhold.settings, "OperatorSettings", unrecorded)
 
     async def act(scenario: Scenario) -> None:
         scenario.cloud.operations.judges = False  # nothing is recorded
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -15,7 +15,7 @@
 from topazhold.core import records
 from topazhold.core.jobs import Job
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError, pack, read, unpack
+from topazhold.wire.codec import InvalidMessageError, decode, pack, unpack
 from topazhold.wire.jobs import JobSpec
 from topazhold.wire.workers import Heartbeat
 
@@ -28,8 +28,8 @@
 
 def test_null_may_be_missing_and_unknown_is_ignored() -> None:
     body = fields(machine_types=None, zone=None, colour="red")
-    spec = read(cbor2.dumps(body), JobSpec)
-    assert spec.machine_types is None and spec.deadline_s is None and spec.fault() is None
+    spec = decode(cbor2.dumps(body), JobSpec)
+    assert spec.machine_types is None and spec.deadline_s is None and spec.invalid_field() is None
 
 
 @pytest.mark.parametrize(
@@ -63,10 +63,10 @@
 )
 def test_bad_fields_are_refused(change: dict[str, Any]) -> None:
     try:
-        spec = read(cbor2.dumps(fields(**change)), JobSpec)
+        spec = decode(cbor2.dumps(fields(**change)), JobSpec)
     except InvalidMessageError:
         return
-    assert spec.fault() is not None
+    assert spec.invalid_field() is not None
 
 
 @pytest.mark.parametrize("name", ["id", "lane", "frames", "vcpus", "drones", "seal_s"])
@@ -74,14 +74,14 @@
     body = fields()
     del body[name]
     with pytest.raises(InvalidMessageError):
-        read(cbor2.dumps(body), JobSpec)
+        decode(cbor2.dumps(body), JobSpec)
 
 
 @given(st.binary(max_size=60))
 @settings(max_examples=200, deadline=None, derandomize=True)
 def test_any_bytes_are_refused_or_read(body: bytes) -> None:
     try:
-        read(body, Heartbeat)
+        decode(body, Heartbeat)
     except InvalidMessageError:
         pass
 
@@ -96,7 +96,7 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 def test_any_value_is_refused_or_a_job(value: Any) -> None:
     with pytest.raises(InvalidMessageError):
-        read(cbor2.dumps(value), JobSpec)
+        decode(cbor2.dumps(value), JobSpec)
 
 
 def test_calls_have_the_protocols_names() -> None:
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -44,6 +44,7 @@
     "Controller": "Node",
     "Heartbeat": "Report",
     "NoResponseError": "NoAnswer",
+    "OperatorSettings": "Operator",
     "RequestNotSentError": "NotSent",
     "_acknowledged": "_acked",
     "by_machine": "places",
--- a/tools/compare_messages.py
+++ b/tools/compare_messages.py
@@ -34,7 +34,7 @@
 #: What a version needs to play its days.
 SOURCES = ("topazhold", "tests", "deploy")
 #: How much is shown of a message that differs, and of a recorder's last words.
-SHOWN_CHARACTERS = 2000
+MAX_SHOWN_CHARACTERS = 2000
 
 
 @dataclass(frozen=True)
@@ -73,7 +73,7 @@
 
 
 #: Troubles that are in none of the harness's lists.
-FURTHER_KINDS = (
+EXTRA_FAULT_KINDS = (
     "late_writes",
     "odd_requests",
     "cancel_at_end",
@@ -86,8 +86,8 @@
 
 
 def day_of(seed: int) -> Day:
-    """The day of a seed: ten sorts in turn, with services on some and an upgrade on one."""
-    sorts = (
+    """The day of a seed: ten variants in turn, with services on some and an upgrade on one."""
+    variants = (
         Day(seed, ("ALL", "MANY")),
         Day(seed, ("CONTROLLERS", "late_copies")),
         Day(seed, ("ALL", "MANY", "replicas_end"), services=0.4),
@@ -95,11 +95,11 @@
         Day(seed, ("ALL", "MANY"), upgrade=True, trouble_s=90.0, jobs=45),
         Day(seed, ("MACHINES", "replicas_end"), services=0.4),
         Day(seed, ("OUTSIDE", "crash_leader")),
-        Day(seed, ("ALL", *FURTHER_KINDS)),
+        Day(seed, ("ALL", *EXTRA_FAULT_KINDS)),
         Day(seed, ("MANY", "crash_leader", "notice")),
         Day(seed),
     )
-    return sorts[seed % len(sorts)]
+    return variants[seed % len(variants)]
 
 
 def first_difference(base: Iterable[str], work: Iterable[str]) -> tuple[int, Difference | None]:
@@ -112,7 +112,7 @@
 
 
 @contextmanager
-def sources_of(commit: str) -> Iterator[Path]:
+def extract_sources(commit: str) -> Iterator[Path]:
     """A folder with a commit's sources, as long as the context lasts.
 
     Raises:
@@ -127,7 +127,7 @@
         yield Path(folder)
 
 
-def git_folder() -> str:
+def git_dir() -> str:
     """The repository that the versions take the production version from."""
     found = subprocess.run(
         ["git", "rev-parse", "--absolute-git-dir"], cwd=ROOT, capture_output=True, check=True
@@ -151,11 +151,11 @@
         "PYTHONHASHSEED": "0",
         "PYTHONPATH": str(root),
         "TMPDIR": str(folder),
-        "GIT_DIR": git_folder(),
+        "GIT_DIR": git_dir(),
     }
     run = subprocess.run(command, env=environment, capture_output=True, text=True)
     if run.returncode != 0:
-        raise PlayError(f"seed {day.seed}, {root}:\n{run.stderr[-SHOWN_CHARACTERS:]}")
+        raise PlayError(f"seed {day.seed}, {root}:\n{run.stderr[-MAX_SHOWN_CHARACTERS:]}")
     if out.stat().st_size == 0:
         raise PlayError(f"seed {day.seed}, {root}: no messages")
     return out
@@ -189,7 +189,7 @@
 
     def shown(message: str | None) -> str:
         """The beginning of a message."""
-        return "no more messages" if message is None else message.strip()[:SHOWN_CHARACTERS]
+        return "no more messages" if message is None else message.strip()[:MAX_SHOWN_CHARACTERS]
 
     return (
         f"different: seed {outcome.day.seed}, message {difference.index}\n{outcome.day}\n"
@@ -206,7 +206,7 @@
     """Compare every message of the work tree with those of a commit, day by day."""
     days = [day_of(seed) for seed in range(first_seed, first_seed + seeds)]
     messages = 0
-    with sources_of(base) as folder:
+    with extract_sources(base) as folder:
         try:
             for outcome in compare(folder, ROOT, days, jobs):
                 messages += outcome.messages
--- a/tools/costs.py
+++ b/tools/costs.py
@@ -15,6 +15,7 @@
 import pstats
 import time
 from collections.abc import Callable, Coroutine
+from http import HTTPStatus
 from random import Random
 from typing import Any
 
@@ -34,10 +35,10 @@
 from topazhold.core.scheduler import Scheduler
 from topazhold.core.task_attempts import TaskAttempt
 from topazhold.io.http import Response
-from topazhold.io.peer_transport import encode
+from topazhold.io.peer_transport import encode_frame
 from topazhold.io.server import Connection
-from topazhold.operator_settings import Operator
-from topazhold.wire.codec import read
+from topazhold.operator_settings import OperatorSettings
+from topazhold.wire.codec import decode
 from topazhold.wire.workers import Commands, Heartbeat, TaskStatus
 
 #: The leader's term.
@@ -52,6 +53,8 @@
 RUNS = 5
 RUN_S = 0.05
 MIN_CALLS = 3
+#: Lower bound of a call's measured time, in seconds, against a division by zero.
+MIN_CALL_S = 1e-6
 #: Functions that a profile names.
 PROFILED_FUNCTIONS = 25
 
@@ -66,47 +69,47 @@
         for team in self.settings.cluster.teams:
             team.gpus = team.gpus_max = 1e6
         self.reservation_table = ReservationTable("node-0")
-        self.operator = Operator()
+        self.operator = OperatorSettings()
         self.scheduler = Scheduler(
             self.settings, self.operator, TERM, self.reservation_table, self.rng, self.now
         )
         self.scheduler.machine_types = {"b1": MACHINE_TYPE}
         self.heartbeats: list[Heartbeat] = []
-        self.number = 0
+        self.job_number = 0
         for number in range(machines):
-            self._machine(f"host-{number:06d}", "ab"[number % 2])
-        self._fill(tasks)
+            self._add_machine(f"host-{number:06d}", "ab"[number % 2])
+        self._start_tasks(tasks)
         for number in range(gangs):
-            job = self._job(shape="gang", tasks=GANG_SIZES[number % len(GANG_SIZES)], gpus=4.0)
+            job = self._add_job(shape="gang", tasks=GANG_SIZES[number % len(GANG_SIZES)], gpus=4.0)
             names = self.rng.sample(list(self.scheduler.machines), job.spec.tasks)
             reservation = Reservation(
                 job.id, dict.fromkeys(names, 1), job.need, 0.0, 1, 1e9, True, queue_key(job)
             )
             self.reservation_table.reservations.setdefault("node-0", {})[job.id] = reservation
         for _ in range(arrays):
-            self._job(shape="batch", tasks=ARRAY_SIZE, gpus=1.0)
+            self._add_job(shape="batch", tasks=ARRAY_SIZE, gpus=1.0)
         for heartbeat in self.heartbeats:
-            self.receive(heartbeat)
+            self.receive_heartbeat(heartbeat)
 
-    def _job(self, **changes: Any) -> Job:
+    def _add_job(self, **changes: Any) -> Job:
         """A new job of the tests' default kind, with these fields changed."""
-        self.number += 1
-        job = Job(make_spec(self.number, **changes), self.now, 1e9 + self.now, "node-0")
+        self.job_number += 1
+        job = Job(make_spec(self.job_number, **changes), self.now, 1e9 + self.now, "node-0")
         self.scheduler.add_job(job)
         return job
 
-    def _machine(self, name: str, zone: str) -> None:
+    def _add_machine(self, name: str, zone: str) -> None:
         """A machine that is up and idle."""
         heartbeat = Heartbeat(name, f"{name}:9", "b1", zone, False, 1, 1, TERM, [])
         self.heartbeats.append(heartbeat)
-        self.receive(heartbeat)
+        self.receive_heartbeat(heartbeat)
 
-    def _fill(self, tasks: int) -> None:
+    def _start_tasks(self, tasks: int) -> None:
         """Every machine runs so many small tasks."""
         for heartbeat in self.heartbeats:
-            job = self._job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
+            job = self._add_job(shape="batch", tasks=max(1, tasks), gpus=0.8, cpus=1.0)
             for index in range(tasks):
-                attempt = TaskAttempt(job, index, self.number, heartbeat.machine, self.now)
+                attempt = TaskAttempt(job, index, self.job_number, heartbeat.machine, self.now)
                 attempt.mark_written(self.now)
                 attempt.mark_launch_sent(1, self.now)
                 self.scheduler.cluster.attach(attempt)
@@ -114,7 +117,7 @@
                     TaskStatus(attempt.task_name, attempt.attempt_number, "running")
                 )
 
-    def receive(self, heartbeat: Heartbeat) -> list[Any]:
+    def receive_heartbeat(self, heartbeat: Heartbeat) -> list[Any]:
         """A heartbeat of the same tasks, with the next number; the commands of its answer."""
         heartbeat.sequence += 1
         machine = self.scheduler.on_heartbeat(heartbeat, False, self.now)
@@ -137,7 +140,7 @@
         """Drop the data."""
 
 
-def finish(coroutine: Coroutine[Any, Any, Any]) -> Any:
+def run_without_waiting(coroutine: Coroutine[Any, Any, Any]) -> Any:
     """The value of a coroutine that never waits."""
     try:
         coroutine.send(None)
@@ -146,39 +149,39 @@
     raise AssertionError("the coroutine waits")
 
 
-def http_exchange(body: bytes) -> Callable[[], None]:
+def http_benchmark(body: bytes) -> Callable[[], None]:
     """Receives a heartbeat and sends an answer without commands."""
     head = b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n"
     connection = Connection(EndlessSocket(head % len(body) + body), None, 0.0)
-    answer = Response(200, Commands(TERM, []))
+    answer = Response(HTTPStatus.OK, Commands(TERM, []))
 
     def exchange() -> None:
         """One request with its response."""
-        finish(connection.receive())
-        finish(connection.send(answer))
+        run_without_waiting(connection.receive())
+        run_without_waiting(connection.send(answer))
 
     return exchange
 
 
-async def nothing(message: tuple[Any, ...]) -> None:
+async def discard_message(message: tuple[Any, ...]) -> None:
     """Takes the place of the broadcast to other controllers."""
 
 
-def summary_of(fleet: Fleet) -> Callable[[], None]:
+def summary_benchmark(fleet: Fleet) -> Callable[[], None]:
     """Makes and encodes a summary, one second after the last one."""
     elected = ElectionResult(TERM, 1, 0.0)
     context = TermContext(fleet.settings, None, fleet.scheduler, elected, lambda now: True)  # type: ignore[arg-type]
-    summaries = SummaryPublisher(context, fleet.operator.summary_s, nothing)
+    summaries = SummaryPublisher(context, fleet.operator.summary_s, discard_message)
 
     def summary() -> None:
         """One summary."""
         fleet.now += 1.0
-        encode(("summary", TERM, summaries.summary(fleet.now)))
+        encode_frame(("summary", TERM, summaries.summary(fleet.now)))
 
     return summary
 
 
-def search_of(fleet: Fleet) -> Callable[[], None]:
+def search_benchmark(fleet: Fleet) -> Callable[[], None]:
     """Searches for machines for a waiting gang."""
     scheduler = fleet.scheduler
     job = next(
@@ -188,42 +191,42 @@
     rules = SearchRules(2.0, 16, 20, 1.0, 1.0)
     directory = scheduler.directory()
 
-    def one() -> None:
+    def search_once() -> None:
         """One search."""
         context = SearchContext(job.spec, priority(job), {}, rules)
         find_group(fleet.rng, directory, caches, context, SEARCH_TRIES)
 
-    return one
+    return search_once
 
 
-def pieces(fleet: Fleet) -> dict[str, Callable[[], Any]]:
+def make_benchmarks(fleet: Fleet) -> dict[str, Callable[[], Any]]:
     """The pieces of a leader's work, by the name that is printed."""
     heartbeat = fleet.heartbeats[0]
     body = cbor2.dumps(msgspec.to_builtins(heartbeat))
     return {
-        "http": http_exchange(body),
-        "decode": lambda: read(body, Heartbeat),
-        "report": lambda: fleet.receive(heartbeat),
+        "http": http_benchmark(body),
+        "decode": lambda: decode(body, Heartbeat),
+        "report": lambda: fleet.receive_heartbeat(heartbeat),
         "tick": lambda: fleet.scheduler.tick(fleet.now),
         "scale_out": lambda: fleet.scheduler.scale_out(fleet.now),
-        "summary": summary_of(fleet),
-        "search": search_of(fleet),
+        "summary": summary_benchmark(fleet),
+        "search": search_benchmark(fleet),
         "plan": lambda: fleet.scheduler.plan(fleet.now),
     }
 
 
-def cost_ms(piece: Callable[[], Any]) -> float:
+def cost_per_call_ms(piece: Callable[[], Any]) -> float:
     """Processor time of one call in milliseconds: the least mean of `RUNS` runs."""
     piece()
-    began = time.process_time()
+    started_at = time.process_time()
     piece()
-    count = max(MIN_CALLS, int(RUN_S / max(time.process_time() - began, 1e-6)))
+    count = max(MIN_CALLS, int(RUN_S / max(time.process_time() - started_at, MIN_CALL_S)))
     best = float("inf")
     for _ in range(RUNS):
-        began = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             piece()
-        best = min(best, (time.process_time() - began) / count)
+        best = min(best, (time.process_time() - started_at) / count)
     return 1000 * best
 
 
@@ -240,14 +243,14 @@
     parser.add_argument("--rounds", type=int, default=200, help="calls under the profiler")
     args = parser.parse_args()
     fleet = Fleet(args.machines, args.tasks, args.gangs, args.arrays)
-    found = pieces(fleet)
+    benchmarks = make_benchmarks(fleet)
     if args.profile is None:
-        for name, piece in found.items():
-            print(f"{name:10} {cost_ms(piece):8.4f} ms")
+        for name, piece in benchmarks.items():
+            print(f"{name:10} {cost_per_call_ms(piece):8.4f} ms")
         return
     profiler = cProfile.Profile()
     for _ in range(args.rounds):
-        profiler.runcall(found[args.profile])
+        profiler.runcall(benchmarks[args.profile])
     pstats.Stats(profiler).sort_stats("tottime").print_stats(PROFILED_FUNCTIONS)
 
 
--- a/tools/pauses.py
+++ b/tools/pauses.py
@@ -17,12 +17,12 @@
 from tests.pause_scenarios import PauseOutcome, play_pause
 
 #: Characters that are printed of a scene's failure.
-SHOWN_CHARACTERS = 300
+MAX_SHOWN_CHARACTERS = 300
 HEADINGS = "| order | stopped at | scenes | orders | executed | stale | stale with effect |"
 HEADINGS += " two decisions | rules broken | without holder, median and worst s | failed |"
 
 
-def play_scene(point: str, kind: str, seed: int, record: bool) -> PauseOutcome | str:
+def run_scenario(point: str, kind: str, seed: int, record: bool) -> PauseOutcome | str:
     """The outcome of one scene, or the reason why it came to no end."""
     operator = f"record_orders: {str(record).lower()}\n"
     with tempfile.TemporaryDirectory() as folder:
@@ -67,15 +67,15 @@
             for point in POINTS:
                 if not record and "record" in point:
                     continue  # without records there is no such point
-                scenes = [
-                    pool.submit(play_scene, point, kind, seed, record)
+                runs = [
+                    pool.submit(run_scenario, point, kind, seed, record)
                     for seed in range(1, seeds + 1)
                 ]
-                outcomes = [scene.result() for scene in scenes]
+                outcomes = [run.result() for run in runs]
                 click.echo(table_row(kind, point, outcomes))
                 failures += [outcome for outcome in outcomes if isinstance(outcome, str)]
     for failure in failures:
-        click.echo(f"failed: {failure[:SHOWN_CHARACTERS]}")
+        click.echo(f"failed: {failure[:MAX_SHOWN_CHARACTERS]}")
 
 
 if __name__ == "__main__":
--- a/tools/record_messages.py
+++ b/tools/record_messages.py
@@ -44,7 +44,7 @@
 SOURCE_NAMES = ("_source", "source")
 TARGET_NAMES = ("_target", "target")
 #: Bytes of a frame's length in front of its CBOR.
-FRAME_HEAD = 4
+FRAME_PREFIX_BYTES = 4
 
 
 class UnknownLayoutError(Exception):
@@ -69,7 +69,7 @@
     return owner, name
 
 
-def find(places: tuple[str, ...]) -> tuple[Any, str]:
+def find_first(places: tuple[str, ...]) -> tuple[Any, str]:
     """The owner and name of the first place that exists.
 
     Raises:
@@ -85,7 +85,7 @@
 
 def find_value(places: tuple[str, ...]) -> Any:
     """What is at the first place that exists."""
-    owner, name = find(places)
+    owner, name = find_first(places)
     return getattr(owner, name)
 
 
@@ -125,15 +125,15 @@
 
     def hook(self, patch: pytest.MonkeyPatch) -> None:
         """Record requests with their answers, and frames between controllers."""
-        owner, name = find(PLACES["ask"])
-        patch.setattr(owner, name, self._hooked_ask(getattr(owner, name)))
-        owner, name = find(PLACES["send"])
-        patch.setattr(owner, name, self._hooked_send(getattr(owner, name)))
+        owner, name = find_first(PLACES["ask"])
+        patch.setattr(owner, name, self._recorded_request(getattr(owner, name)))
+        owner, name = find_first(PLACES["send"])
+        patch.setattr(owner, name, self._recorded_send(getattr(owner, name)))
 
-    def _hooked_ask(self, ask: Callable[..., Any]) -> Callable[..., Any]:
+    def _recorded_request(self, ask: Callable[..., Any]) -> Callable[..., Any]:
         signature = inspect.signature(ask)
 
-        async def hooked(*args: Any, **kwargs: Any) -> tuple[int, bytes]:
+        async def recording(*args: Any, **kwargs: Any) -> tuple[int, bytes]:
             """Write down the request, and what came of it."""
             _, source, target, method, path, message, timeout_s = signature.bind(
                 *args, **kwargs
@@ -152,16 +152,16 @@
             self._write("answer", target, source, **request, status=status, body=decoded(answer))
             return status, answer
 
-        return hooked
+        return recording
 
-    def _hooked_send(self, send: Callable[..., Any]) -> Callable[..., Any]:
-        async def hooked(link: Any, frame: bytes) -> Any:
+    def _recorded_send(self, send: Callable[..., Any]) -> Callable[..., Any]:
+        async def recording(link: Any, frame: bytes) -> Any:
             """Write down the frame."""
             source, target = _attribute(link, SOURCE_NAMES), _attribute(link, TARGET_NAMES)
-            self._write("frame", source, target, body=decoded(frame[FRAME_HEAD:]))
+            self._write("frame", source, target, body=decoded(frame[FRAME_PREFIX_BYTES:]))
             return await send(link, frame)
 
-        return hooked
+        return recording
 
 
 def _attribute(owner: Any, names: tuple[str, ...]) -> Any:
--- a/topazhold/cli.py
+++ b/topazhold/cli.py
@@ -13,18 +13,18 @@
 from topazhold import settings as conf
 
 #: The operators' settings that are read if no others are named.
-OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
+DEFAULT_OPERATOR_FILE = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
 #: Exit status where settings can't be used.
 BAD_SETTINGS_STATUS = 2
 #: Exit status where the key-value store gives no answer.
 UNREACHABLE_STATUS = 3
 #: Values of the environment variable LOG_LEVEL; any other means `info`.
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def set_up_logging() -> None:
     """Log to standard error from the level on that LOG_LEVEL names."""
-    level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
+    level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         level=level, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
@@ -32,21 +32,23 @@
     logging.getLogger("curio").setLevel(logging.ERROR)
 
 
-def read_settings(config: Path, operator: Path | None) -> tuple[conf.Settings, conf.Operator]:
+def read_settings(
+    config: Path, operator: Path | None
+) -> tuple[conf.Settings, conf.OperatorSettings]:
     """Read both settings files; where one can't be used, one line and the end, with status 2."""
-    if operator is None and OPERATOR_FILE.exists():
-        operator = OPERATOR_FILE
+    if operator is None and DEFAULT_OPERATOR_FILE.exists():
+        operator = DEFAULT_OPERATOR_FILE
     try:
-        return conf.load(config), conf.load_operator(operator)
+        return conf.load(config), conf.load_operator_settings(operator)
     except conf.SettingsError as exc:
         click.echo(f"topazhold: {exc}", err=True)
         sys.exit(BAD_SETTINGS_STATUS)
 
 
-CONFIG = click.option(
+CONFIG_OPTION = click.option(
     "--config", type=click.Path(path_type=Path), required=True, help="The platform's settings."
 )
-OPERATOR = click.option(
+OPERATOR_OPTION = click.option(
     "--operator", type=click.Path(path_type=Path), help="The operators' own settings."
 )
 
@@ -66,7 +68,7 @@
         return
     if config is None:
         raise click.UsageError("--config FILE is needed")
-    settings, operators_own = read_settings(config, operator)
+    settings, operator_settings = read_settings(config, operator)
     set_up_logging()
     import curio
 
@@ -77,7 +79,7 @@
 
     async def serve() -> None:
         """Run the controller until it is cancelled."""
-        await Controller(settings, operators_own, cpu_accounting=cpu_accounting).run()
+        await Controller(settings, operator_settings, cpu_accounting=cpu_accounting).run()
 
     try:
         curio.run(serve, activations=[cpu_accounting])
@@ -86,8 +88,8 @@
 
 
 @main.command()
-@CONFIG
-@OPERATOR
+@CONFIG_OPTION
+@OPERATOR_OPTION
 def check(config: Path, operator: Path | None) -> None:
     """Check the settings and start nothing."""
     settings, _ = read_settings(config, operator)
@@ -95,8 +97,8 @@
 
 
 @main.command()
-@CONFIG
-@OPERATOR
+@CONFIG_OPTION
+@OPERATOR_OPTION
 @click.option("--json", "as_json", is_flag=True, help="Print JSON instead of text.")
 def duties(config: Path, operator: Path | None, as_json: bool) -> None:
     """Show who holds each duty, and all recorded orders; changes nothing."""
@@ -109,12 +111,14 @@
 
     def open_store(client: Client, timeout_s: float) -> KeyValueStore:
         """Access to the key-value store, within the limits that the settings name."""
-        return KeyValueStore(client, client, settings.cluster.state, timeout_s)
+        return KeyValueStore(client, client, settings.cluster.key_value_store, timeout_s)
 
     try:
         report = read_report(settings, open_store)
     except StoreUnreachableError as exc:
-        click.echo(f"topazhold: state service at {settings.outside.state}: {exc}", err=True)
+        click.echo(
+            f"topazhold: state service at {settings.external.key_value_store}: {exc}", err=True
+        )
         sys.exit(UNREACHABLE_STATUS)
     click.echo(msgspec.json.encode(report).decode() if as_json else as_text(report))
 
--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -22,12 +22,12 @@
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.core.placement_hints import PlacementHint
 from topazhold.interfaces.cloud import CloudUnavailableError
-from topazhold.io.client import Clients
+from topazhold.io.client import ClientPool
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.operations.scale_in import AnnounceReleased
-from topazhold.settings import Settings, address
+from topazhold.settings import Settings, parse_address
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError, read
+from topazhold.wire.codec import InvalidMessageError, decode
 from topazhold.wire.workers import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -88,7 +88,7 @@
             MIN_CONCURRENT_PROBES, int(settings.cluster.limits.sockets * PROBE_SOCKET_SHARE)
         )
         self._probing: set[str] = set()
-        self._clients = Clients(dial, self._max_concurrent_probes)
+        self._clients = ClientPool(dial, self._max_concurrent_probes)
         self._unhandled_since: dict[str, float] = {}  # by job, monotonic clock
         self._listed_at = -1e9
         self._releasing = False
@@ -187,13 +187,15 @@
         """Ask a worker for its tasks, and kill those of cancelled jobs."""
         assert hint.endpoint is not None
         try:
-            client = await self._clients.client_for(address(hint.endpoint), len(self._probing))
-            status, body = await client.ask(
+            client = await self._clients.client_for(
+                parse_address(hint.endpoint), len(self._probing)
+            )
+            status, body = await client.request(
                 "GET", wire.STATUS_PATH, None, self._heartbeat_interval_s
             )
             if status != HTTPStatus.OK:
                 return
-            heartbeat = read(body, Heartbeat)
+            heartbeat = decode(body, Heartbeat)
             self._placement_hints.update_from_heartbeat(heartbeat)
             commands = self._cancellations.kill_commands(heartbeat)
             if not commands:
@@ -205,11 +207,11 @@
                 len(commands),
                 name,
             )
-            status, body = await client.ask(
+            status, body = await client.request(
                 "POST", wire.COMMANDS_PATH, message, self._heartbeat_interval_s
             )
             if status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
-                self._placement_hints.update_from_heartbeat(read(body, Heartbeat))
+                self._placement_hints.update_from_heartbeat(decode(body, Heartbeat))
         except (RequestNotSentError, NoResponseError, InvalidMessageError, ValueError) as exc:
             log.debug("probe of %s failed: %s", name, exc)
         finally:
--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -17,7 +17,7 @@
 from topazhold.io.rate_limit import TokenBucket
 from topazhold.wire import messages as wire
 from topazhold.wire.cloud import ListedMachine, MachineType
-from topazhold.wire.codec import InvalidMessageError, read
+from topazhold.wire.codec import InvalidMessageError, decode
 
 #: Maximum machines in a page of the machine list.
 PAGE_MACHINES = 500
@@ -44,7 +44,7 @@
         if not self._bucket.take(now):
             raise CloudUnavailableError("request limit")
         try:
-            return await self._client.ask(method, target, message, self._timeout_s)
+            return await self._client.request(method, target, message, self._timeout_s)
         except (RequestNotSentError, NoResponseError) as exc:
             raise CloudUnavailableError(str(exc)) from None
 
@@ -54,7 +54,7 @@
         if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
         try:
-            return read(body, wire.Catalog).machine_types
+            return decode(body, wire.Catalog).machine_types
         except InvalidMessageError as exc:
             raise CloudUnavailableError(f"catalog: {exc}") from None
 
@@ -63,7 +63,9 @@
 
         Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
         """
-        body = wire.rent_body(name, request.machine_type, request.zone, request.spot, request.count)
+        body = wire.scale_out_body(
+            name, request.machine_type, request.zone, request.spot, request.count
+        )
         status, answer = await self._send("POST", wire.MACHINES_PATH, body)
         if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in answer:
             raise CloudCapacityError
@@ -72,7 +74,7 @@
         if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
         try:
-            return read(answer, wire.Rented).machines
+            return decode(answer, wire.ScaleOutResponse).machines
         except InvalidMessageError as exc:
             raise CloudUnavailableError(f"rental: {exc}") from None
 
@@ -87,11 +89,13 @@
         listed: list[ListedMachine] = []
         last_id: str | None = None
         while True:
-            status, body = await self._send("GET", wire.list_query(last_id, PAGE_MACHINES), None)
+            status, body = await self._send(
+                "GET", wire.machine_list_target(last_id, PAGE_MACHINES), None
+            )
             if status != HTTPStatus.OK:
                 raise CloudUnavailableError(f"status {status}")
             try:
-                page = read(body, wire.MachinePage)
+                page = decode(body, wire.MachinePage)
             except InvalidMessageError as exc:
                 raise CloudUnavailableError(f"list: {exc}") from None
             listed += page.machines
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -36,8 +36,8 @@
 from topazhold.io.http import Request, Response
 from topazhold.io.peer_transport import PeerListener
 from topazhold.io.server import Server
-from topazhold.operator_settings import Operator
-from topazhold.settings import Settings, address
+from topazhold.operator_settings import OperatorSettings
+from topazhold.settings import Settings, parse_address
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
@@ -62,7 +62,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         dial: Dial = Client,
         cpu_accounting: CpuAccounting | None = None,
     ) -> None:
@@ -170,8 +170,8 @@
         )
         peers = PeerListener(self.peer_message, idle_s=PEER_IDLE_TIMEOUT_S)
         async with curio.TaskGroup(wait=any) as group:
-            await group.spawn(public.run, address(self.settings.bind))
-            await group.spawn(peers.run, address(self.settings.peer_listen))
+            await group.spawn(public.run, parse_address(self.settings.bind))
+            await group.spawn(peers.run, parse_address(self.settings.peer_listen))
             for connection in self.peers.connections.values():
                 await group.spawn(
                     self.cpu_accounting.run_in_category, WorkCategory.PEERS, connection.run
@@ -208,12 +208,12 @@
     async def handle(self, request: Request) -> Response:
         """Return the response to a request of a worker, a user or a health probe."""
         if request.path == wire.HEARTBEAT_PATH:
-            self.cpu_accounting.enter(WorkCategory.HEARTBEATS)
+            self.cpu_accounting.set_category(WorkCategory.HEARTBEATS)
             if request.method != "POST":
                 return Response(HTTPStatus.METHOD_NOT_ALLOWED)
             return await self.heartbeat_service.handle(request.body)
         if request.path == wire.HEALTH_PATH:
-            self.cpu_accounting.enter(WorkCategory.HEALTH)
+            self.cpu_accounting.set_category(WorkCategory.HEALTH)
             if request.method != "GET":
                 return Response(HTTPStatus.METHOD_NOT_ALLOWED)
             return Response(
@@ -221,13 +221,13 @@
                 if self._is_healthy(await curio.clock())
                 else HTTPStatus.SERVICE_UNAVAILABLE
             )
-        self.cpu_accounting.enter(WorkCategory.USERS)
+        self.cpu_accounting.set_category(WorkCategory.USERS)
         answer = await self.users.handle(request)
         return answer if answer is not None else Response(HTTPStatus.NOT_FOUND)
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
         """Handle a message of another controller; raises what `PeerService.handle` raises."""
-        self.cpu_accounting.enter(WorkCategory.PEERS)
+        self.cpu_accounting.set_category(WorkCategory.PEERS)
         await self.peer_service.handle(message)
 
     def _is_healthy(self, now: float) -> bool:
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -22,8 +22,8 @@
 from topazhold.io.client import Client
 from topazhold.io.cpu_accounting import CpuAccounting
 from topazhold.operations.released_machines import ReleasedMachines
-from topazhold.operator_settings import Operator
-from topazhold.settings import Settings, address
+from topazhold.operator_settings import OperatorSettings
+from topazhold.settings import Settings, parse_address
 
 #: Timeout of a request to the store, as a share of the controller's lease, so that a renewal of
 #: the lease can be retried in time.
@@ -47,7 +47,7 @@
     """Settings, clients of external services, and other shared services."""
 
     settings: Settings
-    operator: Operator
+    operator: OperatorSettings
     store: KeyValueStore
     cloud: Cloud
     catalog: InstanceCatalog
@@ -58,7 +58,7 @@
 
 
 def connect_services(
-    settings: Settings, operator: Operator, dial: Dial, cpu_accounting: CpuAccounting
+    settings: Settings, operator: OperatorSettings, dial: Dial, cpu_accounting: CpuAccounting
 ) -> ControllerServices:
     """Create a controller's services; connections are opened by the first requests.
 
@@ -66,15 +66,15 @@
     """
     cluster = settings.cluster
     controller_lease_s = controller_lease_duration_s(settings)
-    state = address(settings.outside.state)
+    state = parse_address(settings.external.key_value_store)
     store = KeyValueStore(
         dial(state, STORE_CONNECTIONS),
         dial(state, WATCH_CONNECTIONS),
-        cluster.state,
+        cluster.key_value_store,
         timeout_s=STORE_TIMEOUT_LEASE_SHARE * controller_lease_s,
     )
     cloud = Cloud(
-        dial(address(settings.outside.cloud), CLOUD_CONNECTIONS),
+        dial(parse_address(settings.external.cloud), CLOUD_CONNECTIONS),
         cluster.cloud.rps,
         timeout_s=CLOUD_TIMEOUT_S,
     )
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -12,11 +12,11 @@
 from topazhold.control.term_context import TermContext
 from topazhold.core.machines import Machine
 from topazhold.interfaces.term import LeadershipLostError
-from topazhold.io.client import Clients
+from topazhold.io.client import ClientPool
 from topazhold.io.http import NoResponseError, RequestNotSentError
-from topazhold.settings import address
+from topazhold.settings import parse_address
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError, read
+from topazhold.wire.codec import InvalidMessageError, decode
 from topazhold.wire.workers import Command, Commands, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -51,7 +51,7 @@
     ) -> None:
         self._max_in_flight = max(MIN_CONNECTIONS, int(sockets * IN_FLIGHT_SOCKET_SHARE))
         self._max_silent = max(1, int(self._max_in_flight * SILENT_WORKER_SHARE))
-        self._clients = Clients(dial, max(MIN_CONNECTIONS, int(sockets * IDLE_SOCKET_SHARE)))
+        self._clients = ClientPool(dial, max(MIN_CONNECTIONS, int(sockets * IDLE_SOCKET_SHARE)))
         self._context = context
         self._on_heartbeat = on_heartbeat
         self._in_flight: dict[str, bool] = {}  # machine -> whether its worker is silent
@@ -112,13 +112,15 @@
         """
         assert machine.endpoint is not None
         try:
-            client = await self._clients.client_for(address(machine.endpoint), len(self._in_flight))
+            client = await self._clients.client_for(
+                parse_address(machine.endpoint), len(self._in_flight)
+            )
             message = Commands(self._context.term, commands, machine.incarnation)
-            status, body = await client.ask(
+            status, body = await client.request(
                 "POST", wire.COMMANDS_PATH, message, self._context.heartbeat_interval_s
             )
             if status in (HTTPStatus.OK, HTTPStatus.CONFLICT):
-                heartbeat = read(body, Heartbeat)
+                heartbeat = decode(body, Heartbeat)
                 if heartbeat.fencing_token > self._context.term:
                     raise LeadershipLostError("a worker knows a higher term")
                 await self._on_heartbeat(heartbeat)
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -240,7 +240,7 @@
             )
             seen_revision = max(seen_revision, page.revision)
             for event in page.events:
-                key, data, _ = wire.event_key(event)
+                key, data, _ = wire.parse_event(event)
                 if key != LEADER_KEY:
                     continue
                 if data is None:
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -54,7 +54,9 @@
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
         self._store = store
         self._rng = rng
-        self._max_bytes = int(settings.cluster.state.lasting_value_bytes * records.MAX_VALUE_SHARE)
+        self._max_bytes = int(
+            settings.cluster.key_value_store.lasting_value_bytes * records.MAX_VALUE_SHARE
+        )
         self.table = table
         self.own: dict[str, Reservation] = {}
         self.search_due = curio.Event()
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -17,7 +17,7 @@
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError
 from topazhold.interfaces.term import TXN_BYTES
-from topazhold.io.peer_transport import FRAME_LIMIT
+from topazhold.io.peer_transport import MAX_MESSAGE_BYTES
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
@@ -26,7 +26,7 @@
 #: Maximum messages to the leader per heartbeat interval.
 MAX_FORWARD_FRAMES = 8
 #: Maximum bytes of heartbeats in one message.
-FORWARD_FRAME_BYTES = FRAME_LIMIT // 4
+FORWARD_FRAME_BYTES = MAX_MESSAGE_BYTES // 4
 #: Share of the store's write rate that forwarding through the store may use.
 FORWARD_WRITE_SHARE = 0.2
 
@@ -45,7 +45,7 @@
     ) -> None:
         self._node = settings.node_name
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
-        state = settings.cluster.state
+        state = settings.cluster.key_value_store
         self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         # Values per interval: limited by the write rate and by the size of a transaction.
         max_by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -20,7 +20,7 @@
 from topazhold.control.leadership_service import LeadershipService
 from topazhold.io.http import Response
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError, read
+from topazhold.wire.codec import InvalidMessageError, decode
 from topazhold.wire.workers import Commands, Heartbeat
 
 log = logging.getLogger(__name__)
@@ -47,7 +47,7 @@
     async def handle(self, body: bytes) -> Response:
         """Return the response to a heartbeat: 200, 421, or 400 if the body is malformed."""
         try:
-            heartbeat = read(body, Heartbeat)
+            heartbeat = decode(body, Heartbeat)
         except InvalidMessageError as exc:
             log.debug("malformed heartbeat: %s", exc)
             return Response(HTTPStatus.BAD_REQUEST)
@@ -119,4 +119,4 @@
 
 
 def _redirect(leader: str | None) -> Response:
-    return Response(HTTPStatus.MISDIRECTED_REQUEST, wire.redirect(leader))
+    return Response(HTTPStatus.MISDIRECTED_REQUEST, wire.redirect_body(leader))
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -238,7 +238,7 @@
         """
         context = self._context
         key = records.intents_key(name)
-        operation = wire.put(key, value) if value["boxes"] else wire.drop(key)
+        operation = wire.put(key, value) if value["boxes"] else wire.delete(key)
         preconditions = [*context.preconditions(), Precondition(key, revision)]
         try:
             new_revision = await context.store.compare_and_swap(
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -94,7 +94,7 @@
                     Precondition(live_key, job.revision),
                     Precondition(over_key, 0),
                 ],
-                [wire.drop(live_key), wire.put(over_key, value)],
+                [wire.delete(live_key), wire.put(over_key, value)],
                 LEASE_PRIORITY,
                 over_key,
                 token,
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -30,9 +30,9 @@
 )
 from topazhold.io.client import Client
 from topazhold.io.http import NoResponseError, RequestNotSentError
-from topazhold.settings import State as StateLimits
+from topazhold.settings import KeyValueStoreLimits
 from topazhold.wire import messages as wire
-from topazhold.wire.codec import InvalidMessageError, json_size, read
+from topazhold.wire.codec import InvalidMessageError, decode, json_size
 from topazhold.wire.key_value_store import Entry
 
 log = logging.getLogger(__name__)
@@ -75,7 +75,7 @@
     """
 
     def __init__(
-        self, client: Client, watch_client: Client, limits: StateLimits, timeout_s: float
+        self, client: Client, watch_client: Client, limits: KeyValueStoreLimits, timeout_s: float
     ) -> None:
         self._client = client
         self._watch_client = watch_client
@@ -128,7 +128,7 @@
         if request.block_s is not None:
             client, timeout_s = self._watch_client, request.block_s + self._timeout_s
         try:
-            status, body = await client.ask(
+            status, body = await client.request(
                 request.method, request.target, request.message, timeout_s
             )
         except (RequestNotSentError, NoResponseError) as exc:
@@ -167,7 +167,7 @@
         last_key: str | None = None
         seen_revision: int | None = None
         while True:
-            target = wire.store_query(prefix, last_key, PAGE_ENTRIES)
+            target = wire.entry_list_target(prefix, last_key, PAGE_ENTRIES)
             status, body = await self._send(_Request("GET", target, priority))
             _expect_success(status)
             page = _read(body, wire.EntryPage)
@@ -182,7 +182,7 @@
 
         Raises WatchCompactedError if the store no longer has all changes since that revision.
         """
-        target = wire.watch_query(prefix, since, int(block_s * MS_PER_S))
+        target = wire.watch_target(prefix, since, int(block_s * MS_PER_S))
         status, body = await self._send(_Request("GET", target, LEASE_PRIORITY, block_s=block_s))
         if status == HTTPStatus.GONE:
             raise WatchCompactedError(prefix)
@@ -206,9 +206,9 @@
         if status == HTTPStatus.OK:
             first = wire.changed_key(operations[0]) if operations else "nothing"
             log.debug("%d changes written, the first to %s", len(operations), first)
-            return _read(answer, wire.Committed).revision
+            return _read(answer, wire.TransactionResult).revision
         if status == HTTPStatus.CONFLICT:
-            raise PreconditionFailedError(_read(answer, wire.Committed).failed)
+            raise PreconditionFailedError(_read(answer, wire.TransactionResult).failed)
         # The store answers 400 when a lease has ended before the transaction arrived, and for a
         # value or a transaction that is too large.
         log.info(
@@ -274,7 +274,7 @@
 
     async def renew_lease(self, lease_id: int) -> bool:
         """Renew a lease; return False if it has ended."""
-        target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_END}"
+        target = f"{wire.LEASES_PATH}/{lease_id}{wire.RENEW_SUFFIX}"
         status, _ = await self._send(_Request("POST", target, LEASE_PRIORITY, {}))
         if status == HTTPStatus.NOT_FOUND:
             return False
@@ -294,7 +294,7 @@
 
 def _read(body: bytes, message_type: type[T]) -> T:
     try:
-        return read(body, message_type)
+        return decode(body, message_type)
     except InvalidMessageError as exc:
         raise UnreadableAnswerError(str(exc)) from None
 
--- a/topazhold/control/peer_group.py
+++ b/topazhold/control/peer_group.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from typing import Any, Protocol
 
-from topazhold.io.peer_transport import PeerConnection, encode
-from topazhold.settings import Seed, address
+from topazhold.io.peer_transport import PeerConnection, encode_frame
+from topazhold.settings import Seed, parse_address
 
 #: Seconds between two attempts to connect to a peer.
 RECONNECT_DELAY_S = 0.5
@@ -26,7 +26,8 @@
 
     def __init__(self, seeds: Iterable[Seed]) -> None:
         self.connections = {
-            seed.node_name: PeerConnection(address(seed.addr), RECONNECT_DELAY_S) for seed in seeds
+            seed.node_name: PeerConnection(parse_address(seed.addr), RECONNECT_DELAY_S)
+            for seed in seeds
         }
 
     @property
@@ -46,10 +47,10 @@
         """Send a message to one peer; dropped if the peer is unknown."""
         connection = self.connections.get(peer)
         if connection is not None:
-            await connection.send(encode(message))
+            await connection.send(encode_frame(message))
 
     async def broadcast(self, message: tuple[Any, ...]) -> None:
         """Send a message to every peer; it is encoded once."""
-        frame = encode(message)
+        frame = encode_frame(message)
         for connection in self.connections.values():
             await connection.send(frame)
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -14,7 +14,7 @@
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import NOT_AGED, QueueKey, Reservation, ReservationTable
 from topazhold.core.resource_offer import AGED, Priority
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 from topazhold.wire.jobs import JobSpec
 
@@ -71,7 +71,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         reservations: GangReservations,
         rng: Random,
         max_round_s: float = math.inf,
@@ -84,7 +84,7 @@
         self._heartbeat_interval_s = workers.heartbeat_interval_s
         self._tries = TRIES_PER_ZONE * len(settings.cluster.zones)
         self.rules = SearchRules(
-            operator.alpha,
+            operator.candidates_per_task,
             operator.search_groups,
             operator.search_rounds,
             distance_s=workers.heartbeat_interval_s,
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -24,7 +24,7 @@
 from topazhold.core.preemption import queue_key
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 from topazhold.wire.codec import InvalidMessageError
 from topazhold.wire.jobs import JobSpec
@@ -53,7 +53,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         store: KeyValueStore,
         pending_gangs: PendingGangs,
         current: CurrentTerm,
--- a/topazhold/control/store_limits.py
+++ b/topazhold/control/store_limits.py
@@ -5,7 +5,7 @@
 import logging
 
 from topazhold.io.rate_limit import TokenBucket
-from topazhold.settings import State as StateLimits
+from topazhold.settings import KeyValueStoreLimits
 
 log = logging.getLogger(__name__)
 
@@ -16,7 +16,7 @@
     `priority` is the share of a limit that a request must leave to more urgent ones.
     """
 
-    def __init__(self, limits: StateLimits) -> None:
+    def __init__(self, limits: KeyValueStoreLimits) -> None:
         self._limits = limits
         # True once the store has shown that its limits may have fallen to the lasting ones.
         self._uses_lasting_limits = False
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -57,8 +57,10 @@
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.worker_lease_s = cluster.workers.lease_s
-        self.value_limit = int(cluster.state.lasting_value_bytes * records.MAX_VALUE_SHARE)
-        self.txn_ops = cluster.state.lasting_txn_ops
+        self.value_limit = int(
+            cluster.key_value_store.lasting_value_bytes * records.MAX_VALUE_SHARE
+        )
+        self.txn_ops = cluster.key_value_store.lasting_txn_ops
         self.shards = IntentShards(self.value_limit)
         self.plan_requested = curio.Event()
         self.commands_due = curio.Event()  # set to send direct commands at once
--- a/topazhold/control/term_watches.py
+++ b/topazhold/control/term_watches.py
@@ -66,7 +66,7 @@
                 await curio.sleep(self._context.retry_s)
                 continue
             for event in page.events:
-                key, data, revision = wire.event_key(event)
+                key, data, revision = wire.parse_event(event)
                 await apply_change(key[len(prefix) :], data, revision)
             self._seen_revisions[prefix] = max(self._seen_revisions[prefix], page.revision)
             if page.events:
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -81,7 +81,7 @@
     ) -> None:
         self._node = settings.node_name
         self._teams = {team.name: team for team in settings.cluster.teams}
-        self._value_limit = settings.cluster.state.lasting_value_bytes
+        self._value_limit = settings.cluster.key_value_store.lasting_value_bytes
         self._store = store
         self._machine_types = machine_types
         self._on_accepted = on_accepted
@@ -98,8 +98,8 @@
         if path != wire.JOBS_PATH and not path.startswith(wire.JOBS_PATH + "/"):
             return None
         rest = path[len(wire.JOBS_PATH) + 1 :]
-        cancel = rest.endswith(wire.CANCEL_END)
-        job_id = rest[: -len(wire.CANCEL_END)] if cancel else rest
+        cancel = rest.endswith(wire.CANCEL_SUFFIX)
+        job_id = rest[: -len(wire.CANCEL_SUFFIX)] if cancel else rest
         allowed_method = "POST" if cancel or not rest else "GET"
         if "/" in job_id:
             return Response(HTTPStatus.NOT_FOUND)
@@ -188,7 +188,7 @@
             spec.team,
         )
         await self._on_accepted(job)
-        return Response(HTTPStatus.CREATED, wire.job_answer(job.id, wire.PENDING))
+        return Response(HTTPStatus.CREATED, wire.job_status_body(job.id, wire.PENDING))
 
     def _validate(self, raw: dict[str, Any]) -> tuple[int, JobSpec | None, str]:
         """Return the status for a new job, its specification if valid, and the reason if not."""
@@ -196,7 +196,7 @@
             spec = convert(raw, JobSpec)
         except InvalidMessageError as exc:
             return HTTPStatus.BAD_REQUEST, None, str(exc)
-        fault = spec.fault()
+        fault = spec.invalid_field()
         if fault is not None:
             return HTTPStatus.BAD_REQUEST, None, f"bad {fault}"
         if not self._machine_types:
@@ -214,7 +214,7 @@
 
     @staticmethod
     def _team_allows(team: Team, spec: JobSpec) -> bool:
-        tasks = spec.tasks if spec.needs_all else 1
+        tasks = spec.tasks if spec.needs_full_quota else 1
         return team_limit_allows(team, spec.cpus * tasks, spec.gpus * tasks)
 
     # -- poll --------------------------------------------------------------
@@ -223,13 +223,13 @@
         """Return the response with the job's current state, or None if it was never submitted."""
         final = self._final_stages.get(job_id)
         if final is not None:
-            return Response(HTTPStatus.OK, wire.job_answer(job_id, final))
+            return Response(HTTPStatus.OK, wire.job_status_body(job_id, final))
         entry = await self._store.get(records.live_key(job_id))
         if entry is not None:
             running = self._count_running(job_id)
             stage = wire.RUNNING if running else wire.PENDING
             done = records.completed_count(entry.data)
-            return Response(HTTPStatus.OK, wire.job_answer(job_id, stage, done, running))
+            return Response(HTTPStatus.OK, wire.job_status_body(job_id, stage, done, running))
         # A job moves from its live key to its over key in one transaction, so reading the
         # live key first can't miss it.
         entry = await self._store.get(records.ended_key(job_id))
@@ -239,7 +239,7 @@
         if stage == wire.ABORTED:
             await self._confirm_cancellation(job_id, records.ended_at(entry.data, time.time()))
         self._cache_final_stage(job_id, stage)
-        return Response(HTTPStatus.OK, wire.job_answer(job_id, stage))
+        return Response(HTTPStatus.OK, wire.job_status_body(job_id, stage))
 
     async def _poll(self, job_id: str) -> Response:
         return await self._status_response(job_id) or Response(HTTPStatus.NOT_FOUND)
@@ -249,7 +249,7 @@
     async def _cancel(self, job_id: str) -> Response:
         final = self._final_stages.get(job_id)
         if final is not None:
-            return Response(HTTPStatus.OK, wire.job_answer(job_id, final))
+            return Response(HTTPStatus.OK, wire.job_status_body(job_id, final))
         live, over = records.live_key(job_id), records.ended_key(job_id)
         for _ in range(MAX_CANCEL_ATTEMPTS):
             entry = await self._store.get(live)
@@ -261,7 +261,7 @@
             try:
                 await self._store.commit(
                     [Precondition(live, entry.revision), Precondition(over, 0)],
-                    [wire.drop(live), wire.put(over, value)],
+                    [wire.delete(live), wire.put(over, value)],
                     USER_PRIORITY,
                     over,
                     token,
@@ -272,5 +272,5 @@
             await self._confirm_cancellation(job_id, at)
             self._cache_final_stage(job_id, wire.ABORTED)
             log.info("job %s aborted by its user", job_id)
-            return Response(HTTPStatus.OK, wire.job_answer(job_id, wire.ABORTED))
+            return Response(HTTPStatus.OK, wire.job_status_body(job_id, wire.ABORTED))
         return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=MIN_RETRY_AFTER_S)
--- a/topazhold/core/array_placement.py
+++ b/topazhold/core/array_placement.py
@@ -101,9 +101,9 @@
     def _place_tasks(self, job: Job, candidates: list[ArrayCandidate], survey: FleetSurvey) -> bool:
         """Place tasks on the candidates in order; return whether no task is left to place."""
         spec = job.spec
-        zone_constrained = spec.same_place or spec.scatter
+        zone_constrained = spec.same_zone or spec.spread_zones
         zones = job.zones_used(self._cluster.zone_of) if zone_constrained else {}
-        required_zone = choose_shared_zone(zones, candidates) if spec.same_place else None
+        required_zone = choose_shared_zone(zones, candidates) if spec.same_zone else None
         tasks = job.pop_waiting_tasks()
         can_wait = self._can_wait(job, survey.now)
         for machine, count in candidates:
@@ -137,7 +137,7 @@
         if not survey.allows_one_more(job):
             return False
         max_in_zone = (job.spec.tasks + 1) // 2
-        return not (job.spec.scatter and zones.get(machine.zone, 0) >= max_in_zone)
+        return not (job.spec.spread_zones and zones.get(machine.zone, 0) >= max_in_zone)
 
     def _can_wait(self, job: Job, now: float) -> bool:
         """Return whether the job can wait: it has no start objective, and has slack.
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -88,7 +88,7 @@
 
     def largest_gang(self, now: float) -> Job | None:
         """Return the waiting gang with the most tasks among those confined to one zone."""
-        gangs = [job for job in self.waiting_gangs(now) if job.spec.same_place]
+        gangs = [job for job in self.waiting_gangs(now) if job.spec.same_zone]
         return max(gangs, key=lambda job: (job.spec.tasks, job.id), default=None)
 
     def needs_reservation(self, job: Job) -> bool:
@@ -237,9 +237,9 @@
             if reason is not None:
                 return f"{name} is {reason}"
             zones[machine.zone] = zones.get(machine.zone, 0) + count
-        if spec.same_place and len(zones) > 1:
+        if spec.same_zone and len(zones) > 1:
             return "more than one zone"
-        if spec.scatter and max(zones.values()) > (spec.tasks + 1) // 2:
+        if spec.spread_zones and max(zones.values()) > (spec.tasks + 1) // 2:
             return "too many in one zone"
         return None
 
--- a/topazhold/core/candidate_slots.py
+++ b/topazhold/core/candidate_slots.py
@@ -120,15 +120,15 @@
         if zone not in slots_by_zone:
             slots_by_zone[zone] = _cache_slots(caches.get(zone, ()), context)
         zone_slots = slots_by_zone[zone]
-        if spec.same_place:
+        if spec.same_zone:
             if len(zone_slots) >= spec.tasks:
                 return zone_slots[:target_count]
             continue  # the zone can't take the gang: draw another pivot
-        if spec.scatter:
+        if spec.spread_zones:
             slots += zone_slots[: max(1, math.ceil(target_count / 2))]
         else:
             slots += zone_slots[: target_count - len(slots)]
-    return [] if spec.same_place else slots
+    return [] if spec.same_zone else slots
 
 
 def _cache_slots(offers: Sequence[ResourceOffer], context: SearchContext) -> list[Slot]:
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -154,9 +154,9 @@
     """
     for job, demand, machines, machine_type in groups:
         zones_by_size = sorted(machine_type.zones, key=lambda zone: -machine_counts.get(zone, 0))
-        if job.spec.same_place:
+        if job.spec.same_zone:
             demand.at_least(machines, zones_by_size[0])
-        elif job.spec.scatter and len(zones_by_size) > 1:
+        elif job.spec.spread_zones and len(zones_by_size) > 1:
             for zone in zones_by_size[:2]:
                 demand.at_least(machines / 2, zone)
 
@@ -165,7 +165,7 @@
     """Return the only zone in which the job's waiting tasks may be placed, if any."""
     if job.spec.zone is not None:
         return job.spec.zone
-    if job.spec.same_place:
+    if job.spec.same_zone:
         for attempt in job.attempts.values():
             if attempt.is_active and attempt.machine in zone_of:
                 return zone_of[attempt.machine]
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -53,7 +53,7 @@
         self._max_heartbeat_age_s = MAX_HEARTBEAT_AGE_INTERVALS * timing.heartbeat_interval_s
         self._max_machine_attempts = max(
             1,
-            (settings.cluster.state.lasting_value_bytes - SHARD_OVERHEAD_BYTES)
+            (settings.cluster.key_value_store.lasting_value_bytes - SHARD_OVERHEAD_BYTES)
             // records.ATTEMPT_BYTES,
         )
         self.jobs: dict[str, Job] = {}
--- a/topazhold/core/draining.py
+++ b/topazhold/core/draining.py
@@ -99,7 +99,7 @@
             if machine.zone == current_zone:
                 return True
             is_zone_full = replicas_by_zone.get(machine.zone, 0) >= (job.spec.tasks + 1) // 2
-            if not job.spec.same_place and not (job.spec.scatter and is_zone_full):
+            if not job.spec.same_zone and not (job.spec.spread_zones and is_zone_full):
                 return True
         return False
 
--- a/topazhold/core/group_search.py
+++ b/topazhold/core/group_search.py
@@ -59,9 +59,9 @@
     if shares_machine and _lacks_earlier_slot(group):
         return math.inf
     in_main_zone = max(zones.values())
-    if spec.same_place and len(zones) > 1:
+    if spec.same_zone and len(zones) > 1:
         return math.inf
-    if spec.scatter and in_main_zone > (spec.tasks + 1) // 2:
+    if spec.spread_zones and in_main_zone > (spec.tasks + 1) // 2:
         return math.inf
     distance = len(group) - in_main_zone
     return wait_s + rules.distance_s * distance + cost_s / len(group)
@@ -142,7 +142,7 @@
 
 def _soonest_group(slots: Sequence[Slot], spec: JobSpec) -> list[Slot] | None:
     """Return the soonest slots within the zone limits; each machine's in order of `nth`."""
-    zone_limit = (spec.tasks + 1) // 2 if spec.scatter else spec.tasks
+    zone_limit = (spec.tasks + 1) // 2 if spec.spread_zones else spec.tasks
     zones: dict[str, int] = {}
     group: list[Slot] = []
     for slot in sorted(slots, key=by_readiness):
@@ -208,7 +208,7 @@
     exhausted_zones: set[str] = set()
     for _ in range(tries):
         slots = gather_slots(rng, directory, caches, context, slots_by_zone)
-        if slots and spec.same_place and math.comb(len(slots), spec.tasks) <= MAX_EXHAUSTIVE_GROUPS:
+        if slots and spec.same_zone and math.comb(len(slots), spec.tasks) <= MAX_EXHAUSTIVE_GROUPS:
             # The first try in this zone compares all its groups.
             zone = slots[0].zone
             if zone in exhausted_zones:
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -107,8 +107,10 @@
 def _truncate_spec(spec: Any) -> Any:
     if not isinstance(spec, dict):
         return spec
-    cut = {name: value for name, value in spec.items() if name not in wire.UNUSED_WHEN_OVER}
-    for name in wire.NAMES_UNUSED_WHEN_OVER:
+    cut = {
+        name: value for name, value in spec.items() if name not in wire.FIELDS_OMITTED_WHEN_ENDED
+    }
+    for name in wire.NAMES_TRUNCATED_WHEN_ENDED:
         if isinstance(cut.get(name), str):
             cut[name] = cut[name][:MAX_ENDED_NAME_LENGTH]
     return cut
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -78,7 +78,7 @@
         reserved_by_machine = survey.reserved.reserved_for_others(job.id, preemption.queue_key(job))
         candidates = self._candidates(job, reserved_by_machine, survey)
         zones = job.zones_used(self._cluster.zone_of)
-        if job.spec.same_place:
+        if job.spec.same_zone:
             required_zone = choose_shared_zone(
                 zones,
                 [ArrayCandidate(candidate.machine, candidate.count) for candidate in candidates],
@@ -243,4 +243,4 @@
 
 def _zone_full(job: Job, in_zone: int) -> bool:
     """Return whether a scattered job may have no more replicas in a zone that has `in_zone`."""
-    return job.spec.scatter and in_zone >= (job.spec.tasks + 1) // 2
+    return job.spec.spread_zones and in_zone >= (job.spec.tasks + 1) // 2
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -17,7 +17,7 @@
 from topazhold.core.resource_offer import ResourceOffer
 from topazhold.core.scheduler_parts import SchedulerParts
 from topazhold.core.task_attempts import TaskAttempt
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 from topazhold.wire.cloud import ListedMachine, MachineType
 from topazhold.wire.workers import Command, Heartbeat
@@ -35,7 +35,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         term: int,
         reservation_table: ReservationTable,
         rng: Random,
--- a/topazhold/core/scheduler_parts.py
+++ b/topazhold/core/scheduler_parts.py
@@ -25,7 +25,7 @@
 from topazhold.core.timing import Timing
 from topazhold.core.worker_commands import WorkerCommands
 from topazhold.core.zone_demand import ZoneDemand
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 
 
@@ -38,7 +38,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         term: int,
         reservation_table: ReservationTable,
         now: float,
@@ -46,7 +46,7 @@
         self.timing = Timing.from_settings(settings, operator)
         self.objectives = StartObjectives(
             settings.cluster.wait_objectives(),
-            operator.longest_wait_s,
+            operator.max_gang_wait_s,
             self.timing.heartbeat_interval_s,
         )
         self.cluster = ClusterState(settings, self.timing, self.objectives, term, now)
@@ -64,11 +64,15 @@
         )
         self.machine_lists = MachineListReconciliation(cluster)
 
-    def _wire_decisions(self, operator: Operator, reservation_table: ReservationTable) -> None:
+    def _wire_decisions(
+        self, operator: OperatorSettings, reservation_table: ReservationTable
+    ) -> None:
         cluster, eviction = self.cluster, self.eviction
         queue = JobQueue(cluster)
         limits = TeamLimits(cluster, eviction)
-        self.resource_offers = ResourceOffers(cluster, reservation_table, operator.alpha)
+        self.resource_offers = ResourceOffers(
+            cluster, reservation_table, operator.candidates_per_task
+        )
         self.reservations = BindingReservations(
             cluster, reservation_table, queue, limits, self.resource_offers
         )
--- a/topazhold/core/task_reconciliation.py
+++ b/topazhold/core/task_reconciliation.py
@@ -127,14 +127,14 @@
     def _on_attempt_ended(
         self, machine: Machine, attempt: TaskAttempt, task: TaskStatus, now: float
     ) -> None:
-        attempt.mark_ended(task.cause or "", bool(task.kept), now)
+        attempt.mark_ended(task.cause or "", bool(task.checkpoint_saved), now)
         log.info(
             "task %s attempt %d on %s ended: %s%s",
             attempt.task_name,
             attempt.attempt_number,
             machine.name,
             attempt.cause,
-            " (checkpoint kept)" if task.kept else "",
+            " (checkpoint kept)" if task.checkpoint_saved else "",
         )
         if attempt.cause == wire.CAUSE_DONE:
             self._on_success(machine, attempt, now)
--- a/topazhold/core/timing.py
+++ b/topazhold/core/timing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 
 
@@ -20,7 +20,7 @@
     gang_wait_s: float  # the workers' timeout for a gang to start
 
     @classmethod
-    def from_settings(cls, settings: Settings, operator: Operator) -> Timing:
+    def from_settings(cls, settings: Settings, operator: OperatorSettings) -> Timing:
         """Return the periods from the platform's and the operators' settings."""
         workers = settings.cluster.workers
         return cls(
--- a/topazhold/core/zone_demand.py
+++ b/topazhold/core/zone_demand.py
@@ -86,7 +86,7 @@
         """
         if job.state is not JobState.LIVE or job.spec.zone is not None:
             return False
-        if not (job.spec.same_place or job.spec.scatter):
+        if not (job.spec.same_zone or job.spec.spread_zones):
             return False
         if job.gang:
             return job.is_aged and not job.attempts
@@ -101,7 +101,7 @@
         wanted = job.waiting_count
         if sum(free.values()) < wanted:
             return None
-        if job.spec.same_place:
+        if job.spec.same_zone:
             zone = max(zones, key=lambda zone: (free[zone], zone))
             return ZoneShortage(zone, wanted - free[zone]) if free[zone] < wanted else None
         max_in_zone = (job.spec.tasks + 1) // 2
--- a/topazhold/io/client.py
+++ b/topazhold/io/client.py
@@ -10,7 +10,7 @@
 import h11
 
 from topazhold.io.http import CHUNK_BYTES, NoResponseError, connect
-from topazhold.io.http_heads import HEAD_LIMIT
+from topazhold.io.http_heads import MAX_HEAD_BYTES
 from topazhold.wire.codec import pack
 
 #: Connections to one address that are kept open, at the most.
@@ -34,7 +34,7 @@
         self._max_response_bytes = max_response_bytes
         self._idle: list[tuple[Any, h11.Connection]] = []
 
-    async def ask(
+    async def request(
         self, method: str, target: str, message: Any, timeout_s: float
     ) -> tuple[int, bytes]:
         """Send a request, its message encoded as CBOR; the status and the body of the response.
@@ -73,7 +73,7 @@
 
     async def _open(self, timeout_s: float) -> tuple[Any, h11.Connection]:
         sock = await connect(self._address, timeout_s)
-        return sock, h11.Connection(h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT)
+        return sock, h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
 
     async def _exchange(
         self, sock: Any, conn: h11.Connection, method: str, target: str, body: bytes
@@ -113,7 +113,7 @@
                 raise OSError("connection closed")
 
 
-class Clients:
+class ClientPool:
     """Clients of up to `limit` addresses; the least recently used ones are closed.
 
     `dial` makes a client of an address that keeps the given number of idle connections.
--- a/topazhold/io/cpu_accounting.py
+++ b/topazhold/io/cpu_accounting.py
@@ -21,9 +21,9 @@
 from curio.kernel import Activation
 
 #: Heartbeat intervals between two samples of how late timers fire.
-SAMPLE_HEARTBEATS = 0.5
+SAMPLE_INTERVAL_HEARTBEATS = 0.5
 #: Heartbeat intervals between two statements.
-STATEMENT_HEARTBEATS = 60
+REPORT_INTERVAL_HEARTBEATS = 60
 #: Samples of how late timers fire that one statement is made of, at the most.
 MAX_SAMPLES = 512
 #: Length of a statement's time, in seconds, below which no share of it is computed.
@@ -52,18 +52,18 @@
     A piece is the work of a task between two waits.
     """
 
-    __slots__ = ("seconds", "pieces", "longest_s")
+    __slots__ = ("seconds", "slices", "longest_s")
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self.pieces = 0
+        self.slices = 0
         self.longest_s = 0.0
 
     def describe(self, span_s: float) -> str:
         """Share of the time, pieces, their mean and their longest duration."""
-        mean_ms = 1000 * self.seconds / self.pieces
+        mean_ms = 1000 * self.seconds / self.slices
         return (
-            f"{100 * self.seconds / span_s:.2f}% ({self.pieces}, "
+            f"{100 * self.seconds / span_s:.2f}% ({self.slices}, "
             f"{mean_ms:.2f} ms, at most {1000 * self.longest_s:.0f})"
         )
 
@@ -71,7 +71,7 @@
 class CpuAccounting(Activation):
     """Adds up how long tasks run, by category.
 
-    A task begins in `OTHER`, and names its category by `enter`; the piece of work that it is
+    A task begins in `OTHER`, and names its category by `set_category`; the piece of work that it is
     in then counts for that category as a whole.
     """
 
@@ -79,12 +79,12 @@
         self._categories: dict[int, WorkCategory] = {}  # by the id of a task that has named one
         self._task_id = 0  # 0: no task runs
         self._category = WorkCategory.OTHER
-        self._piece_began = 0.0
-        self.entries = {category: CategoryUsage() for category in WorkCategory}
-        self._statement_began = time.monotonic()
+        self._slice_started_at = 0.0
+        self.usage_by_category = {category: CategoryUsage() for category in WorkCategory}
+        self._report_started_at = time.monotonic()
         self._timer_delays: deque[float] = deque(maxlen=MAX_SAMPLES)  # in seconds
 
-    def enter(self, category: WorkCategory) -> None:
+    def set_category(self, category: WorkCategory) -> None:
         """From now on the running task works for `category`."""
         self._category = category
         if self._task_id:
@@ -94,49 +94,51 @@
         self, category: WorkCategory, work: Callable[[], Awaitable[Any]]
     ) -> None:
         """Run `work` in the present task as work for `category`; raises what it raises."""
-        self.enter(category)
+        self.set_category(category)
         await work()
 
     async def loop(self, heartbeat_interval_s: float, report: Callable[[str], None]) -> None:
-        """Sample the timers, and report a statement every `STATEMENT_HEARTBEATS`."""
-        pause_s = SAMPLE_HEARTBEATS * heartbeat_interval_s
+        """Sample the timers, and report a statement every `REPORT_INTERVAL_HEARTBEATS`."""
+        interval_s = SAMPLE_INTERVAL_HEARTBEATS * heartbeat_interval_s
         while True:
-            for _ in range(int(STATEMENT_HEARTBEATS / SAMPLE_HEARTBEATS)):
-                due = time.monotonic() + pause_s
-                await curio.sleep(pause_s)
+            for _ in range(int(REPORT_INTERVAL_HEARTBEATS / SAMPLE_INTERVAL_HEARTBEATS)):
+                due = time.monotonic() + interval_s
+                await curio.sleep(interval_s)
                 self._timer_delays.append(max(0.0, time.monotonic() - due))
-            report(self.statement())
+            report(self.report_line())
 
     def running(self, task: Any) -> None:
         """The kernel is about to run a task."""
         self._task_id = task.id
         self._category = self._categories.get(task.id, WorkCategory.OTHER)
-        self._piece_began = time.monotonic()
+        self._slice_started_at = time.monotonic()
 
     def suspended(self, task: Any, trap: Any) -> None:
         """A task waits, or has ended."""
-        entry = self.entries[self._category]
-        piece_s = time.monotonic() - self._piece_began
-        entry.seconds += piece_s
-        entry.pieces += 1
-        if piece_s > entry.longest_s:
-            entry.longest_s = piece_s
+        usage = self.usage_by_category[self._category]
+        slice_s = time.monotonic() - self._slice_started_at
+        usage.seconds += slice_s
+        usage.slices += 1
+        if slice_s > usage.longest_s:
+            usage.longest_s = slice_s
         self._task_id = 0
 
     def terminated(self, task: Any) -> None:
         """A task has ended."""
         self._categories.pop(task.id, None)
 
-    def statement(self) -> str:
+    def report_line(self) -> str:
         """One line on the time since the last statement; the next one begins here."""
         now = time.monotonic()
-        span_s = max(now - self._statement_began, MIN_SPAN_S)
-        busy_s = sum(entry.seconds for entry in self.entries.values())
-        by_use = sorted(self.entries.items(), key=lambda item: item[1].seconds, reverse=True)
+        span_s = max(now - self._report_started_at, MIN_SPAN_S)
+        busy_s = sum(usage.seconds for usage in self.usage_by_category.values())
+        by_seconds = sorted(
+            self.usage_by_category.items(), key=lambda item: item[1].seconds, reverse=True
+        )
         parts = [
-            f"{category.value} {entry.describe(span_s)}"
-            for category, entry in by_use
-            if entry.pieces
+            f"{category.value} {usage.describe(span_s)}"
+            for category, usage in by_seconds
+            if usage.slices
         ]
         delays = self._timer_delays or [0.0]
         line = (
@@ -144,9 +146,9 @@
             f"timers late {1000 * statistics.median(delays):.0f} ms, at most "
             f"{1000 * max(delays):.0f} ms; memory at most {peak_memory_mb():.1f} MB"
         )
-        self.entries = {category: CategoryUsage() for category in WorkCategory}
+        self.usage_by_category = {category: CategoryUsage() for category in WorkCategory}
         self._timer_delays.clear()
-        self._statement_began = now
+        self._report_started_at = now
         return line
 
 
--- a/topazhold/io/http.py
+++ b/topazhold/io/http.py
@@ -67,7 +67,7 @@
 
 
 async def listen(
-    address: tuple[str, int], client: Callable[[Any], Awaitable[None]], backlog: int
+    address: tuple[str, int], serve: Callable[[Any], Awaitable[None]], backlog: int
 ) -> None:
     """Accept connections until cancelled, each served by a task of its own.
 
@@ -83,7 +83,7 @@
                 log.debug("accept: %s", exc)
                 await curio.sleep(ACCEPT_RETRY_S)
                 continue
-            await curio.spawn(_served, sock, client, daemon=True)
+            await curio.spawn(_serve_connection, sock, serve, daemon=True)
 
 
 async def _bind(address: tuple[str, int], backlog: int) -> Any:
@@ -102,10 +102,10 @@
             await curio.sleep(BIND_RETRY_S)
 
 
-async def _served(sock: Any, client: Callable[[Any], Awaitable[None]]) -> None:
+async def _serve_connection(sock: Any, serve: Callable[[Any], Awaitable[None]]) -> None:
     async with sock:
         try:
-            await client(sock)
+            await serve(sock)
         except (OSError, curio.TaskTimeout):
             pass
 
--- a/topazhold/io/http_heads.py
+++ b/topazhold/io/http_heads.py
@@ -18,11 +18,11 @@
 #: The end of a head, as h11 finds it.
 HEAD_END = re.compile(rb"\n\r?\n")
 #: Bytes of a head, at the most; a longer one is refused.
-HEAD_LIMIT = 16 * 1024
+MAX_HEAD_BYTES = 16 * 1024
 #: Distinct heads that are cached, of requests and of responses each.
-MAX_HEADS = 8192
+MAX_CACHED_HEADS = 8192
 #: Bytes of a cached head, at the most.
-MAX_HEAD_BYTES = 1024
+MAX_CACHED_HEAD_BYTES = 1024
 
 _PLAIN_REQUEST = b"GET / HTTP/1.1\r\nHost: any\r\n\r\n"
 
@@ -38,18 +38,18 @@
         self.length = length
 
 
-def split_head(data: bytes | bytearray) -> int:
+def head_length(data: bytes | bytearray) -> int:
     """The length in bytes of the head at the start of `data`; 0 if its end is missing."""
-    found = HEAD_END.search(data)
-    return found.end() if found is not None else 0
+    match = HEAD_END.search(data)
+    return match.end() if match is not None else 0
 
 
-@lru_cache(maxsize=MAX_HEADS)
+@lru_cache(maxsize=MAX_CACHED_HEADS)
 def parse_request_head(head: bytes) -> RequestHead | None:
     """Parse a complete request head; None if it is not that of a plain request."""
-    if len(head) > MAX_HEAD_BYTES:
+    if len(head) > MAX_CACHED_HEAD_BYTES:
         return None
-    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+    connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
     connection.receive_data(head)
     try:
         event = connection.next_event()
@@ -87,7 +87,7 @@
     return h11.Response(status_code=status, headers=headers)
 
 
-@lru_cache(maxsize=MAX_HEADS)
+@lru_cache(maxsize=MAX_CACHED_HEADS)
 def render_response_head(status: int, length: int, retry_after_s: int | None, close: bool) -> bytes:
     """The encoded head of the response to a plain request, its body `length` bytes long."""
     connection = h11.Connection(h11.SERVER)
--- a/topazhold/io/peer_transport.py
+++ b/topazhold/io/peer_transport.py
@@ -20,9 +20,9 @@
 
 _LENGTH = struct.Struct("!I")
 #: Bytes of an encoded message, at the most.
-FRAME_LIMIT = 256 * 1024
+MAX_MESSAGE_BYTES = 256 * 1024
 #: Messages that wait to be sent to one controller, at the most.
-QUEUE_LIMIT = 32
+MAX_QUEUED_MESSAGES = 32
 #: Connections that wait to be accepted, at the most.
 BACKLOG = 16
 #: Time limits to connect and to send a message, in periods of the messages.
@@ -30,28 +30,28 @@
 SEND_PERIODS = 4
 
 #: Handles a message of another controller.
-Receiver = Callable[[tuple[Any, ...]], Awaitable[None]]
+MessageHandler = Callable[[tuple[Any, ...]], Awaitable[None]]
 
 
-def encode(message: tuple[Any, ...]) -> bytes:
+def encode_frame(message: tuple[Any, ...]) -> bytes:
     """The frame of a message, the same for all peers; empty if it is over the limit."""
     data = cbor2.dumps(message)
-    if len(data) > FRAME_LIMIT:
+    if len(data) > MAX_MESSAGE_BYTES:
         # The receiver would close the connection, and lose other messages with it.
         log.error("message %s of %d bytes is not sent", message[0], len(data))
         return b""
     return _LENGTH.pack(len(data)) + data
 
 
-async def receive(sock: Any) -> tuple[Any, ...] | None:
+async def receive_message(sock: Any) -> tuple[Any, ...] | None:
     """The next message; None if the connection ends or carries no message. Raises OSError."""
-    head = await _exactly(sock, _LENGTH.size)
+    head = await _receive_exactly(sock, _LENGTH.size)
     if head is None:
         return None
     (length,) = _LENGTH.unpack(head)
-    if length > FRAME_LIMIT:
+    if length > MAX_MESSAGE_BYTES:
         return None
-    body = await _exactly(sock, length)
+    body = await _receive_exactly(sock, length)
     if body is None:
         return None
     try:
@@ -63,7 +63,7 @@
     return tuple(message)
 
 
-async def _exactly(sock: Any, size: int) -> bytes | None:
+async def _receive_exactly(sock: Any, size: int) -> bytes | None:
     """So many bytes; None if the connection ends before."""
     data = bytearray()
     while len(data) < size:
@@ -80,21 +80,21 @@
     A connection that is idle for `idle_s` seconds is closed.
     """
 
-    def __init__(self, receiver: Receiver, idle_s: float) -> None:
-        self._receiver = receiver
+    def __init__(self, handler: MessageHandler, idle_s: float) -> None:
+        self._handler = handler
         self._idle_s = idle_s
 
     async def run(self, address: tuple[str, int]) -> None:
         """Accept connections until cancelled; raises OSError if the address can't be bound."""
-        await listen(address, self._client, backlog=BACKLOG)
+        await listen(address, self._serve_connection, backlog=BACKLOG)
 
-    async def _client(self, sock: Any) -> None:
+    async def _serve_connection(self, sock: Any) -> None:
         while True:
-            message = await curio.timeout_after(self._idle_s, receive, sock)
+            message = await curio.timeout_after(self._idle_s, receive_message, sock)
             if message is None:
                 return
             try:
-                await self._receiver(message)
+                await self._handler(message)
             except (ValueError, TypeError, IndexError, KeyError) as exc:
                 log.debug("peer message dropped: %s: %r", message[0], exc)
 
@@ -108,14 +108,14 @@
     def __init__(self, address: tuple[str, int], period_s: float) -> None:
         self._address = address
         self._period_s = period_s
-        self._waiting: list[bytes] = []
+        self._queue: list[bytes] = []
         self._wake = curio.Event()
 
     async def send(self, frame: bytes) -> None:
         """Queue a frame for sending."""
-        if len(self._waiting) >= QUEUE_LIMIT:
-            self._waiting.pop(0)
-        self._waiting.append(frame)
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
+            self._queue.pop(0)
+        self._queue.append(frame)
         await self._wake.set()
 
     async def run(self) -> None:
@@ -124,7 +124,7 @@
             try:
                 sock = await connect(self._address, self._period_s * CONNECT_PERIODS)
             except RequestNotSentError:
-                self._waiting.clear()
+                self._queue.clear()
                 await curio.sleep(self._period_s)
                 continue
             try:
@@ -140,6 +140,6 @@
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._waiting:
-                frame = self._waiting.pop(0)
+            while self._queue:
+                frame = self._queue.pop(0)
                 await curio.timeout_after(self._period_s * SEND_PERIODS, sock.sendall, frame)
--- a/topazhold/io/rate_limit.py
+++ b/topazhold/io/rate_limit.py
@@ -11,31 +11,33 @@
 
     def __init__(self, rate: float, burst_s: float = 1.0) -> None:
         self._rate = rate
-        self._size = max(1.0, rate * burst_s)
-        self._level = self._size
+        self._capacity = max(1.0, rate * burst_s)
+        self._tokens = self._capacity
         self._refilled_at: float | None = None
 
     def set_rate(self, rate: float, burst_s: float = 1.0) -> None:
         """Change the rate; tokens beyond the new size are lost."""
         self._rate = rate
-        self._size = max(1.0, rate * burst_s)
-        self._level = min(self._level, self._size)
+        self._capacity = max(1.0, rate * burst_s)
+        self._tokens = min(self._tokens, self._capacity)
 
     def _refill(self, now: float) -> None:
         if self._refilled_at is not None:
-            self._level = min(self._size, self._level + (now - self._refilled_at) * self._rate)
+            self._tokens = min(
+                self._capacity, self._tokens + (now - self._refilled_at) * self._rate
+            )
         self._refilled_at = now
 
     def take(self, now: float, amount: float = 1.0, reserve: float = 0.0) -> bool:
         """Take tokens if the share `reserve` of the bucket is left then; whether it was done."""
         self._refill(now)
-        if self._level - amount < reserve * self._size and self._level < self._size:
+        if self._tokens - amount < reserve * self._capacity and self._tokens < self._capacity:
             return False
-        self._level -= amount
+        self._tokens -= amount
         return True
 
     def wait_s(self, now: float, amount: float = 1.0, reserve: float = 0.0) -> float:
         """Seconds until `take` will succeed."""
         self._refill(now)
-        need = min(self._size, amount + reserve * self._size) - self._level
-        return max(0.0, need / self._rate)
+        missing = min(self._capacity, amount + reserve * self._capacity) - self._tokens
+        return max(0.0, missing / self._rate)
--- a/topazhold/io/server.py
+++ b/topazhold/io/server.py
@@ -5,6 +5,7 @@
 import logging
 import time
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -13,11 +14,11 @@
 
 from topazhold.io.http import CHUNK_BYTES, Request, Response, listen
 from topazhold.io.http_heads import (
-    HEAD_LIMIT,
+    MAX_HEAD_BYTES,
+    head_length,
     parse_request_head,
     render_response_head,
     response_event,
-    split_head,
 )
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import pack
@@ -25,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 #: Interval of the search for idle connections, as a share of the time that they may be idle.
-REAP_SHARE = 0.125
+REAP_INTERVAL_SHARE = 0.125
 #: Connections that wait to be accepted, at the most.
 BACKLOG = 256
 #: `Retry-After` of a connection that is over the limit, in seconds.
@@ -60,34 +61,34 @@
             request = await self._receive_plain()
             if request is not None:
                 return request
-            self._protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_LIMIT)
+            self._protocol = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
             if self._received:
                 self._protocol.receive_data(bytes(self._received))
                 self._received.clear()
         else:
             self._protocol.start_next_cycle()
-        return await self._receive_any(self._protocol)
+        return await self._receive_with_h11(self._protocol)
 
     async def _receive_plain(self) -> Request | None:
         """The next request if it is plain; else None, and what was received is left."""
         received = self._received
         if not received:
             received += await self._sock.recv(CHUNK_BYTES)
-        end = split_head(received)
+        end = head_length(received)
         head = parse_request_head(bytes(received[:end])) if end else None
-        if head is None or head.length > wire.BODY_LIMIT:
+        if head is None or head.length > wire.MAX_REQUEST_BODY_BYTES:
             return None
-        whole = end + head.length
-        while len(received) < whole:
+        request_end = end + head.length
+        while len(received) < request_end:
             part = await self._sock.recv(CHUNK_BYTES)
             if not part:
                 return None
             received += part
-        body = bytes(received[end:whole])
-        del received[:whole]
+        body = bytes(received[end:request_end])
+        del received[:request_end]
         return Request(head.method, head.target, body)
 
-    async def _receive_any(self, protocol: h11.Connection) -> Request | Response | None:
+    async def _receive_with_h11(self, protocol: h11.Connection) -> Request | Response | None:
         """The same as `receive`, by h11."""
         head: h11.Request | None = None
         parts: list[bytes] = []
@@ -96,16 +97,18 @@
             event = protocol.next_event()
             if event is h11.NEED_DATA:
                 if protocol.they_are_waiting_for_100_continue:
-                    go_on = h11.InformationalResponse(status_code=100, headers=[])
-                    await self._sock.sendall(protocol.send(go_on))
+                    continue_response = h11.InformationalResponse(
+                        status_code=HTTPStatus.CONTINUE, headers=[]
+                    )
+                    await self._sock.sendall(protocol.send(continue_response))
                 protocol.receive_data(await self._sock.recv(CHUNK_BYTES))
             elif isinstance(event, h11.Request):
                 head = event
                 self._head_only = event.method == b"HEAD"
             elif isinstance(event, h11.Data):
                 size += len(event.data)
-                if size > wire.BODY_LIMIT:
-                    return Response(413, close=True)
+                if size > wire.MAX_REQUEST_BODY_BYTES:
+                    return Response(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, close=True)
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 assert head is not None
@@ -161,7 +164,7 @@
         self._idle_s = idle_s
         self._is_limited = is_limited
         self._max_limited = max_limited
-        self._open: set[Connection] = set()
+        self._connections: set[Connection] = set()
         self._limited_connections = 0
 
     async def run(self, address: tuple[str, int]) -> None:
@@ -178,23 +181,23 @@
         One task for all of them is cheaper than a time limit around each request.
         """
         while True:
-            await curio.sleep(REAP_SHARE * self._idle_s)
+            await curio.sleep(REAP_INTERVAL_SHARE * self._idle_s)
             now = time.monotonic()
-            for connection in list(self._open):
+            for connection in list(self._connections):
                 idle_since = connection.idle_since
                 if idle_since is not None and now - idle_since > self._idle_s:
                     await connection.task.cancel(blocking=False)
 
     async def _serve(self, sock: Any) -> None:
-        if len(self._open) >= self._limit:
+        if len(self._connections) >= self._limit:
             return  # closed at once, so that the load balancer or the worker moves on
         connection = Connection(sock, await curio.current_task(), time.monotonic())
-        self._open.add(connection)
+        self._connections.add(connection)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             await self._serve_requests(connection)
         finally:
-            self._open.discard(connection)
+            self._connections.discard(connection)
 
     async def _serve_requests(self, connection: Connection) -> None:
         """Handle one request after the other until the connection ends."""
@@ -205,14 +208,16 @@
                 try:
                     request = await connection.receive()
                 except h11.RemoteProtocolError as exc:
-                    await connection.refuse(exc.error_status_hint or 400)
+                    await connection.refuse(exc.error_status_hint or HTTPStatus.BAD_REQUEST)
                     return
                 connection.idle_since = None
                 if request is None:
                     return
                 if isinstance(request, Request) and not limited and self._is_limited(request):
                     if self._limited_connections >= self._max_limited:
-                        request = Response(503, retry_after=LIMITED_RETRY_S, close=True)
+                        request = Response(
+                            HTTPStatus.SERVICE_UNAVAILABLE, retry_after=LIMITED_RETRY_S, close=True
+                        )
                     else:
                         limited = True
                         self._limited_connections += 1
@@ -227,4 +232,4 @@
             return await self._handler(request)
         except Exception:  # one bad request must not end the controller
             log.exception("request failed: %s %s", request.method, request.path)
-            return Response(500)
+            return Response(HTTPStatus.INTERNAL_SERVER_ERROR)
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -110,5 +110,5 @@
         conditions = [*context.preconditions(), Precondition(records.live_key(job_id), 0)]
         for start in range(0, len(parts), context.txn_ops):
             some = parts[start : start + context.txn_ops]
-            drops = [wire.drop(records.part_key(job_id, part)) for part in some]
+            drops = [wire.delete(records.part_key(job_id, part)) for part in some]
             await context.store.compare_and_swap(conditions, drops, USER_PRIORITY)
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -21,7 +21,7 @@
 from topazhold.operations.descriptions import describe
 from topazhold.operations.records import OPERATION_PREFIX, InvalidRecordError, read_record
 from topazhold.operations.refused_operations import RefusedOperation, unpack_refused
-from topazhold.settings import Settings, address
+from topazhold.settings import Settings, parse_address
 from topazhold.wire.key_value_store import Entry
 
 #: Time limit of one request, in seconds.
@@ -79,7 +79,7 @@
     Raises:
         StoreUnreachableError: the key-value store gave no usable answer.
     """
-    client = Client(address(settings.outside.state), 1)
+    client = Client(parse_address(settings.external.key_value_store), 1)
     store = open_store(client, TIMEOUT_S)
     try:
         leader = await store.get(LEADER_KEY, LEASE_PRIORITY)
--- a/topazhold/operations/record_writer.py
+++ b/topazhold/operations/record_writer.py
@@ -161,7 +161,7 @@
             operation for operation in due if operation.stored or operation.key in self._unconfirmed
         ]
         if stored:
-            drops = [wire.drop(operation.key) for operation in stored]
+            drops = [wire.delete(operation.key) for operation in stored]
             try:
                 await self._context.store.compare_and_swap(
                     self._context.preconditions(), drops, USER_PRIORITY
--- a/topazhold/operations/term_operations.py
+++ b/topazhold/operations/term_operations.py
@@ -17,7 +17,7 @@
 from topazhold.operations.operation_log import OperationLog
 from topazhold.operations.scale_in import AnnounceReleased, ScaleInExecutor
 from topazhold.operations.scale_out import ScaleOutExecutor
-from topazhold.operator_settings import Operator
+from topazhold.operator_settings import OperatorSettings
 from topazhold.settings import Settings
 from topazhold.wire.key_value_store import Entry
 
@@ -39,12 +39,12 @@
 
     @classmethod
     def of(
-        cls, settings: Settings, operator: Operator, controller_lease_s: float
+        cls, settings: Settings, operator: OperatorSettings, controller_lease_s: float
     ) -> OperationSettings:
         """Out of the platform's and the operators' settings."""
         cloud, workers = settings.cluster.cloud, settings.cluster.workers
         keep_s = KEEP_LIST_LAGS * cloud.list_lag_s + KEEP_WORKER_LEASES * workers.lease_s
-        return cls(controller_lease_s, keep_s, operator.record_orders)
+        return cls(controller_lease_s, keep_s, operator.record_operations)
 
 
 @dataclass(frozen=True)
--- a/topazhold/operator_settings.py
+++ b/topazhold/operator_settings.py
@@ -1,4 +1,4 @@
-"""The operators' own settings: protobuf text format, one field for each of `Operator`."""
+"""The operators' own settings: protobuf text format, one field for each of `OperatorSettings`."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from topazhold.settings_errors import SettingsError
 
 
-class Operator(msgspec.Struct):
+class OperatorSettings(msgspec.Struct):
     """The operators' own settings, with their defaults; a field's name is the file's."""
 
     #: Candidates that a search gathers, as a multiple of the gang's tasks.
-    alpha: float = 2.0
+    candidates_per_task: float = msgspec.field(name="alpha", default=2.0)
     #: Groups in the swap loop of a search, and its rounds.
     search_groups: int = 16
     search_rounds: int = 20
@@ -24,7 +24,7 @@
     #: Seconds after which a reservation that is not used expires.
     reservation_expiry_s: float = msgspec.field(name="hold_lapse_s", default=60.0)
     #: Seconds that the largest gangs may wait.
-    longest_wait_s: float = 240.0
+    max_gang_wait_s: float = msgspec.field(name="longest_wait_s", default=240.0)
     #: Machines kept beyond present work while jobs come, as a share of it.
     headroom_share: float = 0.15
     #: Share of the GPUs of ordinary machines that is kept free from work that can wait.
@@ -36,7 +36,7 @@
     #: Share of the sockets that users' connections may take.
     user_socket_share: float = 0.6
     #: Whether cloud operations are recorded before they are sent.
-    record_orders: bool = True
+    record_operations: bool = msgspec.field(name="record_orders", default=True)
 
 
 #: The least and the greatest value of each number, by its name in the file.
@@ -54,14 +54,14 @@
 }
 
 
-def load_operator(path: Path | None) -> Operator:
+def load_operator_settings(path: Path | None) -> OperatorSettings:
     """Read and check the operators' file; without a path, the defaults.
 
     Raises:
         SettingsError: the file can't be read, or a field is unknown or out of its range.
     """
     if path is None:
-        return Operator()
+        return OperatorSettings()
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -75,19 +75,19 @@
     return operator
 
 
-def _parse(path: Path, text: str) -> Operator:
+def _parse(path: Path, text: str) -> OperatorSettings:
     """The settings of a file in protobuf text format; what it leaves out has its default."""
     # Imported late: without an operators' file protobuf is not needed.
     from google.protobuf import text_format
 
-    values = msgspec.to_builtins(Operator())
+    values = msgspec.to_builtins(OperatorSettings())
     message = _message_type(values)()
     try:
         text_format.Parse(text, message)
     except text_format.ParseError as exc:
         raise SettingsError(f"{path}: {exc}") from None
     values.update({field.name: value for field, value in message.ListFields()})
-    return msgspec.convert(values, Operator)
+    return msgspec.convert(values, OperatorSettings)
 
 
 def _message_type(defaults: dict[str, Any]) -> Any:
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -13,12 +13,14 @@
 
 import msgspec
 
-from topazhold.operator_settings import Operator as Operator
-from topazhold.operator_settings import load_operator as load_operator
+from topazhold.operator_settings import OperatorSettings as OperatorSettings
+from topazhold.operator_settings import load_operator_settings as load_operator_settings
 from topazhold.settings_errors import SettingsError as SettingsError
 
 #: Heartbeats that a worker's lease must have time for.
 MIN_HEARTBEATS_PER_LEASE = 2
+#: Highest TCP port.
+MAX_PORT = 65535
 
 
 class Seed(msgspec.Struct):
@@ -28,11 +30,11 @@
     addr: str
 
 
-class Outside(msgspec.Struct):
+class ExternalServices(msgspec.Struct):
     """Addresses (`host:port`) of the cloud and of the key-value store."""
 
     cloud: str
-    state: str
+    key_value_store: str = msgspec.field(name="state")
 
 
 class Team(msgspec.Struct):
@@ -53,7 +55,7 @@
     within_s: float | None = None  # seconds
 
 
-class Workers(msgspec.Struct):
+class WorkerTimings(msgspec.Struct):
     """Times of the workers, in seconds."""
 
     #: Interval of heartbeats.
@@ -71,7 +73,7 @@
 class LaterLimits(msgspec.Struct):
     """Limits that the key-value store will have from some moment on, without notice.
 
-    A limit that is not named stays as it is. Units are those of `State`.
+    A limit that is not named stays as it is. Units are those of `KeyValueStoreLimits`.
     """
 
     rps: float | None = None
@@ -80,7 +82,7 @@
     txn_ops: int | None = None
 
 
-class State(msgspec.Struct):
+class KeyValueStoreLimits(msgspec.Struct):
     """Limits of the key-value store, and those that it may have at any later moment."""
 
     #: Requests, and of these changes, a second.
@@ -119,14 +121,14 @@
         return int(self._lasting("txn_ops"))
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """The cloud's limit of requests a second, and how many seconds its machine list is late."""
 
     rps: float
     list_lag_s: float
 
 
-class Limits(msgspec.Struct):
+class ProcessLimits(msgspec.Struct):
     """What a controller may use: sockets, and processors (1.0: a whole core)."""
 
     sockets: int = 512
@@ -138,10 +140,10 @@
 
     zones: list[str]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
-    limits: Limits
+    workers: WorkerTimings
+    key_value_store: KeyValueStoreLimits = msgspec.field(name="state")
+    cloud: CloudLimits
+    limits: ProcessLimits
     objectives: list[Objective] = []
 
     def wait_objectives(self) -> dict[str, tuple[float, float]]:
@@ -163,16 +165,16 @@
     #: Where users and workers reach this controller, and where other controllers do.
     bind: str
     peer_listen: str
-    outside: Outside
+    external: ExternalServices = msgspec.field(name="outside")
     cluster: Cluster
     #: The other controllers.
     seeds: list[Seed] = []
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Host and port of `host:port`; raises ValueError for anything else."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 65536:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"not host:port: {text!r}")
     return host, int(port)
 
@@ -210,10 +212,15 @@
         yield from _team_faults(team)
     for objective in cluster.objectives:
         yield from _objective_faults(objective)
-    for section in ("workers", "state", "cloud", "limits"):
-        yield from _amount_faults(f"cluster.{section}", getattr(cluster, section))
-    if cluster.state.next is not None:
-        yield from _amount_faults("cluster.state.next", cluster.state.next)
+    for section, part in (
+        ("workers", cluster.workers),
+        ("state", cluster.key_value_store),
+        ("cloud", cluster.cloud),
+        ("limits", cluster.limits),
+    ):
+        yield from _amount_faults(f"cluster.{section}", part)
+    if cluster.key_value_store.next is not None:
+        yield from _amount_faults("cluster.state.next", cluster.key_value_store.next)
     workers = cluster.workers
     if workers.heartbeat_interval_s * MIN_HEARTBEATS_PER_LEASE > workers.lease_s:
         yield "cluster.workers.lease_s: shorter than two report_s"
@@ -224,12 +231,12 @@
     for name, text in (
         ("bind", settings.bind),
         ("peer_listen", settings.peer_listen),
-        ("outside.cloud", settings.outside.cloud),
-        ("outside.state", settings.outside.state),
+        ("outside.cloud", settings.external.cloud),
+        ("outside.state", settings.external.key_value_store),
         *((f"seeds[{i}].addr", seed.addr) for i, seed in enumerate(settings.seeds)),
     ):
         try:
-            address(text)
+            parse_address(text)
         except ValueError as exc:
             yield f"{name}: {exc}"
 
--- a/topazhold/wire/cloud.py
+++ b/topazhold/wire/cloud.py
@@ -55,13 +55,15 @@
     truncated: bool = False
 
 
-class Rented(msgspec.Struct):
+class ScaleOutResponse(msgspec.Struct):
     """The answer to a scale-out request: names of new machines."""
 
     machines: list[str] = field(name="boxes")
 
 
-def rent_body(request: str, machine_type: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+def scale_out_body(
+    request: str, machine_type: str, zone: str, spot: bool, count: int
+) -> dict[str, Any]:
     """A scale-out request; its name is never used for another one."""
     return {
         "swarm_ask": request,
@@ -77,6 +79,6 @@
     return {"boxes": names}
 
 
-def list_query(after: str | None, limit: int) -> str:
+def machine_list_target(after: str | None, limit: int) -> str:
     """The target that lists at most `limit` machines, from the one behind `after` on."""
     return f"{MACHINES_PATH}?most={limit}" + (f"&from={after}" if after else "")
--- a/topazhold/wire/codec.py
+++ b/topazhold/wire/codec.py
@@ -30,7 +30,7 @@
         raise InvalidMessageError(f"not CBOR: {type(exc).__name__}") from None
 
 
-def convert(value: Any, kind: type[T]) -> T:
+def convert(value: Any, message_type: type[T]) -> T:
     """Check plain values against a struct.
 
     Raises:
@@ -40,16 +40,16 @@
     if not isinstance(value, dict):
         raise InvalidMessageError("not a map")
     try:
-        message = msgspec.convert(value, kind)
+        message = msgspec.convert(value, message_type)
     except (msgspec.ValidationError, RecursionError, TypeError) as exc:
         raise InvalidMessageError(str(exc)) from None
-    _refuse_non_finite(message)
+    _reject_non_finite(message)
     return message
 
 
-def read(body: bytes, kind: type[T]) -> T:
+def decode(body: bytes, message_type: type[T]) -> T:
     """Decode and check a CBOR body; raises InvalidMessageError."""
-    return convert(unpack(body), kind)
+    return convert(unpack(body), message_type)
 
 
 def json_size(value: Any) -> int:
@@ -58,17 +58,17 @@
 
 
 @cache
-def _fields_with_floats(kind: Any) -> tuple[str, ...]:
+def _fields_with_floats(message_type: Any) -> tuple[str, ...]:
     """The fields of a struct that may hold a number with a fraction."""
-    hints: dict[str, Any] = typing.get_type_hints(kind)
+    hints: dict[str, Any] = typing.get_type_hints(message_type)
     return tuple(
         name
-        for name in getattr(kind, "__struct_fields__", ())
+        for name in getattr(message_type, "__struct_fields__", ())
         if hints[name] in (float, Any) or float in typing.get_args(hints[name])
     )
 
 
-def _refuse_non_finite(message: Any) -> None:
+def _reject_non_finite(message: Any) -> None:
     for name in _fields_with_floats(message.__class__):
         value = getattr(message, name)
         if isinstance(value, float) and not math.isfinite(value):
--- a/topazhold/wire/jobs.py
+++ b/topazhold/wire/jobs.py
@@ -10,7 +10,7 @@
 from msgspec import field
 
 JOBS_PATH = "/api/jobs"
-CANCEL_END = "/cancel"
+CANCEL_SUFFIX = "/cancel"
 
 #: States of a job.
 PENDING = "pending"
@@ -31,7 +31,7 @@
 
 #: Task names whose parts are cached: every heartbeat names all tasks of its machine, and a
 #: large fleet has tens of thousands.
-MAX_NAMES = 32_768
+TASK_NAME_CACHE_SIZE = 32_768
 
 _JOB_ID = re.compile(r"wk-[0-9]{1,18}\Z")
 #: Digits of a task's number, at the most.
@@ -39,11 +39,11 @@
 
 #: Fields of a job, as they are stored, that nobody needs once it is over: left out, or
 #: cut short where every job must have one.
-UNUSED_WHEN_OVER = ("breeds", "apiary", "bloom_s")
-NAMES_UNUSED_WHEN_OVER = ("lane", "comb")
+FIELDS_OMITTED_WHEN_ENDED = ("breeds", "apiary", "bloom_s")
+NAMES_TRUNCATED_WHEN_ENDED = ("lane", "comb")
 
 #: Fields of a job that can't be negative.
-_AMOUNTS = (
+_NON_NEGATIVE_FIELDS = (
     "cpus",
     "gpus",
     "memory_gb",
@@ -68,8 +68,8 @@
     memory_gb: float = field(name="ram_gb")
     image: str = field(name="comb")
     image_gb: float
-    same_place: bool
-    scatter: bool
+    same_zone: bool = field(name="same_place")
+    spread_zones: bool = field(name="scatter")
     spot: bool = field(name="drones")  # whether spot machines may be used
     estimated_run_s: float = field(name="forage_s")
     checkpoint_s: float = field(name="cap_s")  # interval of checkpoints; 0: none
@@ -89,11 +89,11 @@
         return self.shape == DAEMON
 
     @property
-    def needs_all(self) -> bool:
+    def needs_full_quota(self) -> bool:
         """Whether the team's limit must take all tasks at the same time."""
         return self.gang or self.service
 
-    def fault(self) -> str | None:
+    def invalid_field(self) -> str | None:
         """The first field that is out of its range, or None."""
         for name in ("id", "job_class", "team", "image"):
             if not 0 < len(getattr(self, name)) <= MAX_NAME_LENGTH:
@@ -106,7 +106,7 @@
             return "urgency"
         if not 1 <= self.tasks <= MAX_TASKS:
             return "tasks"
-        for name in _AMOUNTS:
+        for name in _NON_NEGATIVE_FIELDS:
             if getattr(self, name) < 0:
                 return name
         if self.deadline_s is not None and self.deadline_s < 0:
@@ -124,7 +124,7 @@
     return f"{job}/{index}"
 
 
-@lru_cache(maxsize=MAX_NAMES)
+@lru_cache(maxsize=TASK_NAME_CACHE_SIZE)
 def split_task_name(task_name: str) -> tuple[str, int] | None:
     """Job and number of a task name, or None if it is none."""
     job, _, number = task_name.rpartition("/")
@@ -133,6 +133,6 @@
     return job, int(number)
 
 
-def job_answer(job: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
+def job_status_body(job: str, state: str, done: int = 0, running: int = 0) -> dict[str, Any]:
     """What a user is told of a job; `done` and `running` count tasks."""
     return {"id": job, "stage": state, "done": done, "running": running}
--- a/topazhold/wire/key_value_store.py
+++ b/topazhold/wire/key_value_store.py
@@ -14,7 +14,7 @@
 STORE_PATH = "/store"
 TRANSACTION_PATH = "/multi"
 LEASES_PATH = "/grants"
-RENEW_END = "/touch"
+RENEW_SUFFIX = "/touch"
 WATCH_PATH = "/watch"
 
 
@@ -56,19 +56,19 @@
     lease_id: int = field(name="permit")
 
 
-class Committed(msgspec.Struct):
+class TransactionResult(msgspec.Struct):
     """The outcome of a transaction: its revision, or the keys whose preconditions failed."""
 
     revision: int = field(name="harvest")
     failed: list[str] = []
 
 
-def store_query(prefix: str, after: str | None, limit: int) -> str:
+def entry_list_target(prefix: str, after: str | None, limit: int) -> str:
     """The target that lists at most `limit` entries, from the one behind `after` on."""
     return f"{STORE_PATH}?under={prefix}&most={limit}" + (f"&from={after}" if after else "")
 
 
-def watch_query(prefix: str, since: int, block_ms: int) -> str:
+def watch_target(prefix: str, since: int, block_ms: int) -> str:
     """The target that waits up to `block_ms` for changes after the revision `since`."""
     return f"{WATCH_PATH}?under={prefix}&from={since}&block_ms={block_ms}"
 
@@ -86,7 +86,7 @@
     return operation
 
 
-def drop(key: str) -> dict[str, Any]:
+def delete(key: str) -> dict[str, Any]:
     """An operation that removes a key."""
     return {"drop": key}
 
@@ -103,7 +103,7 @@
     return {"guards": conditions, "then": operations}
 
 
-def event_key(event: dict[str, Any]) -> WatchEvent:
+def parse_event(event: dict[str, Any]) -> WatchEvent:
     """An event of a `WatchPage`, read."""
     if "put" in event:
         return WatchEvent(event["put"], event.get("data"), event.get("mark", 0))
--- a/topazhold/wire/workers.py
+++ b/topazhold/wire/workers.py
@@ -38,7 +38,9 @@
     attempt_number: int = field(name="try")
     state: str = field(name="stage")
     cause: str | None = None
-    kept: bool | None = None  # whether a checkpoint was saved at the stop
+    checkpoint_saved: bool | None = field(
+        name="kept", default=None
+    )  # whether a checkpoint was saved at the stop
 
 
 class Heartbeat(msgspec.Struct):
@@ -91,6 +93,6 @@
     incarnation: int | None = field(name="flight", default=None)
 
 
-def redirect(leader: str | None) -> dict[str, Any]:
+def redirect_body(leader: str | None) -> dict[str, Any]:
     """The body that sends a worker to the leader, if there is one."""
     return {"queen": leader} if leader else {}
