--- a/tests/cloud_operation_history.py
+++ b/tests/cloud_operation_history.py
@@ -12,22 +12,22 @@
     from tests.simulation.deployment import Simulation
 
 #: An answer with a launch may be carried out so long after it was made.
-IN_FLIGHT_S = 5.0
+MAX_LAUNCH_DELAY_S = 5.0
 
 
 @dataclass(frozen=True)
-class Executed:
+class ExecutedOperation:
     """An order of which something came."""
 
     at: float
     source: str
-    holder: str | None  # who held the duties at that moment
+    leader: str | None  # who held the duties at that moment
     recorded: bool  # whether a record of it stood in the state service
     names: list[str] = field(default_factory=list)
 
     @property
     def stale(self) -> bool:
-        return self.source != self.holder
+        return self.source != self.leader
 
 
 class CloudOperationHistory:
@@ -35,61 +35,65 @@
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
-        self.judges = True
-        self.returns: dict[str, tuple[str, float]] = {}  # machine -> record, since when
-        self.rentals: set[str] = set()  # names of recorded requests
+        self.checks_enabled = True
+        self.recorded_returns: dict[str, tuple[str, float]] = {}  # machine -> record, since when
+        self.recorded_rentals: set[str] = set()  # names of recorded requests
         self.received = self.received_stale = 0  # orders that came, carried out or not
-        self.executed: list[Executed] = []
-        self.forced: list[str] = []  # released without a record
+        self.executed: list[ExecutedOperation] = []
+        self.unrecorded_releases: list[str] = []  # released without a record
 
-    def stored(self, key: str, data: Any) -> None:
+    def on_stored(self, key: str, data: Any) -> None:
         """A value was written to the state service."""
         if key.startswith(SCALE_OUT_PREFIX):
-            self.rentals.add(data["request"])
+            self.recorded_rentals.add(data["request"])
         elif key.startswith(SCALE_IN_PREFIX):
             for name in data["machines"]:
-                before, _ = self.returns.setdefault(name, (key, self._simulation.clock.now))
-                if before != key:
-                    self._violate("returned_twice", f"{name} by {before} and {key}")
+                first_key, _ = self.recorded_returns.setdefault(
+                    name, (key, self._simulation.clock.now)
+                )
+                if first_key != key:
+                    self._violate("returned_twice", f"{name} by {first_key} and {key}")
 
     def _violate(self, rule: str, text: str) -> None:
-        if self.judges:
+        if self.checks_enabled:
             self._simulation.record_violation(rule, text)
 
-    def _executor(self) -> str | None:
+    def _leader(self) -> str | None:
         value = self._simulation.store.data.get(LEADER_KEY)
         return value[0]["node"] if value is not None else None
 
-    def arrived(self, source: str) -> None:
+    def on_request(self, source: str) -> None:
         """An order came to the cloud."""
         self.received += 1
-        self.received_stale += source != self._executor()
+        self.received_stale += source != self._leader()
 
     def _execute(self, source: str, names: list[str], recorded: bool) -> None:
-        holder = self._executor()
-        self.executed.append(Executed(self._simulation.clock.now, source, holder, recorded, names))
+        leader = self._leader()
+        self.executed.append(
+            ExecutedOperation(self._simulation.clock.now, source, leader, recorded, names)
+        )
 
-    def released(self, source: str, workers: list[Any]) -> None:
+    def on_release(self, source: str, workers: list[Any]) -> None:
         """Machines are about to go that were there."""
         if not workers:
             return
         names = [worker.name for worker in workers]
-        self._execute(source, names, all(name in self.returns for name in names))
+        self._execute(source, names, all(name in self.recorded_returns for name in names))
         for worker in workers:
-            if worker.name in self.returns:
+            if worker.name in self.recorded_returns:
                 continue
-            self.forced.append(worker.name)
+            self.unrecorded_releases.append(worker.name)
             if not worker.hosted_jobs & self._simulation.rules.cancel_requested:
                 self._violate("unrecorded_return", f"{worker.name} by {source}")
 
-    def rented(self, source: str, request: str, names: list[str]) -> None:
+    def on_rental(self, source: str, request: str, names: list[str]) -> None:
         """Machines were rented by a request that was not carried out before."""
-        self._execute(source, names, request in self.rentals)
-        if request not in self.rentals:
+        self._execute(source, names, request in self.recorded_rentals)
+        if request not in self.recorded_rentals:
             self._violate("unrecorded_rental", f"{request} by {source}")
 
-    def launched(self, worker: Any, task_name: str) -> None:
+    def on_launch(self, worker: Any, task_name: str) -> None:
         """A task comes to a machine, which may have been given up by then."""
-        record = self.returns.get(worker.name)
-        if record is not None and self._simulation.clock.now - record[1] > IN_FLIGHT_S:
+        record = self.recorded_returns.get(worker.name)
+        if record is not None and self._simulation.clock.now - record[1] > MAX_LAUNCH_DELAY_S:
             self._violate("placed_on_returned", f"{task_name} on {worker.name}, {record[0]}")
--- a/tests/compatibility_corpus.py
+++ b/tests/compatibility_corpus.py
@@ -18,10 +18,10 @@
 from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
-FILE = Path(__file__).resolve().parent / "data" / "production_corpus.json"
+CORPUS_FILE = Path(__file__).resolve().parent / "data" / "production_corpus.json"
 #: Samples of each kind: the longest ones, which show the most.
-SAMPLES = 4
-LOOK_S = 0.5
+SAMPLES_PER_KIND = 4
+SAMPLING_INTERVAL_S = 0.5
 
 Corpus = dict[str, dict[str, list[Any]]]
 
@@ -34,17 +34,17 @@
 
     def add(self, group: str, kind: str, sample: Any) -> None:
         """Keep a sample if it is among the longest of its kind."""
-        kept = self._kinds.setdefault((group, kind), {})
-        kept[json.dumps(sample, sort_keys=True)] = sample
-        if len(kept) > SAMPLES:
-            del kept[min(kept, key=lambda text: (len(text), text))]
+        samples = self._kinds.setdefault((group, kind), {})
+        samples[json.dumps(sample, sort_keys=True)] = sample
+        if len(samples) > SAMPLES_PER_KIND:
+            del samples[min(samples, key=lambda text: (len(text), text))]
 
     def corpus(self) -> Corpus:
         """All that was kept, by group and kind."""
-        found: Corpus = {}
-        for (group, kind), kept in sorted(self._kinds.items()):
-            found.setdefault(group, {})[kind] = [kept[text] for text in sorted(kept)]
-        return found
+        grouped: Corpus = {}
+        for (group, kind), samples in sorted(self._kinds.items()):
+            grouped.setdefault(group, {})[kind] = [samples[text] for text in sorted(samples)]
+        return grouped
 
 
 def kind_of(key: str) -> str:
@@ -56,7 +56,7 @@
 async def collect(simulation: Simulation, collector: CorpusCollector) -> None:
     """Look at all that is stored and sent, again and again."""
     while True:
-        await curio.sleep(LOOK_S)
+        await curio.sleep(SAMPLING_INTERVAL_S)
         for key, (data, _, _) in simulation.store.data.items():
             collector.add("stored", kind_of(key), [key, data])
         for tag, messages in simulation.peer_messages.items():
@@ -78,25 +78,25 @@
         simulation = Simulation(clock, seed)
         if production:
             simulation.install_production(LaterLimits())
-        looking = await curio.spawn(collect, simulation, collector, daemon=True)
+        sampler = await curio.spawn(collect, simulation, collector, daemon=True)
         await simulation.run_day(30, 60.0, 60.0, kinds)
-        await looking.cancel()
+        await sampler.cancel()
 
     run_virtual(main, monkeypatch)
 
 
 #: Days on which every kind of value is written: relayed reports need a leader that is cut off.
-DAYS = [(71, ["crash_leader", "cancel_at_end"]), (72, ["zones_cut", "leader_off_zone"])]
+CORPUS_DAYS = [(71, ["crash_leader", "cancel_at_end"]), (72, ["zones_cut", "leader_off_zone"])]
 
 
 def main() -> None:
     """Write the corpus anew."""
     collector = CorpusCollector()
-    for seed, kinds in DAYS:
+    for seed, kinds in CORPUS_DAYS:
         with pytest.MonkeyPatch.context() as patch:
             collect_day(seed, kinds, patch, collector, production=True)
-    FILE.parent.mkdir(exist_ok=True)
-    FILE.write_text(json.dumps(collector.corpus(), indent=1, sort_keys=True) + "\n")
+    CORPUS_FILE.parent.mkdir(exist_ok=True)
+    CORPUS_FILE.write_text(json.dumps(collector.corpus(), indent=1, sort_keys=True) + "\n")
 
 
 if __name__ == "__main__":
--- a/tests/fakes/cloud.py
+++ b/tests/fakes/cloud.py
@@ -104,7 +104,7 @@
             return HTTPStatus.OK, {"boxes": self._late_machine_list(), "truncated": False}
         if path == "/catalog":
             return HTTPStatus.OK, CATALOG
-        self.operations.arrived(source)
+        self.operations.on_request(source)
         if path == "/machines/release":
             return await self._release(source, body)
         return await self._rent(source, body)
@@ -122,7 +122,7 @@
     async def _release(self, source: str, body: Any) -> Response:
         await curio.sleep(RELEASE_DELAY_S)
         to_remove = [self.workers[name] for name in body["boxes"] if name in self.workers]
-        self.operations.released(source, to_remove)
+        self.operations.on_release(source, to_remove)
         for worker in to_remove:
             self.remove(worker)
         return HTTPStatus.OK, {}
@@ -142,5 +142,5 @@
             for _ in range(min(available, body["count"]))
         ]
         self.rented[request] = names
-        self.operations.rented(source, request, names)
+        self.operations.on_rental(source, request, names)
         return HTTPStatus.OK, {"boxes": names}
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -14,9 +15,9 @@
 
 #: What happened last before the trigger fires: the record arrives (and is refused), the
 #: record is written, the order arrives (and is held by the network), the order is carried out.
-POINTS = ["before_record", "after_record", "before_answer", "after_answer"]
+TRIGGER_POINTS = ["before_record", "after_record", "before_answer", "after_answer"]
 #: Where orders go, and under which prefix they are recorded.
-KINDS = {
+OPERATION_KINDS = {
     "return": ("/machines/release", SCALE_IN_PREFIX),
     "rental": ("/machines", SCALE_OUT_PREFIX),
 }
@@ -30,11 +31,11 @@
         hosts: dict[str, Any],
         point: str,
         kind: str,
-        act: Callable[[str], None],
-        held_s: float,
+        action: Callable[[str], None],
+        delay_s: float,
     ) -> None:
-        self._point, self._act, self._held_s = point, act, held_s
-        self._path, self._prefix = KINDS[kind]
+        self._point, self._action, self._delay_s = point, action, delay_s
+        self._path, self._prefix = OPERATION_KINDS[kind]
         self.source: str | None = None  # whose order it was
         self._store = hosts[FakeKeyValueStore.HOST]
         self._cloud = hosts[FakeCloud.HOST]
@@ -45,29 +46,31 @@
         if self.source is not None or point != self._point:
             return False
         self.source = source
-        self._act(source)
+        self._action(source)
         return True
 
     async def _on_store(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        puts = body["then"] if path == "/multi" else []
-        ours = any(str(change.get("put", "")).startswith(self._prefix) for change in puts)
-        if ours and self._fire(source, "before_record"):
-            return 503, {}
+        changes = body["then"] if path == "/multi" else []
+        is_operation = any(
+            str(change.get("put", "")).startswith(self._prefix) for change in changes
+        )
+        if is_operation and self._fire(source, "before_record"):
+            return HTTPStatus.SERVICE_UNAVAILABLE, {}
         answer: tuple[int, Any] = await self._store(source, method, path, body)
-        if ours and answer[0] == 200:
+        if is_operation and answer[0] == HTTPStatus.OK:
             self._fire(source, "after_record")
         return answer
 
     async def _on_cloud(self, source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        ours = method == "POST" and path == self._path
-        if ours and self._fire(source, "before_answer"):
-            await curio.spawn(self._carry_out_late, source, method, path, body, daemon=True)
+        is_operation = method == "POST" and path == self._path
+        if is_operation and self._fire(source, "before_answer"):
+            await curio.spawn(self._execute_late, source, method, path, body, daemon=True)
             raise NoResponseError("held by the network")
         answer: tuple[int, Any] = await self._cloud(source, method, path, body)
-        if ours:
+        if is_operation:
             self._fire(source, "after_answer")
         return answer
 
-    async def _carry_out_late(self, *request: Any) -> None:
-        await curio.sleep(self._held_s)
+    async def _execute_late(self, *request: Any) -> None:
+        await curio.sleep(self._delay_s)
         await self._cloud(*request)
--- a/tests/job_specs.py
+++ b/tests/job_specs.py
@@ -10,12 +10,12 @@
 from topazhold.wire.jobs import JobSpec
 
 #: The protocol's names of a job's fields.
-_BODY_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
+_ENCODED_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
 
 
 def submission_fields(fields: dict[str, Any]) -> dict[str, Any]:
     """A job's fields as a submission's body names them."""
-    return {_BODY_NAMES.get(name, name): value for name, value in fields.items()}
+    return {_ENCODED_NAMES.get(name, name): value for name, value in fields.items()}
 
 
 def make_spec(number: int = 1, **changes: Any) -> JobSpec:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,6 +13,7 @@
 import sys
 import time
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
@@ -32,11 +33,13 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 LOOPBACK = "127.0.0.1"
-REPORT_S, LEASE_S, CANCEL_S = 0.25, 4.0, 8.0
+HEARTBEAT_INTERVAL_S, LEASE_S, CANCEL_S = 0.25, 4.0, 8.0
 #: Time limit of what should come to be.
-PATIENCE_S = 40.0
+EVENT_TIMEOUT_S = 40.0
+#: How often a condition that a scenario waits for is checked.
+POLL_INTERVAL_S = 0.02
 
-TEMPLATE = """
+SETTINGS_TEMPLATE = """
 node_name = "{name}"
 domain = "{zone}"
 bind = "127.0.0.1:{public}"
@@ -62,11 +65,11 @@
 gang_wait_s = 20.0
 gang_peer_s = 4.0
 """
-TEAM = '    {{ name = "{name}", gpus = {gpus}, gpus_max = {gpus_max} }},'
-SEED = '[[seeds]]\nnode_name = "{name}"\ndomain = "{zone}"\naddr = "127.0.0.1:{peers}"\n'
+TEAM_TEMPLATE = '    {{ name = "{name}", gpus = {gpus}, gpus_max = {gpus_max} }},'
+SEED_TEMPLATE = '[[seeds]]\nnode_name = "{name}"\ndomain = "{zone}"\naddr = "127.0.0.1:{peers}"\n'
 
 
-class SteadyTime(VirtualTime):
+class MonotonicTime(VirtualTime):
     """The machine's steady clock, where the fakes expect a clock of their own."""
 
     def __init__(self) -> None:
@@ -83,12 +86,15 @@
         return int(sock.getsockname()[1])
 
 
-class SocketNet(Network):
+class SocketNetwork(Network):
     """Requests to controllers go over TCP."""
 
     def __init__(self, rng: Any, ports: dict[str, dict[str, int]]) -> None:
         super().__init__(rng)
-        self._clients = {name: Client((LOOPBACK, of["public"]), 8) for name, of in ports.items()}
+        self._clients = {
+            name: Client((LOOPBACK, controller_ports["public"]), 8)
+            for name, controller_ports in ports.items()
+        }
 
     async def request(
         self, source: str, target: str, method: str, path: str, message: Any, timeout_s: float
@@ -117,8 +123,8 @@
         try:
             status, answer = await handler()(source, request.method, path, body)
         except (NoResponseError, RequestNotSentError):
-            await curio.sleep(PATIENCE_S)  # whoever asked gives up before
-            return Response(503)
+            await curio.sleep(EVENT_TIMEOUT_S)  # whoever asked gives up before
+            return Response(HTTPStatus.SERVICE_UNAVAILABLE)
         return Response(status, answer)
 
     await Server(handle, 500, idle_s=60.0).run((LOOPBACK, port))
@@ -129,28 +135,28 @@
 
     def __init__(self, seed: int, folder: Path, operator: str, capacity: int = 9) -> None:
         self.ports = {
-            name: {use: free_port() for use in ("public", "peers", "state", "cloud")}
+            name: {purpose: free_port() for purpose in ("public", "peers", "state", "cloud")}
             for name in CONTROLLER_NAMES
         }
-        super().__init__(SteadyTime(), seed, capacity)
-        self.network = SocketNet(self.rng, self.ports)
+        super().__init__(MonotonicTime(), seed, capacity)
+        self.network = SocketNetwork(self.rng, self.ports)
         self.cloud = SocketCloud(self, self.rng, capacity)
-        self.store.on_change = self._changed
+        self.store.on_change = self._on_store_change
         self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
         self.network.hosts[FakeCloud.HOST] = self.cloud.handle
         self.settings: Settings = self.controller_settings[CONTROLLER_NAMES[0]]
-        self.settings.cluster.workers.heartbeat_interval_s = REPORT_S
+        self.settings.cluster.workers.heartbeat_interval_s = HEARTBEAT_INTERVAL_S
         self.settings.cluster.workers.lease_s = LEASE_S
         self.settings.cluster.workers.cancel_s = CANCEL_S
         self.settings.cluster.cloud.list_lag_s = 0.5
         self.folder = folder
         (folder / "operator.textproto").write_text(operator)
-        self.elected: list[tuple[float, str]] = []
+        self.elections: list[tuple[float, str]] = []
 
-    def _changed(self, key: str, data: Any) -> None:
-        self.cloud.operations.stored(key, data)
+    def _on_store_change(self, key: str, data: Any) -> None:
+        self.cloud.operations.on_stored(key, data)
         if key == LEADER_KEY:
-            self.elected.append((self.clock.now, data["node"]))
+            self.elections.append((self.clock.now, data["node"]))
 
     def leader(self) -> str | None:
         """Who holds the leadership key."""
@@ -159,25 +165,25 @@
 
     # -- processes -------------------------------------------------------------
 
-    def config(self, name: str) -> Path:
+    def write_settings(self, name: str) -> Path:
         """The settings file of a controller."""
         path = self.folder / f"{name}.toml"
         seeds = "".join(
-            SEED.format(name=other, zone=ZONES[other], peers=self.ports[other]["peers"])
+            SEED_TEMPLATE.format(name=other, zone=ZONES[other], peers=self.ports[other]["peers"])
             for other in CONTROLLER_NAMES
             if other != name
         )
         teams = "\n".join(
-            TEAM.format(name=team.name, gpus=team.gpus, gpus_max=team.gpus_max)
+            TEAM_TEMPLATE.format(name=team.name, gpus=team.gpus, gpus_max=team.gpus_max)
             for team in self.settings.cluster.teams
         )
         path.write_text(
-            TEMPLATE.format(
+            SETTINGS_TEMPLATE.format(
                 name=name,
                 zone=ZONES[name],
                 seeds=seeds,
                 teams=teams,
-                heartbeat_interval_s=REPORT_S,
+                heartbeat_interval_s=HEARTBEAT_INTERVAL_S,
                 lease_s=LEASE_S,
                 cancel_s=CANCEL_S,
                 **self.ports[name],
@@ -187,7 +193,7 @@
 
     def start_process(self, name: str) -> None:
         """Start a controller process."""
-        command = [sys.executable, "run.py", "--config", str(self.config(name))]
+        command = [sys.executable, "run.py", "--config", str(self.write_settings(name))]
         command += ["--operator", str(self.folder / "operator.textproto")]
         with (self.folder / f"{name}.log").open("ab") as log:
             self.controllers[name] = subprocess.Popen(command, cwd=ROOT, stderr=log)
@@ -198,12 +204,12 @@
     def resume(self, name: str) -> None:
         os.kill(self.controllers[name].pid, signal.SIGCONT)
 
-    def end_all(self) -> None:
+    def kill_all(self) -> None:
         for process in self.controllers.values():
             process.kill()
             process.wait()
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
     # -- a scenario -----------------------------------------------------------------
@@ -213,7 +219,7 @@
         for name, ports in self.ports.items():
             for host in (FakeKeyValueStore.HOST, FakeCloud.HOST):
                 port = ports["state" if host == FakeKeyValueStore.HOST else "cloud"]
-                handler = self._current(host)
+                handler = self._current_handler(host)
                 await curio.spawn(serve, port, handler, name, daemon=True)
         await curio.spawn(self.run_steps, daemon=True)
         for number in range(machines):
@@ -222,20 +228,20 @@
             self.start_process(name)
         await self.wait_until(lambda: self.leader() is not None)
 
-    def _current(self, host: str) -> Callable[[], Any]:
+    def _current_handler(self, host: str) -> Callable[[], Any]:
         return lambda: self.network.hosts[host]
 
     async def wait_until(
-        self, condition: Callable[[], Any], what: str = "it", max_s: float = PATIENCE_S
+        self, condition: Callable[[], Any], event: str = "it", max_s: float = EVENT_TIMEOUT_S
     ) -> None:
         """Wait for an event; the time limit only ends what hangs."""
         end = self.clock.now + max_s
         while not condition():
-            assert self.clock.now < end, f"{what} never came to be"
-            await curio.sleep(0.02)
+            assert self.clock.now < end, f"{event} never came to be"
+            await curio.sleep(POLL_INTERVAL_S)
 
 
-def play(
+def run_loopback_scenario(
     act: Callable[[LoopbackSimulation], Awaitable[None]],
     folder: Path,
     seed: int = 1,
@@ -250,7 +256,7 @@
         try:
             await act(simulation)
         finally:
-            simulation.end_all()
+            simulation.kill_all()
             await curio.sleep(0.2)  # the last connections end before the kernel does
 
     curio.run(main)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -20,9 +21,13 @@
 
 #: Report period, lease and time for a cancellation of the two sites.
 SITES = {"hive": (2.0, 13.0, 33.0), "maps": (4.0, 24.0, 49.0)}
-LONG_S = 5000.0
+LONG_RUN_S = 5000.0
 #: Longer than a message is under way.
-IN_FLIGHT_S = 0.05
+MAX_MESSAGE_DELAY_S = 0.05
+#: How often a condition that a test waits for is checked.
+POLL_INTERVAL_S = 0.01
+#: How long a user waits for an answer.
+REQUEST_TIMEOUT_S = 5.0
 
 
 class Scenario(Simulation):
@@ -36,40 +41,42 @@
             settings.cluster.teams[0].gpus_max = settings.cluster.teams[1].gpus_max = 100.0
         self.worker_settings = self.settings.cluster.workers
         self.job_number = 0
-        self.tasks_gone_at: dict[str, float] = {}  # cancelled jobs, by when the last task was gone
-        self.started_late: list[str] = []  # tasks that started after a confirmation
-        self.launched_late: list[str] = []  # whose launch can't have left before it
+        self.tasks_removed_at: dict[
+            str, float
+        ] = {}  # cancelled jobs, by when the last task was gone
+        self.started_after_confirmation: list[str] = []  # tasks that started after a confirmation
+        self.launched_after_confirmation: list[str] = []  # whose launch can't have left before it
         self.background_users: list[Any] = []
 
     def task_launched(self, worker: FakeWorker, task_name: str) -> None:
         super().task_launched(worker, task_name)
         at = self.rules.cancel_confirmed_at.get(task_name.partition("/")[0])
-        if at is not None and self.clock.now - at > IN_FLIGHT_S:
-            self.launched_late.append(task_name)
+        if at is not None and self.clock.now - at > MAX_MESSAGE_DELAY_S:
+            self.launched_after_confirmation.append(task_name)
 
     def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
         if task.job in self.rules.cancel_confirmed_at:
-            self.started_late.append(task.task_name)
+            self.started_after_confirmation.append(task.task_name)
         super().task_started(worker, task)
 
     def check_running_tasks(self) -> None:
         super().check_running_tasks()
-        there = {
+        active_jobs = {
             task.job
             for worker in self.cloud.workers.values()
             for task in worker.tasks.values()
             if task.state != "ended"
         }
         for job in self.rules.cancel_confirmed_at:
-            if job in there:
-                self.tasks_gone_at.pop(job, None)
+            if job in active_jobs:
+                self.tasks_removed_at.pop(job, None)
             else:
-                self.tasks_gone_at.setdefault(job, self.clock.now)
+                self.tasks_removed_at.setdefault(job, self.clock.now)
 
     def longest_removal_s(self) -> float:
         """How long after its confirmation the latest job's last task was gone."""
         return max(
-            self.tasks_gone_at.get(job, LONG_S) - at
+            self.tasks_removed_at.get(job, LONG_RUN_S) - at
             for job, at in self.rules.cancel_confirmed_at.items()
         )
 
@@ -89,7 +96,7 @@
         end = self.clock.now + max_s
         while not condition():
             assert self.clock.now < end, "it never came to be"
-            await curio.sleep(0.01)
+            await curio.sleep(POLL_INTERVAL_S)
 
     def leader(self) -> str | None:
         """The loaded leader with the newest token."""
@@ -106,7 +113,7 @@
             other for other in self.controller_names if other != name and other in self.controllers
         ]
 
-    def any_controller(self) -> str:
+    def random_controller(self) -> str:
         """A controller drawn from all, whether it is up or not."""
         return self.rng.choice(self.controller_names)
 
@@ -116,7 +123,7 @@
             task.job for worker in self.cloud.workers.values() for task in worker.active_tasks()
         }
 
-    async def submit(self, via: str, run_s: float = LONG_S, **changes: Any) -> str:
+    async def submit(self, via: str, run_s: float = LONG_RUN_S, **changes: Any) -> str:
         """A job that is accepted by this controller."""
         self.job_number += 1
         spec = {
@@ -142,7 +149,7 @@
         self.users.submitted_at[job] = self.clock.now
         status, body = await self.request(via, "POST", "/api/jobs", spec)
         self.rules.check_answer(job, status, body, True)
-        assert status == 201, status
+        assert status == HTTPStatus.CREATED, status
         return job
 
     async def submit_running_jobs(self, count: int, via: str, **changes: Any) -> list[str]:
@@ -150,22 +157,24 @@
         jobs = [await self.submit(via, **changes) for _ in range(count)]
         tasks = sum(self.users.specs[job]["frames"] for job in jobs)
 
-        def on() -> bool:
-            stages = [
+        def all_running() -> bool:
+            states = [
                 task.state
                 for worker in self.cloud.workers.values()
                 for task in worker.tasks.values()
                 if task.job in jobs
             ]
-            return stages.count("running") == tasks
+            return states.count("running") == tasks
 
-        await self.wait_until(on, 120.0)
+        await self.wait_until(all_running, 120.0)
         return jobs
 
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
         """Ask this controller; no answer is status 0."""
         try:
-            status, data = await self.network.request("user", via, method, path, body, 5.0)
+            status, data = await self.network.request(
+                "user", via, method, path, body, REQUEST_TIMEOUT_S
+            )
         except (RequestNotSentError, NoResponseError):
             return 0, None
         return status, unpack(data) if data else None
@@ -194,12 +203,12 @@
         if name not in self.controllers:
             await start_controller(self, name)
 
-    async def wait_for_new_leader(self, old: str | None, max_s: float = 30.0) -> str:
+    async def wait_for_new_leader(self, old_leader: str | None, max_s: float = 30.0) -> str:
         """Wait until another one leads than `old`."""
-        await self.wait_until(lambda: self.leader() not in (None, old), max_s)
-        found = self.leader()
-        assert found is not None
-        return found
+        await self.wait_until(lambda: self.leader() not in (None, old_leader), max_s)
+        new_leader = self.leader()
+        assert new_leader is not None
+        return new_leader
 
     def cut_off(self, one: str, others: list[str]) -> None:
         """Let nothing pass between one host and others, or zones."""
@@ -211,12 +220,12 @@
 
     # -- users in the background --------------------------------------------------
 
-    async def run_users(self, jobs: int, over_s: float) -> None:
+    async def run_users(self, jobs: int, duration_s: float) -> None:
         """Users submit, ask and cancel for some time, and go on until all is over."""
         for number in range(jobs):
             user = await curio.spawn(self.users.follow_job, 500000 + number, daemon=True)
             self.background_users.append(user)
-            await curio.sleep(self.rng.uniform(0.0, 2 * over_s / jobs))
+            await curio.sleep(self.rng.uniform(0.0, 2 * duration_s / jobs))
 
     async def wait_for_all_users(self, max_s: float = 500.0) -> None:
         """The faults are over: every job ends, and none is left waiting."""
--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -57,19 +57,19 @@
         term: int | None = None,
         incarnation: int = 1,
         notice_s: float | None = None,
-        carry_out: bool = True,
+        apply_commands: bool = True,
     ) -> list[Command]:
         """A worker's heartbeat with the tasks that it has; the commands that it gets."""
-        report = self.next_report(name, zone, term, incarnation, notice_s)
-        machine = self.scheduler.on_heartbeat(report, False, self.now)
+        message = self.next_heartbeat(name, zone, term, incarnation, notice_s)
+        machine = self.scheduler.on_heartbeat(message, False, self.now)
         if machine is None:
             return []
-        commands = self.scheduler.response_commands(machine, report, self.now)
-        if carry_out:
-            self._carry_out(name, commands)
+        commands = self.scheduler.response_commands(machine, message, self.now)
+        if apply_commands:
+            self._apply_commands(name, commands)
         return commands
 
-    def next_report(
+    def next_heartbeat(
         self,
         name: str,
         zone: str = "a",
@@ -93,7 +93,7 @@
             notice_s,
         )
 
-    def _carry_out(self, name: str, commands: list[Command]) -> None:
+    def _apply_commands(self, name: str, commands: list[Command]) -> None:
         """The worker launches and clears tasks; kills show only once a test says so."""
         tasks = self.tasks[name]
         for command in commands:
@@ -104,11 +104,11 @@
                 tasks.pop(key, None)
 
     def set_task_states(
-        self, name: str, stage: str, cause: str | None = None, kept: bool = False
+        self, name: str, new_state: str, cause: str | None = None, kept: bool = False
     ) -> None:
         """All tasks on a machine enter a stage."""
         for task in self.tasks[name].values():
-            task.state, task.cause, task.checkpoint_saved = stage, cause, kept
+            task.state, task.cause, task.checkpoint_saved = new_state, cause, kept
 
     def all_heartbeats(self) -> list[Command]:
         """Every worker sends a heartbeat; the commands to all."""
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -69,7 +69,7 @@
         self.violations: list[str] = []
         self.store = FakeKeyValueStore(clock)
         self.cloud = FakeCloud(self, self.rng, capacity)
-        self.store.on_change = self.cloud.operations.stored
+        self.store.on_change = self.cloud.operations.on_stored
         self.network.hosts[FakeKeyValueStore.HOST] = self.store.handle
         self.network.hosts[FakeCloud.HOST] = self.cloud.handle
         self.tasks = TaskExecution(self)
@@ -126,7 +126,7 @@
 
     def task_launched(self, worker: FakeWorker, task_name: str) -> None:
         """Record that a worker carries out a launch command."""
-        self.cloud.operations.launched(worker, task_name)
+        self.cloud.operations.on_launch(worker, task_name)
 
     def task_started(self, worker: FakeWorker, task: FakeTask) -> None:
         """Record that a task starts, its image being pulled, and check the rules for starts."""
@@ -154,7 +154,7 @@
     def install_production(self, later_limits: LaterLimits) -> None:
         """Install the production version everywhere, and announce the lower limits to it."""
         self.versions = dict.fromkeys(self.controller_names, production())
-        self.cloud.operations.judges = False  # production does not record its operations
+        self.cloud.operations.checks_enabled = False  # production does not record its operations
         for settings in self.controller_settings.values():
             settings.cluster.key_value_store.next = later_limits
 
--- a/tests/test_cancellation_records.py
+++ b/tests/test_cancellation_records.py
@@ -19,29 +19,29 @@
 
 
 def test_record_reaches_a_peer_in_parts_and_after_its_restart() -> None:
-    here = Cancellations("here-1", 30.0, 10.0)
+    sender = Cancellations("here-1", 30.0, 10.0)
     for number in range(2 * MAX_ENTRIES_PER_MESSAGE + 5):
-        assert here.add(f"wk-{number}", 1000.0, 1000.0)
-    assert not here.add("wk-3", 1000.0, 1000.0)
+        assert sender.add(f"wk-{number}", 1000.0, 1000.0)
+    assert not sender.add("wk-3", 1000.0, 1000.0)
     for incarnation in ("there-1", "there-2"):
-        there = Cancellations(incarnation, 30.0, 10.0)
-        here.record_acknowledgement("there", "", -1)  # it has just started
+        receiver = Cancellations(incarnation, 30.0, 10.0)
+        sender.record_acknowledgement("there", "", -1)  # it has just started
         messages = 0
-        while (news := here.changes_for("there")) is not None:
-            there.receive("here", here.incarnation, *news, 1001.0)
-            here.record_acknowledgement("there", *there.receipts()["here"])
+        while (changes := sender.changes_for("there")) is not None:
+            receiver.receive("here", sender.incarnation, *changes, 1001.0)
+            sender.record_acknowledgement("there", *receiver.receipts()["here"])
             messages += 1
-        assert messages == 3 and len(there) == len(here)
-        assert there.has_all_of("here", here.incarnation, here.last_number)
-        assert here.peer_has("there", "wk-1004")
+        assert messages == 3 and len(receiver) == len(sender)
+        assert receiver.has_all_of("here", sender.incarnation, sender.last_number)
+        assert sender.peer_has("there", "wk-1004")
 
 
 def test_record_takes_nothing_out_of_order() -> None:
     """A lost message must not be taken for had: its jobs would never be told."""
-    there = Cancellations("there-1", 30.0, 10.0)
-    assert there.receive("here", "b", 5, 7, [["wk-7", 1000.0]], 1000.0) == []
-    assert there.receipts()["here"] == ["b", -1]
-    assert there.receive("here", "b", -1, 7, [["wk-7", 1000.0]], 1000.0) == [("wk-7", 1000.0)]
+    receiver = Cancellations("there-1", 30.0, 10.0)
+    assert receiver.receive("here", "b", 5, 7, [["wk-7", 1000.0]], 1000.0) == []
+    assert receiver.receipts()["here"] == ["b", -1]
+    assert receiver.receive("here", "b", -1, 7, [["wk-7", 1000.0]], 1000.0) == [("wk-7", 1000.0)]
 
 
 def test_record_is_bounded_by_time() -> None:
@@ -51,30 +51,30 @@
     assert len(record) <= 17 and "wk-99" in record
 
 
-def test_older_heartbeat_says_nothing_of_a_workers_tasks() -> None:
-    def report(sequence: int, jobs: list[str]) -> Heartbeat:
+def test_out_of_order_heartbeat_does_not_change_placement_hints() -> None:
+    def heartbeat(sequence: int, jobs: list[str]) -> Heartbeat:
         tasks = [TaskStatus(f"{job}/0", 1, "running") for job in jobs]
         return Heartbeat("host-1", "h:1", "b1", "a", False, 1, sequence, 3, tasks)
 
     placement_hints = PlacementHints()
     placement_hints.update_from_leader(3, [["host-1", "h:1", ["wk-1"]]])
-    placement_hints.update_from_heartbeat(report(5, []))
-    placement_hints.update_from_heartbeat(report(4, ["wk-1"]))
+    placement_hints.update_from_heartbeat(heartbeat(5, []))
+    placement_hints.update_from_heartbeat(heartbeat(4, ["wk-1"]))
     assert placement_hints.machines_of(frozenset(["wk-1"])) == {}
     placement_hints.update_from_leader(2, [["host-1", "h:1", ["wk-1"]]])
     assert placement_hints.machines_of(frozenset(["wk-1"])) == {}, "an earlier leader's word"
 
 
-def test_former_leader_does_not_release_what_its_successor_sees_to(
+def test_enforcer_releases_only_machines_of_jobs_that_no_other_handles(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Not before the last moment, and only if nobody else has seen to the job."""
     released: list[tuple[float, list[str]]] = []
-    told: list[list[str]] = []
-    seen_to = {"wk-1": False}
+    announced: list[list[str]] = []
+    handled = {"wk-1": False}
 
     async def announce_released(names: list[str]) -> None:
-        told.append(names)
+        announced.append(names)
 
     class Cloud:
         async def machines(self) -> list[Any]:
@@ -96,7 +96,7 @@
             Cloud(),  # type: ignore[arg-type]
             None,  # type: ignore[arg-type]
             replace(initial_state(settings), cancellations=record, placement_hints=placement_hints),
-            lambda job, now: seen_to[job],
+            lambda job, now: handled[job],
             announce_released,
         )
         record.add("wk-1", time.time() - 0.65 * cancel_s, time.time())
@@ -104,14 +104,14 @@
             await cancellation_enforcer.round()
             await curio.sleep(0.01 * cancel_s)
         assert released == []
-        seen_to["wk-1"] = True
+        handled["wk-1"] = True
         await cancellation_enforcer.round()
         await curio.sleep(0.01 * cancel_s)
-        seen_to["wk-1"] = False
+        handled["wk-1"] = False
         for _ in range(14):
             await cancellation_enforcer.round()
             await curio.sleep(0.01 * cancel_s)
         assert [names for _, names in released] == [["host-1"]], "at the last moment"
-        assert told == [["host-1"]], "the others learn of it"
+        assert announced == [["host-1"]], "the others learn of it"
 
     run_virtual(main, monkeypatch)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -24,7 +25,7 @@
 from topazhold.io.http import Response
 from topazhold.wire.workers import Commands
 
-Twist = Callable[[Scenario, str, str], Awaitable[None]]
+FurtherFault = Callable[[Scenario, str, str], Awaitable[None]]
 
 
 async def nothing(scenario: Scenario, leader: str, confirmer: str) -> None:
@@ -67,12 +68,12 @@
 
 
 def cancel_before_outage(
-    twist: Twist,
+    further_fault: FurtherFault,
     monkeypatch: pytest.MonkeyPatch,
     site: str,
     seed: int = 1,
-    before: Callable[[Scenario], None] | None = None,
-    links: bool = True,
+    prepare: Callable[[Scenario], None] | None = None,
+    peers_connected: bool = True,
 ) -> Scenario:
     """The store refuses the leader alone, jobs are cancelled, the store is out for all.
 
@@ -86,17 +87,17 @@
         confirmer = scenario.other_controllers(leader)[0]
         jobs = await scenario.submit_running_jobs(4, confirmer, gpus=2.0)
         await curio.sleep(3 * scenario.worker_settings.heartbeat_interval_s)
-        if before is not None:
-            before(scenario)
+        if prepare is not None:
+            prepare(scenario)
         scenario.store.refused_controllers.add(leader)
-        scenario.peers_unreachable = not links
+        scenario.peers_unreachable = not peers_connected
         await curio.sleep(0.3)
         for job in jobs:
-            assert await scenario.cancel(job, confirmer) == 200
+            assert await scenario.cancel(job, confirmer) == HTTPStatus.OK
         assert scenario.leader() == leader, "the old leader leads still"
         scenario.store.set_down(True)
         scenario.store.refused_controllers.clear()
-        await twist(scenario, leader, confirmer)
+        await further_fault(scenario, leader, confirmer)
         await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
         assert scenario.store.down and len(scenario.rules.cancel_confirmed_at) == len(jobs)
 
@@ -105,7 +106,7 @@
 
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize(
-    "twist",
+    "further_fault",
     [
         nothing,
         confirmer_ends,
@@ -115,10 +116,10 @@
         confirmer_restarts_alone,
     ],
 )
-def test_cancelled_tasks_are_gone_in_time_though_an_outage_follows(
-    twist: Twist, site: str, monkeypatch: pytest.MonkeyPatch
+def test_cancelled_tasks_are_removed_in_time_during_a_store_outage(
+    further_fault: FurtherFault, site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    scenario = cancel_before_outage(twist, monkeypatch, site)
+    scenario = cancel_before_outage(further_fault, monkeypatch, site)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.9 * scenario.worker_settings.cancel_s
 
@@ -133,12 +134,12 @@
     scenarios: list[Scenario] = []
     release = ClusterState.release
 
-    def noted(self: ClusterState, machine: Any, reason: str, now: float) -> None:
+    def record_release(self: ClusterState, machine: Any, reason: str, now: float) -> None:
         if scenarios and machine.name in scenarios[0].cloud.workers:  # others are gone in fact
             reasons.append((self.term, reason))
         release(self, machine, reason, now)
 
-    async def over(scenario: Scenario, leader: str, confirmer: str) -> None:
+    async def end_outage(scenario: Scenario, leader: str, confirmer: str) -> None:
         scenarios.append(scenario)
         await scenario.stop(leader)
         await curio.sleep(1.1 * scenario.worker_settings.cancel_s)
@@ -146,18 +147,22 @@
         scenario.store.set_down(False)
         new = await scenario.wait_for_new_leader(leader)
         terms.append(scenario.controllers[new].leader_term.term)
-        named = [
-            m
-            for m in scenario.controllers[new].leader_term.scheduler.machines.values()
-            if m.attempts
+        occupied = [
+            machine_state
+            for machine_state in scenario.controllers[new].leader_term.scheduler.machines.values()
+            if machine_state.attempts
         ]
-        assert len(named) > 3, "as far as she knows the tasks may be there"
+        assert len(occupied) > 3, "as far as she knows the tasks may be there"
         await curio.sleep(4 * scenario.worker_settings.heartbeat_interval_s)
         scenario.store.set_down(True)
 
-    monkeypatch.setattr(ClusterState, "release", noted)
-    assert_no_violations(cancel_before_outage(over, monkeypatch, site))
-    assert [w for term, w in reasons if term in terms and w.startswith("can't stop")] == []
+    monkeypatch.setattr(ClusterState, "release", record_release)
+    assert_no_violations(cancel_before_outage(end_outage, monkeypatch, site))
+    assert [
+        reason_text
+        for term, reason_text in reasons
+        if term in terms and reason_text.startswith("can't stop")
+    ] == []
 
 
 @pytest.mark.parametrize("site", SITES)
@@ -165,7 +170,7 @@
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """No controller hears another: the confirmer sees to it itself."""
-    scenario = cancel_before_outage(nothing, monkeypatch, site, links=False)
+    scenario = cancel_before_outage(nothing, monkeypatch, site, peers_connected=False)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.7 * scenario.worker_settings.cancel_s
 
@@ -182,31 +187,33 @@
     worker.hanging_until = until
 
 
-@pytest.mark.parametrize("links", [True, False])
+@pytest.mark.parametrize("peers_connected", [True, False])
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("fault", [lose_commands, lose_heartbeats, hang])
 def test_machines_out_of_reach_are_released_and_healthy_ones_kept(
     fault: Callable[[FakeWorker, float], None],
     site: str,
-    links: bool,
+    peers_connected: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What can't be shown to be gone takes its machine with it, without the state service."""
 
     healthy: list[FakeWorker] = []
 
-    def before(scenario: Scenario) -> None:
+    def prepare(scenario: Scenario) -> None:
         busy = [worker for worker in scenario.cloud.workers.values() if worker.active_tasks()]
         assert len(busy) > 3
         healthy[:] = busy[2:]
         for worker in busy[:2]:
             fault(worker, scenario.clock.now + 4 * scenario.worker_settings.cancel_s)
 
-    scenario = cancel_before_outage(nothing, monkeypatch, site, before=before, links=links)
+    scenario = cancel_before_outage(
+        nothing, monkeypatch, site, prepare=prepare, peers_connected=peers_connected
+    )
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
-    gone = [worker.name for worker in healthy if worker.terminated]
-    assert gone == [], "machines that show their tasks gone are not released"
+    released = [worker.name for worker in healthy if worker.terminated]
+    assert released == [], "machines that show their tasks gone are not released"
 
 
 @pytest.mark.parametrize("site", SITES)
@@ -224,7 +231,7 @@
         scenario.store.refused_controllers.add(old)
         await curio.sleep(1.0)
         for job in jobs:
-            assert await scenario.cancel(job, confirmer) == 200
+            assert await scenario.cancel(job, confirmer) == HTTPStatus.OK
         elected: list[str] = []
 
         def new() -> bool:
@@ -239,17 +246,17 @@
             await curio.sleep(0.001)
         scenario.store.set_down(True)
         scenario.store.refused_controllers.clear()
-        leading = scenario.controllers[elected[0]].leader_term
-        assert not leading.loaded
+        new_term = scenario.controllers[elected[0]].leader_term
+        assert not new_term.loaded
         await curio.sleep(scenario.worker_settings.cancel_s + scenario.worker_settings.lease_s)
-        assert scenario.controllers[elected[0]].leader_term is leading and not leading.loaded
+        assert scenario.controllers[elected[0]].leader_term is new_term and not new_term.loaded
 
     scenario = run_scenario(act, monkeypatch, site)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.5 * scenario.worker_settings.cancel_s
 
 
-def launch_in_flight(monkeypatch: pytest.MonkeyPatch, seed: int, states: list[str]) -> Scenario:
+def cancel_during_launch(monkeypatch: pytest.MonkeyPatch, seed: int, states: list[str]) -> Scenario:
     """Jobs cancelled as soon as one of their tasks is in one of these states."""
 
     async def act(scenario: Scenario) -> None:
@@ -265,25 +272,28 @@
                     worker.hanging_until = scenario.clock.now + 1.0
             job = await scenario.submit(confirmer)
             scheduler = scenario.controllers[leader].leader_term.scheduler
-            want = scenario.rng.choice(states)
-
-            def reached(job: str = job, scheduler: Any = scheduler, want: str = want) -> bool:
-                known = scheduler.jobs.get(job)
-                return known is not None and any(
-                    run.state.value in (want, "pulling") for run in known.attempts.values()
+            target_state = scenario.rng.choice(states)
+
+            def state_reached(
+                job: str = job, scheduler: Any = scheduler, target_state: str = target_state
+            ) -> bool:
+                known_job = scheduler.jobs.get(job)
+                return known_job is not None and any(
+                    attempt.state.value in (target_state, "pulling")
+                    for attempt in known_job.attempts.values()
                 )
 
-            await scenario.wait_until(reached)
+            await scenario.wait_until(state_reached)
             scenario.store.refused_controllers.add(leader)
-            assert await scenario.cancel(job, confirmer) == 200
+            assert await scenario.cancel(job, confirmer) == HTTPStatus.OK
             scenario.store.set_down(True)
             await curio.sleep(0.6 * scenario.worker_settings.cancel_s)
             scenario.store.set_down(False)
             scenario.store.refused_controllers.clear()
             await curio.sleep(2 * scenario.worker_settings.heartbeat_interval_s)
-            found = scenario.leader()
-            assert found is not None
-            leader = found
+            new_leader = scenario.leader()
+            assert new_leader is not None
+            leader = new_leader
             confirmer = scenario.other_controllers(leader)[0]
 
     return run_scenario(act, monkeypatch, seed=seed)
@@ -295,11 +305,11 @@
     seed: int, states: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Cancelled between intent and launch, or while the launch is on its way."""
-    scenario = launch_in_flight(monkeypatch, seed, states)
+    scenario = cancel_during_launch(monkeypatch, seed, states)
     assert_no_violations(scenario)
     # A launch that had left already may start its task before the kill is there.
     assert scenario.longest_removal_s() < 3 * scenario.worker_settings.heartbeat_interval_s
-    assert scenario.launched_late == []
+    assert scenario.launched_after_confirmation == []
 
 
 def test_scenario_catches_launches_that_are_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -312,14 +322,17 @@
     monkeypatch.setattr(
         LeaderTerm, "_may_launch", lambda self, now: self.context.lease_is_valid(now)
     )
-    late = [launch_in_flight(monkeypatch, seed, ["written"]).launched_late for seed in range(6)]
+    late = [
+        cancel_during_launch(monkeypatch, seed, ["written"]).launched_after_confirmation
+        for seed in range(6)
+    ]
     assert any(late)
 
 
 # -- broken variants: each mechanism is needed by one of the scenarios -------------
 
 
-def no_enforcer(patch: pytest.MonkeyPatch) -> None:
+def disable_enforcer(patch: pytest.MonkeyPatch) -> None:
     async def idle(self: Any) -> None:
         pass
 
@@ -332,17 +345,21 @@
 
     monkeypatch.setattr(CancellationExchange, "_send_missing", silent)
     monkeypatch.setattr(Cancellations, "informed", True, raising=False)
-    assert breaks_on_some_seed(confirmer_ends, monkeypatch)
+    assert fails_on_some_seed(confirmer_ends, monkeypatch)
 
 
-def breaks_on_some_seed(twist: Twist, monkeypatch: pytest.MonkeyPatch, links: bool = True) -> bool:
+def fails_on_some_seed(
+    further_fault: FurtherFault, monkeypatch: pytest.MonkeyPatch, peers_connected: bool = True
+) -> bool:
     """Whether a cancelled task runs on. Which controller a worker is with is drawn, and with
     one that knows of the cancellation it is killed also in a broken variant."""
     for seed in range(1, 9):
-        with monkeypatch.context() as of_scenario:
+        with monkeypatch.context() as scenario_patch:
             if (
                 "ran_cancelled"
-                in cancel_before_outage(twist, of_scenario, "hive", seed, links=links).violations
+                in cancel_before_outage(
+                    further_fault, scenario_patch, "hive", seed, peers_connected=peers_connected
+                ).violations
             ):
                 return True
     return False
@@ -350,23 +367,23 @@
 
 def test_checker_catches_answers_without_kills(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those who keep workers without a scheduler, the leader that led among them ended."""
-    no_enforcer(monkeypatch)
+    disable_enforcer(monkeypatch)
     assert cancel_before_outage(leader_ends, monkeypatch, "hive").violations == []
     monkeypatch.setattr(
         HeartbeatService,
         "_answer_locally",
-        lambda self, heartbeat, term: Response(200, Commands(term, [])),
+        lambda self, heartbeat, term: Response(HTTPStatus.OK, Commands(term, [])),
     )
-    assert breaks_on_some_seed(leader_ends, monkeypatch)
+    assert fails_on_some_seed(leader_ends, monkeypatch)
 
 
 def test_checker_catches_a_confirmer_that_does_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    no_enforcer(monkeypatch)
-    assert breaks_on_some_seed(nothing, monkeypatch, links=False)
+    disable_enforcer(monkeypatch)
+    assert fails_on_some_seed(nothing, monkeypatch, peers_connected=False)
 
 
 def test_checker_catches_workers_kept_by_who_knows_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(HeartbeatService, "_may_extend_leases", lambda self, now: True)
-    assert breaks_on_some_seed(all_restart, monkeypatch)
+    assert fails_on_some_seed(all_restart, monkeypatch)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -10,7 +10,13 @@
 import msgspec
 import pytest
 
-from tests.compatibility_corpus import DAYS, FILE, Corpus, CorpusCollector, collect_day
+from tests.compatibility_corpus import (
+    CORPUS_DAYS,
+    CORPUS_FILE,
+    Corpus,
+    CorpusCollector,
+    collect_day,
+)
 from tests.fakes.controllers import create_controller
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.job_specs import make_spec
@@ -23,18 +29,18 @@
 from topazhold.core.jobs import TASKS_PER_PART, Job
 from topazhold.wire import messages as wire
 
-WALL, CLOCK = 1.7e9 + 2000.0, 500.0
+WALL_TIME_S, CLOCK_S = 1.7e9 + 2000.0, 500.0
 #: Every kind of value and message that the two versions share.
-STORED = {"crown", "hold", "live", "on", "over", "queen", "relay", "sum", "sum/*"}
+STORED_KINDS = {"crown", "hold", "live", "on", "over", "queen", "relay", "sum", "sum/*"}
 #: Kinds that production does not know and leaves alone: records of open orders, which an old
 #: leader does without, and which the next new one completes or drops (`test_operations`).
-NEW_STORED = {"duty"}
+NEW_STORED_KINDS = {"duty"}
 #: Tags that production drops: they are hints for controllers that know them.
-NEW_MESSAGES = {"released"}
-MESSAGES = {"cancelled", "ping", "placed", "receipt", "relay", "summary"}
+NEW_MESSAGE_TAGS = {"released"}
+MESSAGE_TAGS = {"cancelled", "ping", "placed", "receipt", "relay", "summary"}
 
 
-def job_meaning(job: Any) -> Any:
+def decoded_job(job: Any) -> Any:
     """What a version has understood of a job."""
     return (
         msgspec.to_builtins(member(job, "spec")),
@@ -54,7 +60,7 @@
     return [msgspec.to_builtins(convert(item, kind)) for item in heartbeats]
 
 
-def view_meaning(cluster_view: Any) -> Any:
+def decoded_view(cluster_view: Any) -> Any:
     caches = {
         zone: [member(offer, "pack")() for offer in cache]
         for zone, cache in member(cluster_view, "caches").items()
@@ -63,100 +69,102 @@
     return caches, *(member(cluster_view, name) for name in names)
 
 
-def live_meaning(version: Version, data: Any) -> Any:
-    job = version.load("core.records", "read_live_job")(data, 5, WALL, CLOCK)
-    return job_meaning(job), version.load("core.records", "completed_count")(data)
+def decode_live_job(version: Version, data: Any) -> Any:
+    job = version.load("core.records", "read_live_job")(data, 5, WALL_TIME_S, CLOCK_S)
+    return decoded_job(job), version.load("core.records", "completed_count")(data)
 
 
-def over_meaning(version: Version, data: Any) -> Any:
-    job = version.load("core.records", "read_ended_job")(data, WALL, CLOCK)
+def decode_ended_job(version: Version, data: Any) -> Any:
+    job = version.load("core.records", "read_ended_job")(data, WALL_TIME_S, CLOCK_S)
     stage = version.load("core.records", "ended_stage")(data)
-    return job_meaning(job), stage, version.load("core.records", "ended_at")(data, 0.0)
+    return decoded_job(job), stage, version.load("core.records", "ended_at")(data, 0.0)
 
 
-def intents_meaning(version: Version, data: Any) -> Any:
-    found, odd = version.load("core.records", "read_intents")(data)
-    return [tuple(each) for each in found], odd
+def decode_intents(version: Version, data: Any) -> Any:
+    intents, unreadable = version.load("core.records", "read_intents")(data)
+    return [tuple(each) for each in intents], unreadable
 
 
-def holds_meaning(version: Version, data: Any) -> Any:
+def decode_reservations(version: Version, data: Any) -> Any:
     reservations = version.load("core.reservations", "unpack_value")(data)
     return [member(reservation, "pack")() for reservation in reservations]
 
 
-def summary_meaning(version: Version, key: str, data: Any) -> Any:
+def decode_summary(version: Version, key: str, data: Any) -> Any:
     cluster_view = version.load("control.cluster_view", "ClusterView")()
     if key == "sum/*":
         member(cluster_view, "read_jobs")(data)
     else:
         member(cluster_view, "read_zone")(key.partition("/")[2], data)
-    return view_meaning(cluster_view)
+    return decoded_view(cluster_view)
 
 
-def stored_meaning(version: Version, key: str, data: Any) -> Any:
+def decode_stored(version: Version, key: str, data: Any) -> Any:
     """What a version reads out of a stored value."""
     first = key.partition("/")[0]
     if first == "live":
-        return live_meaning(version, data)
+        return decode_live_job(version, data)
     if first == "over":
-        return over_meaning(version, data)
+        return decode_ended_job(version, data)
     if first == "on":
-        return intents_meaning(version, data)
+        return decode_intents(version, data)
     if first == "hold":
-        return holds_meaning(version, data)
+        return decode_reservations(version, data)
     if first in ("queen", "crown"):
         return version.load("core.leadership", "read_leader_value")(data)
     if first == "relay":
         return data["crown"], read_heartbeats(version, data["reports"])
     assert first == "sum"
-    return summary_meaning(version, key, data)
+    return decode_summary(version, key, data)
 
 
-def controller_meaning(controller: Any) -> Any:
+def controller_state(controller: Any) -> Any:
     """What a controller knows of its peers."""
-    lead = member(controller, "state.leadership")
-    cancelled = member(controller, "state.cancellations")
+    leadership_state = member(controller, "state.leadership")
+    cancellations = member(controller, "state.cancellations")
     return (
-        member(lead, "leader"),
-        member(lead, "term"),
+        member(leadership_state, "leader"),
+        member(leadership_state, "term"),
         sorted(member(member(controller, "follower_heartbeats"), "_silent_machines")),
-        sorted(member(cancelled, "_entries").items()),
-        member(cancelled, "receipts")(),
-        member(cancelled, "_acknowledged"),
+        sorted(member(cancellations, "_entries").items()),
+        member(cancellations, "receipts")(),
+        member(cancellations, "_acknowledged"),
         {
-            name: (member(place, "endpoint"), sorted(member(place, "jobs")))
-            for name, place in member(
+            name: (member(hint, "endpoint"), sorted(member(hint, "jobs")))
+            for name, hint in member(
                 member(controller, "state.placement_hints"), "by_machine"
             ).items()
         },
-        view_meaning(member(controller, "placement_search.cluster_view")),
+        decoded_view(member(controller, "placement_search.cluster_view")),
     )
 
 
-def heard(version: Version, messages: list[Any], monkeypatch: pytest.MonkeyPatch) -> Any:
+def states_after_messages(
+    version: Version, messages: list[Any], monkeypatch: pytest.MonkeyPatch
+) -> Any:
     """What a controller of a version knows once it has got these messages."""
-    known: list[Any] = []
+    states: list[Any] = []
 
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 1)
         simulation.versions = {CONTROLLER_NAMES[0]: version}
-        node = create_controller(simulation, CONTROLLER_NAMES[0], {"running": True})
+        receiver = create_controller(simulation, CONTROLLER_NAMES[0], {"running": True})
         for message in messages:
-            await deliver_peer_message(node, tuple(message))
-            known.append(controller_meaning(node))
+            await deliver_peer_message(receiver, tuple(message))
+            states.append(controller_state(receiver))
 
     run_virtual(main, monkeypatch)
-    return known
+    return states
 
 
 def load_corpus() -> Corpus:
-    corpus: Corpus = json.loads(FILE.read_text())
+    corpus: Corpus = json.loads(CORPUS_FILE.read_text())
     return corpus
 
 
 def current_corpus(monkeypatch: pytest.MonkeyPatch) -> Corpus:
     collector = CorpusCollector()
-    for seed, kinds in DAYS:
+    for seed, kinds in CORPUS_DAYS:
         with monkeypatch.context() as patch:
             collect_day(seed, kinds, patch, collector, production=False)
     return collector.corpus()
@@ -166,22 +174,24 @@
     """Both versions understand every value and every message in the same way."""
     for samples in corpus["stored"].values():
         for key, data in samples:
-            meant = stored_meaning(production(), key, data)
-            assert stored_meaning(CURRENT, key, data) == meant, key
-    intents = [stored_meaning(production(), *sample) for sample in corpus["stored"]["on"]]
-    assert any(found for found, _ in intents) and not any(odd for _, odd in intents)
-    assert any(stored_meaning(production(), *sample) for sample in corpus["stored"]["hold"])
+            expected = decode_stored(production(), key, data)
+            assert decode_stored(CURRENT, key, data) == expected, key
+    intents = [decode_stored(production(), *sample) for sample in corpus["stored"]["on"]]
+    assert any(entries for entries, _ in intents) and not any(
+        unreadable for _, unreadable in intents
+    )
+    assert any(decode_stored(production(), *sample) for sample in corpus["stored"]["hold"])
     for tag, messages in corpus["messages"].items():
         with monkeypatch.context() as patch:
-            meant = heard(production(), messages, patch)
+            expected = states_after_messages(production(), messages, patch)
         with monkeypatch.context() as patch:
-            assert heard(CURRENT, messages, patch) == meant, tag
+            assert states_after_messages(CURRENT, messages, patch) == expected, tag
 
 
 def test_corpus_has_every_kind() -> None:
     corpus = load_corpus()
-    assert corpus["stored"].keys() == STORED
-    assert corpus["messages"].keys() == MESSAGES
+    assert corpus["stored"].keys() == STORED_KINDS
+    assert corpus["messages"].keys() == MESSAGE_TAGS
 
 
 def test_current_version_reads_what_production_has_written(
@@ -195,12 +205,12 @@
 ) -> None:
     """An old controller may become leader after a new one, until its turn comes."""
     corpus = current_corpus(monkeypatch)
-    assert corpus["stored"].keys() == STORED | NEW_STORED
-    for kind in NEW_STORED:
+    assert corpus["stored"].keys() == STORED_KINDS | NEW_STORED_KINDS
+    for kind in NEW_STORED_KINDS:
         del corpus["stored"][kind]
-    for tag in NEW_MESSAGES:
+    for tag in NEW_MESSAGE_TAGS:
         corpus["messages"].pop(tag, None)
-    assert corpus["messages"].keys() == MESSAGES
+    assert corpus["messages"].keys() == MESSAGE_TAGS
     assert_read_alike(corpus, monkeypatch)
 
 
@@ -226,11 +236,11 @@
     """The spec of a job that is over is cut; production still finds in it what it needs."""
     spec = make_spec(machine_types=["b1"] * 50, image="i" * 200, job_class="c" * 200)
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
-    value = records.ended_value(live["spec"], wire.ABORTED, WALL - 3.0, "t")
-    job = production().load("core.records", "read_ended_job")(value, WALL, CLOCK)
+    value = records.ended_value(live["spec"], wire.ABORTED, WALL_TIME_S - 3.0, "t")
+    job = production().load("core.records", "read_ended_job")(value, WALL_TIME_S, CLOCK_S)
     team = member(member(job, "spec"), "team")
     assert (member(job, "id"), team, member(job, "need")) == (spec.id, spec.team, (4.0, 2.0, 8.0))
-    assert member(job, "cancelled_at") == pytest.approx(CLOCK - 3.0)
+    assert member(job, "cancelled_at") == pytest.approx(CLOCK_S - 3.0)
 
 
 def test_summary_with_refused_operations_is_read_alike(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -238,9 +248,9 @@
     examples = current_corpus(monkeypatch)["stored"]["sum/*"]
     assert examples
     for key, data in examples:
-        refused = [["duty/rental/000000000001-00000001", "rental", "why"]]
-        meaning = stored_meaning(CURRENT, key, data)
-        assert stored_meaning(production(), key, {**data, "refused": refused}) == meaning
+        refused_operations = [["duty/rental/000000000001-00000001", "rental", "why"]]
+        decoded = decode_stored(CURRENT, key, data)
+        assert decode_stored(production(), key, {**data, "refused": refused_operations}) == decoded
 
 
 # -- variants that are not compatible must be seen ---------------------------------
@@ -261,11 +271,11 @@
 
 
 def rename_field(patch: pytest.MonkeyPatch) -> None:
-    value = records.intents_value
+    original = records.intents_value
 
     def renamed(*args: Any) -> Any:
-        found = value(*args)
-        return {"by": found["by"], "machines": found["boxes"], "boxes": {}}
+        data = original(*args)
+        return {"by": data["by"], "machines": data["boxes"], "boxes": {}}
 
     patch.setattr(records, "intents_value", renamed)
 
@@ -276,21 +286,21 @@
 
 
 def longer_ping(patch: pytest.MonkeyPatch) -> None:
-    tell = PeerGroup.broadcast
+    broadcast_original = PeerGroup.broadcast
 
-    async def told(self: Any, message: tuple[Any, ...]) -> None:
-        await tell(self, (*message, 1) if message[0] == "ping" else message)
+    async def broadcast_longer(self: Any, message: tuple[Any, ...]) -> None:
+        await broadcast_original(self, (*message, 1) if message[0] == "ping" else message)
 
-    patch.setattr(PeerGroup, "broadcast", told)
+    patch.setattr(PeerGroup, "broadcast", broadcast_longer)
 
 
 def unreadable_intents(patch: pytest.MonkeyPatch) -> None:
     """One more element for each machine."""
-    value = records.intents_value
+    original = records.intents_value
 
     def longer(*args: Any) -> Any:
-        found = value(*args)
-        return {**found, "boxes": {name: [*item, 0] for name, item in found["boxes"].items()}}
+        data = original(*args)
+        return {**data, "boxes": {name: [*item, 0] for name, item in data["boxes"].items()}}
 
     patch.setattr(records, "intents_value", longer)
 
@@ -306,7 +316,7 @@
     change(monkeypatch)
     corpus = current_corpus(monkeypatch)
     with pytest.raises((AssertionError, ValueError, TypeError, KeyError)):
-        assert corpus["stored"].keys() == STORED
+        assert corpus["stored"].keys() == STORED_KINDS
         assert_read_alike(corpus, monkeypatch)
 
 
@@ -316,9 +326,9 @@
 ) -> None:
     change(monkeypatch)
     for seed in (51, 52, 55):
-        with monkeypatch.context() as of_day:
+        with monkeypatch.context() as day_patch:
             simulation = play(
-                seed, ["crash_leader"], of_day, jobs=25, trouble_s=60.0, calm_s=60.0, later=LATER
+                seed, ["crash_leader"], day_patch, jobs=25, trouble_s=60.0, calm_s=60.0, later=LATER
             )
         if simulation.violations:
             return
@@ -331,8 +341,10 @@
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 73)
         await simulation.run_day(20, 40.0, 60.0, ["crash_leader"])
-        found = {key.partition("/")[0] for key in simulation.store.data}
-        assert found <= {kind.partition("/")[0] for kind in STORED | NEW_STORED} | {"part"}
+        prefixes = {key.partition("/")[0] for key in simulation.store.data}
+        assert prefixes <= {kind.partition("/")[0] for kind in STORED_KINDS | NEW_STORED_KINDS} | {
+            "part"
+        }
         await curio.sleep(0)
 
     run_virtual(main, monkeypatch)
--- a/tests/test_compound_failures_elections.py
+++ b/tests/test_compound_failures_elections.py
@@ -5,6 +5,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import curio
 import pytest
 
@@ -23,25 +25,25 @@
 ) -> None:
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 25, 20.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 25, 20.0, daemon=True)
         await curio.sleep(8.0)
-        one = scenario.leader()
-        assert one is not None
-        await scenario.stop(one)
-        await scenario.start_again(one, 0.3)
-        two = await scenario.wait_for_new_leader(None)
-        await scenario.stop(two)
-        await scenario.start_again(two, 0.05)
-        three = await scenario.wait_for_new_leader(None)
-        term = scenario.controllers[three].leader_term.term
+        first = scenario.leader()
+        assert first is not None
+        await scenario.stop(first)
+        await scenario.start_again(first, 0.3)
+        second = await scenario.wait_for_new_leader(None)
+        await scenario.stop(second)
+        await scenario.start_again(second, 0.05)
+        third = await scenario.wait_for_new_leader(None)
+        term = scenario.controllers[third].leader_term.term
         for name in list(scenario.controllers):
             await scenario.stop(name)
-        await scenario.start_again(three, 0.4)
-        again = await scenario.wait_for_new_leader(None)
-        assert again == three and scenario.controllers[again].leader_term.term > term
+        await scenario.start_again(third, 0.4)
+        restarted = await scenario.wait_for_new_leader(None)
+        assert restarted == third and scenario.controllers[restarted].leader_term.term > term
         for name in scenario.controller_names:
             await scenario.start_again(name, 0.5)
-        await coming.join()
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -60,15 +62,19 @@
         assert old is not None
         jobs = await scenario.submit_running_jobs(4, old, team="red", gpus=1.0, checkpoint_s=0.0)
         waiting = [await scenario.submit(old, team="red", run_s=10.0) for _ in range(3)]
-        cut = scenario.busy_workers()[:2]
-        for worker in cut:
+        cut_off_worker = scenario.busy_workers()[:2]
+        for worker in cut_off_worker:
             scenario.cut_off(worker.host, scenario.controller_names)
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
-        used = sum(task.spec["cards"] for w in scenario.busy_workers() for task in w.active_tasks())
-        assert used == 12.0 and any(worker.active_tasks() for worker in cut), "at its limit"
+        used_gpus = sum(
+            task.spec["cards"] for w in scenario.busy_workers() for task in w.active_tasks()
+        )
+        assert used_gpus == 12.0 and any(worker.active_tasks() for worker in cut_off_worker), (
+            "at its limit"
+        )
         for job in jobs[:2]:
-            assert await scenario.cancel(job, new) == 200
+            assert await scenario.cancel(job, new) == HTTPStatus.OK
         await curio.sleep(0.5 * scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
         await scenario.start_again(old)
@@ -101,11 +107,11 @@
         for _ in range(3):
             done = len(scenario.tasks.completed)
             await scenario.wait_until(lambda done=done: len(scenario.tasks.completed) > done, 80.0)  # type: ignore[misc]
-            ended = scenario.leader()
-            assert ended is not None
-            terms.add(scenario.controllers[ended].leader_term.term)
-            await scenario.stop(ended)
-            await scenario.start_again(ended, 1.0)
+            stopped = scenario.leader()
+            assert stopped is not None
+            terms.add(scenario.controllers[stopped].leader_term.term)
+            await scenario.stop(stopped)
+            await scenario.start_again(stopped, 1.0)
             await scenario.wait_for_new_leader(None)
         assert len(terms) == 3
         for job in jobs:
@@ -125,8 +131,8 @@
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 40, 90.0, daemon=True)
-        began = scenario.clock.now
+        submitting = await curio.spawn(scenario.run_users, 40, 90.0, daemon=True)
+        started_at = scenario.clock.now
         terms = set()
         for number in range(11):
             leader = await scenario.wait_for_new_leader(None)
@@ -140,8 +146,8 @@
             if scenario.store.down:
                 await curio.sleep(6.0)
                 scenario.store.set_down(False)
-        assert len(terms) >= 10 and scenario.clock.now - began < 120.0
-        await coming.join()
+        assert len(terms) >= 10 and scenario.clock.now - started_at < 120.0
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
@@ -153,7 +159,7 @@
 ) -> None:
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 20, 20.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 20, 20.0, daemon=True)
         await curio.sleep(15.0)
         sessions = {w.name: w.incarnation for w in scenario.cloud.workers.values() if w.up}
         assert scenario.busy_workers()
@@ -167,7 +173,7 @@
         ), "every lease has ended"
         for name in scenario.controller_names:
             await scenario.start_again(name)
-        await coming.join()
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, site))
@@ -184,16 +190,18 @@
         old = scenario.leader()
         assert old is not None
         await scenario.submit_running_jobs(3, old, run_s=60.0, gpus=2.0)
-        cut, unhearing = scenario.busy_workers()[:2]
+        cut_off_worker, without_commands = scenario.busy_workers()[:2]
         scenario.network.delivers_cut_requests_late = True
-        scenario.cut_off(cut.host, scenario.controller_names)
-        unhearing.commands_lost_until = scenario.clock.now + 2.5 * scenario.worker_settings.lease_s
+        scenario.cut_off(cut_off_worker.host, scenario.controller_names)
+        without_commands.commands_lost_until = (
+            scenario.clock.now + 2.5 * scenario.worker_settings.lease_s
+        )
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
         await curio.sleep(1.0)
         assert (
-            cut.active_tasks()
-            and unhearing.fencing_token < scenario.controllers[new].leader_term.term
+            cut_off_worker.active_tasks()
+            and without_commands.fencing_token < scenario.controllers[new].leader_term.term
         )
         await scenario.run_users(10, 1.2 * scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import curio
 import pytest
 
@@ -18,32 +20,32 @@
         old = scenario.leader()
         assert old is not None
         (job,) = await scenario.submit_running_jobs(1, old, tasks=2, gpus=4.0)
-        first = scenario.busy_workers()[0]
-        held = first.past_heartbeats[-1]
-        assert any(task_name["frame"].startswith(job) for task_name in held["frames"])
+        first_worker = scenario.busy_workers()[0]
+        delayed = first_worker.past_heartbeats[-1]
+        assert any(entry["frame"].startswith(job) for entry in delayed["frames"])
         await scenario.stop(old)
-        first.start_incarnation()
-        first.heartbeats_lost_until = scenario.clock.now + 60.0
-        first.controller_index = 0
+        first_worker.start_incarnation()
+        first_worker.heartbeats_lost_until = scenario.clock.now + 60.0
+        first_worker.controller_index = 0
         new = await scenario.wait_for_new_leader(old)
         # The worker's next session proves its task gone; a direct answer tells of it.
-        lost = {task_name["frame"] for task_name in held["frames"]}
+        lost_tasks = {entry["frame"] for entry in delayed["frames"]}
 
         def placed_again() -> bool:
             return any(
-                task.task_name in lost
+                task.task_name in lost_tasks
                 for worker in scenario.busy_workers()
-                if worker is not first
+                if worker is not first_worker
                 for task in worker.active_tasks()
             )
 
         await scenario.wait_until(placed_again, 60.0)
-        status, answer = await scenario.request(new, "POST", "/v1/report", held)
-        assert scenario.controllers[new].leader_term.term > held["crown"], "from before her time"
+        status, answer = await scenario.request(new, "POST", "/v1/report", delayed)
+        assert scenario.controllers[new].leader_term.term > delayed["crown"], "from before her time"
         launches = [
             command for command in (answer or {}).get("calls", []) if command["call"] == "launch"
         ]
-        assert status in (200, 421) and launches == []
+        assert status in (HTTPStatus.OK, HTTPStatus.MISDIRECTED_REQUEST) and launches == []
         await curio.sleep(30.0)
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -59,22 +61,24 @@
         old = scenario.leader()
         assert old is not None
         (job,) = await scenario.submit_running_jobs(1, old, tasks=2, gpus=4.0)
-        first = scenario.busy_workers()[0]
-        held = first.past_heartbeats[0]
-        assert held["frames"] == [], "it shows the machine empty"
-        first.heartbeats_lost_until = first.commands_lost_until = (
+        first_worker = scenario.busy_workers()[0]
+        delayed = first_worker.past_heartbeats[0]
+        assert delayed["frames"] == [], "it shows the machine empty"
+        first_worker.heartbeats_lost_until = first_worker.commands_lost_until = (
             scenario.clock.now + 0.6 * scenario.worker_settings.lease_s
         )
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
-        held = {**held, "tally": 10_000}  # the newest that it hears, and yet from before it
-        await scenario.request(new, "POST", "/v1/report", held)
-        run = [
-            run
-            for run in scenario.controllers[new].leader_term.scheduler.jobs[job].attempts.values()
-            if run.machine == first.name
+        delayed = {**delayed, "tally": 10_000}  # the newest that it hears, and yet from before it
+        await scenario.request(new, "POST", "/v1/report", delayed)
+        attempts = [
+            attempt
+            for attempt in scenario.controllers[new]
+            .leader_term.scheduler.jobs[job]
+            .attempts.values()
+            if attempt.machine == first_worker.name
         ]
-        assert len(run) == 1 and run[0].is_active, "it still counts as possibly running"
+        assert len(attempts) == 1 and attempts[0].is_active, "it still counts as possibly running"
         await curio.sleep(20.0)
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -92,7 +96,7 @@
         for worker in hung:
             worker.hanging_until = scenario.clock.now + 0.6 * scenario.worker_settings.lease_s
         for job in jobs:
-            assert await scenario.cancel(job, leader) == 200
+            assert await scenario.cancel(job, leader) == HTTPStatus.OK
         await scenario.run_users(10, 5.0)
         await curio.sleep(scenario.worker_settings.lease_s)
         assert any(worker.late_commands for worker in hung), "carried out when it went on"
@@ -110,13 +114,13 @@
     async def act(scenario: Scenario) -> None:
         await scenario.start()
         scenario.network.late_write_share = 0.25
-        coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(15.0)
         leader = scenario.leader()
         if leader is not None:
             await scenario.stop(leader)
             await scenario.start_again(leader, 0.5)
-        await coming.join()
+        await submitting.join()
         scenario.network.late_write_share = 0.0
         assert scenario.network.overtaken_writes > 20, "newer ones came before"
         await scenario.wait_for_all_users()
@@ -132,26 +136,26 @@
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 25, 25.0, daemon=True)
-        old = 0
+        submitting = await curio.spawn(scenario.run_users, 25, 25.0, daemon=True)
+        earlier_session_count = 0
         for second in range(40):
             await curio.sleep(1.0)
             workers = list(scenario.cloud.workers.values())
             if second % 8 == 4:  # drawn, there were sometimes none
                 scenario.rng.choice(workers).start_incarnation()
             for worker in workers:
-                past = [
+                older = [
                     heartbeat
                     for heartbeat in worker.past_heartbeats[:-1]
                     if (heartbeat["flight"], heartbeat["tally"])
                     < (worker.incarnation, worker.sequence)
                 ]
-                for heartbeat in scenario.rng.sample(past, min(2, len(past))):
-                    old += heartbeat["flight"] < worker.incarnation
+                for heartbeat in scenario.rng.sample(older, min(2, len(older))):
+                    earlier_session_count += heartbeat["flight"] < worker.incarnation
                     name = scenario.rng.choice(list(scenario.controllers))
                     await scenario.network.hosts[name](worker.host, "POST", "/v1/report", heartbeat)
-        assert old > 5, "some were from earlier sessions"
-        await coming.join()
+        assert earlier_session_count > 5, "some were from earlier sessions"
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
@@ -166,14 +170,16 @@
         leader = scenario.leader()
         assert leader is not None
         jobs = await scenario.submit_running_jobs(3, leader, gpus=2.0)
-        muted = scenario.busy_workers()[:3]
-        for worker in muted:
+        silent = scenario.busy_workers()[:3]
+        for worker in silent:
             worker.heartbeats_lost_until = (
                 scenario.clock.now + 1.5 * scenario.worker_settings.lease_s
             )
         await curio.sleep(1.0)
         for job in jobs[:2]:
-            assert await scenario.cancel(job, scenario.other_controllers(leader)[0]) == 200
+            assert (
+                await scenario.cancel(job, scenario.other_controllers(leader)[0]) == HTTPStatus.OK
+            )
         await scenario.run_users(8, 1.5 * scenario.worker_settings.lease_s)
         await scenario.cancel(jobs[2], leader)
         await scenario.wait_for_all_users()
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -11,7 +12,7 @@
 from tests.fakes.key_value_store import FakeKeyValueStore
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 
-OUTSIDE = [FakeKeyValueStore.HOST, FakeCloud.HOST, "user"]
+EXTERNAL_HOSTS = [FakeKeyValueStore.HOST, FakeCloud.HOST, "user"]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -28,8 +29,8 @@
             for job in scenario.rules.reported_stages
             if job not in scenario.tasks.first_start_at
         ]
-        asked = sum(spec["frames"] * spec["cards"] for spec in waiting)
-        assert asked > 16.0, "more than all machines have"
+        requested_gpus = sum(spec["frames"] * spec["cards"] for spec in waiting)
+        assert requested_gpus > 16.0, "more than all machines have"
         assert len({spec["urgency"] for spec in waiting}) > 1, "urgent and not"
         await scenario.wait_for_all_users()
 
@@ -53,15 +54,15 @@
         await curio.sleep(3 * scenario.worker_settings.heartbeat_interval_s)
         jobs = await scenario.submit_running_jobs(2, leader, gpus=4.0, tasks=2, zone="b")
         await scenario.submit_running_jobs(1, leader, gpus=4.0, tasks=1, zone="a")
-        inside = [worker for worker in scenario.busy_workers() if worker.zone == "b"]
-        sessions = {worker.name: worker.incarnation for worker in inside}
-        assert len(inside) > 2, "too many to be taken for lone silent machines"
-        for other in ["a", *OUTSIDE]:
+        zone_workers = [worker for worker in scenario.busy_workers() if worker.zone == "b"]
+        sessions = {worker.name: worker.incarnation for worker in zone_workers}
+        assert len(zone_workers) > 2, "too many to be taken for lone silent machines"
+        for other in ["a", *EXTERNAL_HOSTS]:
             scenario.network.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
-        assert await scenario.cancel(jobs[0], leader) == 200
+        assert await scenario.cancel(jobs[0], leader) == HTTPStatus.OK
         await curio.sleep(1.4 * scenario.worker_settings.lease_s)
-        kept = [w for w in inside if not w.terminated and w.incarnation == sessions[w.name]]
+        kept = [w for w in zone_workers if not w.terminated and w.incarnation == sessions[w.name]]
         assert kept, "longer than a lease, and not all was lost"
         await curio.sleep(scenario.worker_settings.cancel_s - scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
@@ -79,32 +80,32 @@
         await scenario.start()
         leader = scenario.leader()
         assert leader is not None
-        bound: dict[str, Any] = {"same_place": True, "cards": 2.0, "frames": 4, "run_s": 25.0}
+        zone_bound: dict[str, Any] = {"same_place": True, "cards": 2.0, "frames": 4, "run_s": 25.0}
         jobs = [
-            await scenario.submit(leader, **bound),
-            await scenario.submit(leader, shape="gang", checkpoint_s=5.0, **bound),
-            await scenario.submit(leader, zone="a", **{**bound, "same_place": False}),
+            await scenario.submit(leader, **zone_bound),
+            await scenario.submit(leader, shape="gang", checkpoint_s=5.0, **zone_bound),
+            await scenario.submit(leader, zone="a", **{**zone_bound, "same_place": False}),
         ]
         await scenario.wait_until(
             lambda: all(job in scenario.tasks.first_start_at for job in jobs), 60.0
         )
-        lost = 0
+        lost_tasks = 0
         for _ in range(3):
             await curio.sleep(6.0)
-            hit = [worker for worker in scenario.busy_workers() if worker.zone == "a"]
-            hit = hit or scenario.busy_workers()
-            for worker in hit[:1]:
-                lost += len(worker.active_tasks())
+            victims = [worker for worker in scenario.busy_workers() if worker.zone == "a"]
+            victims = victims or scenario.busy_workers()
+            for worker in victims[:1]:
+                lost_tasks += len(worker.active_tasks())
                 if scenario.rng.random() < 0.5:
                     scenario.cloud.remove(worker)
                 else:
                     worker.start_incarnation()
-        assert lost > 0
+        assert lost_tasks > 0
         await scenario.run_users(6, 5.0)
         await scenario.wait_for_all_users()
         for job in jobs:
             while scenario.rules.reported_stages[job] != "done":
-                await scenario.poll(job, scenario.any_controller())
+                await scenario.poll(job, scenario.random_controller())
                 await curio.sleep(1.0)
                 assert scenario.clock.now - scenario.users.submitted_at[job] < 400.0
 
@@ -118,7 +119,7 @@
 ) -> None:
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 30, 40.0, daemon=True)
         await curio.sleep(8.0)
         scenario.store.max_delay_s = 0.4
         await curio.sleep(8.0)
@@ -136,7 +137,7 @@
         )
         scenario.store.set_down(False)
         scenario.store.max_delay_s = 0.0
-        await coming.join()
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, site, seed))
@@ -155,17 +156,19 @@
         assert old is not None
         jobs = await scenario.submit_running_jobs(4, old, gpus=2.0)
         busy = scenario.busy_workers()
-        at = scenario.clock.now
+        cut_at = scenario.clock.now
         scenario.cut_off(old, [*scenario.controller_names, FakeKeyValueStore.HOST])
         new = await scenario.wait_for_new_leader(old)
-        served = [w for w in busy if w.last_answer_at.get(old, 0.0) > at]
-        assert served, "workers still report to the old one"
+        reporting_to_old = [w for w in busy if w.last_answer_at.get(old, 0.0) > cut_at]
+        assert reporting_to_old, "workers still report to the old one"
         for worker in busy[:hung]:
             worker.hanging_until = scenario.clock.now + scenario.worker_settings.cancel_s
         for job in jobs:
-            assert await scenario.cancel(job, new) == 200
+            assert await scenario.cancel(job, new) == HTTPStatus.OK
             status, body = await scenario.poll(job, old)
-            assert status != 200 or body["stage"] == "aborted", "the old one knows nothing new"
+            assert status != HTTPStatus.OK or body["stage"] == "aborted", (
+                "the old one knows nothing new"
+            )
         await curio.sleep(scenario.worker_settings.cancel_s)
         scenario.network.cuts.clear()
         await scenario.run_users(5, 5.0)
@@ -174,7 +177,7 @@
     scenario = run_scenario(act, monkeypatch, site)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
-    assert scenario.started_late == []
+    assert scenario.started_after_confirmation == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
--- a/tests/test_compound_failures_requests.py
+++ b/tests/test_compound_failures_requests.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 import curio
 import pytest
 
@@ -25,27 +27,27 @@
             await scenario.wait_until(lambda tasks=tasks: tasks <= scenario.tasks.completed, 60.0)  # type: ignore[misc]
             # The worker reports at once; a moment later the job is moved.
             await curio.sleep(scenario.rng.uniform(0.0, 1.2))
-            meet = [
-                await curio.spawn(scenario.cancel, job, scenario.any_controller()),
-                await curio.spawn(scenario.poll, job, scenario.any_controller()),
+            requests = [
+                await curio.spawn(scenario.cancel, job, scenario.random_controller()),
+                await curio.spawn(scenario.poll, job, scenario.random_controller()),
                 await curio.spawn(
                     scenario.request,
-                    scenario.any_controller(),
+                    scenario.random_controller(),
                     "POST",
                     "/api/jobs",
                     scenario.users.specs[job],
                 ),
             ]
-            for task in meet:
+            for task in requests:
                 await task.join()
-            status, body = await scenario.poll(job, scenario.any_controller())
-            assert status == 200
+            status, body = await scenario.poll(job, scenario.random_controller())
+            assert status == HTTPStatus.OK
             outcomes.append(body["stage"])
             status, body = await scenario.request(
                 leader, "POST", "/api/jobs", scenario.users.specs[job]
             )
             scenario.rules.check_answer(job, status, body, True)
-            assert (status, body["stage"]) == (200, outcomes[-1])
+            assert (status, body["stage"]) == (HTTPStatus.OK, outcomes[-1])
             await curio.sleep(2.0)
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
@@ -78,21 +80,21 @@
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
-        coming = await curio.spawn(scenario.run_users, 20, 40.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 20, 40.0, daemon=True)
         await scenario.users.send_unusual_requests(80.0)
         assert scenario.users.unusual_answers == {
-            "repeat": {200},
-            "odd_repeat": {200},
-            "cancel_done": {200},
-            "huge": {422},
-            "lacking": {400},
+            "repeat": {HTTPStatus.OK},
+            "odd_repeat": {HTTPStatus.OK},
+            "cancel_done": {HTTPStatus.OK},
+            "huge": {HTTPStatus.UNPROCESSABLE_ENTITY},
+            "lacking": {HTTPStatus.BAD_REQUEST},
         }
         leader = scenario.leader()
         assert leader is not None
         for path in ("/api/jobs/wk-999999", "/api/jobs/wk-999999/cancel"):
             method = "POST" if path.endswith("cancel") else "GET"
-            assert (await scenario.request(leader, method, path, {}))[0] == 404
-        await coming.join()
+            assert (await scenario.request(leader, method, path, {}))[0] == HTTPStatus.NOT_FOUND
+        await submitting.join()
         await scenario.wait_for_all_users()
 
     scenario = run_scenario(act, monkeypatch)
@@ -110,6 +112,6 @@
             await curio.sleep(0.5)
         for name in scenario.controller_names:
             status, body = await scenario.request(name, "POST", f"/api/jobs/{job}/cancel", {})
-            assert (status, body["stage"]) == (200, "done")
+            assert (status, body["stage"]) == (HTTPStatus.OK, "done")
 
     assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -14,7 +14,7 @@
 
 import tests.fakes.cloud
 from tests.fakes.cloud import FakeCloud
-from tests.fault_injection import POINTS, OperationTrigger
+from tests.fault_injection import TRIGGER_POINTS, OperationTrigger
 from tests.job_specs import MACHINE_TYPE
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.test_scale_out_limits import (
@@ -136,7 +136,7 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", TRIGGER_POINTS)
 def test_many_machines_are_rented_once_each_while_the_leader_changes(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_loopback_operations.py
+++ b/tests/test_loopback_operations.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.pause_scenarios import play_pause
+from tests.pause_scenarios import run_pause_scenario
 
 
 @pytest.mark.parametrize(
@@ -19,10 +19,10 @@
         ("after_answer", "rental"),
     ],
 )
-def test_stopped_executor_goes_on_after_its_successor(
+def test_resumed_former_leader_executes_no_stale_operation(
     point: str, kind: str, tmp_path: Path
 ) -> None:
-    outcome = play_pause(tmp_path, point, kind)
+    outcome = run_pause_scenario(tmp_path, point, kind)
     assert outcome.executed > 0
-    assert outcome.broken == []
-    assert outcome.stale_effect == outcome.returned_twice == 0
+    assert outcome.violations == []
+    assert outcome.stale_unrecorded == outcome.returned_twice == 0
--- a/tests/test_loopback_unlimited_teams.py
+++ b/tests/test_loopback_unlimited_teams.py
@@ -4,13 +4,14 @@
 
 import subprocess
 import sys
+from http import HTTPStatus
 from pathlib import Path
 from typing import Any
 
 import curio
 
 from tests.job_specs import submission_fields
-from tests.loopback import PATIENCE_S, ROOT, LoopbackSimulation, play
+from tests.loopback import EVENT_TIMEOUT_S, ROOT, LoopbackSimulation, run_loopback_scenario
 
 RUN_S = 1000.0
 SUBMIT_TIMEOUT_S = 5.0
@@ -38,9 +39,9 @@
 
 async def submit(simulation: LoopbackSimulation, spec: dict[str, Any]) -> None:
     """Repeat a submission until it is accepted, as users do: a controller may not listen yet."""
-    end = simulation.clock.now + PATIENCE_S
+    end = simulation.clock.now + EVENT_TIMEOUT_S
     status = 0
-    while status not in (200, 201):
+    while status not in (HTTPStatus.OK, HTTPStatus.CREATED):
         assert simulation.clock.now < end, f"not accepted: {status}"
         status, _ = await simulation.users.request("POST", "/api/jobs", spec, SUBMIT_TIMEOUT_S)
         await curio.sleep(RETRY_S)
@@ -52,7 +53,7 @@
     async def act(simulation: LoopbackSimulation) -> None:
         for team in simulation.settings.cluster.teams:
             team.gpus_max = 0.0
-        checked = check_settings(simulation.config("hive-0"))
+        checked = check_settings(simulation.write_settings("hive-0"))
         assert checked.returncode == 0, checked.stderr
         await simulation.start(machines=1)
         spec = {**simulation.users.draw_spec(1), **submission_fields(GANG)}
@@ -70,6 +71,6 @@
             return [task.state for task in tasks].count("running") == GANG["tasks"]
 
         await simulation.wait_until(running, "a running gang")
-        assert len(simulation.elected) == 1, "the leader changed without a fault"
+        assert len(simulation.elections) == 1, "the leader changed without a fault"
 
-    assert play(act, tmp_path).violations == []
+    assert run_loopback_scenario(act, tmp_path).violations == []
--- a/tests/test_operation_records.py
+++ b/tests/test_operation_records.py
@@ -82,7 +82,7 @@
 
 
 def ask(simulation: LoopbackSimulation, *options: str) -> subprocess.Popen[str]:
-    config = str(simulation.config(CONTROLLER_NAMES[0]))
+    config = str(simulation.write_settings(CONTROLLER_NAMES[0]))
     command = [sys.executable, "run.py", "duties", "--config", config, *options]
     pipe = subprocess.PIPE
     return subprocess.Popen(command, cwd=ROOT, stdout=pipe, stderr=pipe, text=True)
@@ -128,7 +128,7 @@
     assert FakeKeyValueStore.HOST in simulation.network.hosts  # made, but not served
     simulation.ports[CONTROLLER_NAMES[0]]["state"] = free_port()
     result = CliRunner().invoke(
-        main, ["duties", "--config", str(simulation.config(CONTROLLER_NAMES[0]))]
+        main, ["duties", "--config", str(simulation.write_settings(CONTROLLER_NAMES[0]))]
     )
     assert result.exit_code == 3 and len(result.stderr.strip().splitlines()) == 1
     assert "state service" in result.stderr
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,7 +10,7 @@
 
 from tests.fakes.cloud import FakeCloud
 from tests.fakes.controllers import start_controller
-from tests.fault_injection import POINTS, OperationTrigger
+from tests.fault_injection import TRIGGER_POINTS, OperationTrigger
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.versions import production
 from topazhold.core.autoscaling import ScaleOutRequest
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("successors", [1, 2])
 @pytest.mark.parametrize("kind", ["return", "rental"])
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", TRIGGER_POINTS)
 def test_paused_executor_does_no_harm_when_it_goes_on_after_its_successors(
     point: str, kind: str, successors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -131,7 +131,7 @@
 
 
 @pytest.mark.parametrize("kind", ["return", "rental"])
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", TRIGGER_POINTS)
 def test_operation_is_completed_once_though_the_store_fails_at_any_point(
     point: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -147,7 +147,7 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-@pytest.mark.parametrize("point", POINTS)
+@pytest.mark.parametrize("point", TRIGGER_POINTS)
 def test_open_operation_outlasts_the_end_of_all_controllers(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -234,7 +234,7 @@
         scenario.store.set_down(True)
         await scenario.wait_until(lambda: worker.terminated)
         await curio.sleep(1.0)
-        assert scenario.cloud.operations.forced == [worker.name]
+        assert scenario.cloud.operations.unrecorded_releases == [worker.name]
         for node in scenario.controllers.values():
             assert worker.name in node.state.released.names()
         await curio.sleep(20.0)
@@ -320,7 +320,7 @@
     """An old leader ignores the record and uses the machine; the next new one leaves it."""
 
     async def act(scenario: Scenario) -> None:
-        scenario.cloud.operations.judges = False  # production records nothing
+        scenario.cloud.operations.checks_enabled = False  # production records nothing
         leader = await begin(scenario)
         trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
         await operation(scenario, leader, "return")
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -46,10 +46,10 @@
 @pytest.mark.parametrize(("seed", "kinds"), DAYS)
 def test_rules_hold(seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch) -> None:
     simulation = play(seed, kinds, monkeypatch)
-    story = "\n".join(simulation.notes[-60:])
-    assert simulation.violations == [], f"seed {seed}\n{story}"
+    last_notes = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], f"seed {seed}\n{last_notes}"
     assert simulation.starts > 20, f"seed {seed}: hardly anything ran"
-    assert simulation.unfinished_jobs() == [], f"seed {seed}\n{story}"
+    assert simulation.unfinished_jobs() == [], f"seed {seed}\n{last_notes}"
 
 
 def test_rules_hold_in_a_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -59,7 +59,7 @@
     simulation = play(
         21, kinds, monkeypatch, jobs=300, trouble_s=15.0, calm_s=150.0, capacity=270, limit=20.0
     )
-    story = "\n".join(simulation.notes[-60:])
-    assert simulation.violations == [], story
+    last_notes = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], last_notes
     assert simulation.starts > 300
-    assert simulation.unfinished_jobs() == [], story
+    assert simulation.unfinished_jobs() == [], last_notes
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -29,7 +29,7 @@
     """The answer with the launch was dropped: the next report lacks the task."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
-    assert launched(harness.heartbeat(attempt.machine, carry_out=False)) == ["wk-000001/0"]
+    assert launched(harness.heartbeat(attempt.machine, apply_commands=False)) == ["wk-000001/0"]
     assert launched(harness.heartbeat(attempt.machine)) == ["wk-000001/0"]
     assert attempt.state is AttemptState.LAUNCH_SENT
     harness.heartbeat(attempt.machine)
@@ -40,7 +40,7 @@
     """A direct command's answer may overtake the launch that is under way."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
-    harness.heartbeat(attempt.machine, carry_out=False)
+    harness.heartbeat(attempt.machine, apply_commands=False)
     harness.sequences[attempt.machine] += 1
     heartbeat = Heartbeat(
         attempt.machine, "x:1", "b1", "a", False, 1, harness.sequences[attempt.machine], 5, []
--- a/tests/test_scheduler_unreachable_machines.py
+++ b/tests/test_scheduler_unreachable_machines.py
@@ -17,7 +17,7 @@
     harness.reserve(job, {"host-0": 1, "host-2": 1})
     harness.plan_and_commit()
     for _ in range(3):
-        harness.heartbeat("host-0", carry_out=False)
+        harness.heartbeat("host-0", apply_commands=False)
         harness.heartbeat("host-2")
     machine = harness.scheduler.machines["host-0"]
     assert machine.command_unreachable and not harness.scheduler.usable(machine, harness.now)
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -34,10 +34,10 @@
 
 
 def assert_no_violations(simulation: Simulation) -> None:
-    story = "\n".join(simulation.notes[-60:])
-    assert simulation.violations == [], story
+    last_notes = "\n".join(simulation.notes[-60:])
+    assert simulation.violations == [], last_notes
     assert simulation.starts > 20, "hardly anything ran"
-    assert simulation.unfinished_jobs() == [], story
+    assert simulation.unfinished_jobs() == [], last_notes
 
 
 @pytest.mark.parametrize(("seed", "kinds"), SERVICE_DAYS)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -332,7 +332,9 @@
             assert scenario.clock.now - asked_at < 3.0, (status, body)
             await curio.sleep(0.1)
             status, body = await scenario.poll(kept, via)
-        assert scenario.started_late == [] and scenario.launched_late == []
+        assert (
+            scenario.started_after_confirmation == [] and scenario.launched_after_confirmation == []
+        )
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -369,6 +371,6 @@
         for job in jobs:
             assert await scenario.cancel(job, leader) == 200
         await scenario.wait_until(lambda: not scenario.present_jobs() & set(jobs), 60.0)
-        assert scenario.started_late == []
+        assert scenario.started_after_confirmation == []
 
     assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -60,15 +60,17 @@
     name = idle_machines(scenario, leader)[0]
     worker = scenario.cloud.workers[name]
     scheduler.release(scheduler.machines[name], "chosen", scenario.clock.now)
-    return Shown(lambda: name in scenario.cloud.operations.returns, lambda: worker.terminated)
+    return Shown(
+        lambda: name in scenario.cloud.operations.recorded_returns, lambda: worker.terminated
+    )
 
 
 async def scale_out(scenario: Scenario, leader: str) -> Shown:
     """A job comes that needs more machines than there are."""
     history, requests = scenario.cloud.operations, scenario.cloud.rented
-    recorded, sent = set(history.rentals), set(requests)
+    recorded, sent = set(history.recorded_rentals), set(requests)
     await scenario.submit(scenario.other_controllers(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
-    return Shown(lambda: history.rentals > recorded, lambda: requests.keys() > sent)
+    return Shown(lambda: history.recorded_rentals > recorded, lambda: requests.keys() > sent)
 
 
 def decide_unrecordable(scenario: Scenario, leader: str) -> None:
@@ -152,7 +154,7 @@
     monkeypatch.setattr(topazhold.settings, "OperatorSettings", unrecorded)
 
     async def act(scenario: Scenario) -> None:
-        scenario.cloud.operations.judges = False  # nothing is recorded
+        scenario.cloud.operations.checks_enabled = False  # nothing is recorded
         leader = await begin(scenario)
         refused = refuse_too_many(scenario)
         decide_unrecordable(scenario, leader)
--- a/tools/pauses.py
+++ b/tools/pauses.py
@@ -13,8 +13,8 @@
 
 import click
 
-from tests.fault_injection import KINDS, POINTS
-from tests.pause_scenarios import PauseOutcome, play_pause
+from tests.fault_injection import OPERATION_KINDS, TRIGGER_POINTS
+from tests.pause_scenarios import PauseOutcome, run_pause_scenario
 
 #: Maximum number of characters printed of a scenario's failure.
 MAX_SHOWN_CHARACTERS = 300
@@ -27,7 +27,7 @@
     operator = f"record_orders: {str(record).lower()}\n"
     with tempfile.TemporaryDirectory() as folder:
         try:
-            return play_pause(Path(folder), point, kind, seed, operator)
+            return run_pause_scenario(Path(folder), point, kind, seed, operator)
         except Exception as exc:  # noqa: BLE001 - a scenario that hangs or crashes is a result, too
             return f"{kind}, {point}, seed {seed}: {type(exc).__name__}: {exc}"
 
@@ -35,17 +35,17 @@
 def table_row(kind: str, point: str, outcomes: list[PauseOutcome | str]) -> str:
     """Format the table row for one kind of operation and one pause point."""
     done = [outcome for outcome in outcomes if not isinstance(outcome, str)]
-    times = sorted(outcome.without_holder_s for outcome in done) or [float("nan")]
+    times = sorted(outcome.failover_s for outcome in done) or [float("nan")]
     cells = [
         kind,
         point.replace("_", " "),
         len(outcomes),
-        sum(outcome.operations for outcome in done),
+        sum(outcome.received for outcome in done),
         sum(outcome.executed for outcome in done),
         sum(outcome.stale for outcome in done),
-        sum(outcome.stale_effect for outcome in done),
+        sum(outcome.stale_unrecorded for outcome in done),
         sum(outcome.returned_twice for outcome in done),
-        ", ".join(sorted({rule for outcome in done for rule in outcome.broken})) or "none",
+        ", ".join(sorted({rule for outcome in done for rule in outcome.violations})) or "none",
         f"{statistics.median(times):.1f}, {times[-1]:.1f}",
         len(outcomes) - len(done),
     ]
@@ -63,8 +63,8 @@
     click.echo("|" + " --- |" * HEADINGS.count(" | ") + " --- |")
     failures: list[str] = []
     with ProcessPoolExecutor(workers) as pool:
-        for kind in KINDS:
-            for point in POINTS:
+        for kind in OPERATION_KINDS:
+            for point in TRIGGER_POINTS:
                 if not record and "record" in point:
                     continue  # a point that needs records
                 runs = [
