--- a/tests/cloud_operation_history.py
+++ b/tests/cloud_operation_history.py
@@ -1,4 +1,4 @@
-"""What the cloud was ordered to do, against what was recorded before."""
+"""Checks the operations that the cloud executes against their records in the store."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from tests.simulation.deployment import Simulation
 
-#: An answer with a launch may be carried out so long after it was made.
+#: Upper bound of the time from a response with a launch command to the launch by the worker.
 MAX_LAUNCH_DELAY_S = 5.0
 
 
 @dataclass(frozen=True)
 class ExecutedOperation:
-    """An order of which something came."""
+    """An operation that had an effect."""
 
     at: float
     source: str
-    leader: str | None  # who held the duties at that moment
-    recorded: bool  # whether a record of it stood in the state service
+    leader: str | None  # the leader at that moment
+    recorded: bool  # whether the store had a record of it
     names: list[str] = field(default_factory=list)
 
     @property
@@ -31,19 +31,23 @@
 
 
 class CloudOperationHistory:
-    """Judges every order that has an effect; `judges` is off where old versions lead."""
+    """Checks every operation that has an effect.
+
+    `checks_enabled` is false while a version leads that records no operations.
+    """
 
     def __init__(self, simulation: Simulation) -> None:
         self._simulation = simulation
         self.checks_enabled = True
-        self.recorded_returns: dict[str, tuple[str, float]] = {}  # machine -> record, since when
-        self.recorded_rentals: set[str] = set()  # names of recorded requests
-        self.received = self.received_stale = 0  # orders that came, carried out or not
+        #: Key and time of the record, by machine.
+        self.recorded_returns: dict[str, tuple[str, float]] = {}
+        self.recorded_rentals: set[str] = set()  # request names
+        self.received = self.received_stale = 0  # executed or not
         self.executed: list[ExecutedOperation] = []
-        self.unrecorded_releases: list[str] = []  # released without a record
+        self.unrecorded_releases: list[str] = []  # machines
 
     def on_stored(self, key: str, data: Any) -> None:
-        """A value was written to the state service."""
+        """Note the record of an operation that is written to the store."""
         if key.startswith(SCALE_OUT_PREFIX):
             self.recorded_rentals.add(data["request"])
         elif key.startswith(SCALE_IN_PREFIX):
@@ -63,7 +67,7 @@
         return value[0]["node"] if value is not None else None
 
     def on_request(self, source: str) -> None:
-        """An order came to the cloud."""
+        """Count an operation that arrives at the cloud."""
         self.received += 1
         self.received_stale += source != self._leader()
 
@@ -74,7 +78,7 @@
         )
 
     def on_release(self, source: str, workers: list[Any]) -> None:
-        """Machines are about to go that were there."""
+        """Check the release of machines that exist; called before they are removed."""
         if not workers:
             return
         names = [worker.name for worker in workers]
@@ -87,13 +91,13 @@
                 self._violate("unrecorded_return", f"{worker.name} by {source}")
 
     def on_rental(self, source: str, request: str, names: list[str]) -> None:
-        """Machines were rented by a request that was not carried out before."""
+        """Check a rental request that is executed for the first time."""
         self._execute(source, names, request in self.recorded_rentals)
         if request not in self.recorded_rentals:
             self._violate("unrecorded_rental", f"{request} by {source}")
 
     def on_launch(self, worker: Any, task_name: str) -> None:
-        """A task comes to a machine, which may have been given up by then."""
+        """Check that no task is launched on a machine that is recorded as returned."""
         record = self.recorded_returns.get(worker.name)
         if record is not None and self._simulation.clock.now - record[1] > MAX_LAUNCH_DELAY_S:
             self._violate("placed_on_returned", f"{task_name} on {worker.name}, {record[0]}")
--- a/tests/compatibility_corpus.py
+++ b/tests/compatibility_corpus.py
@@ -1,8 +1,8 @@
-"""Values and messages as the production version writes them, kept as data.
+"""Collects samples of the values and messages that the production version writes.
 
-`python -m tests.compatibility_corpus` plays two days of the production version alone and writes
-a few of each kind of value and message to `tests/data/production_corpus.json`. It is run again
-when `production` in the deploy file moves on.
+`python -m tests.compatibility_corpus` simulates two days of the production version alone and
+writes samples of each kind of value and message to `tests/data/production_corpus.json`. Run it
+again whenever `production` in `deploy/service.toml` changes.
 """
 
 from __future__ import annotations
@@ -19,15 +19,16 @@
 from topazhold.settings import LaterLimits
 
 CORPUS_FILE = Path(__file__).resolve().parent / "data" / "production_corpus.json"
-#: Samples of each kind: the longest ones, which show the most.
+#: Samples kept of each kind: the longest ones, which use the most fields.
 SAMPLES_PER_KIND = 4
+#: Interval between samplings of the store and of the messages.
 SAMPLING_INTERVAL_S = 0.5
 
 Corpus = dict[str, dict[str, list[Any]]]
 
 
 class CorpusCollector:
-    """The longest values and messages of each kind."""
+    """Keeps the longest values and messages of each kind."""
 
     def __init__(self) -> None:
         self._kinds: dict[tuple[str, str], dict[str, Any]] = {}
@@ -40,7 +41,7 @@
             del samples[min(samples, key=lambda text: (len(text), text))]
 
     def corpus(self) -> Corpus:
-        """All that was kept, by group and kind."""
+        """Return the samples by group and kind."""
         grouped: Corpus = {}
         for (group, kind), samples in sorted(self._kinds.items()):
             grouped.setdefault(group, {})[kind] = [samples[text] for text in sorted(samples)]
@@ -48,13 +49,13 @@
 
 
 def kind_of(key: str) -> str:
-    """The kind of a stored key: its first part, and whether it is a summary of all."""
+    """Return the kind of a stored key: its first part, or `sum/*` for the summary of all zones."""
     first = key.partition("/")[0]
     return "sum/*" if key == "sum/*" else first
 
 
 async def collect(simulation: Simulation, collector: CorpusCollector) -> None:
-    """Look at all that is stored and sent, again and again."""
+    """Periodically add all stored values and sent messages to the collector; runs forever."""
     while True:
         await curio.sleep(SAMPLING_INTERVAL_S)
         for key, (data, _, _) in simulation.store.data.items():
@@ -72,7 +73,7 @@
     collector: CorpusCollector,
     production: bool,
 ) -> None:
-    """Play a day of one version alone; collect what it stores and sends."""
+    """Simulate a day of one version alone and collect what it stores and sends."""
 
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, seed)
@@ -85,12 +86,13 @@
     run_virtual(main, monkeypatch)
 
 
-#: Days on which every kind of value is written: relayed reports need a leader that is cut off.
+#: Seeds and faults of days that together write every kind of value; relayed heartbeats
+#: appear only while a leader is cut off.
 CORPUS_DAYS = [(71, ["crash_leader", "cancel_at_end"]), (72, ["zones_cut", "leader_off_zone"])]
 
 
 def main() -> None:
-    """Write the corpus anew."""
+    """Regenerate the corpus file."""
     collector = CorpusCollector()
     for seed, kinds in CORPUS_DAYS:
         with pytest.MonkeyPatch.context() as patch:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several files of tests share."""
+"""Fixtures shared by several test files."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 @pytest.fixture
 def harness() -> SchedulerHarness:
-    """A scheduler with four ready machines, two in each zone."""
+    """Return a scheduler harness with four ready machines, two in each zone."""
     return SchedulerHarness()
--- a/tests/fault_injection.py
+++ b/tests/fault_injection.py
@@ -1,4 +1,4 @@
-"""Does something to a controller at a chosen point of an order that it sends."""
+"""Triggers a fault at a chosen point of a cloud operation, such as a pause of its sender."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from topazhold.io.http import NoResponseError
 from topazhold.operations.records import SCALE_IN_PREFIX, SCALE_OUT_PREFIX
 
-#: What happened last before the trigger fires: the record arrives (and is refused), the
-#: record is written, the order arrives (and is held by the network), the order is carried out.
+#: When the trigger fires: the record arrives at the store (and is refused), the record is
+#: written, the request arrives at the cloud (and is held back), the request is executed.
 TRIGGER_POINTS = ["before_record", "after_record", "before_answer", "after_answer"]
-#: Where orders go, and under which prefix they are recorded.
+#: Path of the cloud request and key prefix of the record, by kind of operation.
 OPERATION_KINDS = {
     "return": ("/machines/release", SCALE_IN_PREFIX),
     "rental": ("/machines", SCALE_OUT_PREFIX),
@@ -24,7 +24,11 @@
 
 
 class OperationTrigger:
-    """Stands in front of the key-value store and the cloud until the first order comes."""
+    """Intercepts requests to the store and the cloud, and fires once, at the first operation.
+
+    `action` is called with the controller that sent the operation. The request held back at
+    `before_answer` is executed after `delay_s` seconds.
+    """
 
     def __init__(
         self,
@@ -36,7 +40,7 @@
     ) -> None:
         self._point, self._action, self._delay_s = point, action, delay_s
         self._path, self._prefix = OPERATION_KINDS[kind]
-        self.source: str | None = None  # whose order it was
+        self.source: str | None = None  # the controller whose operation fired the trigger
         self._store = hosts[FakeKeyValueStore.HOST]
         self._cloud = hosts[FakeCloud.HOST]
         hosts[FakeKeyValueStore.HOST] = self._on_store
@@ -65,7 +69,7 @@
         is_operation = method == "POST" and path == self._path
         if is_operation and self._fire(source, "before_answer"):
             await curio.spawn(self._execute_late, source, method, path, body, daemon=True)
-            raise NoResponseError("held by the network")
+            raise NoResponseError("held back by the network")
         answer: tuple[int, Any] = await self._cloud(source, method, path, body)
         if is_operation:
             self._fire(source, "after_answer")
--- a/tests/job_specs.py
+++ b/tests/job_specs.py
@@ -1,4 +1,4 @@
-"""Jobs, and the machine type that they run on, as tests describe them."""
+"""Builds the job specs and the machine type that tests use."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from topazhold.wire.cloud import MachineType
 from topazhold.wire.jobs import JobSpec
 
-#: The protocol's names of a job's fields.
+#: Encoded field names of a job, by attribute name.
 _ENCODED_NAMES = {field.name: field.encode_name for field in msgspec.structs.fields(JobSpec)}
 
 
 def submission_fields(fields: dict[str, Any]) -> dict[str, Any]:
-    """A job's fields as a submission's body names them."""
+    """Return a job's fields under the names that the body of a submission has for them."""
     return {_ENCODED_NAMES.get(name, name): value for name, value in fields.items()}
 
 
 def make_spec(number: int = 1, **changes: Any) -> JobSpec:
-    """A gang of two tasks on two GPUs each, but for what is changed."""
+    """Return the spec of a gang of two tasks with two GPUs each, with `changes` applied."""
     fields: dict[str, Any] = {
         "id": f"wk-{number:06d}",
         "job_class": "train",
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,7 +1,7 @@
-"""The real controllers as processes on 127.0.0.1, with the fakes behind sockets.
+"""Runs real controller processes on 127.0.0.1 against the fakes, which listen on sockets.
 
-Every controller has ports of its own for the state service and the cloud, so that the fakes
-know who asks. Times are real; scenarios wait for events.
+Each controller has its own ports for the key-value store and the cloud, so that the fakes can
+tell which controller sent a request. Time is real; scenarios wait for events.
 """
 
 from __future__ import annotations
@@ -33,10 +33,11 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 LOOPBACK = "127.0.0.1"
+#: Heartbeat interval, worker lease and cancellation deadline.
 HEARTBEAT_INTERVAL_S, LEASE_S, CANCEL_S = 0.25, 4.0, 8.0
-#: Time limit of what should come to be.
+#: Timeout of an awaited event.
 EVENT_TIMEOUT_S = 40.0
-#: How often a condition that a scenario waits for is checked.
+#: Interval between checks of a condition that a scenario waits for.
 POLL_INTERVAL_S = 0.02
 
 SETTINGS_TEMPLATE = """
@@ -70,7 +71,7 @@
 
 
 class MonotonicTime(VirtualTime):
-    """The machine's steady clock, where the fakes expect a clock of their own."""
+    """The monotonic clock, for fakes that expect a virtual one."""
 
     def __init__(self) -> None:
         pass
@@ -81,13 +82,14 @@
 
 
 def free_port() -> int:
+    """Return a TCP port that is free at the moment."""
     with socket.socket() as sock:
         sock.bind((LOOPBACK, 0))
         return int(sock.getsockname()[1])
 
 
 class SocketNetwork(Network):
-    """Requests to controllers go over TCP."""
+    """A network that sends requests to controllers over TCP."""
 
     def __init__(self, rng: Any, ports: dict[str, dict[str, int]]) -> None:
         super().__init__(rng)
@@ -103,7 +105,7 @@
 
 
 class SocketCloud(FakeCloud):
-    """Each worker listens on a port of its own."""
+    """A fake cloud whose workers each listen on a port of their own."""
 
     async def add(self, zone: str, spot: bool, boots: bool = True) -> str:
         name = await super().add(zone, spot, boots)
@@ -115,7 +117,7 @@
 
 
 async def serve(port: int, handler: Callable[[], Any], source: str) -> None:
-    """Put a socket in front of a fake."""
+    """Serve a fake's handler over HTTP; `source` is the sender that the fake is told."""
 
     async def handle(request: Request) -> Response:
         path = request.path + (f"?{request.query}" if request.query else "")
@@ -123,7 +125,7 @@
         try:
             status, answer = await handler()(source, request.method, path, body)
         except (NoResponseError, RequestNotSentError):
-            await curio.sleep(EVENT_TIMEOUT_S)  # whoever asked gives up before
+            await curio.sleep(EVENT_TIMEOUT_S)  # longer than the client's timeout
             return Response(HTTPStatus.SERVICE_UNAVAILABLE)
         return Response(status, answer)
 
@@ -131,7 +133,7 @@
 
 
 class LoopbackSimulation(Simulation):
-    """Three controllers of the real program, and everything around them."""
+    """Three real controller processes, with the store, cloud, workers and users simulated."""
 
     def __init__(self, seed: int, folder: Path, operator: str, capacity: int = 9) -> None:
         self.ports = {
@@ -159,14 +161,14 @@
             self.elections.append((self.clock.now, data["node"]))
 
     def leader(self) -> str | None:
-        """Who holds the leadership key."""
+        """Return the holder of the leader key."""
         value = self.store.data.get(LEADER_KEY)
         return value[0]["node"] if value is not None else None
 
     # -- processes -------------------------------------------------------------
 
     def write_settings(self, name: str) -> Path:
-        """The settings file of a controller."""
+        """Write the settings file of a controller and return its path."""
         path = self.folder / f"{name}.toml"
         seeds = "".join(
             SEED_TEMPLATE.format(name=other, zone=ZONES[other], peers=self.ports[other]["peers"])
@@ -192,7 +194,7 @@
         return path
 
     def start_process(self, name: str) -> None:
-        """Start a controller process."""
+        """Start a controller process; its log is appended to a file."""
         command = [sys.executable, "run.py", "--config", str(self.write_settings(name))]
         command += ["--operator", str(self.folder / "operator.textproto")]
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -212,10 +214,10 @@
     def read_log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
 
-    # -- a scenario -----------------------------------------------------------------
+    # -- scenario steps -----------------------------------------------------------------
 
     async def start(self, machines: int) -> None:
-        """Start everything, and wait for a leader."""
+        """Start the fakes, the machines and the controllers, and wait for a leader."""
         for name, ports in self.ports.items():
             for host in (FakeKeyValueStore.HOST, FakeCloud.HOST):
                 port = ports["state" if host == FakeKeyValueStore.HOST else "cloud"]
@@ -232,12 +234,15 @@
         return lambda: self.network.hosts[host]
 
     async def wait_until(
-        self, condition: Callable[[], Any], event: str = "it", max_s: float = EVENT_TIMEOUT_S
+        self,
+        condition: Callable[[], Any],
+        event: str = "a condition",
+        max_s: float = EVENT_TIMEOUT_S,
     ) -> None:
-        """Wait for an event; the time limit only ends what hangs."""
+        """Wait until `condition` is true; the timeout only ends a scenario that hangs."""
         end = self.clock.now + max_s
         while not condition():
-            assert self.clock.now < end, f"{event} never came to be"
+            assert self.clock.now < end, f"timed out waiting for {event}"
             await curio.sleep(POLL_INTERVAL_S)
 
 
@@ -247,7 +252,7 @@
     seed: int = 1,
     operator: str = "record_orders: true\n",
 ) -> LoopbackSimulation:
-    """Run a scenario with real processes; they are ended whatever happens."""
+    """Run a scenario with real processes, which are killed even if it fails."""
     simulations: list[LoopbackSimulation] = []
 
     async def main() -> None:
@@ -257,7 +262,7 @@
             await act(simulation)
         finally:
             simulation.kill_all()
-            await curio.sleep(0.2)  # the last connections end before the kernel does
+            await curio.sleep(0.2)  # lets the last connections close before the curio kernel stops
 
     curio.run(main)
     return simulations[0]
--- a/tests/pause_scenarios.py
+++ b/tests/pause_scenarios.py
@@ -1,4 +1,4 @@
-"""A controller process is stopped at a point of an order, replaced, and continued."""
+"""Pauses the leader process in the middle of an operation and resumes it after a failover."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from tests.fault_injection import OperationTrigger
 from tests.loopback import LEASE_S, LoopbackSimulation, run_loopback_scenario
 
-#: An order that the network holds is carried out so long after it was sent, and the stopped
-#: process goes on so long after its successor was elected.
+#: Time from sending a request that the network holds back to its execution by the cloud.
 ORDER_DELAY_S = 8.0
+#: Time from the election of the successor to the resumption of the paused process.
 RESUME_DELAY_S = 1.0
-#: What a continued process may still do shows within this time.
+#: Time after the resumption within which operations of the resumed process are observed.
 OBSERVATION_S = 3.0
 
 
 @dataclass(frozen=True)
 class PauseOutcome:
-    """What one scenario has shown."""
+    """The counts and measurements of one scenario."""
 
-    received: int  # that came to the cloud
-    executed: int  # of which something came
-    stale: int  # sent by who did not hold the duties any more
-    stale_unrecorded: int  # of these, with an effect that no open record allowed
-    returned_twice: int  # machines with two decisions
-    violations: list[str]  # rules, these included
-    failover_s: float  # from the stop to the next election
+    received: int  # operations that arrived at the cloud
+    executed: int  # operations that had an effect
+    stale: int  # operations received from a controller that was not the leader
+    stale_unrecorded: int  # stale operations that had an effect without a record
+    returned_twice: int  # machines with two records that return them
+    violations: list[str]  # names of the violated rules, those above included
+    failover_s: float  # time from the pause to the next election
 
 
 def run_pause_scenario(
     folder: Path, point: str, kind: str, seed: int = 1, operator: str = "record_orders: true\n"
 ) -> PauseOutcome:
-    """Stop the leader at a point of its first order, let another lead, let the first go on."""
+    """Pause the leader at `point` of its first operation of `kind`; resume it after failover."""
     stopped_at: list[float] = []
     elected_at: list[float] = []
 
@@ -43,7 +43,7 @@
             simulation.pause(source)
             stopped_at.append(simulation.clock.now)
 
-        # Of four machines some stay idle and are returned; two are too few for three users.
+        # With four machines some stay idle and are returned; two are too few for three users.
         trigger = OperationTrigger(
             simulation.network.hosts, point, kind, pause_leader, ORDER_DELAY_S
         )
--- a/tests/random_days.py
+++ b/tests/random_days.py
@@ -1,4 +1,4 @@
-"""Days whose jobs and faults are drawn from a seed."""
+"""Random days: simulations whose jobs and faults are drawn from a seed."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
-#: Kinds of faults, by what they hit; one that stands twice is drawn twice as often. Their
-#: names are those of `tests.simulation.faults.FAULTS`.
+#: Kinds of faults, by the component they affect; a kind listed twice is drawn twice as often.
+#: The names are those of `tests.simulation.faults.FAULTS`.
 CONTROLLERS = ["crash", "crash", "crash_leader", "crash_all", "roll", "crash_election"]
 NETWORK = [
     "zones_cut",
@@ -28,7 +28,7 @@
 ALL = CONTROLLERS + NETWORK + OUTSIDE + MACHINES
 
 
-def play(  # noqa: PLR0913 - a day has many settings, all named where it is called
+def play(  # noqa: PLR0913 - a day has many settings, passed by keyword
     seed: int,
     kinds: list[str],
     monkeypatch: Any,
@@ -40,10 +40,10 @@
     services: float = 0.0,
     later: LaterLimits | None = None,
 ) -> Simulation:
-    """Play a day with faults of these kinds; whoever calls checks what came of it.
+    """Run a day with faults of these kinds; the caller checks the result.
 
-    `limit` multiplies the teams' quotas, `services` is the share of jobs that are services,
-    and with `later` the day begins with the production version, which is upgraded.
+    `limit` multiplies the teams' quotas. `services` is the share of jobs that are services.
+    With `later`, the day starts on the production version and upgrades to the current one.
     """
     simulations: list[Simulation] = []
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios: a few controllers, machines and jobs, with faults set up by hand."""
+"""Scripted scenarios: a small simulated cluster whose jobs and faults are set by a test."""
 
 from __future__ import annotations
 
@@ -19,19 +19,21 @@
 from topazhold.io.http import NoResponseError, RequestNotSentError
 from topazhold.wire.codec import unpack
 
-#: Report period, lease and time for a cancellation of the two sites.
+#: Heartbeat interval, worker lease and cancellation deadline of each site, in seconds.
 SITES = {"hive": (2.0, 13.0, 33.0), "maps": (4.0, 24.0, 49.0)}
+#: Run time of a task that does not end within a scenario; also stands for the removal time
+#: of a task that is still there.
 LONG_RUN_S = 5000.0
-#: Longer than a message is under way.
+#: Upper bound of the time a message is in flight.
 MAX_MESSAGE_DELAY_S = 0.05
-#: How often a condition that a test waits for is checked.
+#: Interval between checks of a condition that a test waits for.
 POLL_INTERVAL_S = 0.01
-#: How long a user waits for an answer.
+#: Timeout of a request that a test sends as a user.
 REQUEST_TIMEOUT_S = 5.0
 
 
 class Scenario(Simulation):
-    """A simulation without users or faults of its own; the test says what happens."""
+    """A simulation whose users and faults are driven by a test."""
 
     def __init__(self, clock: VirtualTime, seed: int, site: str) -> None:
         super().__init__(clock, seed, capacity=8)
@@ -41,11 +43,9 @@
             settings.cluster.teams[0].gpus_max = settings.cluster.teams[1].gpus_max = 100.0
         self.worker_settings = self.settings.cluster.workers
         self.job_number = 0
-        self.tasks_removed_at: dict[
-            str, float
-        ] = {}  # cancelled jobs, by when the last task was gone
-        self.started_after_confirmation: list[str] = []  # tasks that started after a confirmation
-        self.launched_after_confirmation: list[str] = []  # whose launch can't have left before it
+        self.tasks_removed_at: dict[str, float] = {}  # by cancelled job: removal of its last task
+        self.started_after_confirmation: list[str] = []  # tasks, by name
+        self.launched_after_confirmation: list[str] = []  # tasks whose launch was sent after it
         self.background_users: list[Any] = []
 
     def task_launched(self, worker: FakeWorker, task_name: str) -> None:
@@ -74,16 +74,16 @@
                 self.tasks_removed_at.setdefault(job, self.clock.now)
 
     def longest_removal_s(self) -> float:
-        """How long after its confirmation the latest job's last task was gone."""
+        """Return the longest time from a confirmed cancellation to the removal of the last task."""
         return max(
             self.tasks_removed_at.get(job, LONG_RUN_S) - at
             for job, at in self.rules.cancel_confirmed_at.items()
         )
 
-    # -- what a test does -----------------------------------------------------
+    # -- actions and queries of a test -----------------------------------------------------
 
     async def start(self, machines: int = 6) -> None:
-        """Start all controllers and some machines, and wait for a leader."""
+        """Start all controllers and `machines` machines, and wait for a leader."""
         for name in self.controller_names:
             await start_controller(self, name)
         for number in range(machines):
@@ -92,14 +92,14 @@
         await self.wait_until(lambda: self.leader() is not None)
 
     async def wait_until(self, condition: Callable[[], Any], max_s: float = 60.0) -> None:
-        """Wait until something is so; an assertion fails if it never is."""
+        """Wait until `condition` is true; fail the test after `max_s` seconds."""
         end = self.clock.now + max_s
         while not condition():
-            assert self.clock.now < end, "it never came to be"
+            assert self.clock.now < end, "timed out waiting for a condition"
             await curio.sleep(POLL_INTERVAL_S)
 
     def leader(self) -> str | None:
-        """The loaded leader with the newest token."""
+        """Return the loaded leader with the highest fencing token."""
         leading = [
             (fencing_token(controller), name)
             for name, controller in self.controllers.items()
@@ -108,23 +108,23 @@
         return max(leading)[1] if leading else None
 
     def other_controllers(self, name: str | None) -> list[str]:
-        """The controllers that are up, but for this one."""
+        """Return the running controllers other than `name`."""
         return [
             other for other in self.controller_names if other != name and other in self.controllers
         ]
 
     def random_controller(self) -> str:
-        """A controller drawn from all, whether it is up or not."""
+        """Return a random controller, which may be stopped."""
         return self.rng.choice(self.controller_names)
 
     def present_jobs(self) -> set[str]:
-        """The jobs with a task that has started and not ended."""
+        """Return the jobs with a task that has started and not ended."""
         return {
             task.job for worker in self.cloud.workers.values() for task in worker.active_tasks()
         }
 
     async def submit(self, via: str, run_s: float = LONG_RUN_S, **changes: Any) -> str:
-        """A job that is accepted by this controller."""
+        """Submit a job through controller `via`, which must accept it, and return its id."""
         self.job_number += 1
         spec = {
             **self.users.draw_spec(self.job_number),
@@ -153,7 +153,7 @@
         return job
 
     async def submit_running_jobs(self, count: int, via: str, **changes: Any) -> list[str]:
-        """So many jobs, all their tasks on machines."""
+        """Submit `count` jobs, wait until all their tasks run, and return the jobs' ids."""
         jobs = [await self.submit(via, **changes) for _ in range(count)]
         tasks = sum(self.users.specs[job]["frames"] for job in jobs)
 
@@ -170,7 +170,7 @@
         return jobs
 
     async def request(self, via: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        """Ask this controller; no answer is status 0."""
+        """Send a request to controller `via`; the status is 0 if no answer arrives."""
         try:
             status, data = await self.network.request(
                 "user", via, method, path, body, REQUEST_TIMEOUT_S
@@ -180,14 +180,14 @@
         return status, unpack(data) if data else None
 
     async def cancel(self, job: str, via: str) -> int:
-        """Ask one controller to cancel; the checker hears the answer."""
+        """Cancel a job through one controller; the rule checker checks the answer."""
         self.rules.cancel_requested.add(job)
         status, body = await self.request(via, "POST", f"/api/jobs/{job}/cancel", {})
         self.rules.check_answer(job, status, body, False)
         return status
 
     async def poll(self, job: str, via: str) -> tuple[int, Any]:
-        """Ask one controller about a job; the checker hears the answer."""
+        """Query a job through one controller; the rule checker checks the answer."""
         sent = self.clock.now
         status, body = await self.request(via, "GET", f"/api/jobs/{job}", None)
         self.rules.check_answer(job, status, body, False, sent)
@@ -198,37 +198,40 @@
         await stop_controller(self, name)
 
     async def start_again(self, name: str, after_s: float = 0.0) -> None:
-        """Start a controller after a while, unless it is up by then."""
+        """Start a controller after `after_s` seconds, unless it is running by then."""
         await curio.sleep(after_s)
         if name not in self.controllers:
             await start_controller(self, name)
 
     async def wait_for_new_leader(self, old_leader: str | None, max_s: float = 30.0) -> str:
-        """Wait until another one leads than `old`."""
+        """Wait until a controller other than `old_leader` leads, and return it."""
         await self.wait_until(lambda: self.leader() not in (None, old_leader), max_s)
         new_leader = self.leader()
         assert new_leader is not None
         return new_leader
 
     def cut_off(self, one: str, others: list[str]) -> None:
-        """Let nothing pass between one host and others, or zones."""
+        """Drop all messages between one host or zone and each of `others`."""
         self.network.cuts |= {frozenset((one, other)) for other in others if other != one}
 
     def busy_workers(self) -> list[FakeWorker]:
-        """The workers with a task that has started."""
+        """Return the workers with a task that has started and not ended."""
         return [worker for worker in self.cloud.workers.values() if worker.active_tasks()]
 
-    # -- users in the background --------------------------------------------------
+    # -- background users --------------------------------------------------
 
     async def run_users(self, jobs: int, duration_s: float) -> None:
-        """Users submit, ask and cancel for some time, and go on until all is over."""
+        """Start users that submit, poll and cancel jobs, over about `duration_s` seconds.
+
+        Each user goes on in the background until its job has ended.
+        """
         for number in range(jobs):
             user = await curio.spawn(self.users.follow_job, 500000 + number, daemon=True)
             self.background_users.append(user)
             await curio.sleep(self.rng.uniform(0.0, 2 * duration_s / jobs))
 
     async def wait_for_all_users(self, max_s: float = 500.0) -> None:
-        """The faults are over: every job ends, and none is left waiting."""
+        """Assert that, once the faults are over, every job ends and none starves."""
         self.rules.faults_over_at = self.clock.now + SETTLING_S
         await self.wait_until(lambda: all(user.terminated for user in self.background_users), max_s)
         assert not self.users.polled
@@ -241,7 +244,7 @@
     site: str = "hive",
     seed: int = 1,
 ) -> Scenario:
-    """Play what `act` does; whoever calls checks the rules."""
+    """Run `act` on a new scenario and return it; the caller checks the rules."""
     scenarios: list[Scenario] = []
 
     async def main(clock: VirtualTime) -> None:
@@ -257,5 +260,5 @@
 
 
 def assert_no_violations(scenario: Scenario) -> None:
-    """No rule was broken; else the last lines of the day's story."""
+    """Assert that no rule was violated; a failure shows the last notes of the run."""
     assert scenario.violations == [], "\n".join(scenario.notes[-40:])
--- a/tests/scheduler_harness.py
+++ b/tests/scheduler_harness.py
@@ -1,4 +1,4 @@
-"""A scheduler without anything around it, driven step by step."""
+"""Drives a scheduler step by step, without a controller, store or network."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class SchedulerHarness:
-    """A scheduler with ready machines, driven by hand."""
+    """A scheduler with ready machines whose heartbeats are sent by the test."""
 
     def __init__(self, machines: int = 4, term: int = 5) -> None:
         self.now = 100.0
@@ -33,19 +33,19 @@
             self.heartbeat(f"host-{number}", zone="ab"[number % 2])
 
     def add_job(self, spec: JobSpec) -> Job:
-        """A job is accepted now."""
+        """Add a job that is accepted now."""
         job = Job(spec, self.now, self.now + 1e9, "hive-0")
         self.scheduler.add_job(job)
         return job
 
     def reserve(self, job: Job, slots: dict[str, int], serial: int = 1) -> Reservation:
-        """Reserve places for a gang on machines, with so many tasks on each."""
+        """Reserve resources for a gang; `slots` maps machines to numbers of tasks."""
         reservation = Reservation(job.id, slots, job.need, 0.0, serial, 1e9, True, queue_key(job))
         self.reservation_table.reservations.setdefault("hive-0", {})[job.id] = reservation
         return reservation
 
     def plan_and_commit(self) -> list[TaskAttempt]:
-        """Plan, and write the intents of what was planned."""
+        """Plan, mark the intents of the planned attempts as written, and return the attempts."""
         attempts = self.scheduler.plan(self.now)
         self.scheduler.intents_written(attempts, self.now)
         return attempts
@@ -59,7 +59,10 @@
         notice_s: float | None = None,
         apply_commands: bool = True,
     ) -> list[Command]:
-        """A worker's heartbeat with the tasks that it has; the commands that it gets."""
+        """Send a worker's heartbeat and return the commands in the response.
+
+        `apply_commands` is false for a response that the worker does not receive.
+        """
         message = self.next_heartbeat(name, zone, term, incarnation, notice_s)
         machine = self.scheduler.on_heartbeat(message, False, self.now)
         if machine is None:
@@ -77,7 +80,7 @@
         incarnation: int = 1,
         notice_s: float | None = None,
     ) -> Heartbeat:
-        """What a worker reports next."""
+        """Return the next heartbeat of a worker."""
         self.sequences[name] = self.sequences.get(name, 0) + 1
         machine = self.scheduler.machines.get(name)
         return Heartbeat(
@@ -94,7 +97,7 @@
         )
 
     def _apply_commands(self, name: str, commands: list[Command]) -> None:
-        """The worker launches and clears tasks; kills show only once a test says so."""
+        """Apply launches and clears to a worker's tasks; a test sets the effect of a kill."""
         tasks = self.tasks[name]
         for command in commands:
             key = (command.task_name, command.attempt_number)
@@ -106,12 +109,12 @@
     def set_task_states(
         self, name: str, new_state: str, cause: str | None = None, kept: bool = False
     ) -> None:
-        """All tasks on a machine enter a stage."""
+        """Set the state of all tasks on a machine."""
         for task in self.tasks[name].values():
             task.state, task.cause, task.checkpoint_saved = new_state, cause, kept
 
     def all_heartbeats(self) -> list[Command]:
-        """Every worker sends a heartbeat; the commands to all."""
+        """Send a heartbeat of every worker and return the commands in the responses."""
         commands = []
         for name in list(self.scheduler.machines):
             commands += self.heartbeat(name)
--- a/tests/test_cancellation_records.py
+++ b/tests/test_cancellation_records.py
@@ -1,4 +1,4 @@
-"""What a controller keeps of cancellations, tells its peers, and does about them alone."""
+"""A controller's cancellation records: storage, exchange with peers, and enforcement."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     assert not sender.add("wk-3", 1000.0, 1000.0)
     for incarnation in ("there-1", "there-2"):
         receiver = Cancellations(incarnation, 30.0, 10.0)
-        sender.record_acknowledgement("there", "", -1)  # it has just started
+        sender.record_acknowledgement("there", "", -1)  # the peer has just started
         messages = 0
         while (changes := sender.changes_for("there")) is not None:
             receiver.receive("here", sender.incarnation, *changes, 1001.0)
@@ -37,7 +37,7 @@
 
 
 def test_record_takes_nothing_out_of_order() -> None:
-    """A lost message must not be taken for had: its jobs would never be told."""
+    """A lost message must not count as received: its jobs would never be sent again."""
     receiver = Cancellations("there-1", 30.0, 10.0)
     assert receiver.receive("here", "b", 5, 7, [["wk-7", 1000.0]], 1000.0) == []
     assert receiver.receipts()["here"] == ["b", -1]
@@ -62,13 +62,15 @@
     placement_hints.update_from_heartbeat(heartbeat(4, ["wk-1"]))
     assert placement_hints.machines_of(frozenset(["wk-1"])) == {}
     placement_hints.update_from_leader(2, [["host-1", "h:1", ["wk-1"]]])
-    assert placement_hints.machines_of(frozenset(["wk-1"])) == {}, "an earlier leader's word"
+    assert placement_hints.machines_of(frozenset(["wk-1"])) == {}, (
+        "a message of an earlier leader was applied"
+    )
 
 
 def test_enforcer_releases_only_machines_of_jobs_that_no_other_handles(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Not before the last moment, and only if nobody else has seen to the job."""
+    """It releases them only near the deadline, and only if no other controller handled the job."""
     released: list[tuple[float, list[str]]] = []
     announced: list[list[str]] = []
     handled = {"wk-1": False}
@@ -111,7 +113,7 @@
         for _ in range(14):
             await cancellation_enforcer.round()
             await curio.sleep(0.01 * cancel_s)
-        assert [names for _, names in released] == [["host-1"]], "at the last moment"
-        assert announced == [["host-1"]], "the others learn of it"
+        assert [names for _, names in released] == [["host-1"]], "released once, near the deadline"
+        assert announced == [["host-1"]], "the peers are informed of the release"
 
     run_virtual(main, monkeypatch)
--- a/tests/test_cancellations.py
+++ b/tests/test_cancellations.py
@@ -1,7 +1,8 @@
-"""Cancellations that meet an outage: every task is gone within `cancel_s` all the same.
+"""Cancellations during a store outage: every task must still be removed within `cancel_s`.
 
-The state service refuses the leader alone, another controller confirms, then the
-service is down for all, for longer than `cancel_s`, while workers go on reporting.
+The key-value store refuses the leader alone, another controller confirms the cancellation, and
+then the store is down for all controllers for longer than `cancel_s`, while workers keep
+sending heartbeats.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 async def nothing(scenario: Scenario, leader: str, confirmer: str) -> None:
-    """No further fault."""
+    """Cause no further fault."""
 
 
 async def confirmer_ends(scenario: Scenario, leader: str, confirmer: str) -> None:
@@ -37,12 +38,12 @@
 
 
 async def leader_ends(scenario: Scenario, leader: str, confirmer: str) -> None:
-    """Workers go to the followers, which keep them."""
+    """The workers switch to the followers, which extend their leases."""
     await scenario.stop(leader)
 
 
 async def all_but_confirmer_restart(scenario: Scenario, leader: str, confirmer: str) -> None:
-    """Controllers that came up in the outage, with nothing but what a peer tells them."""
+    """Controllers started during the outage know only what a peer sends them."""
     for name in scenario.other_controllers(confirmer):
         await scenario.stop(name)
     await curio.sleep(1.0)
@@ -52,7 +53,7 @@
 
 
 async def all_restart(scenario: Scenario, leader: str, confirmer: str) -> None:
-    """Nobody is left who could know: then nobody may keep a worker."""
+    """No controller knows of the cancellations, so none may extend a worker's lease."""
     for name in list(scenario.controllers):
         await scenario.stop(name)
     await curio.sleep(1.0)
@@ -75,9 +76,9 @@
     prepare: Callable[[Scenario], None] | None = None,
     peers_connected: bool = True,
 ) -> Scenario:
-    """The store refuses the leader alone, jobs are cancelled, the store is out for all.
+    """Cancel jobs while the store refuses the leader alone, then take the store down for all.
 
-    `before` is set up with the refusal.
+    `prepare` is called just before the store starts to refuse the leader.
     """
 
     async def act(scenario: Scenario) -> None:
@@ -94,7 +95,7 @@
         await curio.sleep(0.3)
         for job in jobs:
             assert await scenario.cancel(job, confirmer) == HTTPStatus.OK
-        assert scenario.leader() == leader, "the old leader leads still"
+        assert scenario.leader() == leader, "the old leader no longer leads"
         scenario.store.set_down(True)
         scenario.store.refused_controllers.clear()
         await further_fault(scenario, leader, confirmer)
@@ -128,14 +129,16 @@
 def test_leader_after_the_outage_waits_for_heartbeats_before_it_releases(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The intents still name the tasks that were killed in the outage."""
-    reasons: list[tuple[int, str]] = []  # by term: the ended process is only cut off here
+    """The stored intents still name the tasks that were killed during the outage."""
+    # Term and reason; by term, as the code of a stopped controller may run on in a simulation.
+    reasons: list[tuple[int, str]] = []
     terms: list[int] = []
     scenarios: list[Scenario] = []
     release = ClusterState.release
 
     def record_release(self: ClusterState, machine: Any, reason: str, now: float) -> None:
-        if scenarios and machine.name in scenarios[0].cloud.workers:  # others are gone in fact
+        # Machines that do not exist any more are left out.
+        if scenarios and machine.name in scenarios[0].cloud.workers:
             reasons.append((self.term, reason))
         release(self, machine, reason, now)
 
@@ -152,7 +155,7 @@
             for machine_state in scenario.controllers[new].leader_term.scheduler.machines.values()
             if machine_state.attempts
         ]
-        assert len(occupied) > 3, "as far as she knows the tasks may be there"
+        assert len(occupied) > 3, "the new leader must assume that the tasks may still run"
         await curio.sleep(4 * scenario.worker_settings.heartbeat_interval_s)
         scenario.store.set_down(True)
 
@@ -169,7 +172,7 @@
 def test_controller_that_confirmed_ends_the_tasks_without_its_peers(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No controller hears another: the confirmer sees to it itself."""
+    """The controllers can't reach each other: the confirming one ends the tasks itself."""
     scenario = cancel_before_outage(nothing, monkeypatch, site, peers_connected=False)
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.7 * scenario.worker_settings.cancel_s
@@ -196,7 +199,7 @@
     peers_connected: bool,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What can't be shown to be gone takes its machine with it, without the state service."""
+    """A machine whose tasks may still run is released, even without the key-value store."""
 
     healthy: list[FakeWorker] = []
 
@@ -213,14 +216,14 @@
     assert_no_violations(scenario)
     assert scenario.longest_removal_s() < 0.8 * scenario.worker_settings.cancel_s
     released = [worker.name for worker in healthy if worker.terminated]
-    assert released == [], "machines that show their tasks gone are not released"
+    assert released == [], "machines were released though they reported that their tasks ended"
 
 
 @pytest.mark.parametrize("site", SITES)
 def test_leader_that_could_not_load_still_ends_cancelled_tasks(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its token voids the old leader's commands, so it has to kill without a scheduler."""
+    """Its fencing token voids the old leader's commands, so it must kill without a scheduler."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -257,7 +260,7 @@
 
 
 def cancel_during_launch(monkeypatch: pytest.MonkeyPatch, seed: int, states: list[str]) -> Scenario:
-    """Jobs cancelled as soon as one of their tasks is in one of these states."""
+    """Cancel jobs as soon as one of their tasks is in one of these states, in a store outage."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -266,7 +269,7 @@
         confirmer = scenario.other_controllers(leader)[0]
         for _ in range(4):
             if states == ["written"]:
-                # No report comes that the launch could go out with, for a moment.
+                # Hanging workers send no heartbeats whose responses could carry the launch.
                 await curio.sleep(2 * scenario.worker_settings.heartbeat_interval_s)
                 for worker in scenario.cloud.workers.values():
                     worker.hanging_until = scenario.clock.now + 1.0
@@ -304,16 +307,16 @@
 def test_nothing_is_launched_after_its_cancellation_is_confirmed(
     seed: int, states: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Cancelled between intent and launch, or while the launch is on its way."""
+    """The job is cancelled between intent and launch, or while the launch is in flight."""
     scenario = cancel_during_launch(monkeypatch, seed, states)
     assert_no_violations(scenario)
-    # A launch that had left already may start its task before the kill is there.
+    # A launch already in flight may start its task before the kill arrives.
     assert scenario.longest_removal_s() < 3 * scenario.worker_settings.heartbeat_interval_s
     assert scenario.launched_after_confirmation == []
 
 
 def test_scenario_catches_launches_that_are_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A leader that goes on launching what a peer has told it is cancelled."""
+    """The variant's leader goes on launching jobs that a peer reported as cancelled."""
 
     async def ignore(self: Any, job_id: str, at: float) -> None:
         pass
@@ -329,7 +332,7 @@
     assert any(late)
 
 
-# -- broken variants: each mechanism is needed by one of the scenarios -------------
+# -- broken variants: without a mechanism, one of the scenarios must fail -----------
 
 
 def disable_enforcer(patch: pytest.MonkeyPatch) -> None:
@@ -351,8 +354,11 @@
 def fails_on_some_seed(
     further_fault: FurtherFault, monkeypatch: pytest.MonkeyPatch, peers_connected: bool = True
 ) -> bool:
-    """Whether a cancelled task runs on. Which controller a worker is with is drawn, and with
-    one that knows of the cancellation it is killed also in a broken variant."""
+    """Return whether a cancelled task runs on with any of several seeds.
+
+    The seed decides which controller a worker reports to; one that knows of the cancellation
+    kills the task even in a broken variant.
+    """
     for seed in range(1, 9):
         with monkeypatch.context() as scenario_patch:
             if (
@@ -366,7 +372,7 @@
 
 
 def test_checker_catches_answers_without_kills(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Those who keep workers without a scheduler, the leader that led among them ended."""
+    """The leader ends; the followers extend leases in the variant but send no kills."""
     disable_enforcer(monkeypatch)
     assert cancel_before_outage(leader_ends, monkeypatch, "hive").violations == []
     monkeypatch.setattr(
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Production and current version read what the other stores and sends, to the same meaning."""
+"""The production and the current version decode each other's stored values and messages alike."""
 
 from __future__ import annotations
 
@@ -29,19 +29,22 @@
 from topazhold.core.jobs import TASKS_PER_PART, Job
 from topazhold.wire import messages as wire
 
+#: Wall-clock and monotonic time at which values are read.
 WALL_TIME_S, CLOCK_S = 1.7e9 + 2000.0, 500.0
-#: Every kind of value and message that the two versions share.
+#: Kinds of stored values that both versions know.
 STORED_KINDS = {"crown", "hold", "live", "on", "over", "queen", "relay", "sum", "sum/*"}
-#: Kinds that production does not know and leaves alone: records of open orders, which an old
-#: leader does without, and which the next new one completes or drops (`test_operations`).
+#: Kinds that production does not know and leaves alone: records of open operations. A leader of
+#: the old version works without them; the next leader of the new one completes or drops them
+#: (`test_operations`).
 NEW_STORED_KINDS = {"duty"}
-#: Tags that production drops: they are hints for controllers that know them.
+#: Tags of messages that production drops: hints that only newer controllers use.
 NEW_MESSAGE_TAGS = {"released"}
+#: Tags of messages that both versions know.
 MESSAGE_TAGS = {"cancelled", "ping", "placed", "receipt", "relay", "summary"}
 
 
 def decoded_job(job: Any) -> Any:
-    """What a version has understood of a job."""
+    """Return the comparable content of a decoded job."""
     return (
         msgspec.to_builtins(member(job, "spec")),
         bytes(member(job, "completed")),
@@ -100,7 +103,7 @@
 
 
 def decode_stored(version: Version, key: str, data: Any) -> Any:
-    """What a version reads out of a stored value."""
+    """Decode a stored value with one version, to comparable content."""
     first = key.partition("/")[0]
     if first == "live":
         return decode_live_job(version, data)
@@ -119,7 +122,7 @@
 
 
 def controller_state(controller: Any) -> Any:
-    """What a controller knows of its peers."""
+    """Return what a controller has learned from its peers, as comparable content."""
     leadership_state = member(controller, "state.leadership")
     cancellations = member(controller, "state.cancellations")
     return (
@@ -142,7 +145,7 @@
 def states_after_messages(
     version: Version, messages: list[Any], monkeypatch: pytest.MonkeyPatch
 ) -> Any:
-    """What a controller of a version knows once it has got these messages."""
+    """Return the state of a controller of a version after each of these messages."""
     states: list[Any] = []
 
     async def main(clock: VirtualTime) -> None:
@@ -171,7 +174,7 @@
 
 
 def assert_read_alike(corpus: Corpus, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Both versions understand every value and every message in the same way."""
+    """Assert that both versions decode every value and message to the same content."""
     for samples in corpus["stored"].values():
         for key, data in samples:
             expected = decode_stored(production(), key, data)
@@ -203,7 +206,7 @@
 def test_production_version_reads_what_the_current_one_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An old controller may become leader after a new one, until its turn comes."""
+    """During an upgrade a controller of the old version may lead after one of the new version."""
     corpus = current_corpus(monkeypatch)
     assert corpus["stored"].keys() == STORED_KINDS | NEW_STORED_KINDS
     for kind in NEW_STORED_KINDS:
@@ -216,7 +219,7 @@
 
 @pytest.mark.parametrize("tasks", [1, 9, TASKS_PER_PART, TASKS_PER_PART + 10])
 def test_done_marks_are_read_alike(tasks: int) -> None:
-    """Every third task is done; the marks of the first part stand in the live value."""
+    """Every third task is done; the marks of the first part are stored in the live value."""
     spec = make_spec(shape="batch", tasks=tasks)
     old_job = production().load("core.jobs", "Job")
     old_spec = production().load("wire.messages", "JobSpec")
@@ -233,7 +236,7 @@
 
 
 def test_end_of_a_job_is_read_alike() -> None:
-    """The spec of a job that is over is cut; production still finds in it what it needs."""
+    """The stored spec of an ended job is shortened; production still finds what it needs."""
     spec = make_spec(machine_types=["b1"] * 50, image="i" * 200, job_class="c" * 200)
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
     value = records.ended_value(live["spec"], wire.ABORTED, WALL_TIME_S - 3.0, "t")
@@ -244,7 +247,7 @@
 
 
 def test_summary_with_refused_operations_is_read_alike(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: a field that only a fault brings, and that production can't read."""
+    """Guards against: a field that appears only after a fault and that production can't read."""
     examples = current_corpus(monkeypatch)["stored"]["sum/*"]
     assert examples
     for key, data in examples:
@@ -253,7 +256,7 @@
         assert decode_stored(production(), key, {**data, "refused": refused_operations}) == decoded
 
 
-# -- variants that are not compatible must be seen ---------------------------------
+# -- incompatible variants must be detected ---------------------------------
 
 
 def rename_key(patch: pytest.MonkeyPatch) -> None:
@@ -262,7 +265,7 @@
 
 
 def rename_leader_key(patch: pytest.MonkeyPatch) -> None:
-    """Two leaders: each version elects its own."""
+    """Each version elects its own leader, so there are two."""
     from topazhold.control import election, term_context
     from topazhold.operations import fenced_executor
 
@@ -295,7 +298,7 @@
 
 
 def unreadable_intents(patch: pytest.MonkeyPatch) -> None:
-    """One more element for each machine."""
+    """Write one more element for each machine."""
     original = records.intents_value
 
     def longer(*args: Any) -> Any:
@@ -312,7 +315,7 @@
 def test_incompatible_writers_are_seen(
     change: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What the variant writes is not what production reads."""
+    """Each variant writes values or messages that production does not decode alike."""
     change(monkeypatch)
     corpus = current_corpus(monkeypatch)
     with pytest.raises((AssertionError, ValueError, TypeError, KeyError)):
@@ -332,11 +335,11 @@
             )
         if simulation.violations:
             return
-    pytest.fail("the mixed days missed it")
+    pytest.fail("no day with both versions detected the incompatible variant")
 
 
 def test_only_operations_are_stored_under_a_new_key(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Production ignores what it does not know, so what it needs must not be in a new key."""
+    """Production ignores unknown keys, so values that it needs must not move to a new key."""
 
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 73)
--- a/tests/test_compound_failures_elections.py
+++ b/tests/test_compound_failures_elections.py
@@ -1,6 +1,6 @@
-"""Leaders change while something else fails, too; docs/meetings.md lists the cases.
+"""Compound failures: leader changes during other faults; docs/meetings.md lists the cases.
 
-Each test brings its case about, asserts that it did, and lets the checker judge the rules.
+Each test asserts that its case came about; the rule checker detects violations.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def set_team_limits(scenario: Scenario, gpus: float) -> None:
-    """Give every team so many GPUs at most."""
+    """Limit every team to `gpus` GPUs."""
     for settings in scenario.controller_settings.values():
         for team in settings.cluster.teams:
             team.gpus_max = gpus
@@ -53,7 +53,7 @@
 def test_team_stays_within_its_limit_when_the_leader_changes(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Some of its machines can't be asked, and a job of it is cancelled in that spell."""
+    """Two of its machines are unreachable, and two of its jobs are cancelled meanwhile."""
 
     async def act(scenario: Scenario) -> None:
         set_team_limits(scenario, 12.0)
@@ -71,7 +71,7 @@
             task.spec["cards"] for w in scenario.busy_workers() for task in w.active_tasks()
         )
         assert used_gpus == 12.0 and any(worker.active_tasks() for worker in cut_off_worker), (
-            "at its limit"
+            "the team uses its whole limit"
         )
         for job in jobs[:2]:
             assert await scenario.cancel(job, new) == HTTPStatus.OK
@@ -127,7 +127,7 @@
 def test_rules_hold_under_ten_leaders_in_two_minutes(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also inside an outage of the key-value store."""
+    """Two of the leaders end during an outage of the key-value store."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -170,7 +170,7 @@
             worker.incarnation > sessions[worker.name]
             for worker in scenario.cloud.workers.values()
             if worker.name in sessions
-        ), "every lease has ended"
+        ), "every worker's lease has ended"
         for name in scenario.controller_names:
             await scenario.start_again(name)
         await submitting.join()
@@ -183,7 +183,7 @@
 def test_rules_hold_when_the_leader_ends_while_machines_are_out_of_reach(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One can't be reached, one does not hear the new leader's answers; long tasks on both."""
+    """One machine is cut off and one loses the new leader's responses; both run long tasks."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -1,4 +1,4 @@
-"""Heartbeats, commands and transactions that arrive after newer ones, or only one way."""
+"""Compound failures: messages that arrive out of order, late, or in one direction only."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 def test_heartbeat_held_back_until_a_new_leader_has_acted_launches_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It shows a task that the new leader has placed elsewhere since."""
+    """The heartbeat shows a task that the new leader has meanwhile placed elsewhere."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -28,7 +28,8 @@
         first_worker.heartbeats_lost_until = scenario.clock.now + 60.0
         first_worker.controller_index = 0
         new = await scenario.wait_for_new_leader(old)
-        # The worker's next session proves its task gone; a direct answer tells of it.
+        # The worker's next session proves that its tasks ended; the new leader learns of it from
+        # the response to a direct command.
         lost_tasks = {entry["frame"] for entry in delayed["frames"]}
 
         def placed_again() -> bool:
@@ -41,7 +42,9 @@
 
         await scenario.wait_until(placed_again, 60.0)
         status, answer = await scenario.request(new, "POST", "/v1/report", delayed)
-        assert scenario.controllers[new].leader_term.term > delayed["crown"], "from before her time"
+        assert scenario.controllers[new].leader_term.term > delayed["crown"], (
+            "the heartbeat is of an earlier term"
+        )
         launches = [
             command for command in (answer or {}).get("calls", []) if command["call"] == "launch"
         ]
@@ -54,7 +57,7 @@
 def test_old_heartbeat_proves_nothing_to_a_new_leader_that_hears_no_other(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The new leader hears nothing else of it, so the report must prove nothing."""
+    """A new leader must not conclude from it that tasks ended, even if no other arrives."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -63,13 +66,14 @@
         (job,) = await scenario.submit_running_jobs(1, old, tasks=2, gpus=4.0)
         first_worker = scenario.busy_workers()[0]
         delayed = first_worker.past_heartbeats[0]
-        assert delayed["frames"] == [], "it shows the machine empty"
+        assert delayed["frames"] == [], "the heartbeat shows no tasks"
         first_worker.heartbeats_lost_until = first_worker.commands_lost_until = (
             scenario.clock.now + 0.6 * scenario.worker_settings.lease_s
         )
         await scenario.stop(old)
         new = await scenario.wait_for_new_leader(old)
-        delayed = {**delayed, "tally": 10_000}  # the newest that it hears, and yet from before it
+        # The highest sequence number that the new leader sees, but of an earlier term.
+        delayed = {**delayed, "tally": 10_000}
         await scenario.request(new, "POST", "/v1/report", delayed)
         attempts = [
             attempt
@@ -78,7 +82,9 @@
             .attempts.values()
             if attempt.machine == first_worker.name
         ]
-        assert len(attempts) == 1 and attempts[0].is_active, "it still counts as possibly running"
+        assert len(attempts) == 1 and attempts[0].is_active, (
+            "the attempt still counts as possibly running"
+        )
         await curio.sleep(20.0)
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -99,7 +105,9 @@
             assert await scenario.cancel(job, leader) == HTTPStatus.OK
         await scenario.run_users(10, 5.0)
         await curio.sleep(scenario.worker_settings.lease_s)
-        assert any(worker.late_commands for worker in hung), "carried out when it went on"
+        assert any(worker.late_commands for worker in hung), (
+            "commands were executed once the machine resumed"
+        )
         await scenario.wait_for_all_users()
 
     scenario = run_scenario(act, monkeypatch)
@@ -122,7 +130,7 @@
             await scenario.start_again(leader, 0.5)
         await submitting.join()
         scenario.network.late_write_share = 0.0
-        assert scenario.network.overtaken_writes > 20, "newer ones came before"
+        assert scenario.network.overtaken_writes > 20, "transactions were overtaken by newer ones"
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
@@ -132,7 +140,7 @@
 def test_rules_hold_when_old_heartbeats_arrive_after_newer_ones(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also of earlier sessions and attempts, at the leader and at others."""
+    """Old heartbeats of earlier sessions too arrive at the leader and at followers."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -141,7 +149,7 @@
         for second in range(40):
             await curio.sleep(1.0)
             workers = list(scenario.cloud.workers.values())
-            if second % 8 == 4:  # drawn, there were sometimes none
+            if second % 8 == 4:  # at fixed times: random ones sometimes left no earlier session
                 scenario.rng.choice(workers).start_incarnation()
             for worker in workers:
                 older = [
@@ -154,7 +162,7 @@
                     earlier_session_count += heartbeat["flight"] < worker.incarnation
                     name = scenario.rng.choice(list(scenario.controllers))
                     await scenario.network.hosts[name](worker.host, "POST", "/v1/report", heartbeat)
-        assert earlier_session_count > 5, "some were from earlier sessions"
+        assert earlier_session_count > 5, "some heartbeats were of earlier sessions"
         await submitting.join()
         await scenario.wait_for_all_users()
 
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -1,4 +1,4 @@
-"""Partitions and outages that meet cancellations, full machines and lost leases."""
+"""Compound failures: partitions and outages with cancellations, full machines, lost leases."""
 
 from __future__ import annotations
 
@@ -30,8 +30,10 @@
             if job not in scenario.tasks.first_start_at
         ]
         requested_gpus = sum(spec["frames"] * spec["cards"] for spec in waiting)
-        assert requested_gpus > 16.0, "more than all machines have"
-        assert len({spec["urgency"] for spec in waiting}) > 1, "urgent and not"
+        assert requested_gpus > 16.0, "waiting jobs need more GPUs than all machines have"
+        assert len({spec["urgency"] for spec in waiting}) > 1, (
+            "waiting jobs have different urgencies"
+        )
         await scenario.wait_for_all_users()
 
     assert_no_violations(run_scenario(act, monkeypatch, seed=seed))
@@ -41,7 +43,7 @@
 def test_zone_cut_off_with_a_controller_for_over_a_lease_keeps_its_work(
     site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its controller keeps its busy workers; jobs cancelled meanwhile are ended all the same."""
+    """The zone's controller extends its workers' leases; jobs cancelled meanwhile still end."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -56,14 +58,14 @@
         await scenario.submit_running_jobs(1, leader, gpus=4.0, tasks=1, zone="a")
         zone_workers = [worker for worker in scenario.busy_workers() if worker.zone == "b"]
         sessions = {worker.name: worker.incarnation for worker in zone_workers}
-        assert len(zone_workers) > 2, "too many to be taken for lone silent machines"
+        assert len(zone_workers) > 2, "too many to be treated as single silent machines"
         for other in ["a", *EXTERNAL_HOSTS]:
             scenario.network.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
         assert await scenario.cancel(jobs[0], leader) == HTTPStatus.OK
         await curio.sleep(1.4 * scenario.worker_settings.lease_s)
         kept = [w for w in zone_workers if not w.terminated and w.incarnation == sessions[w.name]]
-        assert kept, "longer than a lease, and not all was lost"
+        assert kept, "some workers kept their session for longer than a lease"
         await curio.sleep(scenario.worker_settings.cancel_s - scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
         await scenario.run_users(8, 10.0)
@@ -133,7 +135,7 @@
         cancelled = len(confirmed)
         await curio.sleep(1.2 * scenario.worker_settings.cancel_s)
         assert len(scenario.rules.cancel_confirmed_at) == cancelled, (
-            "nothing is confirmed in an outage"
+            "cancellations were confirmed during an outage"
         )
         scenario.store.set_down(False)
         scenario.store.max_delay_s = 0.0
@@ -148,7 +150,7 @@
 def test_leader_reached_by_workers_and_users_only_launches_nothing_cancelled(
     hung: int, site: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Jobs are cancelled through the new leader; some of their machines hang then."""
+    """Jobs are cancelled through the new leader while `hung` of their machines hang."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -160,14 +162,14 @@
         scenario.cut_off(old, [*scenario.controller_names, FakeKeyValueStore.HOST])
         new = await scenario.wait_for_new_leader(old)
         reporting_to_old = [w for w in busy if w.last_answer_at.get(old, 0.0) > cut_at]
-        assert reporting_to_old, "workers still report to the old one"
+        assert reporting_to_old, "no worker still reports to the old leader"
         for worker in busy[:hung]:
             worker.hanging_until = scenario.clock.now + scenario.worker_settings.cancel_s
         for job in jobs:
             assert await scenario.cancel(job, new) == HTTPStatus.OK
             status, body = await scenario.poll(job, old)
             assert status != HTTPStatus.OK or body["stage"] == "aborted", (
-                "the old one knows nothing new"
+                "the old leader reports a stage that it can't know"
             )
         await curio.sleep(scenario.worker_settings.cancel_s)
         scenario.network.cuts.clear()
@@ -184,7 +186,7 @@
 def test_leader_that_gets_no_answer_from_the_store_gives_way_to_another(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its renewals arrive and no answer does: it can decide nothing, so another must lead."""
+    """Its lease renewals arrive but the answers don't: it can't act, so another must lead."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
--- a/tests/test_compound_failures_requests.py
+++ b/tests/test_compound_failures_requests.py
@@ -1,4 +1,4 @@
-"""Users' requests that meet the end of a job, or that make no sense."""
+"""Compound failures: invalid requests, and requests at the moment a job ends."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def test_requests_at_the_end_of_a_jobs_last_task_agree_on_its_end(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A cancellation, a question and a repeat at the same moment, at different controllers."""
+    """A cancellation, a query and a repeated submission race at different controllers."""
     outcomes: list[str] = []
 
     async def act(scenario: Scenario) -> None:
@@ -25,7 +25,7 @@
             job = await scenario.submit(leader, run_s=2.0, tasks=2, gpus=1.0, image_gb=0.1)
             tasks = {(job, 0), (job, 1)}
             await scenario.wait_until(lambda tasks=tasks: tasks <= scenario.tasks.completed, 60.0)  # type: ignore[misc]
-            # The worker reports at once; a moment later the job is moved.
+            # The worker reports at once; shortly after, the job's live record becomes an ended one.
             await curio.sleep(scenario.rng.uniform(0.0, 1.2))
             requests = [
                 await curio.spawn(scenario.cancel, job, scenario.random_controller()),
@@ -57,7 +57,7 @@
 def test_cancellation_at_a_jobs_end_has_either_outcome_and_keeps_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Whoever writes first wins, and stays."""
+    """The end that is written first is final."""
     outcomes: set[str] = set()
     for seed in range(4):
 
@@ -76,7 +76,7 @@
 def test_requests_that_make_no_sense_get_their_proper_status(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Repeats of unfinished jobs, cancels of done ones, jobs that fit nothing or lack a field."""
+    """Repeats of unfinished jobs, cancels of done ones, oversized and incomplete jobs."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
--- a/tests/test_loopback_operations.py
+++ b/tests/test_loopback_operations.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback, stopped and continued: no stale order takes effect."""
+"""Real processes on loopback, paused and resumed: no stale operation takes effect."""
 
 from __future__ import annotations
 
--- a/tests/test_loopback_unlimited_teams.py
+++ b/tests/test_loopback_unlimited_teams.py
@@ -1,4 +1,4 @@
-"""Real processes on loopback whose settings give the teams no limit."""
+"""Real processes on loopback with settings that don't limit the teams."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 RUN_S = 1000.0
 SUBMIT_TIMEOUT_S = 5.0
 RETRY_S = 1.0
-#: A gang whose tasks take a machine each.
+#: A gang each of whose tasks needs a whole machine.
 GANG: dict[str, Any] = {
     "job_class": "train",
     "team": "red",
@@ -32,13 +32,13 @@
 
 
 def check_settings(path: Path) -> subprocess.CompletedProcess[str]:
-    """What the command `check` says of a settings file."""
+    """Run the command `check` on a settings file."""
     command = [sys.executable, "run.py", "check", "--config", str(path)]
     return subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
 
 
 async def submit(simulation: LoopbackSimulation, spec: dict[str, Any]) -> None:
-    """Repeat a submission until it is accepted, as users do: a controller may not listen yet."""
+    """Retry a submission until it is accepted, as a controller may not listen yet."""
     end = simulation.clock.now + EVENT_TIMEOUT_S
     status = 0
     while status not in (HTTPStatus.OK, HTTPStatus.CREATED):
@@ -48,7 +48,7 @@
 
 
 def test_gang_of_an_unlimited_team_runs_on_machines_that_are_rented_for_it(tmp_path: Path) -> None:
-    """Guards against: no machine came for it, and leaders ended one after the other."""
+    """Guards against: no machine is rented for it, and one leader after another ends its term."""
 
     async def act(simulation: LoopbackSimulation) -> None:
         for team in simulation.settings.cluster.teams:
--- a/tests/test_random_days.py
+++ b/tests/test_random_days.py
@@ -1,4 +1,4 @@
-"""Seeded random days of the whole control code, the rules checked at each step."""
+"""Seeded random days of the whole control code, with the rules checked at each step."""
 
 from __future__ import annotations
 
@@ -48,13 +48,16 @@
     simulation = play(seed, kinds, monkeypatch)
     last_notes = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], f"seed {seed}\n{last_notes}"
-    assert simulation.starts > 20, f"seed {seed}: hardly anything ran"
+    assert simulation.starts > 20, f"seed {seed}: too few tasks started"
     assert simulation.unfinished_jobs() == [], f"seed {seed}\n{last_notes}"
 
 
 def test_rules_hold_in_a_fleet(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Large enough to pass what stood for smaller fleets: 40 names and 60 gangs told, 48
-    holds, 16 commands, 100 names unheard or released, 64 guards."""
+    """Guards against: fixed limits that a large fleet exceeds.
+
+    The fleet is larger than former limits allowed: 40 names and 60 gangs in a message, 48
+    reservations, 16 commands, 100 silent or released machines, 64 conditions of a transaction.
+    """
     kinds = ["mass_hang", "mass_die", "crash_all", "freeze_leader", "zones_cut", "peers_refuse"]
     simulation = play(
         21, kinds, monkeypatch, jobs=300, trouble_s=15.0, calm_s=150.0, capacity=270, limit=20.0
--- a/tests/test_service_days.py
+++ b/tests/test_service_days.py
@@ -1,4 +1,4 @@
-"""Seeded random days with services, and days on which the service itself is upgraded."""
+"""Seeded random days with service jobs, and days with a rolling upgrade of the controllers."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.simulation.deployment import Simulation
 from topazhold.settings import LaterLimits
 
-#: What the state service allows after it has lowered its limits.
+#: Limits of the key-value store after it has lowered them.
 LATER = LaterLimits(write_rps=40.0, value_kb=2.0, txn_ops=5)
 
 SERVICE_DAYS = [
@@ -36,7 +36,7 @@
 def assert_no_violations(simulation: Simulation) -> None:
     last_notes = "\n".join(simulation.notes[-60:])
     assert simulation.violations == [], last_notes
-    assert simulation.starts > 20, "hardly anything ran"
+    assert simulation.starts > 20, "too few tasks started"
     assert simulation.unfinished_jobs() == [], last_notes
 
 
@@ -51,9 +51,9 @@
 def test_rules_hold_in_an_upgrade(
     seed: int, kinds: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Production and current controllers lead in turn, on each other's data."""
+    """Controllers of both versions lead in turn and read each other's data."""
     simulation = play(seed, kinds, monkeypatch, trouble_s=90.0, jobs=45, later=LATER)
     assert_no_violations(simulation)
-    assert simulation.versions == {}, "not all were upgraded"
+    assert simulation.versions == {}, "some controllers were not upgraded"
     assert simulation.store.txn_ops == LATER.txn_ops
-    assert simulation.store.size_refusals == [], "too large for the lowered limits"
+    assert simulation.store.size_refusals == [], "values were too large for the lowered limits"
--- a/tests/versions.py
+++ b/tests/versions.py
@@ -1,8 +1,8 @@
-"""The versions of the service that the tests run side by side.
+"""Loads the production version next to the current one, so that tests can run both.
 
-The production version is the commit that `deploy/service.toml` names. Its sources come out
-of this repository's history, under a package name of their own, so that both versions can
-be loaded in one process without sharing a module.
+The production version is the commit named in `deploy/service.toml`. Its sources are extracted
+from the repository's history under another package name, so that both versions can be loaded
+in one process without sharing a module.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 PACKAGE = "topazhold"
 PRODUCTION_PACKAGE = "topazhold_production"
 
-#: What production calls the modules, and the classes, functions and attributes in them, that
-#: have other names or stand elsewhere now: today's name -> production's. Whoever uses both
-#: versions names things as they are called today, and gets at them by `Version.module` and
-#: `member`; a name with dots leads through the parts of an object.
+#: Modules, and classes, functions and attributes, that were renamed or moved since the
+#: production version: current name -> production's name. Code that uses both versions refers
+#: to everything by its current name, through `Version.module` and `member`; a dotted name is
+#: resolved attribute by attribute.
 PRODUCTION_MODULES: dict[str, str] = {
     "control.controller": "control.node",
     "control.cluster_view": "control.booking",
@@ -75,29 +75,29 @@
 
 @dataclass(frozen=True)
 class Version:
-    """One version of the package: its modules, found by their names in it."""
+    """One version of the package, whose modules are looked up by their current names."""
 
     package: str
 
     def module(self, name: str) -> ModuleType:
-        """A module of this version, by the name that it has in the current one."""
+        """Return a module of this version by its name in the current version."""
         if self.package == PRODUCTION_PACKAGE:
             name = PRODUCTION_MODULES.get(name, name)
         return importlib.import_module(f"{self.package}.{name}")
 
     def load(self, module: str, name: str) -> Any:
-        """A class or function of a module, both by the names they have in the current version."""
+        """Return a class or function of a module, both by their names in the current version."""
         return member(self.module(module), name)
 
     def settings(self, settings: Settings) -> Any:
-        """The same settings as this version reads them."""
+        """Convert settings to this version's types."""
         if self.package == PACKAGE:
             return settings
         return msgspec.convert(msgspec.to_builtins(settings), self.load("settings", "Settings"))
 
 
 def member(owner: Any, name: str) -> Any:
-    """What stands in a module, or in an object of a version, by its name in the current one."""
+    """Return a member of a module or object of either version by its name in the current one."""
     module = owner.__name__ if isinstance(owner, ModuleType) else type(owner).__module__
     if module.partition(".")[0] == PRODUCTION_PACKAGE:
         name = PRODUCTION_MEMBERS.get(name, name)
@@ -108,14 +108,14 @@
 
 
 def production_commit() -> str:
-    """The commit that runs in production, as the deploy file names it."""
+    """Return the commit that runs in production according to `deploy/service.toml`."""
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     return str(deploy["production"])
 
 
 @cache
 def production() -> Version:
-    """The production version; fails if its commit is not in the history."""
+    """Load the production version; fails if its commit is not in the history."""
     archive = subprocess.run(
         ["git", "archive", production_commit(), PACKAGE],
         cwd=ROOT,
@@ -132,29 +132,29 @@
     return Version(PRODUCTION_PACKAGE)
 
 
-# -- what the harness asks of a controller of either version ------------------------
+# -- access to a controller of either version ------------------------
 
 
 async def deliver_peer_message(controller: Any, message: tuple[Any, ...]) -> None:
-    """A message of another controller arrives."""
+    """Deliver a message of another controller to `controller`."""
     await member(controller, "peer_message")(message)
 
 
 def leader_term(controller: Any) -> Any:
-    """The term that a controller leads, or None."""
+    """Return the term that a controller leads, or None."""
     return member(controller, "leader_term")
 
 
 def is_leading(controller: Any) -> bool:
-    """Whether it has been elected and has not given up."""
+    """Return whether a controller has been elected and has not stepped down."""
     return leader_term(controller) is not None
 
 
 def has_loaded(controller: Any) -> bool:
-    """Whether it leads and has read all that is stored."""
+    """Return whether a controller leads and has loaded the stored state."""
     return is_leading(controller) and member(leader_term(controller), "loaded")
 
 
 def fencing_token(controller: Any) -> int:
-    """The fencing token of the term that it leads."""
+    """Return the fencing token of the term that a controller leads."""
     return int(member(leader_term(controller), "term"))
