--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -21,7 +21,7 @@
     return Fleet(MACHINE_TYPE, machines)
 
 
-def asks_for(
+def requests_for(
     demand: CapacityDemand, fleet: Fleet, capacity_backoff: CapacityBackoff, spot: bool
 ) -> list[ScaleOutRequest]:
     return scale_out(
@@ -29,14 +29,14 @@
     )
 
 
-def refused(*kinds: tuple[str, bool]) -> CapacityBackoff:
+def backoff_of_refused(*kinds: tuple[str, bool]) -> CapacityBackoff:
     capacity_backoff = CapacityBackoff()
     for zone, spot in kinds:
         capacity_backoff.on_refused(MACHINE_TYPE.name, zone, spot, 10.0, NOW)
     return capacity_backoff
 
 
-def test_what_is_bound_to_a_full_zone_is_not_rented_in_another() -> None:
+def test_demand_bound_to_a_full_zone_is_not_requested_in_another() -> None:
     """A gang of zone a waited for 447 s while machines of zone b were rented and given back.
 
     Each one given back was room for zone a, which the next request for zone b took before
@@ -46,20 +46,20 @@
         demand = CapacityDemand()
         demand.add(5.0, "a")
         demand.add(1.0, None)
-        capacity_backoff = refused(("a", False), ("a", True), ("b", True))
-        assert asks_for(demand, fleet_of(a=1, b=3), capacity_backoff, spot) == []
+        capacity_backoff = backoff_of_refused(("a", False), ("a", True), ("b", True))
+        assert requests_for(demand, fleet_of(a=1, b=3), capacity_backoff, spot) == []
 
 
-def test_what_may_run_anywhere_is_rented_where_there_is_room() -> None:
+def test_unbound_demand_is_requested_in_a_zone_without_backoff() -> None:
     demand = CapacityDemand()
     demand.add(5.0, None)
     demand.at_least(4.0, "a")
-    requests = asks_for(demand, fleet_of(a=1), refused(("a", False)), False)
-    assert [(ask.zone, ask.count) for ask in requests] == [("b", 4)]
+    requests = requests_for(demand, fleet_of(a=1), backoff_of_refused(("a", False)), False)
+    assert [(request.zone, request.count) for request in requests] == [("b", 4)]
 
 
-def test_bound_work_is_asked_for_as_soon_as_its_zone_may_be_asked() -> None:
+def test_bound_demand_is_requested_in_its_zone_without_backoff() -> None:
     demand = CapacityDemand()
     demand.add(5.0, "a")
-    requests = asks_for(demand, fleet_of(a=1, b=3), CapacityBackoff(), False)
-    assert [(ask.zone, ask.count) for ask in requests] == [("a", 4)]
+    requests = requests_for(demand, fleet_of(a=1, b=3), CapacityBackoff(), False)
+    assert [(request.zone, request.count) for request in requests] == [("a", 4)]
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import pytest
@@ -32,29 +33,29 @@
 Patch = Callable[[pytest.MonkeyPatch], None]
 
 
-def forget_intents(patch: pytest.MonkeyPatch) -> None:
+def ignore_predecessors_intents(patch: pytest.MonkeyPatch) -> None:
     """A new leader that does not believe in its predecessor's intents."""
     patch.setattr(failover, "_adopt", lambda *args: None)
     patch.setattr(TaskReconciliation, "_on_orphan", lambda *args: None)
 
 
-def trust_silence(patch: pytest.MonkeyPatch) -> None:
+def replace_tasks_of_silent_machines(patch: pytest.MonkeyPatch) -> None:
     """Tasks of a silent machine are placed again without proof."""
 
     def check_machine(self: FailureDetection, machine: Any, now: float) -> None:
         cluster = self._cluster
         if cluster.silence_s(machine, now) > 2 * cluster.heartbeat_interval_s:
-            for run in list(machine.attempts.values()):
-                cluster.remove_attempt(run, now)
+            for attempt in list(machine.attempts.values()):
+                cluster.remove_attempt(attempt, now)
 
     patch.setattr(FailureDetection, "check_machine", check_machine)
 
 
-def no_limit(patch: pytest.MonkeyPatch) -> None:
+def ignore_quotas(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(quota.Usage, "allows", lambda *args, **kwargs: True)
 
 
-def any_place(patch: pytest.MonkeyPatch) -> None:
+def ignore_placement_constraints(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(binding_reservations, "placement_allowed", lambda *args: True)
     patch.setattr(array_placement, "placement_allowed", lambda *args: True)
     patch.setattr(BindingReservations, "_rejection_reason", lambda *args: None)
@@ -62,101 +63,107 @@
     patch.setattr(replica_placement, "choose_shared_zone", lambda *args: None)
 
 
-def no_kills(patch: pytest.MonkeyPatch) -> None:
+def send_no_kills(patch: pytest.MonkeyPatch) -> None:
     """Cancelled jobs run on."""
     patch.setattr(WorkerCommands, "kills", lambda self, machine: [])
     patch.setattr(Eviction, "stop_ended_job", lambda self, job, now: None)
 
 
-def forget_over(patch: pytest.MonkeyPatch) -> None:
+def lose_ended_jobs(patch: pytest.MonkeyPatch) -> None:
     """Jobs that are over are not found any more."""
     patch.setattr(records, "ended_key", lambda job: f"lost/{job}/{id(object())}")
 
 
-def early_done(patch: pytest.MonkeyPatch) -> None:
+def finish_job_with_first_task(patch: pytest.MonkeyPatch) -> None:
     """One task done passes for the whole job."""
     patch.setattr(Job, "is_complete", property(lambda self: self.completed_count > 0))
 
 
-def invent(patch: pytest.MonkeyPatch) -> None:
+def answer_pending_for_any_job(patch: pytest.MonkeyPatch) -> None:
     async def poll(self: Any, job_id: str) -> Response:
-        return Response(200, wire.job_status_body(job_id, wire.PENDING))
+        return Response(HTTPStatus.OK, wire.job_status_body(job_id, wire.PENDING))
 
     patch.setattr(users_module.Users, "_poll", poll)
 
 
-def done_turns_aborted(patch: pytest.MonkeyPatch) -> None:
+def report_done_jobs_as_aborted(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(records, "ended_stage", lambda data: wire.ABORTED)
 
 
-def no_answer_for_one(patch: pytest.MonkeyPatch) -> None:
+def refuse_status_of_some_jobs(patch: pytest.MonkeyPatch) -> None:
     """The questions about a few jobs are never answered, all others are."""
-    state = users_module.Users._status_response
+    status_response = users_module.Users._status_response
 
-    async def hidden(self: Any, job_id: str) -> Response | None:
-        return Response(503) if job_id.endswith("7") else await state(self, job_id)
+    async def refuse_some(self: Any, job_id: str) -> Response | None:
+        return (
+            Response(HTTPStatus.SERVICE_UNAVAILABLE)
+            if job_id.endswith("7")
+            else await status_response(self, job_id)
+        )
 
-    patch.setattr(users_module.Users, "_status_response", hidden)
+    patch.setattr(users_module.Users, "_status_response", refuse_some)
 
 
-def starve(patch: pytest.MonkeyPatch, left_out: Callable[[Job], bool]) -> None:
-    waiting = JobQueue.waiting_jobs
+def exclude_from_queue(patch: pytest.MonkeyPatch, is_excluded: Callable[[Job], bool]) -> None:
+    all_waiting_jobs = JobQueue.waiting_jobs
     patch.setattr(
         JobQueue,
         "waiting_jobs",
-        lambda self, now: [job for job in waiting(self, now) if not left_out(job)],
+        lambda self, now: [job for job in all_waiting_jobs(self, now) if not is_excluded(job)],
     )
 
 
 def starve_a_team(patch: pytest.MonkeyPatch) -> None:
-    starve(patch, lambda job: job.spec.team == "blue")
+    exclude_from_queue(patch, lambda job: job.spec.team == "blue")
 
 
 def starve_a_class(patch: pytest.MonkeyPatch) -> None:
-    starve(patch, lambda job: job.spec.job_class == "fill")
+    exclude_from_queue(patch, lambda job: job.spec.job_class == "fill")
 
 
-def starve_the_largest(patch: pytest.MonkeyPatch) -> None:
-    starve(patch, lambda job: job.gang and job.spec.tasks == LARGEST_GANG_TASKS)
+def starve_the_largest_gangs(patch: pytest.MonkeyPatch) -> None:
+    exclude_from_queue(patch, lambda job: job.gang and job.spec.tasks == LARGEST_GANG_TASKS)
 
 
-def leave_some_waiting(patch: pytest.MonkeyPatch) -> None:
+def starve_unconstrained_arrays(patch: pytest.MonkeyPatch) -> None:
     """Some arrays; of those that are bound to zones the checker can't judge whether there
     is room, so which jobs these days draw must not decide whether it sees any."""
-    starve(patch, lambda job: not (job.gang or job.spec.same_zone or job.spec.spread_zones))
+    exclude_from_queue(
+        patch, lambda job: not (job.gang or job.spec.same_zone or job.spec.spread_zones)
+    )
 
 
-def believe_late_copies(patch: pytest.MonkeyPatch) -> None:
+def accept_late_heartbeats(patch: pytest.MonkeyPatch) -> None:
     """An older report counts like a new one."""
-    report = Scheduler.on_heartbeat
+    on_heartbeat = Scheduler.on_heartbeat
 
-    def heard(self: Scheduler, heartbeat: Any, *args: Any, **kwargs: Any) -> Any:
+    def accept_any_sequence(self: Scheduler, heartbeat: Any, *args: Any, **kwargs: Any) -> Any:
         machine = self.machines.get(heartbeat.machine)
         if machine is not None:
             machine.sequence = -1
-        return report(self, heartbeat, *args, **kwargs)
+        return on_heartbeat(self, heartbeat, *args, **kwargs)
 
-    patch.setattr(Scheduler, "on_heartbeat", heard)
+    patch.setattr(Scheduler, "on_heartbeat", accept_any_sequence)
 
 
 VARIANTS: list[tuple[Patch, str, list[str]]] = [
-    (forget_intents, "ran_twice", ["crash_leader", "hang", "machine_cut"]),
-    (trust_silence, "ran_twice", ["hang", "machine_cut", "zones_cut"]),
-    (no_limit, "quota", []),
-    (any_place, "wrong_place", []),
-    (no_kills, "ran_cancelled", []),
-    (forget_over, "forgotten", []),
-    (early_done, "not_done", []),
-    (invent, "invented", []),
-    (done_turns_aborted, "went_back", []),
-    (believe_late_copies, "ran_twice", ["late_copies"]),
+    (ignore_predecessors_intents, "ran_twice", ["crash_leader", "hang", "machine_cut"]),
+    (replace_tasks_of_silent_machines, "ran_twice", ["hang", "machine_cut", "zones_cut"]),
+    (ignore_quotas, "quota", []),
+    (ignore_placement_constraints, "wrong_place", []),
+    (send_no_kills, "ran_cancelled", []),
+    (lose_ended_jobs, "forgotten", []),
+    (finish_job_with_first_task, "not_done", []),
+    (answer_pending_for_any_job, "invented", []),
+    (report_done_jobs_as_aborted, "went_back", []),
+    (accept_late_heartbeats, "ran_twice", ["late_copies"]),
 ]
 #: What shows only at a day's end.
 SLOW_VARIANTS: list[tuple[Patch, str]] = [
     (starve_a_team, "starved"),
     (starve_a_class, "starved"),
-    (starve_the_largest, "starved"),
-    (leave_some_waiting, "left_waiting"),
+    (starve_the_largest_gangs, "starved"),
+    (starve_unconstrained_arrays, "left_waiting"),
 ]
 
 
@@ -177,26 +184,28 @@
 @pytest.mark.parametrize(
     ("patch", "rule"), SLOW_VARIANTS, ids=[patch.__name__ for patch, _ in SLOW_VARIANTS]
 )
-def test_checker_catches_at_the_days_end(
+def test_checker_catches_at_the_end_of_a_day(
     patch: Patch, rule: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     patch(monkeypatch)
     for seed in (101, 102):
-        with monkeypatch.context() as of_day:
-            simulation = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
+        with monkeypatch.context() as day_patch:
+            simulation = play(seed, [], day_patch, jobs=25, trouble_s=20.0, calm_s=160.0)
         assert rule in simulation.violations, f"seed {seed}"
 
 
-def test_checker_catches_a_job_that_nobody_answers_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_checker_catches_a_job_whose_status_is_never_answered(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """On every day on which the user of such a job does not cancel it, and on two at least.
 
     Which jobs a day's users cancel is drawn; a cancelled one has its final answer.
     """
-    no_answer_for_one(monkeypatch)
+    refuse_status_of_some_jobs(monkeypatch)
     days = 0
     for seed in range(101, 107):
-        with monkeypatch.context() as of_day:
-            simulation = play(seed, [], of_day, jobs=25, trouble_s=20.0, calm_s=160.0)
+        with monkeypatch.context() as day_patch:
+            simulation = play(seed, [], day_patch, jobs=25, trouble_s=20.0, calm_s=160.0)
         if any(
             job.endswith("7")
             for job in simulation.rules.reported_stages.keys() - simulation.rules.cancel_requested
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -12,66 +12,68 @@
 from topazhold.core.zone_demand import ZoneDemand
 
 
-class Calls:
+class CallCounter:
     """Counts the calls of a method."""
 
-    def __init__(self, patch: pytest.MonkeyPatch, part: type, name: str) -> None:
+    def __init__(self, patch: pytest.MonkeyPatch, owner: type, name: str) -> None:
         self.count = 0
-        method = getattr(part, name)
+        method = getattr(owner, name)
 
         def counted(*args: Any, **kwargs: Any) -> Any:
             self.count += 1
             return method(*args, **kwargs)
 
-        patch.setattr(part, name, counted)
+        patch.setattr(owner, name, counted)
 
-    def taken(self) -> int:
+    def take_count(self) -> int:
         """The calls since the last question."""
         count, self.count = self.count, 0
         return count
 
 
-def test_offers_are_made_anew_only_where_something_changed(
+def test_only_offers_of_changed_machines_are_rebuilt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A summary a second made every offer anew: an eighth of a leader's time with 168 machines."""
     for machines in (6, 60):
         harness = SchedulerHarness(machines)
         scheduler = harness.scheduler
-        made = Calls(monkeypatch, ResourceOffers, "_offer")
+        offer_calls = CallCounter(monkeypatch, ResourceOffers, "_offer")
 
-        def look(harness: SchedulerHarness = harness) -> None:
+        def request_offers(harness: SchedulerHarness = harness) -> None:
             for zone in "ab":
                 harness.scheduler.offers(zone, harness.now)
 
-        look()
-        assert made.taken() == machines
+        request_offers()
+        assert offer_calls.take_count() == machines
         harness.now += scheduler.heartbeat_interval_s
         harness.all_heartbeats()
-        look()
-        assert made.taken() == 0, "nothing has changed"
+        request_offers()
+        assert offer_calls.take_count() == 0, "nothing has changed"
         harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1.0))
         assert len(harness.plan_and_commit()) == 1
         harness.now += 0.5 * scheduler.heartbeat_interval_s
-        look()
-        assert made.taken() == 1, "one machine has got a task"
+        request_offers()
+        assert offer_calls.take_count() == 1, "one machine has got a task"
         harness.now += 0.5 * scheduler.summary_s
         harness.all_heartbeats()
-        look()
-        assert made.taken() == machines, "what ends soon has come nearer"
+        request_offers()
+        assert offer_calls.take_count() == machines, "what ends soon has come nearer"
         monkeypatch.undo()
 
 
-def test_capacity_for_gangs_of_one_shape_is_counted_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_free_slots_for_gangs_of_one_shape_are_counted_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Each pressing gang looked at every machine, once a second."""
-    looks = []
+    counts = []
     for gangs in (1, 12):
         harness = SchedulerHarness(machines=4)
         for number in range(gangs):
             gang = harness.add_job(make_spec(number, tasks=2, gpus=1.0))
             gang.is_aged = True
-        counted = Calls(monkeypatch, ZoneDemand, "_free_slots")
+        free_slot_calls = CallCounter(monkeypatch, ZoneDemand, "_free_slots")
         harness.scheduler.parts.zone_demand.add_to({}, [MACHINE_TYPE], harness.now)
-        looks.append(counted.taken())
+        counts.append(free_slot_calls.take_count())
         monkeypatch.undo()
-    assert looks == [1, 1]
+    assert counts == [1, 1]
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -19,10 +19,10 @@
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.test_scale_out_limits import (
     ANYWHERE_OR_ZONE,
-    FLEETS,
+    FIXED_EXAMPLES,
+    MACHINE_COUNTS,
     NOTHING,
     PROTOCOL_MACHINES,
-    SAME_EXAMPLES,
     Demand,
     assert_within_protocol,
     requests_for,
@@ -40,13 +40,13 @@
 #: Tasks that take a machine each, all in one zone; with the headroom, more than may be
 #: requested in one round.
 TASKS = 450
-WANTED = math.ceil(TASKS * (1.0 + OperatorSettings().headroom_share))
-assert WANTED > PROTOCOL_MACHINES * MAX_OPEN_SCALE_OUTS
+WANTED_MACHINES = math.ceil(TASKS * (1.0 + OperatorSettings().headroom_share))
+assert WANTED_MACHINES > PROTOCOL_MACHINES * MAX_OPEN_SCALE_OUTS
 #: Machines are no capacity for tasks before the end of a scenario, and none is given up as late.
 BOOT_S = 10_000.0
 #: Several rounds, a list of machines and its lag, and a late delivery.
 SETTLED_S = 60.0
-HELD_S = 20.0
+ANSWER_HOLD_S = 20.0
 
 
 def by_zone(requests: list[ScaleOutRequest]) -> Counter[str]:
@@ -56,7 +56,7 @@
     return counts
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(demand=LARGE_DEMANDS, spot=st.booleans())
 def test_large_demands_are_requested_whole_once_and_where_they_are_bound(
     demand: Demand, spot: bool
@@ -70,8 +70,8 @@
     assert all(counts[zone] >= machines for zone, machines in bound.items())
 
 
-@SAME_EXAMPLES
-@given(machines=LARGE_SIZES, there=FLEETS, spot=st.booleans())
+@FIXED_EXAMPLES
+@given(machines=LARGE_SIZES, there=MACHINE_COUNTS, spot=st.booleans())
 def test_machines_for_any_zone_go_where_the_fewest_are(
     machines: int, there: dict[tuple[str, bool], int], spot: bool
 ) -> None:
@@ -94,7 +94,7 @@
 
 
 async def start_slow_cloud(
-    scenario: Scenario, monkeypatch: pytest.MonkeyPatch, capacity: int = 2 * WANTED
+    scenario: Scenario, monkeypatch: pytest.MonkeyPatch, capacity: int = 2 * WANTED_MACHINES
 ) -> str:
     """A leader, and a cloud whose machines boot after the end of the scenario."""
     (machine_type,) = tests.fakes.cloud.CATALOG["breeds"]
@@ -111,17 +111,17 @@
     return leader
 
 
-async def want_many(scenario: Scenario, leader: str) -> None:
+async def submit_large_job(scenario: Scenario, leader: str) -> None:
     """A job whose tasks take a machine each, all of zone a."""
     via = scenario.other_controllers(leader)[0]
     await scenario.submit(via, tasks=TASKS, gpus=4.0, cpus=4.0, zone="a")
 
 
-async def assert_rented_as_wanted(scenario: Scenario) -> None:
+async def assert_exactly_wanted_machines_rented(scenario: Scenario) -> None:
     """Exactly what is wanted, in its zone, and so it stays."""
-    await scenario.wait_until(lambda: rented_in(scenario, "a") >= WANTED, SETTLED_S)
+    await scenario.wait_until(lambda: rented_in(scenario, "a") >= WANTED_MACHINES, SETTLED_S)
     await curio.sleep(SETTLED_S)
-    assert rented_in(scenario, "a") == WANTED == len(scenario.cloud.workers)
+    assert rented_in(scenario, "a") == WANTED_MACHINES == len(scenario.cloud.workers)
 
 
 def test_many_machines_of_one_zone_are_rented_once_each(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -129,8 +129,8 @@
 
     async def act(scenario: Scenario) -> None:
         leader = await start_slow_cloud(scenario, monkeypatch)
-        await want_many(scenario, leader)
-        await assert_rented_as_wanted(scenario)
+        await submit_large_job(scenario, leader)
+        await assert_exactly_wanted_machines_rented(scenario)
         assert scenario.leader() == leader
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -147,16 +147,16 @@
             scenario.paused_until[source] = scenario.clock.now + SETTLED_S
 
         leader = await start_slow_cloud(scenario, monkeypatch)
-        trigger = OperationTrigger(scenario.network.hosts, point, "rental", stop, HELD_S)
-        await want_many(scenario, leader)
+        trigger = OperationTrigger(scenario.network.hosts, point, "rental", stop, ANSWER_HOLD_S)
+        await submit_large_job(scenario, leader)
         await scenario.wait_until(lambda: trigger.source is not None)
         await scenario.wait_for_new_leader(leader)
-        await assert_rented_as_wanted(scenario)
+        await assert_exactly_wanted_machines_rented(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def count_requests(scenario: Scenario) -> list[str]:
+def record_request_names(scenario: Scenario) -> list[str]:
     """The names of the requests for machines, as they come to the cloud."""
     cloud: Callable[..., Any] = scenario.network.hosts[FakeCloud.HOST]
     names: list[str] = []
@@ -170,14 +170,14 @@
     return names
 
 
-def test_requests_beyond_what_the_cloud_has_are_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_beyond_the_clouds_capacity_are_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against: a full cloud is asked on, and each refusal doubles the pause."""
     capacity = PROTOCOL_MACHINES + 10
 
     async def act(scenario: Scenario) -> None:
-        names = count_requests(scenario)
+        names = record_request_names(scenario)
         leader = await start_slow_cloud(scenario, monkeypatch, capacity)
-        await want_many(scenario, leader)
+        await submit_large_job(scenario, leader)
         await scenario.wait_until(lambda: rented_in(scenario, "a") == capacity)
         await curio.sleep(2 * scenario.worker_settings.heartbeat_interval_s)
         assert len(names) == 2, "one that is filled, and one that is filled in part"
@@ -188,15 +188,15 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_requests_wait_for_the_rate_of_the_cloud(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_keep_to_the_rate_limit_of_the_cloud(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against: those beyond the rate are counted as sent, and block others as unanswered."""
 
     async def act(scenario: Scenario) -> None:
         for settings in scenario.controller_settings.values():
             settings.cluster.cloud.rps = 3.0
         leader = await start_slow_cloud(scenario, monkeypatch)
-        await want_many(scenario, leader)
-        await assert_rented_as_wanted(scenario)
+        await submit_large_job(scenario, leader)
+        await assert_exactly_wanted_machines_rented(scenario)
         log = scenario.controllers[leader].leader_term.operations.operation_log
         assert log.counters.repeated == 0
 
@@ -206,14 +206,14 @@
 def test_adopted_request_is_not_withdrawn() -> None:
     """Guards against: machines that the earlier term's request has rented are never known."""
     request = ScaleOutRequest("b1", "a", False, 1)
-    before = OperationLog("hive-0", 1, 2048, keep_s=10.0)
-    adopted = before.decide_scale_out(request, 1.0)
+    predecessor_log = OperationLog("hive-0", 1, 2048, keep_s=10.0)
+    adopted = predecessor_log.decide_scale_out(request, 1.0)
     log = OperationLog("hive-1", 2, 2048, keep_s=10.0)
-    open_before = log.adopt(adopted.record, 1.0)
+    adopted_request = log.adopt(adopted.record, 1.0)
     refused, unsent = (log.decide_scale_out(request, 1.0) for _ in range(2))
     log.recorded([refused, unsent], 1.0)
     log.sending(refused)
     log.scale_out_answered(refused, [], 2.0)
     log.withdraw_unsent(refused, 2.0)
     assert unsent.state is OperationState.CONFIRMED
-    assert log.scale_outs_due() == [open_before]
+    assert log.scale_outs_due() == [adopted_request]
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -12,7 +12,7 @@
 
 PACKAGE = Path(topazhold.__file__).parent
 #: What each package may not import.
-ABOVE = {
+FORBIDDEN_IMPORTS = {
     "wire": ("core", "io", "interfaces", "operations", "control"),
     "io": ("core", "interfaces", "operations", "control"),
     "core": ("io", "interfaces", "operations", "control"),
@@ -29,11 +29,11 @@
             yield from (alias.name for alias in node.names)
 
 
-@pytest.mark.parametrize("package", ABOVE)
-def test_package_imports_nothing_above_it(package: str) -> None:
-    forbidden = tuple(f"topazhold.{name}" for name in ABOVE[package])
+@pytest.mark.parametrize("package", FORBIDDEN_IMPORTS)
+def test_package_imports_no_higher_layer(package: str) -> None:
+    forbidden = tuple(f"topazhold.{name}" for name in FORBIDDEN_IMPORTS[package])
     paths = sorted((PACKAGE / package).glob("*.py"))
     assert paths
     for path in paths:
-        found = [name for name in imported_modules(path) if name.startswith(forbidden)]
-        assert found == [], path.name
+        violations = [name for name in imported_modules(path) if name.startswith(forbidden)]
+        assert violations == [], path.name
--- a/tests/test_record_limits.py
+++ b/tests/test_record_limits.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.test_scale_out_limits import SAME_EXAMPLES
+from tests.test_scale_out_limits import FIXED_EXAMPLES
 from topazhold.core.autoscaling import (
     MAX_RELEASED_MACHINES,
     MAX_SCALE_OUT_MACHINES,
@@ -46,7 +46,7 @@
     assert read_record(operation.key, value) == operation.record
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(
     reasons=st.dictionaries(st.just(LONG_NAME) | SHORT_NAMES, st.text(max_size=300), max_size=250),
     term=TERMS,
@@ -62,7 +62,7 @@
         assert_storable(operation, value_limit)
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(
     machine_type=st.just(LONG_NAME) | SHORT_NAMES,
     zone=st.just(LONG_NAME) | SHORT_NAMES,
--- a/tests/test_scale_out_limits.py
+++ b/tests/test_scale_out_limits.py
@@ -18,24 +18,24 @@
 PROTOCOL_MACHINES = 50
 #: One demand may be for so many machines, and so many of a kind may be there.
 MAX_DEMANDED = 130
-MAX_THERE = 40
+MAX_PRESENT = 40
 NOW = 100.0
 #: The same examples in every run; none are kept.
-SAME_EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True, database=None)
+FIXED_EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True, database=None)
 
 ZONES = st.sampled_from(MACHINE_TYPE.zones)
 ANYWHERE_OR_ZONE = st.none() | ZONES
 #: Zone and kind (True: spot).
 KINDS = st.tuples(ZONES, st.booleans())
-FLEETS = st.dictionaries(KINDS, st.integers(0, MAX_THERE))
-REFUSED = st.sets(KINDS)
+MACHINE_COUNTS = st.dictionaries(KINDS, st.integers(0, MAX_PRESENT))
+REFUSED_KINDS = st.sets(KINDS)
 
 
 class Demand(NamedTuple):
     """Machines wanted of one kind, as it is drawn."""
 
     machines: list[tuple[int, str | None]]  # so many of a zone, or of any
-    at_once: dict[str, int]  # so many in a zone, of whichever
+    minimum_by_zone: dict[str, int]  # so many in a zone, of whichever
 
     @property
     def total(self) -> int:
@@ -45,16 +45,16 @@
         demand = CapacityDemand()
         for machines, zone in self.machines:
             demand.add(float(machines), zone)
-        for zone, machines in self.at_once.items():
+        for zone, machines in self.minimum_by_zone.items():
             demand.at_least(float(machines), zone)
         return demand
 
 
-SIZES = st.integers(0, MAX_DEMANDED)
+DEMAND_SIZES = st.integers(0, MAX_DEMANDED)
 DEMANDS = st.builds(
     Demand,
-    st.lists(st.tuples(SIZES, ANYWHERE_OR_ZONE), max_size=4),
-    st.dictionaries(ZONES, SIZES),
+    st.lists(st.tuples(DEMAND_SIZES, ANYWHERE_OR_ZONE), max_size=4),
+    st.dictionaries(ZONES, DEMAND_SIZES),
 )
 #: What one request may name, in all.
 SMALL_DEMANDS = st.builds(
@@ -87,14 +87,14 @@
 def requests_for(
     spot: Demand,
     ordinary: Demand,
-    there: dict[tuple[str, bool], int],
+    present: dict[tuple[str, bool], int],
     refused: set[tuple[str, bool]],
 ) -> list[ScaleOutRequest]:
     capacity_backoff = CapacityBackoff()
     refuse(capacity_backoff, refused, NOW)
     name = MACHINE_TYPE.name
-    found = {(name, True): spot.demand(), (name, False): ordinary.demand()}
-    return scale_out(found, MACHINE_TYPE, fleet_of(there), capacity_backoff, NOW)
+    demands = {(name, True): spot.demand(), (name, False): ordinary.demand()}
+    return scale_out(demands, MACHINE_TYPE, fleet_of(present), capacity_backoff, NOW)
 
 
 def assert_within_protocol(requests: list[ScaleOutRequest]) -> None:
@@ -105,8 +105,8 @@
         )
 
 
-@SAME_EXAMPLES
-@given(spot=DEMANDS, ordinary=DEMANDS, there=FLEETS, refused=REFUSED)
+@FIXED_EXAMPLES
+@given(spot=DEMANDS, ordinary=DEMANDS, there=MACHINE_COUNTS, refused=REFUSED_KINDS)
 def test_no_scale_out_request_names_more_than_the_protocol_takes(
     spot: Demand,
     ordinary: Demand,
@@ -116,7 +116,7 @@
     assert_within_protocol(requests_for(spot, ordinary, there, refused))
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(
     jobs=st.lists(
         st.fixed_dictionaries(
@@ -130,7 +130,7 @@
         max_size=4,
     ),
     there=st.integers(0, 4),
-    refused=REFUSED,
+    refused=REFUSED_KINDS,
 )
 def test_no_scale_out_request_for_jobs_names_more_than_the_protocol_takes(
     jobs: list[dict[str, Any]], there: int, refused: set[tuple[str, bool]]
@@ -143,7 +143,7 @@
     assert_within_protocol(harness.scheduler.scale_out(harness.now))
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(demand=SMALL_DEMANDS, spot=st.booleans())
 def test_small_demands_are_requested_whole_and_once(demand: Demand, spot: bool) -> None:
     """Control: with nothing there and nothing refused, the requests add up to the demand."""
@@ -153,7 +153,7 @@
     assert all(request.spot is spot for request in requests)
 
 
-@SAME_EXAMPLES
+@FIXED_EXAMPLES
 @given(demand=SMALL_DEMANDS, spot=st.booleans())
 def test_what_is_there_already_is_not_requested(demand: Demand, spot: bool) -> None:
     """Control: the fleet of the test counts."""
@@ -161,8 +161,8 @@
     assert requests_for(*((demand, NOTHING) if spot else (NOTHING, demand)), there, set()) == []
 
 
-@SAME_EXAMPLES
-@given(demand=SMALL_DEMANDS, refused=REFUSED)
+@FIXED_EXAMPLES
+@given(demand=SMALL_DEMANDS, refused=REFUSED_KINDS)
 def test_nothing_is_requested_where_the_cloud_has_just_refused(
     demand: Demand, refused: set[tuple[str, bool]]
 ) -> None:
--- a/tests/test_scheduler_failover.py
+++ b/tests/test_scheduler_failover.py
@@ -53,7 +53,7 @@
     assert "host-0" in harness.scheduler.releases and harness.scheduler.must_be_released("host-0")
 
 
-def test_new_leader_lets_a_gang_that_is_being_stopped_save() -> None:
+def test_new_leader_gives_a_gang_that_is_being_stopped_time_to_save() -> None:
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(tasks=2), harness.now, 1e9, "hive-0")
     intents = [
@@ -76,7 +76,7 @@
     assert job.gang_state is GangState.WAITING
 
 
-def test_newer_incarnation_of_a_machine_settles_an_earlier_terms_intents() -> None:
+def test_newer_incarnation_proves_an_earlier_terms_tasks_gone() -> None:
     """A machine that no command reaches never reports under the new term."""
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
@@ -89,7 +89,7 @@
     assert [attempt.machine for attempt in harness.plan_and_commit()] == ["host-1"]
 
 
-def test_late_heartbeat_to_a_new_leader_brings_no_machine_back() -> None:
+def test_late_heartbeat_to_a_new_leader_adds_no_capacity() -> None:
     """It can't know that it was released: it must not count as capacity."""
     harness = SchedulerHarness(machines=1, term=8)
     harness.heartbeat("host-9", term=7)
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -66,7 +66,7 @@
     assert job.gang_state is GangState.STOPPING
 
 
-def test_gang_is_done_when_one_of_its_tasks_is(harness: SchedulerHarness) -> None:
+def test_gang_is_done_when_one_of_its_tasks_is_done(harness: SchedulerHarness) -> None:
     job = running_gang(harness)
     harness.set_task_states("host-0", "ended", "done")
     harness.heartbeat("host-0")
@@ -74,7 +74,7 @@
     assert harness.scheduler.finished == [job]
 
 
-def test_lower_work_keeps_off_a_gangs_reservation_that_is_free_within_seconds() -> None:
+def test_array_is_not_placed_on_a_reservation_whose_gang_starts_within_seconds() -> None:
     """The gang's other machine is a moment behind; an array would be stopped before its
     image is there."""
     harness = SchedulerHarness(machines=0)
@@ -117,7 +117,7 @@
     )
 
 
-def test_aged_gang_does_not_count_on_a_guarantee_that_it_lacks() -> None:
+def test_aged_gang_is_not_offered_capacity_that_only_a_guarantee_can_preempt() -> None:
     """Else it reserves without end a machine that only a guarantee could free."""
     harness = SchedulerHarness(machines=2)
     for number in (1, 2):
@@ -127,24 +127,26 @@
     for name in ("host-0", "host-1"):
         harness.set_task_states(name, "running")
     harness.all_heartbeats()
-    need = make_spec(3, tasks=1, gpus=4.0, urgency="best_effort")
-    available = (need.cpus, need.gpus, need.memory_gb)
-    borrowed = [
+    gang_spec = make_spec(3, tasks=1, gpus=4.0, urgency="best_effort")
+    need = (gang_spec.cpus, gang_spec.gpus, gang_spec.memory_gb)
+    borrowing_attempts = [
         attempt
         for job in harness.scheduler.jobs.values()
         if not job.within_guarantee
         for attempt in job.attempts.values()
     ]
-    assert len(borrowed) == 1, "the second job of blue is beyond its guarantee"
+    assert len(borrowing_attempts) == 1, "the second job of blue is beyond its guarantee"
     (offer,) = (
         offer
         for zone in "ab"
         for offer in harness.scheduler.offers(zone, harness.now)
-        if offer.name == borrowed[0].machine
+        if offer.name == borrowing_attempts[0].machine
+    )
+    within_guarantee, aged = (0, 3), (AGED, 3)
+    soon_limit_s = 3 * harness.scheduler.heartbeat_interval_s
+    assert offer.wait_s_for(within_guarantee, need) < soon_limit_s
+    assert offer.wait_s_for(aged, need) > soon_limit_s
+    aged_and_urgent = (AGED, 1)
+    assert offer.wait_s_for(aged_and_urgent, need) < soon_limit_s, (
+        "by its urgency it may stop that work"
     )
-    by_guarantee, is_aged = (0, 3), (AGED, 3)
-    soon_s = 3 * harness.scheduler.heartbeat_interval_s
-    assert offer.wait_s_for(by_guarantee, available) < soon_s
-    assert offer.wait_s_for(is_aged, available) > soon_s
-    more_urgent = (AGED, 1)
-    assert offer.wait_s_for(more_urgent, available) < soon_s, "by its urgency it may stop that work"
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -69,13 +69,13 @@
     harness.set_task_states(name, "ended", "done")
     assert harness.heartbeat(name) == [] and harness.scheduler.machines[name].wake_tasks == []
     job.unsaved_parts.clear()
-    kept = len(harness.tasks[name])
+    ended_count = len(harness.tasks[name])
     commands = harness.heartbeat(name)
     assert {command.kind for command in commands} <= {"clear"}
-    assert len(commands) + len(harness.scheduler.machines[name].wake_tasks) == kept
+    assert len(commands) + len(harness.scheduler.machines[name].wake_tasks) == ended_count
 
 
-def test_worker_with_a_waiting_launch_is_made_to_report_at_once(harness: SchedulerHarness) -> None:
+def test_worker_with_an_unsent_launch_is_made_to_report_at_once(harness: SchedulerHarness) -> None:
     """A direct clear changes the worker's tasks, so that it reports at once."""
     harness.add_job(make_spec(1, shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
@@ -93,21 +93,21 @@
     assert [(command.kind, command.task_name) for command in commands] == [("clear", "wk-000001/0")]
 
 
-def test_done_marks_of_a_hundred_thousand_tasks_are_read_back(harness: SchedulerHarness) -> None:
+def test_completion_marks_of_100_000_tasks_are_read_back(harness: SchedulerHarness) -> None:
     job = harness.add_job(make_spec(shape="batch", tasks=100_000, gpus=0.0, cpus=1.0))
     assert len(harness.plan_and_commit()) > 0
     for index in range(0, 100_000, 2):
         job.mark_completed(index)
-    again = Job(job.spec, 0.0, 0.0, "")
+    reloaded = Job(job.spec, 0.0, 0.0, "")
     for part in range(25):
-        text = job.part_text(part)
-        assert len(text) < 1024
-        if text:
-            again.load_part(part, text)
-    assert again.completed == job.completed and again.completed_count == 50_000
+        part_text = job.part_text(part)
+        assert len(part_text) < 1024
+        if part_text:
+            reloaded.load_part(part, part_text)
+    assert reloaded.completed == job.completed and reloaded.completed_count == 50_000
 
 
-def test_launch_that_was_not_sent_leaves_a_draining_machine(harness: SchedulerHarness) -> None:
+def test_unsent_launch_is_withdrawn_from_a_draining_machine(harness: SchedulerHarness) -> None:
     """The task is placed elsewhere instead of waiting for the machine."""
     job = harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -12,21 +12,21 @@
 from topazhold.wire.cloud import ListedMachine
 
 
-def silent_group(share: float) -> tuple[SchedulerHarness, int]:
+def harness_with_silent_machines(share: float) -> tuple[SchedulerHarness, int]:
     """A zone of forty machines, a share of which falls silent at once."""
     harness = SchedulerHarness(machines=0)
     for number in range(40):
         harness.heartbeat(f"host-{number:02d}")
-    silent = int(40 * share)
+    silent_count = int(40 * share)
     while harness.now < 100.0 + 1.5 * harness.scheduler.lease_s:
         harness.now += 1.0
-        for number in range(silent, 40):
+        for number in range(silent_count, 40):
             harness.heartbeat(f"host-{number:02d}")
         harness.scheduler.tick(harness.now)
-    return harness, silent
+    return harness, silent_count
 
 
-def test_tasks_of_a_gone_machine_free_their_teams_quota(harness: SchedulerHarness) -> None:
+def test_tasks_of_a_removed_machine_free_their_teams_quota(harness: SchedulerHarness) -> None:
     """Runs of a gone machine must not count against their team any more."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
@@ -74,7 +74,7 @@
     assert attempt.machine in harness.scheduler.releases
 
 
-def test_machine_that_fails_several_jobs_drains_and_one_bad_job_drains_none(
+def test_machine_that_fails_several_jobs_drains_and_one_failing_job_drains_none(
     harness: SchedulerHarness,
 ) -> None:
     scheduler = harness.scheduler
@@ -84,12 +84,12 @@
             machine, harness.add_job(make_spec(number)), harness.now
         )
     assert machine.state is MachineState.DRAINING
-    bad = harness.add_job(make_spec(7))
+    failing_job = harness.add_job(make_spec(7))
     for name in ("host-1", "host-2", "host-3"):
         scheduler.parts.failure_attribution.on_attempt_failed(
-            scheduler.machines[name], bad, harness.now
+            scheduler.machines[name], failing_job, harness.now
         )
-    assert bad.not_before > harness.now
+    assert failing_job.not_before > harness.now
     for name in ("host-1", "host-2", "host-3"):
         assert scheduler.machines[name].state is MachineState.READY
         assert not scheduler.machines[name].error_jobs
@@ -126,7 +126,7 @@
     assert "host-3" not in harness.scheduler.machines
 
 
-def test_zone_that_comes_back_is_neither_unreachable_nor_released() -> None:
+def test_reconnected_zone_is_neither_unreachable_nor_released() -> None:
     """After a partition of minutes a zone's first heartbeats name the old term; some
     machines are a moment later than others."""
     harness = SchedulerHarness(machines=0, term=8)
@@ -157,35 +157,35 @@
     assert set(harness.scheduler.releases) == set(names[6:])
 
 
-def test_group_that_hangs_is_not_released_before_it_can_be_back() -> None:
+def test_hung_machines_of_a_zone_are_not_released_while_they_may_recover() -> None:
     """A third of a zone may hang for longer than a lease and come back."""
-    harness, silent = silent_group(0.3)
+    harness, silent_count = harness_with_silent_machines(0.3)
     assert not harness.scheduler.releases
-    missed = [
+    missing = [
         m
         for m in harness.scheduler.machines.values()
         if harness.scheduler.parts.failure_detection.is_missing(m, harness.now)
     ]
-    assert len(missed) == silent, "made up for, in case they are dead"
-    for number in range(silent - 1):
+    assert len(missing) == silent_count, "made up for, in case they are dead"
+    for number in range(silent_count - 1):
         harness.heartbeat(f"host-{number:02d}", incarnation=2)
     harness.now += 1.0
     harness.scheduler.tick(harness.now)
-    assert list(harness.scheduler.releases) == [f"host-{silent - 1:02d}"], "the lone one goes"
+    assert list(harness.scheduler.releases) == [f"host-{silent_count - 1:02d}"], "the lone one goes"
 
 
-def test_group_that_stays_silent_is_released() -> None:
-    harness, silent = silent_group(0.3)
+def test_machines_of_a_zone_that_stay_silent_are_released() -> None:
+    harness, silent_count = harness_with_silent_machines(0.3)
     for _ in range(8):
         harness.now += 1.0
-        for number in range(silent, 40):
+        for number in range(silent_count, 40):
             harness.heartbeat(f"host-{number:02d}")
         harness.scheduler.tick(harness.now)
-    assert len(harness.scheduler.releases) == silent
+    assert len(harness.scheduler.releases) == silent_count
 
 
-def test_machines_of_a_zone_that_is_cut_off_are_not_replaced_either() -> None:
-    harness, _ = silent_group(0.6)
+def test_machines_of_a_zone_that_is_cut_off_are_not_replaced() -> None:
+    harness, _ = harness_with_silent_machines(0.6)
     assert not harness.scheduler.releases
     assert not any(
         harness.scheduler.parts.failure_detection.is_missing(m, harness.now)
--- a/tests/test_scheduler_offers.py
+++ b/tests/test_scheduler_offers.py
@@ -7,7 +7,7 @@
 from topazhold.core.task_attempts import AttemptState, TaskAttempt
 
 
-def test_offers_are_as_many_as_the_largest_gang_needs() -> None:
+def test_number_of_offers_grows_with_the_largest_gang() -> None:
     """Of twenty machines hardly sixteen are empty where GPUs come free one by one."""
     harness = SchedulerHarness(machines=0)
     for number in range(60):
@@ -23,15 +23,17 @@
     harness = SchedulerHarness(machines=0)
     for number in range(60):
         harness.heartbeat(f"host-{number:02d}")
-    first = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
-    for number, name in enumerate(first):
+    reserved_names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
+    for number, name in enumerate(reserved_names):
         harness.reserve(harness.add_job(make_spec(number, tasks=1, gpus=4.0)), {name: 1})
     names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
-    assert len(set(names) - set(first)) == 20
-    assert set(first) <= set(names), "work whose turn comes before may take them all the same"
+    assert len(set(names) - set(reserved_names)) == 20
+    assert set(reserved_names) <= set(names), (
+        "work whose turn comes before may take them all the same"
+    )
 
 
-def test_offers_name_empty_machines_for_a_gang_that_needs_them() -> None:
+def test_offers_include_empty_machines_for_a_gang_that_needs_them() -> None:
     harness = SchedulerHarness(machines=0)
     for number in range(50):
         harness.heartbeat(f"host-{number:02d}")
@@ -43,19 +45,19 @@
         attempt.state = AttemptState.RUNNING
         harness.scheduler.cluster.attach(attempt)
     gang = harness.add_job(make_spec(tasks=5, gpus=4.0, cpus=16.0))
-    whole = {f"host-{number:02d}" for number in range(45, 50)}
-    assert whole <= {offer.name for offer in harness.scheduler.offers("a", harness.now, gang)}
+    empty_names = {f"host-{number:02d}" for number in range(45, 50)}
+    assert empty_names <= {offer.name for offer in harness.scheduler.offers("a", harness.now, gang)}
 
 
-def test_offers_name_reserved_machines_in_any_case() -> None:
+def test_offers_always_include_reserved_machines() -> None:
     """Else a reserved group can't be judged, and is given up for one that frees later."""
     harness = SchedulerHarness(machines=0)
     for number in range(30):
         harness.heartbeat(f"host-{number:02d}")
     job = harness.add_job(make_spec(tasks=1))
-    last = harness.scheduler.offers("a", harness.now)[-1].name
-    others = {offer.name for offer in harness.scheduler.offers("a", harness.now)}
-    hidden = next(name for name in harness.scheduler.machines if name not in others)
-    harness.reserve(job, {hidden: 1})
+    last_offered_name = harness.scheduler.offers("a", harness.now)[-1].name
+    offered_names = {offer.name for offer in harness.scheduler.offers("a", harness.now)}
+    unoffered_name = next(name for name in harness.scheduler.machines if name not in offered_names)
+    harness.reserve(job, {unoffered_name: 1})
     names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
-    assert names[19] == last and names[20:] == [hidden]
+    assert names[19] == last_offered_name and names[20:] == [unoffered_name]
--- a/tests/test_scheduler_priorities.py
+++ b/tests/test_scheduler_priorities.py
@@ -6,8 +6,11 @@
 from tests.scheduler_harness import SchedulerHarness
 from topazhold.core import preemption
 
+#: The wait within which every gang should start, by the default settings.
+LONGEST_WAIT_S = 240.0
 
-def test_quota_counts_a_task_from_its_intent_on(harness: SchedulerHarness) -> None:
+
+def test_quota_counts_a_task_once_its_intent_is_written(harness: SchedulerHarness) -> None:
     harness = SchedulerHarness(machines=8)
     harness.add_job(make_spec(team="blue", shape="batch", tasks=20, gpus=1.0, cpus=1.0))
     assert len(harness.plan_and_commit()) == 12  # blue's limit
@@ -15,7 +18,7 @@
     assert harness.plan_and_commit() == []
 
 
-def test_gang_preempts_lower_work_of_its_team_at_the_limit() -> None:
+def test_gang_at_its_teams_limit_preempts_less_urgent_work_of_the_team() -> None:
     harness = SchedulerHarness(machines=8)
     harness.add_job(
         make_spec(1, team="blue", shape="batch", tasks=12, gpus=1.0, urgency="best_effort")
@@ -23,7 +26,7 @@
     assert len(harness.plan_and_commit()) == 12
     harness.all_heartbeats()
     gang = harness.add_job(make_spec(2, team="blue", gpus=2.0))
-    free = [
+    candidates = [
         name
         for name, machine in harness.scheduler.machines.items()
         if machine.zone == "a" and machine.empty
@@ -32,7 +35,7 @@
         for name, machine in harness.scheduler.machines.items()
         if machine.zone == "a" and not machine.empty and machine.free()[1] >= 2
     ]
-    harness.reserve(gang, dict.fromkeys(free[:2], 1))
+    harness.reserve(gang, dict.fromkeys(candidates[:2], 1))
     harness.plan_and_commit()
     stopping = [
         attempt
@@ -42,7 +45,7 @@
     assert len(stopping) == 4
 
 
-def test_urgent_gang_preempts_lower_work_and_an_equal_one_does_not() -> None:
+def test_urgent_gang_preempts_less_urgent_work_and_an_equal_one_does_not() -> None:
     harness = SchedulerHarness(machines=2)
     low = harness.add_job(
         make_spec(
@@ -67,18 +70,18 @@
     assert [attempt.machine for attempt in low.attempts.values() if attempt.stopping] == ["host-0"]
 
 
-def test_reservations_of_lower_gangs_do_not_bind_higher_work() -> None:
+def test_reservations_of_lower_priority_gangs_do_not_block_higher_priority_work() -> None:
     """Guest gangs that book everything must not starve work that goes first."""
     harness = SchedulerHarness(machines=2)
     for number in (1, 2):
-        guest = harness.add_job(
+        best_effort_gang = harness.add_job(
             make_spec(number, tasks=1, gpus=4.0, team="blue", urgency="best_effort")
         )
-        harness.reserve(guest, {f"host-{number - 1}": 1})
+        harness.reserve(best_effort_gang, {f"host-{number - 1}": 1})
     harness.scheduler.refresh_guarantees()
     harness.scheduler.jobs["wk-000002"].within_guarantee = False
-    first = harness.add_job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
-    harness.reserve(first, {"host-1": 1})
+    urgent_gang = harness.add_job(make_spec(3, tasks=1, gpus=4.0, urgency="urgent"))
+    harness.reserve(urgent_gang, {"host-1": 1})
     attempts = harness.plan_and_commit()
     assert ("wk-000003", "host-1") in {(attempt.job.id, attempt.machine) for attempt in attempts}
     assert ("wk-000002", "host-1") not in {
@@ -102,12 +105,12 @@
     urgent.within_guarantee, low.within_guarantee = False, True
     for job in (urgent, low):
         harness.scheduler.usage.add(job, 20)
-    may = preemption.may_preempt
-    assert may(low, urgent, harness.scheduler.usage)
-    assert not may(urgent, low, harness.scheduler.usage)
+    preempts = preemption.may_preempt
+    assert preempts(low, urgent, harness.scheduler.usage)
+    assert not preempts(urgent, low, harness.scheduler.usage)
 
 
-def test_gang_that_has_waited_long_goes_before_work_within_guarantees() -> None:
+def test_aged_gang_preempts_work_within_guarantees() -> None:
     """Else arrays within guarantees fill each machine before a large gang has them all."""
     harness = SchedulerHarness(machines=2)
     filler = harness.add_job(
@@ -126,15 +129,19 @@
     harness.set_task_states("host-0", "running")
     harness.all_heartbeats()
     gang = harness.add_job(make_spec(2, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
-    other = harness.add_job(make_spec(3, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
+    borrowing_gang = harness.add_job(make_spec(3, tasks=1, gpus=4.0, team="blue", urgency="urgent"))
     harness.scheduler.refresh_guarantees()
-    assert filler.within_guarantee and gang.within_guarantee and not other.within_guarantee
-    assert preemption.priority(other) > preemption.priority(filler)
-    assert not preemption.may_preempt(other, filler, harness.scheduler.usage)
-    harness.now += harness.scheduler.ageing_threshold_s(other) + 1.0
+    assert filler.within_guarantee and gang.within_guarantee and not borrowing_gang.within_guarantee
+    assert preemption.priority(borrowing_gang) > preemption.priority(filler)
+    assert not preemption.may_preempt(borrowing_gang, filler, harness.scheduler.usage)
+    harness.now += harness.scheduler.ageing_threshold_s(borrowing_gang) + 1.0
     harness.scheduler.tick(harness.now)
-    assert other.is_aged and preemption.may_preempt(other, filler, harness.scheduler.usage)
-    assert not preemption.may_preempt(filler, other, harness.scheduler.usage), "never both ways"
+    assert borrowing_gang.is_aged and preemption.may_preempt(
+        borrowing_gang, filler, harness.scheduler.usage
+    )
+    assert not preemption.may_preempt(filler, borrowing_gang, harness.scheduler.usage), (
+        "never both ways"
+    )
 
 
 def test_urgent_and_large_gangs_age_sooner(harness: SchedulerHarness) -> None:
@@ -145,12 +152,12 @@
             [(16, "urgent"), (1, "urgent"), (8, "normal"), (1, "normal")], start=1
         )
     ]
-    patience = [harness.scheduler.ageing_threshold_s(job) for job in jobs]
-    assert patience == sorted(patience) and patience[-1] < 240.0
-    assert patience[0] < 0.1 * 240.0 and patience[2] < 0.3 * 240.0
+    thresholds_s = [harness.scheduler.ageing_threshold_s(job) for job in jobs]
+    assert thresholds_s == sorted(thresholds_s) and thresholds_s[-1] < LONGEST_WAIT_S
+    assert thresholds_s[0] < 0.1 * LONGEST_WAIT_S and thresholds_s[2] < 0.3 * LONGEST_WAIT_S
 
 
-def test_class_that_is_to_start_sooner_goes_first(harness: SchedulerHarness) -> None:
+def test_class_with_the_shorter_wait_objective_goes_first(harness: SchedulerHarness) -> None:
     harness.scheduler.wait_objectives = {"quick": (10.0, 50.0), "train": (60.0, 180.0)}
     slow = harness.add_job(make_spec(1, tasks=1))
     harness.now += 5.0
--- a/tests/test_scheduler_scale_out.py
+++ b/tests/test_scheduler_scale_out.py
@@ -8,16 +8,16 @@
 from tests.scheduler_harness import SchedulerHarness
 
 
-def test_machine_is_rented_for_a_gang_of_one_zone_though_free_ones_are_elsewhere(
+def test_machine_is_rented_for_a_one_zone_gang_despite_free_machines_elsewhere(
     harness: SchedulerHarness,
 ) -> None:
     """A machine is free in each zone beside work that runs on for hours, and the machines
     that others use do not count as room."""
     for zone in "ab":
-        long_run = harness.add_job(
+        long_job = harness.add_job(
             make_spec(ord(zone), shape="batch", tasks=1, gpus=4.0, zone=zone)
         )
-        assert long_run is not None
+        assert long_job is not None
     harness.plan_and_commit()
     harness.all_heartbeats()
     gang = harness.add_job(make_spec(7, tasks=2, gpus=4.0, spot=False))
@@ -29,14 +29,14 @@
     harness.scheduler.tick(harness.now)
     harness.scheduler.last_arrival = -1e9
     requests = harness.scheduler.scale_out(harness.now)
-    assert [ask.count for ask in requests] == [1]
+    assert [request.count for request in requests] == [1]
 
 
 def test_machine_is_rented_in_the_full_zone_for_a_gang_of_two_zones() -> None:
     """Long work fills one zone; the other one has more than enough room."""
     harness = SchedulerHarness(machines=4)
-    long = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
-    harness.reserve(long, {"host-1": 1, "host-3": 1})
+    long_gang = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
+    harness.reserve(long_gang, {"host-1": 1, "host-3": 1})
     harness.plan_and_commit()
     harness.all_heartbeats()
     harness.add_job(make_spec(6, tasks=2, gpus=4.0, same_zone=False, spread_zones=True))
@@ -45,13 +45,13 @@
     harness.scheduler.tick(harness.now)
     harness.scheduler.last_arrival = -1e9
     requests = harness.scheduler.scale_out(harness.now)
-    assert [(ask.zone, ask.count) for ask in requests] == [("b", 1)]
+    assert [(request.zone, request.count) for request in requests] == [("b", 1)]
 
 
 def test_machine_is_rented_in_the_full_zone_for_a_service_of_two_zones() -> None:
     harness = SchedulerHarness(machines=4)
-    long = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
-    harness.reserve(long, {"host-1": 1, "host-3": 1})
+    long_gang = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
+    harness.reserve(long_gang, {"host-1": 1, "host-3": 1})
     harness.plan_and_commit()
     harness.all_heartbeats()
     spec = make_spec(
@@ -72,7 +72,7 @@
     harness.scheduler.tick(harness.now)
     harness.scheduler.last_arrival = -1e9
     requests = harness.scheduler.scale_out(harness.now)
-    assert [(ask.zone, ask.count) for ask in requests] == [("b", 1)]
+    assert [(request.zone, request.count) for request in requests] == [("b", 1)]
 
 
 def test_machines_are_rented_for_a_team_without_a_gpu_limit(harness: SchedulerHarness) -> None:
@@ -83,7 +83,7 @@
     assert sum(request.count for request in requests) >= 2, "six tasks, four machines"
 
 
-def test_no_machines_are_rented_beyond_a_limit_of_cpus() -> None:
+def test_no_machines_are_rented_beyond_a_cpu_limit() -> None:
     """Guards against: machines were requested for tasks that the CPU limit never lets start."""
     harness = SchedulerHarness(machines=0)
     harness.scheduler.usage.teams["red"].cpus_max = 2 * MACHINE_TYPE.cpus
@@ -95,7 +95,7 @@
     assert sum(request.count for request in requests) == 2
 
 
-def test_no_machines_are_rented_for_a_team_that_the_settings_do_not_name(
+def test_no_machines_are_rented_for_a_team_missing_from_the_settings(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     """Guards against: machines were requested for a job that can't start, and nothing said so."""
--- a/tests/test_scheduler_unreachable_machines.py
+++ b/tests/test_scheduler_unreachable_machines.py
@@ -33,7 +33,7 @@
     assert harness.plan_and_commit() == [] and harness.scheduler.rejected[job.id] == 2
 
 
-def test_lease_that_expires_though_answered_shows_that_commands_do_not_arrive(
+def test_machine_whose_lease_expires_despite_responses_is_unreachable_for_commands(
     harness: SchedulerHarness,
 ) -> None:
     harness.add_job(make_spec(shape="batch", tasks=1))
@@ -46,15 +46,15 @@
     harness.heartbeat(attempt.machine, incarnation=2)
     machine = harness.scheduler.machines[attempt.machine]
     assert machine.command_unreachable and attempt.state is AttemptState.GONE
-    again = harness.plan_and_commit()
-    assert again and again[0].machine != attempt.machine, "placed again, elsewhere"
+    replacements = harness.plan_and_commit()
+    assert replacements and replacements[0].machine != attempt.machine, "placed again, elsewhere"
     for _ in range(14):  # a session that outlasts its lease has heard answers
         harness.now += 1.0
         harness.heartbeat(attempt.machine, incarnation=2)
     assert not machine.command_unreachable
 
 
-def test_lone_machine_without_commands_is_released_and_a_zone_of_them_is_not() -> None:
+def test_single_unreachable_machine_is_released_and_a_whole_zone_is_not() -> None:
     harness = SchedulerHarness(machines=8)
     for name in ("host-0", "host-1", "host-3", "host-5", "host-7"):
         harness.scheduler.machines[name].mark_command_unreachable(harness.now)
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -23,11 +23,13 @@
 from topazhold.wire.jobs import JobSpec
 
 RULES = SearchRules(2.0, 16, 20, distance_s=1.0, preference_s=0.5)
-ROOM = (16.0, 4.0, 64.0)
+MACHINE_RESOURCES = (16.0, 4.0, 64.0)
 
 
 def offer(name: str, zone: str, delay: float = 0.0, images: tuple[str, ...] = ()) -> ResourceOffer:
-    return ResourceOffer(name, zone, "b1", False, frozenset(images), [(delay, ROOM)], [], 2.0)
+    return ResourceOffer(
+        name, zone, "b1", False, frozenset(images), [(delay, MACHINE_RESOURCES)], [], 2.0
+    )
 
 
 def fleet(*offers: ResourceOffer) -> tuple[list[tuple[str, str]], dict[str, list[ResourceOffer]]]:
@@ -37,68 +39,72 @@
     return [(item.name, item.zone) for item in offers], caches
 
 
-def find(
+def search(
     spec: JobSpec,
     directory: list[tuple[str, str]],
     caches: dict[str, list[ResourceOffer]],
     seed: int = 1,
-    taken: dict[str, Resources] | None = None,
+    reserved_resources: dict[str, Resources] | None = None,
     tries: int = 2,
 ) -> group_search.Group | None:
     return group_search.find_group(
-        Random(seed), directory, caches, SearchContext(spec, (1, 2), taken or {}, RULES), tries
+        Random(seed),
+        directory,
+        caches,
+        SearchContext(spec, (1, 2), reserved_resources or {}, RULES),
+        tries,
     )
 
 
-def test_takes_the_soonest_group_with_its_image() -> None:
+def test_finds_the_earliest_group_that_has_the_image() -> None:
     directory, caches = fleet(
         offer("m1", "a", 30.0),
         offer("m2", "a"),
         offer("m3", "a", images=("img-0",)),
         offer("m4", "a", images=("img-0",)),
     )
-    group = find(make_spec(tasks=2, gpus=4.0), directory, caches)
+    group = search(make_spec(tasks=2, gpus=4.0), directory, caches)
     assert group is not None
     assert group.slots == {"m3": 1, "m4": 1} and group.wait_s == 0.0
 
 
 def test_several_tasks_share_a_machine() -> None:
     directory, caches = fleet(offer("m1", "a"), offer("m2", "a", 50.0))
-    group = find(make_spec(tasks=2, gpus=2.0), directory, caches)
+    group = search(make_spec(tasks=2, gpus=2.0), directory, caches)
     assert group is not None and group.slots == {"m1": 2}
 
 
-def test_same_place_never_mixes_zones() -> None:
+def test_same_place_group_never_spans_zones() -> None:
     directory, caches = fleet(offer("m1", "a"), offer("m2", "b"), offer("m3", "b", 40.0))
     for seed in range(20):
-        group = find(make_spec(tasks=2, gpus=4.0), directory, caches, seed)
+        group = search(make_spec(tasks=2, gpus=4.0), directory, caches, seed)
         assert group is None or set(group.slots) == {"m2", "m3"}
 
 
-def test_scatter_keeps_half_in_each_zone() -> None:
+def test_scattered_group_has_at_most_half_its_tasks_in_a_zone() -> None:
     directory, caches = fleet(*(offer(f"m{n}", "ab"[n % 2]) for n in range(8)))
     spec = make_spec(tasks=5, gpus=4.0, same_zone=False, spread_zones=True)
     for seed in range(20):
-        group = find(spec, directory, caches, seed)
+        group = search(spec, directory, caches, seed)
         assert group is not None
         zones = [caches["a"][0].zone if int(name[1]) % 2 == 0 else "b" for name in group.slots]
         assert max(zones.count("a"), zones.count("b")) <= 3
 
 
-def test_gathers_alpha_times_n_from_pivots_all_over_the_fleet() -> None:
+def test_gathers_alpha_slots_per_task_from_pivots_in_all_zones() -> None:
     directory, caches = fleet(*(offer(f"m{n:02d}", "abc"[n % 3]) for n in range(30)))
     spec = make_spec(tasks=4, gpus=4.0, same_zone=False)
-    seen = set()
+    zones_seen = set()
     for seed in range(30):
         slots = candidate_slots.gather_slots(
             Random(seed), directory, caches, SearchContext(spec, (1, 2), {}, RULES)
         )
         assert len(slots) == 8
-        seen |= {slot.offer.zone for slot in slots}
-    assert seen == {"a", "b", "c"}
+        zones_seen |= {slot.offer.zone for slot in slots}
+    assert zones_seen == {"a", "b", "c"}
 
 
-def test_swap_loop_beats_the_first_draw() -> None:
+def test_swap_loop_improves_the_initial_group() -> None:
     directory, caches = fleet(*(offer(f"m{n:02d}", "a", float(n)) for n in range(12)))
     spec = make_spec(tasks=4, gpus=4.0)
     slots = candidate_slots.gather_slots(
@@ -108,9 +114,14 @@
     assert group is not None and set(group.slots) == {"m00", "m01", "m02", "m03"}
 
 
-def test_reserved_capacity_is_left_alone() -> None:
+def test_capacity_reserved_for_others_is_not_used() -> None:
     directory, caches = fleet(offer("m1", "a"), offer("m2", "a", 5.0))
-    group = find(make_spec(tasks=1, gpus=4.0), directory, caches, taken={"m1": ROOM})
+    group = search(
+        make_spec(tasks=1, gpus=4.0),
+        directory,
+        caches,
+        reserved_resources={"m1": MACHINE_RESOURCES},
+    )
     assert group is not None and group.slots == {"m2": 1}
 
 
@@ -118,7 +129,7 @@
     return Reservation(job, {machine: 1}, (4.0, 4.0, 8.0), 1.0, 1, 1.0, True, queue_key)
 
 
-def test_reservation_round_trip_and_unreadable_ones() -> None:
+def test_reservations_survive_a_round_trip_and_unreadable_ones_are_skipped() -> None:
     reservation_table = ReservationTable("hive-0")
     value = pack_value([reservation("wk-1", "m1")], "t")
     value["holds"].append(["nonsense"])
@@ -158,7 +169,7 @@
     assert reserved.reserved_for_others("wk-2", (1, 3, 0.0))["m3"] == (0.0, 0.0, 0.0)
 
 
-def test_reservation_guards_all_other_reservations() -> None:
+def test_reservation_write_is_conditional_on_all_other_reservations() -> None:
     reservation_table = ReservationTable("hive-0")
     reservation_table.update("hive-1", pack_value([], "t"), 7)
     assert reservation_table.preconditions() == [("hold/hive-0", 0), ("hold/hive-1", 7)]
@@ -173,16 +184,16 @@
         "b1",
         True,
         frozenset({"x", "y"}),
-        [(0.0, ROOM), (9.5, ROOM)],
-        [((1, 1), 2.0, ROOM)],
+        [(0.0, MACHINE_RESOURCES), (9.5, MACHINE_RESOURCES)],
+        [((1, 1), 2.0, MACHINE_RESOURCES)],
         2.0,
     )
-    again = unpack_offer("a", item.pack())
-    assert again.pack() == item.pack()
-    assert [delay for delay, _ in again.availability_for((1, 1), None)] == [0.0, 2.0, 9.5]
+    unpacked = unpack_offer("a", item.pack())
+    assert unpacked.pack() == item.pack()
+    assert [delay for delay, _ in unpacked.availability_for((1, 1), None)] == [0.0, 2.0, 9.5]
 
 
-def test_reserved_group_is_judged_by_what_is_known_now() -> None:
+def test_reservation_is_scored_by_current_offers() -> None:
     """A hold on machines that free late must lose against a better group."""
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
@@ -193,7 +204,7 @@
     )
 
 
-def test_work_that_yields_uses_capacity_of_gangs_that_still_wait() -> None:
+def test_preemptible_work_uses_capacity_reserved_by_gangs_that_still_wait() -> None:
     """Gangs that waited for their last machine kept a quarter of a fleet idle."""
     reservation_table = ReservationTable("hive-0")
     reservation_table.update(
@@ -211,16 +222,26 @@
     )
     assert reserved.reserved_for_others("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
     assert reserved.reserved_for_others("wk-2", (1, 3, 8.0), preemptible=True).keys() == {"m3"}
-    equal = ReservedResources(
+    without_gathering = ReservedResources(
         reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
-    assert equal.reserved_for_others("wk-2", (1, 2, 7.0), preemptible=True).keys() == {"m1", "m3"}
+    assert without_gathering.reserved_for_others("wk-2", (1, 2, 7.0), preemptible=True).keys() == {
+        "m1",
+        "m3",
+    }
 
 
-def test_machine_without_a_free_card_is_not_free() -> None:
+def test_machine_without_a_free_gpu_is_not_available_now() -> None:
     """Full machines filled the caches, and those about to boot were not in them."""
     full = ResourceOffer(
-        "m1", "a", "b1", False, frozenset(), [(0.0, (2.0, 0.0, 8.0)), (90.0, ROOM)], [], 2.0
+        "m1",
+        "a",
+        "b1",
+        False,
+        frozenset(),
+        [(0.0, (2.0, 0.0, 8.0)), (90.0, MACHINE_RESOURCES)],
+        [],
+        2.0,
     )
     assert zone_summary.availability_key(full)[0] == 90.0
     assert zone_summary.availability_key(offer("m2", "a", 40.0)) < zone_summary.availability_key(
@@ -228,16 +249,18 @@
     )
 
 
-def test_names_of_a_whole_zone_fit_a_value() -> None:
+def test_machine_names_of_a_whole_zone_fit_one_value() -> None:
     """Forty names a zone were told: of 300 machines most were never a pivot."""
     names = [f"host-{number:06d}" for number in range(450)]
     assert zone_summary.unpack_names(zone_summary.pack_names(names)) == names
     assert json_size(zone_summary.pack_names(names)) < 4096
-    for few in ([], ["host-1"], ["a", "b"]):
-        assert zone_summary.unpack_names(zone_summary.pack_names(few)) == few
+    for short_names in ([], ["host-1"], ["a", "b"]):
+        assert zone_summary.unpack_names(zone_summary.pack_names(short_names)) == short_names
 
 
-def test_small_gang_gets_the_best_of_all_groups(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_small_gang_gets_the_best_group_and_each_group_is_scored_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """A swap loop tried some 70 groups of four candidates, which make six, and half the
     processor time of a full fleet went there: a day took over 400 s of it."""
     rng = Random(3)
@@ -255,7 +278,7 @@
         scored.clear()
         with monkeypatch.context() as patch:
             patch.setattr(group_search, "score_group", counted)
-            group = find(spec, directory, caches, tries=6)
-        soonest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
-        assert group is not None and set(group.slots) == {item.name for item in soonest}
+            group = search(spec, directory, caches, tries=6)
+        earliest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
+        assert group is not None and set(group.slots) == {item.name for item in earliest}
         assert len(scored) <= 73, "each group once, however many tries"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -33,7 +34,7 @@
     return make_spec(number, **{**fields, **changes})
 
 
-def run_all(harness: SchedulerHarness) -> None:
+def start_planned_tasks(harness: SchedulerHarness) -> None:
     """Let everything that is planned come to run."""
     harness.plan_and_commit()
     harness.all_heartbeats()
@@ -45,12 +46,12 @@
 
 def running_service(harness: SchedulerHarness, **changes: Any) -> Job:
     job = harness.add_job(service_spec(**changes))
-    run_all(harness)
+    start_planned_tasks(harness)
     assert job.running_count() == job.spec.tasks
     return job
 
 
-def run_of(job: Job, index: int = 0) -> TaskAttempt:
+def attempt_of(job: Job, index: int = 0) -> TaskAttempt:
     return job.attempts[index]
 
 
@@ -67,19 +68,19 @@
     harness: SchedulerHarness, cause: str
 ) -> None:
     job = running_service(harness)
-    first = run_of(job)
+    first = attempt_of(job)
     harness.now += 60.0
     harness.all_heartbeats()
     harness.set_task_states(first.machine, "ended", cause)
     harness.heartbeat(first.machine)
     assert job.waiting_count == 1 and not job.is_complete
     assert harness.scheduler.finished == [] and job.completed_count == 0
-    run_all(harness)
-    again = run_of(job, first.index)
-    assert again.attempt_number > first.attempt_number and job.running_count() == 2
+    start_planned_tasks(harness)
+    replacement = attempt_of(job, first.index)
+    assert replacement.attempt_number > first.attempt_number and job.running_count() == 2
 
 
-def test_done_marks_of_a_service_are_not_believed() -> None:
+def test_completion_marks_of_a_service_are_ignored() -> None:
     """A record with marks, whoever wrote it, must not end a service."""
     marked = Job(make_spec(shape="batch", tasks=2), 0.0, 0.0, "")
     marked.mark_completed(0)
@@ -89,44 +90,44 @@
     assert job.completed_count == 0 and not job.is_complete
 
 
-def test_replacement_waits_for_the_proof(harness: SchedulerHarness) -> None:
+def test_replica_is_replaced_only_once_it_is_proven_gone(harness: SchedulerHarness) -> None:
     """A silent machine may still run its replica; a newer session shows that it is gone."""
     job = running_service(harness)
-    lost = run_of(job).machine
-    others = [name for name in harness.scheduler.machines if name != lost]
+    lost_machine = attempt_of(job).machine
+    others = [name for name in harness.scheduler.machines if name != lost_machine]
     for _ in range(8):
         harness.now += 1.0
         for name in others:
             harness.heartbeat(name)
         harness.scheduler.tick(harness.now)
         assert harness.plan_and_commit() == []
-    harness.tasks[lost].clear()
-    harness.heartbeat(lost, incarnation=2)
+    harness.tasks[lost_machine].clear()
+    harness.heartbeat(lost_machine, incarnation=2)
     assert [attempt.index for attempt in harness.plan_and_commit()] == [0]
 
 
-def test_machine_with_replicas_is_released_once_its_lease_is_over(
+def test_machine_with_replicas_is_released_once_its_lease_expires(
     harness: SchedulerHarness,
 ) -> None:
     """A service is down until the release proves its replica gone; other work can wait for
     the machine to come back."""
     job = running_service(harness)
-    lost = run_of(job).machine
+    lost_machine = attempt_of(job).machine
     harness.now += 1.1 * harness.scheduler.lease_s
     for name in harness.scheduler.machines:
-        if name != lost:
+        if name != lost_machine:
             harness.heartbeat(name)
     harness.scheduler.tick(harness.now)
-    assert harness.scheduler.machines[lost].state is MachineState.RELEASING
-    harness.scheduler.remove_machine(lost, harness.now)
+    assert harness.scheduler.machines[lost_machine].state is MachineState.RELEASING
+    harness.scheduler.remove_machine(lost_machine, harness.now)
     assert [attempt.index for attempt in harness.plan_and_commit()] == [0]
 
 
-def test_machines_of_a_zone_that_is_cut_are_kept_with_their_replicas() -> None:
+def test_machines_with_replicas_in_a_zone_that_is_cut_off_are_not_released() -> None:
     """They may run on there: a controller in the zone answers its workers."""
     harness = SchedulerHarness(machines=8)
     job = running_service(harness)
-    zone = harness.scheduler.zone_of[run_of(job).machine]
+    zone = harness.scheduler.zone_of[attempt_of(job).machine]
     harness.now += 1.1 * harness.scheduler.lease_s
     for name, machine in harness.scheduler.machines.items():
         if machine.zone != zone:
@@ -136,7 +137,7 @@
     assert MachineState.RELEASING not in states
 
 
-def test_launch_that_could_not_leave_goes_elsewhere(harness: SchedulerHarness) -> None:
+def test_unsent_launch_on_a_silent_machine_is_placed_elsewhere(harness: SchedulerHarness) -> None:
     """The machine fell silent before it could take its launch: nothing is there to be proven.
     The replica waited for the machine's release, well over a lease."""
     job = harness.add_job(service_spec(tasks=1))
@@ -147,51 +148,53 @@
         if name != attempt.machine:
             harness.heartbeat(name)
     harness.scheduler.tick(harness.now)
-    (again,) = harness.plan_and_commit()
-    assert again.machine != attempt.machine and job.attempts[0] is again
+    (replacement,) = harness.plan_and_commit()
+    assert replacement.machine != attempt.machine and job.attempts[0] is replacement
     assert harness.heartbeat(attempt.machine) == [], "the old plan must not be carried out any more"
 
 
-def test_scatter_counts_the_replicas_that_are_there(harness: SchedulerHarness) -> None:
+def test_scatter_counts_present_replicas_when_one_is_replaced(harness: SchedulerHarness) -> None:
     """At most half may be in one zone, also for a replacement."""
     job = running_service(harness, tasks=2, spread_zones=True)
-    lost = run_of(job)
-    zone = harness.scheduler.zone_of[lost.machine]
-    harness.set_task_states(lost.machine, "ended", "error")
-    harness.heartbeat(lost.machine)
+    failed_attempt = attempt_of(job)
+    zone = harness.scheduler.zone_of[failed_attempt.machine]
+    harness.set_task_states(failed_attempt.machine, "ended", "error")
+    harness.heartbeat(failed_attempt.machine)
     for name, machine in harness.scheduler.machines.items():
         if machine.zone == zone:
             harness.heartbeat(name, notice_s=100.0)
     assert harness.plan_and_commit() == [], "the other zone has its share"
 
 
-def test_replica_leaves_a_machine_that_will_be_taken(harness: SchedulerHarness) -> None:
+def test_replica_leaves_a_machine_under_notice(harness: SchedulerHarness) -> None:
     """At once if it has another place: the gap is the same later, and longer once it is taken."""
     job = running_service(harness)
-    lost = run_of(job).machine
-    harness.heartbeat(lost, notice_s=20.0)
+    lost_machine = attempt_of(job).machine
+    harness.heartbeat(lost_machine, notice_s=20.0)
     harness.scheduler.tick(harness.now)
-    assert run_of(job).stopping
-    harness.set_task_states(lost, "ended", "stopped")
-    harness.heartbeat(lost, notice_s=20.0)
+    assert attempt_of(job).stopping
+    harness.set_task_states(lost_machine, "ended", "stopped")
+    harness.heartbeat(lost_machine, notice_s=20.0)
     (attempt,) = harness.plan_and_commit()
-    assert attempt.machine != lost
+    assert attempt.machine != lost_machine
 
 
-def test_replica_without_another_place_stays_till_the_last_moment() -> None:
+def test_replica_without_another_place_stays_until_the_notice_expires() -> None:
     harness = SchedulerHarness(machines=1)
     job = running_service(harness, tasks=1)
-    lost = run_of(job).machine
-    harness.heartbeat(lost, notice_s=20.0)
+    lost_machine = attempt_of(job).machine
+    harness.heartbeat(lost_machine, notice_s=20.0)
     harness.scheduler.tick(harness.now)
-    assert not run_of(job).stopping
+    assert not attempt_of(job).stopping
     harness.now += 19.0
-    harness.heartbeat(lost, notice_s=1.0)
+    harness.heartbeat(lost_machine, notice_s=1.0)
     harness.scheduler.tick(harness.now)
-    assert run_of(job).stopping
+    assert attempt_of(job).stopping
 
 
-def test_replica_goes_beside_a_gangs_task_and_in_nobodys_way(harness: SchedulerHarness) -> None:
+def test_replica_is_packed_beside_a_gangs_task_rather_than_on_an_empty_machine(
+    harness: SchedulerHarness,
+) -> None:
     """A machine takes one of ten CPUs, and a replica of six beside it; not two replicas."""
     gang = harness.add_job(make_spec(7, tasks=1, cpus=10.0, gpus=4.0))
     harness.reserve(gang, {"host-2": 1})
@@ -201,24 +204,24 @@
     (attempt,) = harness.plan_and_commit()
     assert attempt.machine == "host-2", "the empty machines could be given back"
     non_service_sizes = NonServiceSizes(harness.scheduler.jobs.values())
-    hindrances = {
+    displaced_shares = {
         name: non_service_sizes.displaced_share(machine, job.need)
         for name, machine in harness.scheduler.machines.items()
     }
-    assert hindrances == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
+    assert displaced_shares == {"host-0": 0.0, "host-1": 0.0, "host-2": 1.0, "host-3": 0.0}
 
 
 def test_work_is_preempted_for_a_replica_at_once() -> None:
     harness = SchedulerHarness(machines=1)
     filler = harness.add_job(make_spec(5, shape="batch", tasks=4, gpus=1.0, urgency="best_effort"))
-    run_all(harness)
+    start_planned_tasks(harness)
     job = harness.add_job(service_spec(tasks=1))
     assert harness.plan_and_commit() == []
     assert [attempt.stopping for attempt in filler.attempts.values()].count(True) == 1
     assert job.waiting_count == 1
 
 
-def test_service_that_borrows_nothing_is_not_stopped_for_a_guarantee() -> None:
+def test_service_within_its_guarantee_is_not_preempted_for_another_guarantee() -> None:
     """Its team's other work is beyond the guarantee of GPUs; the replicas take none."""
     harness = SchedulerHarness(machines=1)
     job = running_service(harness, tasks=1, cpus=16.0)
@@ -229,54 +232,54 @@
         harness.all_heartbeats()
         harness.plan_and_commit()
         harness.scheduler.tick(harness.now)
-    assert job.within_guarantee and not run_of(job).stopping
+    assert job.within_guarantee and not attempt_of(job).stopping
 
 
-def test_replica_that_fails_everywhere_waits_longer_each_time_but_not_for_ever() -> None:
+def test_backoff_of_a_replica_that_fails_everywhere_grows_and_is_bounded() -> None:
     harness = SchedulerHarness(machines=6)
     job = harness.add_job(service_spec(tasks=1))
-    pauses = []
+    backoffs_s = []
     for _ in range(12):
         while not harness.plan_and_commit():
             harness.now += 0.5
             harness.all_heartbeats()
-        attempt = run_of(job)
+        attempt = attempt_of(job)
         harness.all_heartbeats()
         harness.set_task_states(attempt.machine, "ended", "error")
         harness.heartbeat(attempt.machine)
-        pauses.append(max(0.0, job.not_before - harness.now))
+        backoffs_s.append(max(0.0, job.not_before - harness.now))
         assert attempt.state is AttemptState.GONE
-    assert pauses[0] == 0.0 and max(pauses) > 0.0
-    assert max(pauses) <= 2**5 * harness.scheduler.lease_s
+    assert backoffs_s[0] == 0.0 and max(backoffs_s) > 0.0
+    assert max(backoffs_s) <= 2**5 * harness.scheduler.lease_s
     healthy = [m for m in harness.scheduler.machines.values() if m.state is MachineState.READY]
     assert len(healthy) >= 4, "the job must not take the machines with it"
 
 
-def test_failures_of_one_replica_are_held_against_the_machine(harness: SchedulerHarness) -> None:
+def test_failures_of_one_replica_are_attributed_to_its_machine(harness: SchedulerHarness) -> None:
     """The others run: it is the machine that fails what it starts."""
     job = running_service(harness, tasks=2)
-    lost = run_of(job)
-    harness.set_task_states(lost.machine, "ended", "error")
-    harness.heartbeat(lost.machine)
-    assert harness.scheduler.machines[lost.machine].error_jobs == {job.id}
-    (again,) = harness.plan_and_commit()
-    assert again.machine != lost.machine
+    failed_attempt = attempt_of(job)
+    harness.set_task_states(failed_attempt.machine, "ended", "error")
+    harness.heartbeat(failed_attempt.machine)
+    assert harness.scheduler.machines[failed_attempt.machine].error_jobs == {job.id}
+    (replacement,) = harness.plan_and_commit()
+    assert replacement.machine != failed_attempt.machine
 
 
 def test_machines_are_rented_for_a_service() -> None:
     harness = SchedulerHarness(machines=0)
     harness.add_job(service_spec(tasks=2, spread_zones=True))
     requests = harness.scheduler.scale_out(harness.now)
-    assert {ask.zone for ask in requests} == {"a", "b"}
+    assert {request.zone for request in requests} == {"a", "b"}
 
 
 def test_no_replacement_after_a_cancellation(harness: SchedulerHarness) -> None:
     """A replica ends at the very moment at which its job is cancelled."""
     job = running_service(harness)
-    lost = run_of(job)
-    harness.set_task_states(lost.machine, "ended", "error")
+    failed_attempt = attempt_of(job)
+    harness.set_task_states(failed_attempt.machine, "ended", "error")
     harness.scheduler.on_job_ended(job.id, False, harness.now, harness.now)
-    harness.heartbeat(lost.machine)
+    harness.heartbeat(failed_attempt.machine)
     assert harness.plan_and_commit() == [] and job.state is JobState.ABORTED
     assert all(attempt.stopping for attempt in job.attempts.values())
 
@@ -284,6 +287,8 @@
 # -- with the controllers around it ------------------------------------------------
 
 
+#: How old the state in an answer to a user may be, by the protocol.
+MAX_ANSWER_LAG_S = 3.0
 SERVICE = {
     "shape": "daemon",
     "urgency": "critical",
@@ -304,7 +309,7 @@
     )
 
 
-def test_replacement_and_cancellation_meet_a_change_of_leader(
+def test_replacement_and_cancellation_continue_after_a_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A replica ends, the leader with it, and the job is cancelled before the next one acts."""
@@ -314,24 +319,24 @@
         leader = scenario.leader()
         assert leader is not None
         via = scenario.other_controllers(leader)[0]
-        kept = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
-        gone = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
+        kept_job = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
+        cancelled_job = (await scenario.submit_running_jobs(1, via, **SERVICE))[0]
         for worker in scenario.cloud.workers.values():
             for task in list(worker.tasks.values()):
                 if task.index == 0 and task.state == "running":
                     worker.end_task(task, "error")
         await scenario.stop(leader)
-        assert await scenario.cancel(gone, via) == 200
+        assert await scenario.cancel(cancelled_job, via) == HTTPStatus.OK
         await scenario.wait_for_new_leader(leader)
-        await scenario.wait_until(lambda: running_replicas(scenario, kept) == 3)
-        await scenario.wait_until(lambda: gone not in scenario.present_jobs())
+        await scenario.wait_until(lambda: running_replicas(scenario, kept_job) == 3)
+        await scenario.wait_until(lambda: cancelled_job not in scenario.present_jobs())
         # An answer may lag by 3 s (PROTOCOL); asked at that very moment, it had to be luck.
-        asked_at = scenario.clock.now
-        status, body = await scenario.poll(kept, via)
-        while (status, body["stage"]) != (200, "running"):
-            assert scenario.clock.now - asked_at < 3.0, (status, body)
+        polling_since = scenario.clock.now
+        status, body = await scenario.poll(kept_job, via)
+        while (status, body["stage"]) != (HTTPStatus.OK, "running"):
+            assert scenario.clock.now - polling_since < MAX_ANSWER_LAG_S, (status, body)
             await curio.sleep(0.1)
-            status, body = await scenario.poll(kept, via)
+            status, body = await scenario.poll(kept_job, via)
         assert (
             scenario.started_after_confirmation == [] and scenario.launched_after_confirmation == []
         )
@@ -359,7 +364,7 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_many_services_cancelled_at_once_as_a_machine_dies(
+def test_many_services_are_cancelled_at_once_while_a_machine_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def act(scenario: Scenario) -> None:
@@ -369,7 +374,7 @@
         jobs = await scenario.submit_running_jobs(6, leader, **SERVICE)
         scenario.busy_workers()[0].crash()
         for job in jobs:
-            assert await scenario.cancel(job, leader) == 200
+            assert await scenario.cancel(job, leader) == HTTPStatus.OK
         await scenario.wait_until(lambda: not scenario.present_jobs() & set(jobs), 60.0)
         assert scenario.started_after_confirmation == []
 
--- a/tests/test_unlimited_teams.py
+++ b/tests/test_unlimited_teams.py
@@ -9,10 +9,10 @@
 from tests.scheduler_harness import SchedulerHarness
 
 #: Times within which a machine is requested, has booted and has its task's image, many times over.
-STARTED_S = 60.0
+START_LIMIT_S = 60.0
 
 
-def unlimited(scenario: Scenario, team_name: str) -> None:
+def remove_limits(scenario: Scenario, team_name: str) -> None:
     """The team's limits are 0 in the settings of all controllers."""
     for settings in scenario.controller_settings.values():
         for team in settings.cluster.teams:
@@ -20,13 +20,13 @@
                 team.cpus_max = team.gpus_max = 0.0
 
 
-def test_jobs_of_a_team_without_limits_and_of_others_get_their_machines(
+def test_jobs_of_unlimited_and_other_teams_get_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against: one job of an unlimited team ended every leader's term, for all teams."""
 
     async def act(scenario: Scenario) -> None:
-        unlimited(scenario, "red")
+        remove_limits(scenario, "red")
         await scenario.start(machines=2)
         leader = scenario.leader()
         via = scenario.controller_names[0]
@@ -34,13 +34,13 @@
             await scenario.submit(via, team=team, tasks=3, gpus=4.0, cpus=4.0)
             for team in ("red", "blue")
         ]
-        await scenario.wait_until(lambda: set(jobs) <= scenario.present_jobs(), STARTED_S)
+        await scenario.wait_until(lambda: set(jobs) <= scenario.present_jobs(), START_LIMIT_S)
         assert scenario.leader() == leader, "the leader changed without a fault"
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_jobs_of_next_to_no_gpus_do_not_stop_scale_out() -> None:
+def test_job_of_a_tiny_gpu_share_does_not_stop_scale_out() -> None:
     """Guards against: the limit divided by such an amount was no integer any more."""
     harness = SchedulerHarness(machines=2)
     harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1e-320, same_zone=False))
