--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -109,8 +109,8 @@
         for machine in list(scheduler.machines.values()):
             scheduler.release(machine, "idle", clock.now)
         cancelled_run(scheduler, 1, "host-000249", clock.now)
-        book = OperationLog(context.node, context.term, context.value_limit, keep_s=1.0)
-        book.recorded(book.decide_scale_in(scheduler.releases, clock.now), clock.now)
+        book = OperationLog(context.node, context.term, context.max_value_bytes, retention_s=1.0)
+        book.mark_recorded(book.decide_scale_in(scheduler.releases, clock.now), clock.now)
         request = book.release_request(scheduler.must_be_released, only_required=False)
         assert request is not None
         assert len(request.names) == MAX_RELEASED_MACHINES and request.names[0] == "host-000249"
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -206,14 +206,14 @@
 def test_adopted_request_is_not_withdrawn() -> None:
     """Guards against: machines that the earlier term's request has rented are never known."""
     request = ScaleOutRequest("b1", "a", False, 1)
-    predecessor_log = OperationLog("hive-0", 1, 2048, keep_s=10.0)
+    predecessor_log = OperationLog("hive-0", 1, 2048, retention_s=10.0)
     adopted = predecessor_log.decide_scale_out(request, 1.0)
-    log = OperationLog("hive-1", 2, 2048, keep_s=10.0)
+    log = OperationLog("hive-1", 2, 2048, retention_s=10.0)
     adopted_request = log.adopt(adopted.record, 1.0)
     refused, unsent = (log.decide_scale_out(request, 1.0) for _ in range(2))
-    log.recorded([refused, unsent], 1.0)
-    log.sending(refused)
-    log.scale_out_answered(refused, [], 2.0)
+    log.mark_recorded([refused, unsent], 1.0)
+    log.start_request(refused)
+    log.complete_scale_out(refused, [], 2.0)
     log.withdraw_unsent(refused, 2.0)
     assert unsent.state is OperationState.CONFIRMED
     assert log.scale_outs_due() == [adopted_request]
--- a/tests/test_operation_records.py
+++ b/tests/test_operation_records.py
@@ -22,16 +22,16 @@
 from topazhold.cli import main
 from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.core.leadership import LEADER_KEY
-from topazhold.operations.inspection import DUTIES, OperationsReport, as_text, inspect
+from topazhold.operations.inspection import OPERATION_KINDS, OperationsReport, as_text, inspect
 from topazhold.operations.records import (
     CLEANUP_PREFIX,
     RECORD_TYPES,
     SCALE_IN_PREFIX,
     SCALE_OUT_PREFIX,
     InvalidRecordError,
-    read_record,
+    decode_record,
 )
-from topazhold.operations.schemas import page, schema_of
+from topazhold.operations.schemas import render_page, schema_of
 from topazhold.operator_settings import OperatorSettings
 
 HEADER = {"by": "d4-1", "term": 4, "number": 1, "at": 1.0}
@@ -50,7 +50,7 @@
 
 
 def test_page_of_schemas_is_new() -> None:
-    assert (ROOT / "docs" / "duties-schemas.md").read_text() == page()
+    assert (ROOT / "docs" / "duties-schemas.md").read_text() == render_page()
 
 
 def test_all_that_is_stored_fits_the_published_schemas(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -71,14 +71,14 @@
     good = {**HEADER, **SAMPLES[prefix]}
     key = prefix + KEY_END
     jsonschema.validate(good, schema_of(prefix))
-    assert read_record(key, good).number == 1
+    assert decode_record(key, good).number == 1
     for field in good:
         without = {name: value for name, value in good.items() if name != field}
         for odd in (without, {**good, field: []}, {**good, field: -1}, {**good, field: ""}):
             with pytest.raises(jsonschema.ValidationError):
                 jsonschema.validate(odd, schema_of(prefix))
             with pytest.raises(InvalidRecordError):
-                read_record(key, odd)
+                decode_record(key, odd)
 
 
 def ask(simulation: LoopbackSimulation, *options: str) -> subprocess.Popen[str]:
@@ -113,7 +113,7 @@
 
     curio.run(scenario)
     text, data = answers[0], json.loads(answers[1])
-    assert text.count("hive-2, term 4") == len(DUTIES) and "host-1 (idle)" in text
+    assert text.count("hive-2, term 4") == len(OPERATION_KINDS) and "host-1 (idle)" in text
     assert {order["kind"] for order in data["orders"]} == {
         "return",
         "rental",
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -27,10 +27,10 @@
     SCALE_OUT_PREFIX,
     InvalidRecordError,
     ScaleInRecord,
-    read_record,
-    write_record,
+    decode_record,
+    encode_record,
 )
-from topazhold.operations.retention import MAX_CLOSED_SCALE_INS
+from topazhold.operations.retention import MAX_RETAINED_SCALE_INS
 
 #: Longer than a lease of a controller, by far.
 PAUSE_S = 30.0
@@ -381,7 +381,7 @@
 
 
 def test_records_are_split_and_checked() -> None:
-    operation_log = OperationLog("hive-0", 7, value_limit=2048, keep_s=10.0)
+    operation_log = OperationLog("hive-0", 7, max_value_bytes=2048, retention_s=10.0)
     reasons = {f"host-{number:06d}": "silent and not listed" for number in range(300)}
     operations = operation_log.decide_scale_in(reasons, 5.0)
     assert len(operations) > 3 and len({operation.key for operation in operations}) == len(
@@ -389,22 +389,22 @@
     )
     assert [name for operation in operations for name in operation.record.machines] == list(reasons)
     for each in operations:
-        assert read_record(each.key, write_record(each.record)) == each.record
+        assert decode_record(each.key, encode_record(each.record)) == each.record
     with pytest.raises(InvalidRecordError):
-        write_record(record_of([]))
+        encode_record(record_of([]))
     with pytest.raises(InvalidRecordError):
-        read_record(operations[0].key, write_record(record_of(["host-1"])))
+        decode_record(operations[0].key, encode_record(record_of(["host-1"])))
 
 
 def test_states_change_in_order_only() -> None:
     one = ScaleInOperation(record_of(["host-1"]))
-    for change in (one.sent, lambda: one.confirm(1.0), one.close):
+    for change in (one.mark_sent, lambda: one.confirm(1.0), one.close):
         with pytest.raises(OperationStateError):
             change()
     one.record_committed()
     with pytest.raises(OperationStateError):
         one.record_committed()
-    assert (one.sent(), one.sent()) == (False, True)
+    assert (one.mark_sent(), one.mark_sent()) == (False, True)
     one.confirm(1.0)
     one.close()
     assert one.state is OperationState.CLOSED
@@ -412,43 +412,43 @@
 
 def test_operations_do_not_pile_up() -> None:
     """Closed ones are forgotten, kept ones are bounded, open rentals too."""
-    operation_log = OperationLog("hive-0", 7, value_limit=2048, keep_s=1e9)
-    for number in range(2 * MAX_CLOSED_SCALE_INS):
+    operation_log = OperationLog("hive-0", 7, max_value_bytes=2048, retention_s=1e9)
+    for number in range(2 * MAX_RETAINED_SCALE_INS):
         name = f"host-{number}"
-        operation_log.recorded(operation_log.decide_scale_in({name: "idle"}, 1.0), 1.0)
+        operation_log.mark_recorded(operation_log.decide_scale_in({name: "idle"}, 1.0), 1.0)
         operation_log.release_request(lambda name: False, False)
-        operation_log.machines_gone([name], 1.0)
-        operation_log.closed(operation_log.to_close(2.0, 16))
-    assert len(operation_log.open_operations()) <= MAX_CLOSED_SCALE_INS + 1
+        operation_log.mark_machines_gone([name], 1.0)
+        operation_log.mark_closed(operation_log.operations_to_close(2.0, 16))
+    assert len(operation_log.open_operations()) <= MAX_RETAINED_SCALE_INS + 1
     while operation_log.may_scale_out():
         rental = operation_log.decide_scale_out(ScaleOutRequest("b1", "a", False, 1), 1.0)
-        operation_log.recorded([rental], 1.0)
+        operation_log.mark_recorded([rental], 1.0)
         for _ in range(10):
-            operation_log.sending(rental)
+            operation_log.start_request(rental)
     assert len(operation_log.scale_outs_due()) < 10
 
 
 def test_executor_doubts_its_lease_after_a_pause_or_a_jump() -> None:
-    lease_confidence = LeaseConfidenceTracker(longest_gap_s=1.0, now=0.0, wall=1000.0)
+    lease_confidence = LeaseConfidenceTracker(max_gap_s=1.0, now=0.0, wall=1000.0)
     assert lease_confidence.check(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
     assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
-    lease_confidence.confirm(asked_at=2.4)
+    lease_confidence.confirm(requested_at=2.4)
     assert lease_confidence.check(2.6, 1002.6, True) is LeaseConfidence.DOUBTED, (
         "asked before the pause"
     )
-    lease_confidence.confirm(asked_at=2.6)
+    lease_confidence.confirm(requested_at=2.6)
     assert lease_confidence.check(2.7, 1002.7, True) is LeaseConfidence.CONFIRMED
     assert lease_confidence.check(2.8, 1302.8, True) is LeaseConfidence.DOUBTED, (
         "suspended: one clock stood"
     )
-    lease_confidence.confirm(asked_at=2.8)
+    lease_confidence.confirm(requested_at=2.8)
     assert lease_confidence.check(2.9, 1002.9, True) is LeaseConfidence.CONFIRMED, (
         "the time of day set back"
     )
     assert lease_confidence.check(3.0, 1003.0, False) is LeaseConfidence.DOUBTED, (
         "its lease is near its end"
     )
-    lease_confidence.confirm(asked_at=3.0)
-    lease_confidence.lose()
-    lease_confidence.confirm(asked_at=3.1)
+    lease_confidence.confirm(requested_at=3.0)
+    lease_confidence.mark_lost()
+    lease_confidence.confirm(requested_at=3.1)
     assert lease_confidence.check(3.1, 1003.1, True) is LeaseConfidence.LOST
--- a/tests/test_operations_model.py
+++ b/tests/test_operations_model.py
@@ -27,8 +27,8 @@
     SCALE_IN_PREFIX,
     SCALE_OUT_PREFIX,
     ScaleInRecord,
-    read_record,
-    write_record,
+    decode_record,
+    encode_record,
 )
 from topazhold.operations.requests import ReleaseRequest
 
@@ -44,7 +44,7 @@
 
     def __init__(self, model: DutiesModel, node: str, term: int) -> None:
         self.node, self.term, self.revision = node, term, model.revision
-        self.operation_log = OperationLog(node, term, 400, keep_s=20.0)
+        self.operation_log = OperationLog(node, term, 400, retention_s=20.0)
         self.lease_confidence = LeaseConfidenceTracker(LEASE_S / 2, model.now, model.now)
         self.valid_until = model.now + LEASE_S
         self.paused = False
@@ -84,7 +84,7 @@
         executor = Holder(self, node, self.term)
         executor.machines = set(self.alive)
         for key in sorted(self.stored) if self.reads_orders else ():
-            record = read_record(key, self.stored[key])
+            record = decode_record(key, self.stored[key])
             executor.operation_log.adopt(record, self.now)
             if isinstance(record, ScaleInRecord):
                 executor.machines |= set(record.machines)
@@ -94,7 +94,7 @@
         if revision != self.leader.revision or any(key in self.stored for key in puts):
             return False
         for key, value in puts.items():
-            record = read_record(key, value)
+            record = decode_record(key, value)
             assert record.term == self.term, "recorded by who does not hold the duties"
             self.stored[key] = value
             if key.startswith(SCALE_IN_PREFIX):
@@ -135,7 +135,7 @@
         ):
             return False
         if executor is not self.leader:
-            executor.lease_confidence.lose()
+            executor.lease_confidence.mark_lost()
             return False
         executor.lease_confidence.confirm(self.now)
         return self._look(executor)
@@ -148,21 +148,21 @@
         )
 
     def _record(self, executor: Holder, fate: str) -> None:
-        operations = executor.operation_log.to_record(4)
-        puts = {operation.key: write_record(operation.record) for operation in operations}
+        operations = executor.operation_log.operations_to_record(4)
+        puts = {operation.key: encode_record(operation.record) for operation in operations}
         known = [
             operation
             for operation in operations
             if self.stored.get(operation.key) == puts[operation.key]
         ]
         if known and executor is self.leader:  # read back after a lost answer
-            executor.operation_log.recorded(known, self.now)
+            executor.operation_log.mark_recorded(known, self.now)
         elif fate == "held":
             self.held.append(lambda: self._commit(executor.revision, puts, []))
         elif fate != "refused" and self.state_up:
             done = self._commit(executor.revision, puts, [])
             if done and fate == "done":
-                executor.operation_log.recorded(operations, self.now)
+                executor.operation_log.mark_recorded(operations, self.now)
 
     def _running(self, index: int) -> Holder | None:
         executor = self._executor(index)
@@ -218,20 +218,20 @@
         if isinstance(request, ScaleOutOperation):
             if request.state not in (OperationState.RECORDED, OperationState.SENT):
                 return
-            executor.operation_log.sending(request)
+            executor.operation_log.start_request(request)
             if fate == "held":
                 self.held.append(lambda: self._rent(request))
             elif fate != "refused":
                 names = self._rent(request)
                 if fate == "done":
-                    executor.operation_log.scale_out_answered(request, names, self.now)
+                    executor.operation_log.complete_scale_out(request, names, self.now)
                     executor.machines |= set(names)
         elif fate == "held":
             self.held.append(lambda: self._release(request.names))
         elif fate != "refused":
             self._release(request.names)
             if fate == "done":
-                executor.operation_log.machines_gone(request.names, self.now)
+                executor.operation_log.mark_machines_gone(request.names, self.now)
                 executor.machines -= set(request.names)
 
     @rule(rentals=st.booleans(), fate=FATES)
@@ -244,10 +244,10 @@
     def close(self, index: int, lost: bool) -> None:
         executor = self._running(index)
         if executor is not None and self.state_up:
-            due = executor.operation_log.to_close(self.now, 4)
+            due = executor.operation_log.operations_to_close(self.now, 4)
             stored = [operation.key for operation in due if operation.stored]
             if self._commit(executor.revision, {}, stored) and not lost:
-                executor.operation_log.closed(due)
+                executor.operation_log.mark_closed(due)
 
     @rule(pick=st.integers(0, 9))
     def place(self, pick: int) -> None:
@@ -360,7 +360,7 @@
         operation = decide(self, ask, wall)
         number = operation.record.number
         operation.record = type(operation.record)(
-            **{**write_record(operation.record), "request": f"r-{number}"}
+            **{**encode_record(operation.record), "request": f"r-{number}"}
         )
         return operation
 
@@ -376,7 +376,7 @@
     patch.setattr(OperationLog, "machines_of_open_scale_outs", lambda self: set())
     patch.setattr(
         OperationLog,
-        "to_close",
+        "operations_to_close",
         lambda self, now, limit: self.of_kind(ScaleInOperation, OperationState.CONFIRMED)[:limit],
     )
 
--- a/tests/test_record_limits.py
+++ b/tests/test_record_limits.py
@@ -23,7 +23,7 @@
     MAX_PARTS,
     InvalidRecordError,
     ScaleInRecord,
-    read_record,
+    decode_record,
     storable_value,
 )
 from topazhold.wire.jobs import MAX_TASKS
@@ -38,12 +38,12 @@
 
 
 def log_of(term: int, value_limit: int, node: str = "hive-0") -> OperationLog:
-    return OperationLog(node, term, value_limit, keep_s=10.0)
+    return OperationLog(node, term, value_limit, retention_s=10.0)
 
 
 def assert_storable(operation: AnyOperation, value_limit: int) -> None:
     value: dict[str, Any] = storable_value(operation.record, value_limit)
-    assert read_record(operation.key, value) == operation.record
+    assert decode_record(operation.key, value) == operation.record
 
 
 @FIXED_EXAMPLES
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -182,7 +182,7 @@
         store.refuse = refuse
         intents = Intents(context)
         for _ in range(3):
-            await intents.tidy({shard})
+            await intents.prune({shard})
 
     run_virtual(act, monkeypatch)
     assert store.steps
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -14,7 +14,7 @@
 from tests.fakes.cloud import FakeCloud
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from topazhold.core.autoscaling import ScaleOutRequest
-from topazhold.operations.records import InvalidRecordError, write_record
+from topazhold.operations.records import InvalidRecordError, encode_record
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
 PROTOCOL_MACHINES = 50
@@ -81,7 +81,7 @@
     )
     operation.record = msgspec.structs.replace(operation.record, count=PROTOCOL_MACHINES + 1)
     with pytest.raises(InvalidRecordError):
-        write_record(operation.record)
+        encode_record(operation.record)
 
 
 async def wait_for(scenario: Scenario, true: Callable[[], bool]) -> bool:
--- a/tools/schemas.py
+++ b/tools/schemas.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from topazhold.operations.schemas import page
+from topazhold.operations.schemas import render_page
 
 if __name__ == "__main__":
-    print(page(), end="")
+    print(render_page(), end="")
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -96,7 +96,7 @@
     entries, _ = await context.store.entries(records.INTENTS_PREFIX, LEASE_PRIORITY)
     # An interrupted failover is restarted, so the shards are created again here: two shards of
     # one name would overwrite each other's intents.
-    context.shards = IntentShards(context.value_limit)
+    context.shards = IntentShards(context.max_value_bytes)
     intents: list[records.Intents] = []
     unreadable: list[str] = []
     for entry in entries:
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -16,7 +16,7 @@
 from topazhold.core.leadership import Leadership
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError
-from topazhold.interfaces.term import TXN_BYTES
+from topazhold.interfaces.term import MAX_TXN_VALUE_BYTES
 from topazhold.io.peer_transport import MAX_MESSAGE_BYTES
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
@@ -49,7 +49,7 @@
         self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
         # Values per interval: limited by the write rate and by the size of a transaction.
         max_by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
-        max_by_size = TXN_BYTES // self._value_limit
+        max_by_size = MAX_TXN_VALUE_BYTES // self._value_limit
         self._max_values = max(1, int(min(max_by_rate, state.lasting_txn_ops, max_by_size)))
         self._store = store
         self._leadership = leadership
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -20,15 +20,15 @@
     StoreUnavailableError,
     UnreadableAnswerError,
 )
-from topazhold.interfaces.term import TXN_BYTES
+from topazhold.interfaces.term import MAX_TXN_VALUE_BYTES
 from topazhold.wire import messages as wire
 
 log = logging.getLogger(__name__)
 
 #: Maximum number of preconditions of a transaction, per put or delete that it may have.
 MAX_PRECONDITIONS_PER_OPERATION = 4
-#: Bytes that all preconditions of a transaction may take beside `TXN_BYTES` of values, and the
-#: maximum size of one precondition.
+#: Bytes that all preconditions of a transaction may take beside `MAX_TXN_VALUE_BYTES` of values,
+#: and the maximum size of one precondition.
 MAX_PRECONDITIONS_BYTES = 15 * 1024
 MAX_PRECONDITION_BYTES = 80
 
@@ -42,9 +42,11 @@
     def __init__(self, context: TermContext) -> None:
         self._context = context
         # Values that fit a transaction, and values planned for one: fewer than
-        # `txn_ops`, since a shard may be split.
-        self._max_values = max(1, min(context.txn_ops, TXN_BYTES // context.value_limit))
-        self._planned_values = max(1, min(context.txn_ops - 1, self._max_values))
+        # `max_txn_ops`, since a shard may be split.
+        self._max_values = max(
+            1, min(context.max_txn_ops, MAX_TXN_VALUE_BYTES // context.max_value_bytes)
+        )
+        self._planned_values = max(1, min(context.max_txn_ops - 1, self._max_values))
 
     async def write(self, attempts: list[TaskAttempt]) -> None:
         """Commit the intents of a plan, a few machines at a time, before any launch."""
@@ -91,7 +93,9 @@
         context = self._context
         term_preconditions = len(context.preconditions())
         max_by_count = (
-            MAX_PRECONDITIONS_PER_OPERATION * context.txn_ops - term_preconditions - context.txn_ops
+            MAX_PRECONDITIONS_PER_OPERATION * context.max_txn_ops
+            - term_preconditions
+            - context.max_txn_ops
         )
         max_by_size = (
             MAX_PRECONDITIONS_BYTES // MAX_PRECONDITION_BYTES
@@ -214,7 +218,7 @@
                 context.shards.set_revision(shard.name, revision)
         return True
 
-    async def tidy(self, shards: set[IntentShard]) -> None:
+    async def prune(self, shards: set[IntentShard]) -> None:
         """Remove the intents of machines that no longer exist.
 
         Where that fails, a new leader finds out by itself that these machines are gone.
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -116,7 +116,7 @@
         context = self._context
         token = context.token()
         live_key = records.live_key(job.id)
-        parts = sorted(job.unsaved_parts)[: context.txn_ops - 1]
+        parts = sorted(job.unsaved_parts)[: context.max_txn_ops - 1]
         operations = [wire.put(live_key, records.live_value(job, token))]
         for part in parts:
             if part > 0:
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -83,7 +83,7 @@
             OperationServices(
                 services.cloud, self._intents, self._machine_list.list_received, announce_released
             ),
-            OperationSettings.of(settings, operator, services.controller_lease_s),
+            OperationSettings.from_settings(settings, operator, services.controller_lease_s),
             election_result.elected_at,
         )
         self._direct_commands = DirectCommands(
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -22,7 +22,7 @@
 from topazhold.core.zone_summary import pack_names, sample_names, truncate_summary
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError, PreconditionFailedError
-from topazhold.interfaces.term import TXN_BYTES
+from topazhold.interfaces.term import MAX_TXN_VALUE_BYTES
 from topazhold.operations.refused_operations import RefusedOperations
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size
@@ -163,7 +163,9 @@
         omitted gang for one that no longer waits.
         """
         # All values together must fit the bytes of one transaction.
-        value_bytes = min(self._context.value_limit, TXN_BYTES // (len(self._context.zones) + 1))
+        value_bytes = min(
+            self._context.max_value_bytes, MAX_TXN_VALUE_BYTES // (len(self._context.zones) + 1)
+        )
         limit = value_bytes - VALUE_OVERHEAD_BYTES
         jobs = values[""]
         running = dict(
@@ -186,14 +188,14 @@
 
     def _packed_refused(self, limit: int) -> dict[str, list[list[str]]]:
         """Return the term's refused operations, if any, for the command `duties`."""
-        packed = [operation.pack() for operation in self._refused.shown]
+        packed = [operation.pack() for operation in self._refused.recent]
         return {"refused": truncate_summary(packed, limit, json_size)} if packed else {}
 
     async def _write(self, operations: list[dict[str, Any]]) -> None:
         """Write a summary in as many transactions as needed."""
         context = self._context
-        for start in range(0, len(operations), context.txn_ops):
-            part = operations[start : start + context.txn_ops]
+        for start in range(0, len(operations), context.max_txn_ops):
+            part = operations[start : start + context.max_txn_ops]
             try:
                 await context.store.compare_and_swap(
                     context.preconditions(), part, DECISION_PRIORITY
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -20,7 +20,7 @@
 from topazhold.core.scheduler import Scheduler
 from topazhold.interfaces.store import DECISION_PRIORITY, Precondition
 from topazhold.interfaces.store_errors import KeyValueStoreError
-from topazhold.interfaces.term import CleanUp, LeadershipLostError, LeaseIsValid
+from topazhold.interfaces.term import JobCleanup, LeadershipLostError, LeaseIsValid
 from topazhold.settings import Settings
 from topazhold.wire import messages as wire
 
@@ -57,15 +57,15 @@
         self.heartbeat_interval_s = cluster.workers.heartbeat_interval_s
         self.retry_s = RETRY_HEARTBEATS * self.heartbeat_interval_s
         self.worker_lease_s = cluster.workers.lease_s
-        self.value_limit = int(
+        self.max_value_bytes = int(
             cluster.key_value_store.lasting_value_bytes * records.MAX_VALUE_SHARE
         )
-        self.txn_ops = cluster.key_value_store.lasting_txn_ops
-        self.shards = IntentShards(self.value_limit)
+        self.max_txn_ops = cluster.key_value_store.lasting_txn_ops
+        self.shards = IntentShards(self.max_value_bytes)
         self.plan_requested = curio.Event()
         self.commands_due = curio.Event()  # set to send direct commands at once
         #: Removes the stored records of a job that is over; set by the component that does it.
-        self.clean_up: CleanUp = lambda job: None
+        self.clean_up: JobCleanup = lambda job: None
         self._sequence = 0
 
     def token(self) -> str:
--- a/topazhold/interfaces/term.py
+++ b/topazhold/interfaces/term.py
@@ -10,7 +10,7 @@
 from topazhold.interfaces.store import Precondition, Store
 
 #: Bytes that values may take of a transaction, whose limit is 64 KiB in all.
-TXN_BYTES = 48 * 1024
+MAX_TXN_VALUE_BYTES = 48 * 1024
 
 
 class LeadershipLostError(Exception):
@@ -23,7 +23,7 @@
     def __call__(self, now: float, /) -> bool: ...
 
 
-class CleanUp(Protocol):
+class JobCleanup(Protocol):
     """Called with each job that is over, so that what it left in the store is removed."""
 
     def __call__(self, job: Job, /) -> None: ...
@@ -32,7 +32,7 @@
 class Term(Protocol):
     """What exists for as long as a term lasts; times in seconds, by the monotonic clock."""
 
-    clean_up: CleanUp
+    clean_up: JobCleanup
 
     @property
     def node(self) -> str:
@@ -75,12 +75,12 @@
         ...
 
     @property
-    def value_limit(self) -> int:
+    def max_value_bytes(self) -> int:
         """Bytes of a stored value, at the most."""
         ...
 
     @property
-    def txn_ops(self) -> int:
+    def max_txn_ops(self) -> int:
         """Changes of a transaction, at the most."""
         ...
 
@@ -98,9 +98,9 @@
         ...
 
 
-class IntentTidier(Protocol):
+class IntentPruner(Protocol):
     """Removes intents that are of no use any more."""
 
-    async def tidy(self, shards: set[IntentShard]) -> None:
+    async def prune(self, shards: set[IntentShard]) -> None:
         """Intents of machines that are gone; what fails is found by a successor."""
         ...
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -26,7 +26,7 @@
 log = logging.getLogger(__name__)
 
 #: States of an operation that is not carried out yet.
-UNFINISHED = (OperationState.DECIDED, OperationState.RECORDED, OperationState.SENT)
+UNFINISHED_STATES = (OperationState.DECIDED, OperationState.RECORDED, OperationState.SENT)
 
 
 class CleanupExecutor:
@@ -44,11 +44,13 @@
     def _decide(self, job_id: str, parts: range | list[int]) -> None:
         if not parts or any(
             operation.record.job == job_id
-            for operation in self._executor.operation_log.of_kind(CleanupOperation, *UNFINISHED)
+            for operation in self._executor.operation_log.of_kind(
+                CleanupOperation, *UNFINISHED_STATES
+            )
         ):
             return
         operation = self._executor.operation_log.decide_cleanup(job_id, parts, time.time())
-        if len(parts) < self._context.txn_ops and operation.state is OperationState.DECIDED:
+        if len(parts) < self._context.max_txn_ops and operation.state is OperationState.DECIDED:
             operation.waive_record()  # a single transaction is atomic
 
     async def loop(self) -> None:
@@ -58,16 +60,16 @@
             if not self._swept:
                 self._swept = await self._attempt(self._sweep)
             if (
-                self._executor.operation_log.of_kind(CleanupOperation, *UNFINISHED)
-                and await self._executor.may_act()
+                self._executor.operation_log.of_kind(CleanupOperation, *UNFINISHED_STATES)
+                and await self._executor.verify_leadership()
             ):
-                await self._executor.record()
+                await self._executor.write_records()
                 await self._attempt(self._remove_all)
 
-    async def _attempt(self, work: Callable[[], Awaitable[None]]) -> bool:
+    async def _attempt(self, action: Callable[[], Awaitable[None]]) -> bool:
         """Whether the key-value store let the work be done."""
         try:
-            await work()
+            await action()
         except KeyValueStoreError as exc:
             log.debug("clean-up waits: %s", exc)
             return False
@@ -94,7 +96,7 @@
         ):
             if not await self._executor.lease_confirmed():
                 return
-            operation_log.sending(operation)
+            operation_log.start_request(operation)
             try:
                 await self._remove(operation.record.job, operation.record.parts)
             except PreconditionFailedError as exc:
@@ -102,13 +104,13 @@
                     raise LeadershipLostError("the leadership mark has changed") from None
                 # Its parts are in use: there is nothing to remove, now or later.
                 log.error("clean-up %s met a live job: %s", operation.key, exc)
-            operation_log.finished(operation, await curio.clock())
+            operation_log.mark_confirmed(operation, await curio.clock())
 
     async def _remove(self, job_id: str, parts: list[int]) -> None:
         """Remove parts, as many at a time as a transaction takes; never a live job's."""
         context = self._context
         conditions = [*context.preconditions(), Precondition(records.live_key(job_id), 0)]
-        for start in range(0, len(parts), context.txn_ops):
-            some = parts[start : start + context.txn_ops]
-            drops = [wire.delete(records.part_key(job_id, part)) for part in some]
+        for start in range(0, len(parts), context.max_txn_ops):
+            batch = parts[start : start + context.max_txn_ops]
+            drops = [wire.delete(records.part_key(job_id, part)) for part in batch]
             await context.store.compare_and_swap(conditions, drops, USER_PRIORITY)
--- a/topazhold/operations/cloud_operations.py
+++ b/topazhold/operations/cloud_operations.py
@@ -82,7 +82,7 @@
             self.state = OperationState.REFUSED
         self.record_refused = True
 
-    def sent(self) -> bool:
+    def mark_sent(self) -> bool:
         """It is about to be sent; whether it was sent before in this term."""
         self._require(OperationState.RECORDED, OperationState.SENT)
         self.state = OperationState.SENT
@@ -92,17 +92,17 @@
     def confirm(self, now: float) -> None:
         """It was carried out, or refused for good."""
         self._require(OperationState.SENT)
-        self._confirmed(now)
+        self._set_confirmed(now)
 
     def confirm_unsent(self, now: float) -> None:
         """Nothing of it remains to be sent: it was done by others, or superseded."""
         self._require(OperationState.RECORDED)
-        self._confirmed(now)
+        self._set_confirmed(now)
 
     def confirm_if_empty(self, now: float) -> None:
         """Confirm it unsent if it is recorded, and nothing of it is left to send."""
 
-    def _confirmed(self, now: float) -> None:
+    def _set_confirmed(self, now: float) -> None:
         self.state = OperationState.CONFIRMED
         self.confirmed_at = now
 
--- a/topazhold/operations/descriptions.py
+++ b/topazhold/operations/descriptions.py
@@ -31,7 +31,7 @@
         return Description("return", shown + more)
     if isinstance(record, ScaleOutRecord):
         price = "spot" if record.spot else "ordinary"
-        what = f"{record.count} {price} {record.machine_type} in {record.zone}"
-        return Description("rental", f"{record.request}: {what}")
+        machines = f"{record.count} {price} {record.machine_type} in {record.zone}"
+        return Description("rental", f"{record.request}: {machines}")
     assert isinstance(record, CleanupRecord)
     return Description("clean-up", f"{len(record.parts)} parts of {record.job}")
--- a/topazhold/operations/failover.py
+++ b/topazhold/operations/failover.py
@@ -18,7 +18,7 @@
     InvalidRecordError,
     OperationRecord,
     ScaleInRecord,
-    read_record,
+    decode_record,
 )
 from topazhold.wire.key_value_store import Entry
 
@@ -35,23 +35,23 @@
     scheduler: Scheduler, operation_log: OperationLog, entries: list[Entry], now: float
 ) -> None:
     """Adopt all stored operations, once the scheduler's jobs and intents are rebuilt."""
-    for record in _readable(entries, operation_log):
+    for record in _decode_entries(entries, operation_log):
         operation = operation_log.adopt(record, now)
         log.info("operation %s of term %d is adopted", operation.key, record.term)
         if isinstance(record, ScaleInRecord):
             _adopt_scale_in(scheduler, operation_log, record, now)
 
 
-def _readable(entries: list[Entry], operation_log: OperationLog) -> list[OperationRecord]:
+def _decode_entries(entries: list[Entry], operation_log: OperationLog) -> list[OperationRecord]:
     """The records of the entries; malformed ones are logged and left as they are."""
-    found = []
+    decoded = []
     for entry in entries:
         try:
-            found.append(read_record(entry.key, entry.data))
+            decoded.append(decode_record(entry.key, entry.data))
         except InvalidRecordError as exc:
             operation_log.counters.unreadable += 1
             log.error("%s unreadable: %s", entry.key, exc)
-    return found
+    return decoded
 
 
 def _adopt_scale_in(
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -23,15 +23,15 @@
 
 #: A longer time between two checks of the clocks is taken for a pause; checks are due after a
 #: fifth of it. In leases of a controller.
-GAP_CONTROLLER_LEASES = 0.5
-CHECK_CONTROLLER_LEASES = 0.1
+PAUSE_CONTROLLER_LEASES = 0.5
+CLOCK_CHECK_CONTROLLER_LEASES = 0.1
 #: What must be left of the lease when an operation is decided or sent, in leases.
 MARGIN_CONTROLLER_LEASES = 0.05
 #: Heartbeat intervals after a pause before a machine may be released without a record: what was
 #: known of the machines is old.
-STALE_HEARTBEATS = 2.5
+STALE_STATE_HEARTBEATS = 2.5
 #: Heartbeat intervals between two removals of records.
-CLOSING_HEARTBEATS = 1.0
+REMOVAL_HEARTBEATS = 1.0
 
 
 class FencedExecutor:
@@ -52,9 +52,9 @@
         self._controller_lease_s = controller_lease_s
         self.operation_log = operation_log
         self.lease_confidence = LeaseConfidenceTracker(
-            GAP_CONTROLLER_LEASES * controller_lease_s, now, time.time()
+            PAUSE_CONTROLLER_LEASES * controller_lease_s, now, time.time()
         )
-        self._records = RecordWriter(context, operation_log)
+        self._record_writer = RecordWriter(context, operation_log)
 
     # -- lease -----------------------------------------------------------------
 
@@ -77,45 +77,45 @@
             )
         return confidence is LeaseConfidence.CONFIRMED
 
-    async def may_act(self) -> bool:
+    async def verify_leadership(self) -> bool:
         """Whether the lease holds; where in doubt, the leadership is looked up."""
         if await self.lease_confirmed():
             return True
-        asked_at = await curio.clock()
+        requested_at = await curio.clock()
         try:
             entry = await self._context.store.get(LEADER_KEY, LEASE_PRIORITY)
         except KeyValueStoreError as exc:
             log.debug("leadership not confirmed: %s", exc)
             return False
         if entry is None or entry.revision != self._context.revision:
-            self.lease_confidence.lose()
+            self.lease_confidence.mark_lost()
             raise LeadershipLostError("another leader was found")
-        self.lease_confidence.confirm(asked_at)
+        self.lease_confidence.confirm(requested_at)
         return await self.lease_confirmed()
 
     def may_bypass_records(self, now: float) -> bool:
         """Whether what is known of the machines is fresh enough for an unrecorded release."""
         since_pause_s = now - self.lease_confidence.paused_at
-        return since_pause_s > STALE_HEARTBEATS * self._context.heartbeat_interval_s
+        return since_pause_s > STALE_STATE_HEARTBEATS * self._context.heartbeat_interval_s
 
     async def watch_clocks(self) -> None:
         """Check often, so that a pause shows before the next operation."""
         while True:
-            await curio.sleep(CHECK_CONTROLLER_LEASES * self._controller_lease_s)
+            await curio.sleep(CLOCK_CHECK_CONTROLLER_LEASES * self._controller_lease_s)
             await self.lease_confirmed()
 
     # -- records ---------------------------------------------------------------
 
-    async def record(self) -> None:
+    async def write_records(self) -> None:
         """Write the records that are due; those that can't be written now stay due."""
         try:
-            await self._records.write_due()
+            await self._record_writer.write_due()
         except LeadershipLostError:
-            self.lease_confidence.lose()
+            self.lease_confidence.mark_lost()
             raise
 
-    async def close_loop(self) -> None:
+    async def removal_loop(self) -> None:
         """Remove the records of operations that are over, once every heartbeat interval."""
         while True:
-            await curio.sleep(CLOSING_HEARTBEATS * self._context.heartbeat_interval_s)
-            await self._records.remove_due()
+            await curio.sleep(REMOVAL_HEARTBEATS * self._context.heartbeat_interval_s)
+            await self._record_writer.remove_due()
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -19,7 +19,7 @@
 from topazhold.interfaces.store_errors import KeyValueStoreError
 from topazhold.io.client import Client
 from topazhold.operations.descriptions import describe
-from topazhold.operations.records import OPERATION_PREFIX, InvalidRecordError, read_record
+from topazhold.operations.records import OPERATION_PREFIX, InvalidRecordError, decode_record
 from topazhold.operations.refused_operations import RefusedOperation, unpack_refused
 from topazhold.settings import Settings, parse_address
 from topazhold.wire.key_value_store import Entry
@@ -27,7 +27,7 @@
 #: Time limit of one request, in seconds.
 TIMEOUT_S = 5.0
 #: The kinds of operations by the name that is shown, and what each is about.
-DUTIES = {
+OPERATION_KINDS = {
     "renting": "scale-out: requests for machines",
     "returning": "scale-in: releases of machines",
     "cleaning up": "clean-up: what jobs that are over have left in the key-value store",
@@ -89,11 +89,11 @@
         raise StoreUnreachableError(str(exc)) from None
     finally:
         await client.close()
-    found = read_leader_value(leader.data) if leader is not None else None
-    leader_name, term = found if found is not None else (None, None)
+    leader_value = read_leader_value(leader.data) if leader is not None else None
+    leader_name, term = leader_value if leader_value is not None else (None, None)
     now = time.time()
     return OperationsReport(
-        [OperationKindState(duty, leader_name, term) for duty in DUTIES],
+        [OperationKindState(duty, leader_name, term) for duty in OPERATION_KINDS],
         [_open_operation(entry.key, entry.data, term, now) for entry in entries],
         _refused_of(summary, term),
     )
@@ -115,7 +115,7 @@
 
 def _open_operation(key: str, data: Any, term: int | None, now: float) -> OpenOperation:
     try:
-        record = read_record(key, data)
+        record = decode_record(key, data)
     except InvalidRecordError as exc:
         return OpenOperation(key, "unreadable", None, None, False, str(exc))
     kind, text = describe(record)
--- a/topazhold/operations/lease_confidence.py
+++ b/topazhold/operations/lease_confidence.py
@@ -11,6 +11,9 @@
 
 from enum import Enum
 
+#: Initial time of the last pause on the monotonic clock, in seconds: further back than any limit.
+NO_PAUSE_YET_S = -1e9
+
 
 class LeaseConfidence(Enum):
     """What a leader may assume of its leadership."""
@@ -23,21 +26,21 @@
 class LeaseConfidenceTracker:
     """Follows the clocks and the lease of one leader.
 
-    A gap of more than `longest_gap_s` seconds between two checks is taken for a pause.
+    A gap of more than `max_gap_s` seconds between two checks is taken for a pause.
     """
 
-    def __init__(self, longest_gap_s: float, now: float, wall: float) -> None:
-        self._longest_gap_s = longest_gap_s
+    def __init__(self, max_gap_s: float, now: float, wall: float) -> None:
+        self._max_gap_s = max_gap_s
         self._checked_at = now
-        self._clock_difference = wall - now
+        self._clock_offset = wall - now
         self._state = LeaseConfidence.CONFIRMED
-        self.paused_at = -1e9  # when the last pause was noticed
+        self.paused_at = NO_PAUSE_YET_S  # when the last pause was noticed
         self.pauses = 0
 
     def begin(self, now: float, wall: float) -> None:
         """The term is loaded, however long that took: doubted until it is looked up."""
         self._checked_at = now
-        self._clock_difference = wall - now
+        self._clock_offset = wall - now
         self._state = LeaseConfidence.DOUBTED
 
     def check(self, now: float, wall: float, lease_is_valid: bool) -> LeaseConfidence:
@@ -47,12 +50,12 @@
         jumps against it. A time of day set back says nothing and is taken as it is.
         """
         gap = now - self._checked_at
-        jump = (wall - now) - self._clock_difference
+        jump = (wall - now) - self._clock_offset
         self._checked_at = now
-        self._clock_difference = wall - now
+        self._clock_offset = wall - now
         if self._state is LeaseConfidence.LOST:
             return self._state
-        if gap > self._longest_gap_s or jump > self._longest_gap_s:
+        if gap > self._max_gap_s or jump > self._max_gap_s:
             self._pause(now)
         elif not lease_is_valid:
             self._state = LeaseConfidence.DOUBTED
@@ -63,11 +66,11 @@
         self.pauses += 1
         self._state = LeaseConfidence.DOUBTED
 
-    def confirm(self, asked_at: float) -> None:
-        """The leadership was looked up by a request sent at `asked_at`, and is held."""
-        if self._state is LeaseConfidence.DOUBTED and asked_at >= self.paused_at:
+    def confirm(self, requested_at: float) -> None:
+        """The leadership was looked up by a request sent at `requested_at`, and is held."""
+        if self._state is LeaseConfidence.DOUBTED and requested_at >= self.paused_at:
             self._state = LeaseConfidence.CONFIRMED
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """The leadership is lost; there is no way back in this term."""
         self._state = LeaseConfidence.LOST
--- a/topazhold/operations/operation_log.py
+++ b/topazhold/operations/operation_log.py
@@ -33,21 +33,21 @@
 class OperationLog:
     """The operations of one term: those that it decided and those that it adopted.
 
-    `value_limit` is the size of a stored value in bytes, `keep_s` how many seconds the record
-    of a scale-in outlasts its end. Without `record_operations` nothing is recorded.
+    `max_value_bytes` is the maximum size of a stored value. The record of a scale-in is kept for
+    `retention_s` seconds after its end. Without `record_operations` nothing is recorded.
     """
 
     def __init__(
         self,
         node: str,
         term: int,
-        value_limit: int,
-        keep_s: float,
+        max_value_bytes: int,
+        retention_s: float,
         record_operations: bool = True,
     ) -> None:
-        self._records = RecordFactory(node, term)
-        self._value_limit = value_limit
-        self._keep_s = keep_s
+        self._record_factory = RecordFactory(node, term)
+        self._max_value_bytes = max_value_bytes
+        self._retention_s = retention_s
         self._record_operations = record_operations
         self._operations: dict[str, AnyOperation] = {}
         self._scale_in_of: dict[str, ScaleInOperation] = {}
@@ -65,31 +65,31 @@
 
     def _add_scale_ins(self, reasons: Mapping[str, str], wall: float) -> list[ScaleInOperation]:
         operations = []
-        for machines in self.refused.portions(reasons, self._value_limit):
-            operation = self._add(ScaleInOperation(self._records.scale_in(machines, wall)))
+        for machines in self.refused.batches(reasons, self._max_value_bytes):
+            operation = self._add(ScaleInOperation(self._record_factory.scale_in(machines, wall)))
             self._scale_in_of.update(dict.fromkeys(machines, operation))
             operations.append(operation)
         return operations
 
     def decide_scale_in(self, reasons: Mapping[str, str], wall: float) -> list[ScaleInOperation]:
         """Release machines, given with their reasons; those of other operations are left out."""
-        reserved = self.machines_of_open_scale_outs()
+        unreleasable = self.machines_of_open_scale_outs()
         new = {
             name: reason
             for name, reason in reasons.items()
             if name not in self._scale_in_of
-            and name not in reserved
-            and self.refused.recordable(name)
+            and name not in unreleasable
+            and self.refused.is_recordable(name)
         }
         return self._add_scale_ins(new, wall)
 
     def decide_scale_out(self, request: ScaleOutRequest, wall: float) -> ScaleOutOperation:
         """Request machines, under a request name that is this operation's own."""
-        return self._add(ScaleOutOperation(self._records.scale_out(request, wall)))
+        return self._add(ScaleOutOperation(self._record_factory.scale_out(request, wall)))
 
     def decide_cleanup(self, job: str, parts: Iterable[int], wall: float) -> CleanupOperation:
         """Remove parts of an ended job's completion bitmap."""
-        return self._add(CleanupOperation(self._records.cleanup(job, parts, wall)))
+        return self._add(CleanupOperation(self._record_factory.cleanup(job, parts, wall)))
 
     def adopt(self, record: OperationRecord, now: float) -> AnyOperation:
         """An operation that an earlier term left open: it is recorded, and completed here."""
@@ -151,7 +151,7 @@
 
     # -- records ---------------------------------------------------------------
 
-    def to_record(self, limit: int) -> list[AnyOperation]:
+    def operations_to_record(self, limit: int) -> list[AnyOperation]:
         """Operations whose records are to be written, at most `limit`.
 
         One that was sent without a record gets it later, so that a successor learns of it.
@@ -167,7 +167,7 @@
         due.sort(key=lambda operation: operation.bypasses_record)
         return due[:limit]
 
-    def recorded(self, operations: Iterable[AnyOperation], now: float) -> None:
+    def mark_recorded(self, operations: Iterable[AnyOperation], now: float) -> None:
         """The records are committed."""
         for operation in operations:
             operation.record_committed()
@@ -210,13 +210,13 @@
         if not due:
             return None
         operations = {release.operation.key: release.operation for release in due}
-        repeated = any([operation.sent() for operation in operations.values()])
+        repeated = any([operation.mark_sent() for operation in operations.values()])
         self.counters.count_request(repeated)
         return ReleaseRequest([release.name for release in due], repeated)
 
-    def sending(self, operation: AnyOperation) -> bool:
+    def start_request(self, operation: AnyOperation) -> bool:
         """A scale-out or clean-up is about to be sent; whether it is a repetition."""
-        repeated = operation.sent()
+        repeated = operation.mark_sent()
         self.counters.count_request(repeated)
         return repeated
 
@@ -239,7 +239,7 @@
 
     # -- outcomes --------------------------------------------------------------
 
-    def machines_gone(self, names: Iterable[str], now: float) -> None:
+    def mark_machines_gone(self, names: Iterable[str], now: float) -> None:
         """Machines are proven to be gone."""
         for name in names:
             self.refused.forget_machine(name)
@@ -248,15 +248,15 @@
                 continue
             operation.remaining_machines.pop(name, None)
             if not operation.remaining_machines and operation.state is OperationState.SENT:
-                self.finished(operation, now)
+                self.mark_confirmed(operation, now)
             operation.confirm_if_empty(now)
 
-    def scale_out_answered(
+    def complete_scale_out(
         self, operation: ScaleOutOperation, machines: list[str], now: float
     ) -> None:
         """The cloud has answered a scale-out: with machines, or with none for good."""
         operation.machines = list(machines)
-        self.finished(operation, now)
+        self.mark_confirmed(operation, now)
 
     def withdraw_unsent(self, refused: ScaleOutOperation, now: float) -> None:
         """The cloud has no more of what this one requested: others for the same are over unsent.
@@ -268,23 +268,23 @@
                 operation.confirm_unsent(now)
                 self.counters.withdrawn += 1
 
-    def finished(self, operation: AnyOperation, now: float) -> None:
+    def mark_confirmed(self, operation: AnyOperation, now: float) -> None:
         """An operation that was sent is carried out, or refused for good."""
         operation.confirm(now)
         self.counters.confirmed += 1
 
     # -- removal of records ----------------------------------------------------
 
-    def to_close(self, now: float, limit: int) -> list[AnyOperation]:
+    def operations_to_close(self, now: float, limit: int) -> list[AnyOperation]:
         """Operations whose records are to be removed now, at most `limit`."""
         confirmed = [
             operation
             for operation in self._operations.values()
             if operation.state is OperationState.CONFIRMED
         ]
-        return removable(confirmed, self._keep_s, now)[:limit]
+        return removable(confirmed, self._retention_s, now)[:limit]
 
-    def closed(self, operations: Iterable[AnyOperation]) -> None:
+    def mark_closed(self, operations: Iterable[AnyOperation]) -> None:
         """The records are removed."""
         for operation in operations:
             operation.close()
--- a/topazhold/operations/record_writer.py
+++ b/topazhold/operations/record_writer.py
@@ -19,7 +19,7 @@
     PreconditionFailedError,
     StoreUnavailableError,
 )
-from topazhold.interfaces.term import TXN_BYTES, LeadershipLostError, Term
+from topazhold.interfaces.term import MAX_TXN_VALUE_BYTES, LeadershipLostError, Term
 from topazhold.operations.cloud_operations import AnyOperation
 from topazhold.operations.descriptions import describe
 from topazhold.operations.operation_log import OperationLog
@@ -46,7 +46,7 @@
     def __init__(self, context: Term, operation_log: OperationLog) -> None:
         self._context = context
         self._operation_log = operation_log
-        self._recording = curio.Lock()  # so that a record is put once at a time
+        self._write_lock = curio.Lock()  # so that a record is put once at a time
         self._unconfirmed: dict[str, AnyOperation] = {}  # whose records may have been written
 
     # -- writing ---------------------------------------------------------------
@@ -57,9 +57,9 @@
         What the store does not take now stays due; what it can't take ever is refused.
         """
         context = self._context
-        limit = min(context.txn_ops, max(1, TXN_BYTES // context.value_limit))
-        async with self._recording:
-            while operations := self._operation_log.to_record(limit):
+        limit = min(context.max_txn_ops, max(1, MAX_TXN_VALUE_BYTES // context.max_value_bytes))
+        async with self._write_lock:
+            while operations := self._operation_log.operations_to_record(limit):
                 pending = self._storable(operations)
                 if pending and not await self._write(pending):
                     return
@@ -69,9 +69,9 @@
         pending = []
         for operation in operations:
             try:
-                value = storable_value(operation.record, self._context.value_limit)
+                value = storable_value(operation.record, self._context.max_value_bytes)
             except InvalidRecordError as exc:
-                self._refuse(operation, RefusalCause.RECORD, str(exc))
+                self._refuse(operation, RefusalCause.UNSTORABLE, str(exc))
             else:
                 pending.append(PendingRecord(operation, value))
         return pending
@@ -88,7 +88,9 @@
             await context.store.compare_and_swap(conditions, puts, DECISION_PRIORITY)
         except PreconditionFailedError as exc:
             self._require_leadership(exc)
-            return await self._read_back([each for each in operations if each.key in exc.keys])
+            return await self._resolve_conflicts(
+                [each for each in operations if each.key in exc.keys]
+            )
         except OutcomeUnknownError as exc:
             # It may yet be carried out: the operation is recorded under the same key again.
             self._unconfirmed.update({operation.key: operation for operation in operations})
@@ -96,33 +98,33 @@
             return False
         except StoreUnavailableError as exc:
             if exc.malformed:
-                return await self._write_apart(pending, str(exc))
+                return await self._write_individually(pending, str(exc))
             log.debug("operations not recorded: %s", exc)
             return False
         except KeyValueStoreError as exc:
             log.debug("operations not recorded: %s", exc)
             return False
-        self._recorded(operations, await curio.clock())
+        self._mark_recorded(operations, await curio.clock())
         return True
 
-    async def _write_apart(self, pending: list[PendingRecord], reason: str) -> bool:
+    async def _write_individually(self, pending: list[PendingRecord], reason: str) -> bool:
         """The store takes a transaction in no case: each record goes alone, to find which."""
         if len(pending) == 1:
             operation = pending[0].operation
-            self._refuse(operation, RefusalCause.RECORD, f"refused by the store: {reason}")
+            self._refuse(operation, RefusalCause.UNSTORABLE, f"refused by the store: {reason}")
             return True
-        settled = [await self._write([record]) for record in pending]
-        return all(settled)
+        resolved = [await self._write([record]) for record in pending]
+        return all(resolved)
 
-    async def _read_back(self, operations: list[AnyOperation]) -> bool:
+    async def _resolve_conflicts(self, operations: list[AnyOperation]) -> bool:
         """Keys that exist already: an earlier try without an answer wrote them, or somebody else.
 
         Whether all of them could be settled.
         """
-        settled = [await self._settle_existing(operation) for operation in operations]
-        return bool(settled) and all(settled)
+        resolved = [await self._resolve_conflict(operation) for operation in operations]
+        return bool(resolved) and all(resolved)
 
-    async def _settle_existing(self, operation: AnyOperation) -> bool:
+    async def _resolve_conflict(self, operation: AnyOperation) -> bool:
         try:
             entry = await self._context.store.get(operation.key, DECISION_PRIORITY)
         except KeyValueStoreError as exc:
@@ -131,13 +133,13 @@
         if entry is None:
             return False  # removed since: it is put again
         if _token(entry.data) == operation.record.by:
-            self._recorded([operation], await curio.clock())
+            self._mark_recorded([operation], await curio.clock())
         else:
             self._refuse(operation, RefusalCause.KEY_TAKEN, "its key is taken by another record")
         return True
 
-    def _recorded(self, operations: list[AnyOperation], now: float) -> None:
-        self._operation_log.recorded(operations, now)
+    def _mark_recorded(self, operations: list[AnyOperation], now: float) -> None:
+        self._operation_log.mark_recorded(operations, now)
         for operation in operations:
             self._unconfirmed.pop(operation.key, None)
 
@@ -156,7 +158,7 @@
     async def remove_due(self) -> None:
         """Remove the records of operations that are over, in one transaction."""
         now = await curio.clock()
-        due = self._operation_log.to_close(now, self._context.txn_ops)
+        due = self._operation_log.operations_to_close(now, self._context.max_txn_ops)
         stored = [
             operation for operation in due if operation.stored or operation.key in self._unconfirmed
         ]
@@ -173,7 +175,7 @@
                 return
         for operation in stored:
             self._unconfirmed.pop(operation.key, None)
-        self._operation_log.closed(due)
+        self._operation_log.mark_closed(due)
 
 
 def _token(data: Any) -> Any:
--- a/topazhold/operations/records.py
+++ b/topazhold/operations/records.py
@@ -27,7 +27,7 @@
 #: Parts of one clean-up, at the most.
 MAX_PARTS = 1000
 #: Size of a record without its machines, in bytes of JSON, at the most.
-RECORD_BYTES = 400
+RECORD_OVERHEAD_BYTES = 400
 #: The largest term or number.
 MAX_INTEGER = 2**63 - 1
 
@@ -120,7 +120,7 @@
     raise InvalidRecordError(f"no key for a {type(record).__name__}")
 
 
-def write_record(record: OperationRecord) -> dict[str, Any]:
+def encode_record(record: OperationRecord) -> dict[str, Any]:
     """The value to store.
 
     Raises:
@@ -134,20 +134,20 @@
     return value
 
 
-def storable_value(record: OperationRecord, value_limit: int) -> dict[str, Any]:
-    """The value to store, of `value_limit` bytes at the most.
+def storable_value(record: OperationRecord, max_value_bytes: int) -> dict[str, Any]:
+    """The value to store, of `max_value_bytes` bytes at the most.
 
     Raises:
         InvalidRecordError: the record could not be read again, or is too large.
     """
-    value = write_record(record)
+    value = encode_record(record)
     size = json_size(value)
-    if size > value_limit:
-        raise InvalidRecordError(f"{key_of(record)}: {size} bytes, a value takes {value_limit}")
+    if size > max_value_bytes:
+        raise InvalidRecordError(f"{key_of(record)}: {size} bytes, a value takes {max_value_bytes}")
     return value
 
 
-def read_record(key: str, value: Any) -> OperationRecord:
+def decode_record(key: str, value: Any) -> OperationRecord:
     """The record that is stored under a key.
 
     Raises:
@@ -165,17 +165,17 @@
     raise InvalidRecordError("no such kind of order")
 
 
-def split_machines(machines: Mapping[str, str], value_limit: int) -> Iterator[dict[str, str]]:
-    """Machines with their reasons, in portions that each fit a value of `value_limit` bytes."""
-    portion: dict[str, str] = {}
-    size = RECORD_BYTES
+def split_machines(machines: Mapping[str, str], max_value_bytes: int) -> Iterator[dict[str, str]]:
+    """Machines with their reasons, in portions that each fit a value of `max_value_bytes` bytes."""
+    batch: dict[str, str] = {}
+    size = RECORD_OVERHEAD_BYTES
     for name, reason in machines.items():
         reason = reason[:MAX_REASON_LENGTH]
         more = json_size({name: reason})
-        if portion and (size + more > value_limit or len(portion) >= MAX_RELEASED_MACHINES):
-            yield portion
-            portion, size = {}, RECORD_BYTES
-        portion[name] = reason
+        if batch and (size + more > max_value_bytes or len(batch) >= MAX_RELEASED_MACHINES):
+            yield batch
+            batch, size = {}, RECORD_OVERHEAD_BYTES
+        batch[name] = reason
         size += more
-    if portion:
-        yield portion
+    if batch:
+        yield batch
--- a/topazhold/operations/refused_operations.py
+++ b/topazhold/operations/refused_operations.py
@@ -20,7 +20,7 @@
 class RefusalCause(Enum):
     """Why a record can't be stored."""
 
-    RECORD = "the record is invalid, too large, or refused by the store"
+    UNSTORABLE = "the record is invalid, too large, or refused by the store"
     KEY_TAKEN = "another record stands under its key"
 
 
@@ -38,11 +38,11 @@
 
 def unpack_refused(data: Any) -> list[RefusedOperation]:
     """Refused operations as a summary carries them; what can't be read is left out."""
-    found = []
+    operations = []
     for item in data if isinstance(data, list) else ():
         if isinstance(item, list) and len(item) == len(RefusedOperation._fields):
-            found.append(RefusedOperation(*map(str, item)))
-    return found
+            operations.append(RefusedOperation(*map(str, item)))
+    return operations
 
 
 class RefusedOperations:
@@ -53,41 +53,41 @@
     """
 
     def __init__(self) -> None:
-        self.shown: deque[RefusedOperation] = deque(maxlen=MAX_SHOWN_OPERATIONS)
+        self.recent: deque[RefusedOperation] = deque(maxlen=MAX_SHOWN_OPERATIONS)
         self._scale_outs: list[ScaleOutRecord] = []
-        self._apart: set[str] = set()  # machines that get a scale-in each
+        self._individually: set[str] = set()  # machines that get a scale-in each
         self._unrecordable: set[str] = set()  # machines whose own scale-in was refused
 
     def add(self, operation: AnyOperation, cause: RefusalCause, reason: str) -> None:
         """An operation is refused."""
         kind, _ = describe(operation.record)
-        self.shown.append(RefusedOperation(operation.key, kind, reason))
+        self.recent.append(RefusedOperation(operation.key, kind, reason))
         if cause is RefusalCause.KEY_TAKEN:
             return  # decided anew, it gets another key
         if isinstance(operation, ScaleInOperation):
             names = operation.record.machines
-            (self._apart if len(names) > 1 else self._unrecordable).update(names)
+            (self._individually if len(names) > 1 else self._unrecordable).update(names)
         elif isinstance(operation, ScaleOutOperation):
             self._scale_outs.append(operation.record)
 
     def take_scale_outs(self) -> list[ScaleOutRecord]:
         """Scale-outs that were refused since this was last called."""
-        taken, self._scale_outs = self._scale_outs, []
-        return taken
+        scale_outs, self._scale_outs = self._scale_outs, []
+        return scale_outs
 
-    def recordable(self, name: str) -> bool:
+    def is_recordable(self, name: str) -> bool:
         """Whether a scale-in of the machine may be decided."""
         return name not in self._unrecordable
 
-    def portions(self, reasons: Mapping[str, str], value_limit: int) -> Iterator[dict[str, str]]:
+    def batches(self, reasons: Mapping[str, str], max_value_bytes: int) -> Iterator[dict[str, str]]:
         """Machines with their reasons, in portions for one record each."""
-        together = {name: why for name, why in reasons.items() if name not in self._apart}
-        yield from split_machines(together, value_limit)
+        together = {name: why for name, why in reasons.items() if name not in self._individually}
+        yield from split_machines(together, max_value_bytes)
         for name, why in reasons.items():
-            if name in self._apart:
-                yield from split_machines({name: why}, value_limit)
+            if name in self._individually:
+                yield from split_machines({name: why}, max_value_bytes)
 
     def forget_machine(self, name: str) -> None:
         """A machine is gone."""
-        self._apart.discard(name)
+        self._individually.discard(name)
         self._unrecordable.discard(name)
--- a/topazhold/operations/released_machines.py
+++ b/topazhold/operations/released_machines.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 
 #: Machines remembered; the oldest are forgotten.
-MAX_REMEMBERED = 5000
+MAX_REMEMBERED_MACHINES = 5000
 
 
 class ReleasedMachines:
@@ -23,7 +23,7 @@
         """Remember machines that are gone."""
         for name in names:
             self._names[name] = None
-            if len(self._names) > MAX_REMEMBERED:
+            if len(self._names) > MAX_REMEMBERED_MACHINES:
                 del self._names[next(iter(self._names))]
 
     def names(self) -> list[str]:
--- a/topazhold/operations/requests.py
+++ b/topazhold/operations/requests.py
@@ -26,7 +26,7 @@
 class DueRelease(NamedTuple):
     """A machine that is to be released; in ascending order those that must go come first."""
 
-    may_wait: bool
+    deferrable: bool
     name: str
     operation: ScaleInOperation
 
@@ -46,17 +46,17 @@
         for name in operation.remaining_machines
     ]
     if only_required:
-        due = [release for release in due if not release.may_wait]
-    due.sort(key=lambda release: (release.may_wait, release.name))
+        due = [release for release in due if not release.deferrable]
+    due.sort(key=lambda release: (release.deferrable, release.name))
     return due[:MAX_RELEASED_MACHINES]
 
 
 def may_scale_out(unanswered: Sequence[ScaleOutOperation]) -> bool:
     """Whether more may be requested: what is under way must first be answered, within bounds."""
     blocking = [each for each in unanswered if each.request_count < MAX_BLOCKING_REQUESTS]
-    return not blocking and free_scale_outs(unanswered) > 0
+    return not blocking and free_scale_out_slots(unanswered) > 0
 
 
-def free_scale_outs(unanswered: Sequence[ScaleOutOperation]) -> int:
+def free_scale_out_slots(unanswered: Sequence[ScaleOutOperation]) -> int:
     """How many more scale-outs may be open at the same time."""
     return max(0, MAX_OPEN_SCALE_OUTS - len(unanswered))
--- a/topazhold/operations/retention.py
+++ b/topazhold/operations/retention.py
@@ -7,21 +7,25 @@
 from topazhold.operations.cloud_operations import AnyOperation, ScaleInOperation
 
 #: Scale-ins that are kept after their end; the oldest go first.
-MAX_CLOSED_SCALE_INS = 256
+MAX_RETAINED_SCALE_INS = 256
 
 
-def removable(confirmed: Sequence[AnyOperation], keep_s: float, now: float) -> list[AnyOperation]:
+def removable(
+    confirmed: Sequence[AnyOperation], retention_s: float, now: float
+) -> list[AnyOperation]:
     """Of the confirmed operations, oldest first, those whose records are to be removed now.
 
-    A scale-in is kept for `keep_s` seconds: the machine list is late, and a successor that
+    A scale-in is kept for `retention_s` seconds: the machine list is late, and a successor that
     knew nothing of it would take the machine for one that is there, and release it once more.
     """
-    kept = [operation for operation in confirmed if isinstance(operation, ScaleInOperation)]
-    excess = {operation.key for operation in kept[: max(0, len(kept) - MAX_CLOSED_SCALE_INS)]}
+    scale_ins = [operation for operation in confirmed if isinstance(operation, ScaleInOperation)]
+    excess = {
+        operation.key for operation in scale_ins[: max(0, len(scale_ins) - MAX_RETAINED_SCALE_INS)]
+    }
     return [
         operation
         for operation in confirmed
         if not isinstance(operation, ScaleInOperation)
-        or now - operation.confirmed_at > keep_s
+        or now - operation.confirmed_at > retention_s
         or operation.key in excess
     ]
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -14,7 +14,7 @@
 
 from topazhold.core.intent_shards import IntentShard
 from topazhold.interfaces.cloud import CloudRequests, CloudUnavailableError
-from topazhold.interfaces.term import IntentTidier, Term
+from topazhold.interfaces.term import IntentPruner, Term
 from topazhold.operations.cloud_operations import OperationState
 from topazhold.operations.fenced_executor import FencedExecutor
 from topazhold.operations.requests import ReleaseRequest
@@ -33,7 +33,7 @@
         context: Term,
         executor: FencedExecutor,
         cloud: CloudRequests,
-        intents: IntentTidier,
+        intents: IntentPruner,
         announce_released: AnnounceReleased,
     ) -> None:
         self._context = context
@@ -59,16 +59,18 @@
         scheduler, operation_log = self._context.scheduler, self._executor.operation_log
         if not scheduler.releases and not operation_log.open_operations():
             return None
-        may_act = await self._executor.may_act()
-        if may_act:
+        may_release = await self._executor.verify_leadership()
+        if may_release:
             operation_log.decide_scale_in(scheduler.releases, time.time())
-            await self._executor.record()
-            may_act = await self._executor.lease_confirmed()  # recording takes time
+            await self._executor.write_records()
+            may_release = await self._executor.lease_confirmed()  # recording takes time
         if self._executor.may_bypass_records(await curio.clock()):
             self._bypass_records()
-        elif not may_act:
+        elif not may_release:
             return None
-        return operation_log.release_request(scheduler.must_be_released, only_required=not may_act)
+        return operation_log.release_request(
+            scheduler.must_be_released, only_required=not may_release
+        )
 
     def _bypass_records(self) -> None:
         """Machines with cancelled tasks go also while nothing can be recorded."""
@@ -100,14 +102,14 @@
             and operation.bypasses_record
             and not operation.stored
         ]
-        operation_log.machines_gone(request.names, now)
+        operation_log.mark_machines_gone(request.names, now)
         await self._remove_machines(request.names, now)
         if unrecorded:
             await self._announce_released(unrecorded)
 
     async def released_by_peer(self, names: list[str], now: float) -> None:
         """Another controller's release of these machines was confirmed: they are gone."""
-        self._executor.operation_log.machines_gone(names, now)
+        self._executor.operation_log.mark_machines_gone(names, now)
         known = [name for name in names if name in self._context.scheduler.machines]
         for name in names:
             self._context.scheduler.remove_machine(name, now)
@@ -124,4 +126,4 @@
             if shard is not None and shard.revision:
                 stale.add(shard)
         await self._context.request_plan()
-        await self._intents.tidy(stale)
+        await self._intents.prune(stale)
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -17,37 +17,41 @@
 from topazhold.interfaces.term import Term
 from topazhold.operations.cloud_operations import OperationState, ScaleOutOperation
 from topazhold.operations.fenced_executor import FencedExecutor
-from topazhold.operations.requests import free_scale_outs
+from topazhold.operations.requests import free_scale_out_slots
 
 log = logging.getLogger(__name__)
 
 #: Heartbeat intervals for which nothing more is requested of what the cloud does not have.
-REFUSED_HEARTBEATS = 4
+CAPACITY_BACKOFF_HEARTBEATS = 4
 
 
 class ScaleOutExecutor:
     """Requests the machines that the scheduler wants, and completes what was left open."""
 
     def __init__(
-        self, context: Term, executor: FencedExecutor, cloud: CloudRequests, listed: curio.Event
+        self,
+        context: Term,
+        executor: FencedExecutor,
+        cloud: CloudRequests,
+        machines_listed: curio.Event,
     ) -> None:
         self._context = context
         self._executor = executor
         self._cloud = cloud
-        self._listed = listed  # set once a machine list of this term has arrived
-        self._pause_s = REFUSED_HEARTBEATS * context.heartbeat_interval_s
+        self._machines_listed = machines_listed  # set once a machine list of this term has arrived
+        self._capacity_backoff_s = CAPACITY_BACKOFF_HEARTBEATS * context.heartbeat_interval_s
         self._fleet_known_at = 0.0  # by the monotonic clock; 0: no list has arrived
 
     async def loop(self) -> None:
         """Scale out for as long as the term lasts; what was left open is completed at once."""
         context = self._context
         while True:
-            more = False
-            if await self._executor.may_act():
-                await self._complete()
+            demand_left = False
+            if await self._executor.verify_leadership():
+                await self._send_due()
                 if await self._fleet_is_known() and self._executor.operation_log.may_scale_out():
-                    more = await self._scale_out()
-            await curio.sleep(context.retry_s if more else context.heartbeat_interval_s)
+                    demand_left = await self._scale_out()
+            await curio.sleep(context.retry_s if demand_left else context.heartbeat_interval_s)
 
     async def _fleet_is_known(self) -> bool:
         """Whether the machines that exist already are known.
@@ -55,7 +59,7 @@
         A new leader waits for a machine list, and then for its lag: the last machines that its
         predecessor requested are not listed at first.
         """
-        if not self._listed.is_set():
+        if not self._machines_listed.is_set():
             return False
         if not self._fleet_known_at:
             lag_s = self._context.scheduler.lag_s if self._context.term > 1 else 0.0
@@ -66,12 +70,12 @@
         """Decide, record and send; whether so much is wanted that more is to be decided soon."""
         operation_log = self._executor.operation_log
         wanted = self._context.scheduler.scale_out(await curio.clock())
-        requests = wanted[: free_scale_outs(operation_log.unanswered_scale_outs())]
+        requests = wanted[: free_scale_out_slots(operation_log.unanswered_scale_outs())]
         for request in requests:
             operation_log.decide_scale_out(request, time.time())
         if requests:
-            await self._executor.record()
-            await self._complete()
+            await self._executor.write_records()
+            await self._send_due()
         wanted_machines = sum(request.count for request in wanted)
         return len(wanted) > len(requests) or wanted_machines >= MAX_SCALE_OUT_MACHINES
 
@@ -80,11 +84,11 @@
         now = await curio.clock()
         for record in self._executor.operation_log.refused.take_scale_outs():
             capacity_backoff = self._context.scheduler.capacity_backoff
-            capacity_backoff.on_refused(*record.kind, self._pause_s, now)
+            capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
 
-    async def _complete(self) -> None:
+    async def _send_due(self) -> None:
         """Send what is recorded and not answered yet."""
-        await self._executor.record()
+        await self._executor.write_records()
         await self._back_off_from_refused()
         for operation in self._executor.operation_log.scale_outs_due():
             await self._cloud.wait_for_limits()
@@ -96,7 +100,7 @@
     async def _send(self, operation: ScaleOutOperation) -> None:
         record, operation_log = operation.record, self._executor.operation_log
         capacity_backoff = self._context.scheduler.capacity_backoff
-        if operation_log.sending(operation):
+        if operation_log.start_request(operation):
             log.info("scale-out %s requested again", record.request)
         request = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
         try:
@@ -105,15 +109,15 @@
             if isinstance(exc, CloudRequestRejectedError):
                 log.error("scale-out %s refused for good: %s", record.request, exc)
             now = await curio.clock()
-            capacity_backoff.on_refused(*record.kind, self._pause_s, now)
-            operation_log.scale_out_answered(operation, [], now)
+            capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
+            operation_log.complete_scale_out(operation, [], now)
             operation_log.withdraw_unsent(operation, now)
             return
         except CloudUnavailableError as exc:
             log.debug("scale-out %s: %s", record.request, exc)
             return
         now = await curio.clock()
-        operation_log.scale_out_answered(operation, names, now)
+        operation_log.complete_scale_out(operation, names, now)
         for name in names:
             self._context.scheduler.add_rented(
                 name, record.zone, record.spot, record.machine_type, now
@@ -121,7 +125,7 @@
         price = "spot" if record.spot else "ordinary"
         log.info("scale-out: %d of %d %s in %s", len(names), record.count, price, record.zone)
         if len(names) < record.count:
-            capacity_backoff.on_refused(*record.kind, self._pause_s, now)
+            capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
             operation_log.withdraw_unsent(operation, now)
         else:
             capacity_backoff.on_granted(*record.kind)
--- a/topazhold/operations/schemas.py
+++ b/topazhold/operations/schemas.py
@@ -24,7 +24,7 @@
     return {**schema, "$defs": components}
 
 
-def page() -> str:
+def render_page() -> str:
     """The Markdown page of all schemas."""
     parts = [PREAMBLE]
     for prefix in RECORD_TYPES:
--- a/topazhold/operations/term_operations.py
+++ b/topazhold/operations/term_operations.py
@@ -9,7 +9,7 @@
 import curio
 
 from topazhold.interfaces.cloud import CloudRequests
-from topazhold.interfaces.term import IntentTidier, Term
+from topazhold.interfaces.term import IntentPruner, Term
 from topazhold.operations.cleanup import CleanupExecutor
 from topazhold.operations.cloud_operations import ScaleInOperation
 from topazhold.operations.failover import rebuild_operations
@@ -25,8 +25,8 @@
 
 #: A scale-in's record is kept for as long as a machine list, or a late heartbeat, may still name
 #: the machine: so many lags of the list and leases of the workers.
-KEEP_LIST_LAGS = 4.0
-KEEP_WORKER_LEASES = 2.0
+RETENTION_LIST_LAGS = 4.0
+RETENTION_WORKER_LEASES = 2.0
 
 
 @dataclass(frozen=True)
@@ -34,17 +34,19 @@
     """The settings that operations depend on; times in seconds."""
 
     controller_lease_s: float
-    keep_s: float  # how long the record of a scale-in outlasts its end
+    retention_s: float  # how long the record of a scale-in outlasts its end
     record_operations: bool
 
     @classmethod
-    def of(
+    def from_settings(
         cls, settings: Settings, operator: OperatorSettings, controller_lease_s: float
     ) -> OperationSettings:
         """Out of the platform's and the operators' settings."""
         cloud, workers = settings.cluster.cloud, settings.cluster.workers
-        keep_s = KEEP_LIST_LAGS * cloud.list_lag_s + KEEP_WORKER_LEASES * workers.lease_s
-        return cls(controller_lease_s, keep_s, operator.record_operations)
+        retention_s = (
+            RETENTION_LIST_LAGS * cloud.list_lag_s + RETENTION_WORKER_LEASES * workers.lease_s
+        )
+        return cls(controller_lease_s, retention_s, operator.record_operations)
 
 
 @dataclass(frozen=True)
@@ -52,7 +54,7 @@
     """What operations reach outside their package, besides the term itself."""
 
     cloud: CloudRequests
-    intents: IntentTidier
+    intents: IntentPruner
     machines_listed: curio.Event  # set once a machine list of this term has arrived
     announce_released: AnnounceReleased
 
@@ -71,8 +73,8 @@
         self.operation_log = OperationLog(
             context.node,
             context.term,
-            context.value_limit,
-            settings.keep_s,
+            context.max_value_bytes,
+            settings.retention_s,
             settings.record_operations,
         )
         self.executor = FencedExecutor(
@@ -115,7 +117,7 @@
             self._scale_out.loop,
             self.scale_in.loop,
             self._cleanup.loop,
-            self.executor.close_loop,
+            self.executor.removal_loop,
             self.executor.watch_clocks,
         )
 
