--- a/tests/test_autoscaling.py
+++ b/tests/test_autoscaling.py
@@ -1,4 +1,4 @@
-"""What is asked of the cloud where it has refused some of it."""
+"""Scale-out requests while the cloud has refused capacity in some zones."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fleet_of(**by_zone: int) -> Fleet:
-    """Ordinary machines that are ready, so many in each zone."""
+    """Return a fleet with the given number of ready on-demand machines in each zone."""
     machines = []
     for zone, count in by_zone.items():
         for number in range(count):
@@ -37,10 +37,11 @@
 
 
 def test_demand_bound_to_a_full_zone_is_not_requested_in_another() -> None:
-    """A gang of zone a waited for 447 s while machines of zone b were rented and given back.
+    """Guards against renting machines that the demand can't use.
 
-    Each one given back was room for zone a, which the next request for zone b took before
-    zone a was asked again.
+    A gang of zone a waited for 447 s while machines of zone b were rented and released. Each
+    release made capacity for zone a, which the next request for zone b took before zone a was
+    requested again.
     """
     for spot in (False, True):
         demand = CapacityDemand()
--- a/tests/test_broken_variants.py
+++ b/tests/test_broken_variants.py
@@ -1,4 +1,4 @@
-"""The checker of the random days must catch a broken variant of each main rule."""
+"""The checker of the random days must catch a variant of the code that breaks a main rule."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 def ignore_predecessors_intents(patch: pytest.MonkeyPatch) -> None:
-    """A new leader that does not believe in its predecessor's intents."""
+    """A new leader ignores its predecessor's intents."""
     patch.setattr(failover, "_adopt", lambda *args: None)
     patch.setattr(TaskReconciliation, "_on_orphan", lambda *args: None)
 
 
 def replace_tasks_of_silent_machines(patch: pytest.MonkeyPatch) -> None:
-    """Tasks of a silent machine are placed again without proof."""
+    """Tasks of a silent machine are placed again without proof that they are gone."""
 
     def check_machine(self: FailureDetection, machine: Any, now: float) -> None:
         cluster = self._cluster
@@ -70,12 +70,12 @@
 
 
 def lose_ended_jobs(patch: pytest.MonkeyPatch) -> None:
-    """Jobs that are over are not found any more."""
+    """Records of ended jobs are never found again."""
     patch.setattr(records, "ended_key", lambda job: f"lost/{job}/{id(object())}")
 
 
 def finish_job_with_first_task(patch: pytest.MonkeyPatch) -> None:
-    """One task done passes for the whole job."""
+    """A job counts as complete once one task is."""
     patch.setattr(Job, "is_complete", property(lambda self: self.completed_count > 0))
 
 
@@ -91,7 +91,7 @@
 
 
 def refuse_status_of_some_jobs(patch: pytest.MonkeyPatch) -> None:
-    """The questions about a few jobs are never answered, all others are."""
+    """Status requests for a few jobs are always refused, all others are answered."""
     status_response = users_module.Users._status_response
 
     async def refuse_some(self: Any, job_id: str) -> Response | None:
@@ -126,15 +126,18 @@
 
 
 def starve_unconstrained_arrays(patch: pytest.MonkeyPatch) -> None:
-    """Some arrays; of those that are bound to zones the checker can't judge whether there
-    is room, so which jobs these days draw must not decide whether it sees any."""
+    """Arrays without zone constraints are never placed.
+
+    The checker can't judge whether there is capacity for arrays bound to zones. Starving all
+    arrays that are not makes the result independent of the jobs that a day draws.
+    """
     exclude_from_queue(
         patch, lambda job: not (job.gang or job.spec.same_zone or job.spec.spread_zones)
     )
 
 
 def accept_late_heartbeats(patch: pytest.MonkeyPatch) -> None:
-    """An older report counts like a new one."""
+    """Heartbeats are processed even if they are older than the last one."""
     on_heartbeat = Scheduler.on_heartbeat
 
     def accept_any_sequence(self: Scheduler, heartbeat: Any, *args: Any, **kwargs: Any) -> Any:
@@ -158,7 +161,7 @@
     (report_done_jobs_as_aborted, "went_back", []),
     (accept_late_heartbeats, "ran_twice", ["late_copies"]),
 ]
-#: What shows only at a day's end.
+#: Variants whose violation shows only at the end of a day.
 SLOW_VARIANTS: list[tuple[Patch, str]] = [
     (starve_a_team, "starved"),
     (starve_a_class, "starved"),
@@ -197,9 +200,9 @@
 def test_checker_catches_a_job_whose_status_is_never_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On every day on which the user of such a job does not cancel it, and on two at least.
+    """The violation shows on every day on which such a job is not cancelled, and on two at least.
 
-    Which jobs a day's users cancel is drawn; a cancelled one has its final answer.
+    Which jobs the users of a day cancel is drawn; a cancelled job has its final answer.
     """
     refuse_status_of_some_jobs(monkeypatch)
     days = 0
@@ -214,7 +217,7 @@
             assert "forgotten" in simulation.violations, f"seed {seed}"
         if days == 2:
             return
-    pytest.fail("too few days had a job that is not answered for")
+    pytest.fail("too few days had a job whose status is never answered")
 
 
 def test_variants_cover_the_rules() -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,4 +1,4 @@
-"""What a leader's work costs, in objects visited: it must not grow where nothing changes."""
+"""The cost of a leader's work, in objects visited, must not grow where nothing changes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         patch.setattr(owner, name, counted)
 
     def take_count(self) -> int:
-        """The calls since the last question."""
+        """Return the number of calls since the last time, and reset it."""
         count, self.count = self.count, 0
         return count
 
@@ -34,7 +34,10 @@
 def test_only_offers_of_changed_machines_are_rebuilt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A summary a second made every offer anew: an eighth of a leader's time with 168 machines."""
+    """Guards against rebuilding all offers for each summary.
+
+    At one summary a second that took an eighth of a leader's time with 168 machines.
+    """
     for machines in (6, 60):
         harness = SchedulerHarness(machines)
         scheduler = harness.scheduler
@@ -58,14 +61,16 @@
         harness.now += 0.5 * scheduler.summary_s
         harness.all_heartbeats()
         request_offers()
-        assert offer_calls.take_count() == machines, "what ends soon has come nearer"
+        assert offer_calls.take_count() == machines, (
+            "old offers are rebuilt, since their delays have shortened"
+        )
         monkeypatch.undo()
 
 
 def test_free_slots_for_gangs_of_one_shape_are_counted_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each pressing gang looked at every machine, once a second."""
+    """Guards against visiting every machine for each aged gang, once a second."""
     counts = []
     for gangs in (1, 12):
         harness = SchedulerHarness(machines=4)
--- a/tests/test_large_scale_out.py
+++ b/tests/test_large_scale_out.py
@@ -1,4 +1,4 @@
-"""More machines wanted in one zone at once than one request may name."""
+"""Scale-out by more machines in one zone than one request may name."""
 
 from __future__ import annotations
 
@@ -37,19 +37,21 @@
 LARGE_DEMANDS = st.builds(
     Demand, st.lists(st.tuples(LARGE_SIZES, ANYWHERE_OR_ZONE), max_size=4), st.just({})
 )
-#: Tasks that take a machine each, all in one zone; with the headroom, more than may be
-#: requested in one round.
+#: Tasks that need a machine each, all in one zone. With the headroom, they need more machines
+#: than may be requested in one round.
 TASKS = 450
 WANTED_MACHINES = math.ceil(TASKS * (1.0 + OperatorSettings().headroom_share))
 assert WANTED_MACHINES > PROTOCOL_MACHINES * MAX_OPEN_SCALE_OUTS
-#: Machines are no capacity for tasks before the end of a scenario, and none is given up as late.
+#: No machine finishes booting before the end of a scenario, and none is released as late.
 BOOT_S = 10_000.0
-#: Several rounds, a list of machines and its lag, and a late delivery.
+#: Covers several rounds, a machine list with its lag, and a late delivery.
 SETTLED_S = 60.0
-ANSWER_HOLD_S = 20.0
+#: How long the network holds a request that it delivers late to the cloud.
+REQUEST_HOLD_S = 20.0
 
 
 def by_zone(requests: list[ScaleOutRequest]) -> Counter[str]:
+    """Return the requested machines by zone."""
     counts: Counter[str] = Counter()
     for request in requests:
         counts[request.zone] += request.count
@@ -88,7 +90,7 @@
 
 
 def rented_in(scenario: Scenario, zone: str) -> int:
-    """Machines that the cloud has rented out in a zone."""
+    """Return the number of machines that the cloud has rented out in a zone."""
     names = {name for names in scenario.cloud.rented.values() for name in names}
     return sum(scenario.cloud.workers[name].zone == zone for name in names)
 
@@ -96,7 +98,7 @@
 async def start_slow_cloud(
     scenario: Scenario, monkeypatch: pytest.MonkeyPatch, capacity: int = 2 * WANTED_MACHINES
 ) -> str:
-    """A leader, and a cloud whose machines boot after the end of the scenario."""
+    """Start controllers and a cloud whose machines never finish booting; return the leader."""
     (machine_type,) = tests.fakes.cloud.CATALOG["breeds"]
     catalog = {"breeds": [{**machine_type, "ready_s": BOOT_S}]}
     monkeypatch.setattr(tests.fakes.cloud, "CATALOG", catalog)
@@ -112,20 +114,20 @@
 
 
 async def submit_large_job(scenario: Scenario, leader: str) -> None:
-    """A job whose tasks take a machine each, all of zone a."""
+    """Submit a job whose tasks need a machine each, all in zone a."""
     via = scenario.other_controllers(leader)[0]
     await scenario.submit(via, tasks=TASKS, gpus=4.0, cpus=4.0, zone="a")
 
 
 async def assert_exactly_wanted_machines_rented(scenario: Scenario) -> None:
-    """Exactly what is wanted, in its zone, and so it stays."""
+    """Assert that exactly the wanted machines are rented, in their zone, and no more later."""
     await scenario.wait_until(lambda: rented_in(scenario, "a") >= WANTED_MACHINES, SETTLED_S)
     await curio.sleep(SETTLED_S)
     assert rented_in(scenario, "a") == WANTED_MACHINES == len(scenario.cloud.workers)
 
 
 def test_many_machines_of_one_zone_are_rented_once_each(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: a request of over 50 machines, which no record takes."""
+    """Guards against a request of over 50 machines, which can't be recorded."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_slow_cloud(scenario, monkeypatch)
@@ -140,14 +142,14 @@
 def test_many_machines_are_rented_once_each_while_the_leader_changes(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against: machines of several open requests lost or rented twice by a successor."""
+    """Guards against a new leader that loses the machines of open requests or rents them twice."""
 
     async def act(scenario: Scenario) -> None:
         def stop(source: str) -> None:
             scenario.paused_until[source] = scenario.clock.now + SETTLED_S
 
         leader = await start_slow_cloud(scenario, monkeypatch)
-        trigger = OperationTrigger(scenario.network.hosts, point, "rental", stop, ANSWER_HOLD_S)
+        trigger = OperationTrigger(scenario.network.hosts, point, "rental", stop, REQUEST_HOLD_S)
         await submit_large_job(scenario, leader)
         await scenario.wait_until(lambda: trigger.source is not None)
         await scenario.wait_for_new_leader(leader)
@@ -157,7 +159,7 @@
 
 
 def record_request_names(scenario: Scenario) -> list[str]:
-    """The names of the requests for machines, as they come to the cloud."""
+    """Return a list to which the name of each request is added as it arrives at the cloud."""
     cloud: Callable[..., Any] = scenario.network.hosts[FakeCloud.HOST]
     names: list[str] = []
 
@@ -171,7 +173,7 @@
 
 
 def test_requests_beyond_the_clouds_capacity_are_withdrawn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: a full cloud is asked on, and each refusal doubles the pause."""
+    """Guards against further requests to a full cloud: each refusal doubles the backoff."""
     capacity = PROTOCOL_MACHINES + 10
 
     async def act(scenario: Scenario) -> None:
@@ -180,7 +182,7 @@
         await submit_large_job(scenario, leader)
         await scenario.wait_until(lambda: rented_in(scenario, "a") == capacity)
         await curio.sleep(2 * scenario.worker_settings.heartbeat_interval_s)
-        assert len(names) == 2, "one that is filled, and one that is filled in part"
+        assert len(names) == 2, "one request is filled and one filled in part"
         log = scenario.controllers[leader].leader_term.operations.operation_log
         assert log.counters.withdrawn == MAX_OPEN_SCALE_OUTS - len(names)
         assert log.may_scale_out()
@@ -189,7 +191,10 @@
 
 
 def test_requests_keep_to_the_rate_limit_of_the_cloud(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: those beyond the rate are counted as sent, and block others as unanswered."""
+    """Guards against counting requests held back by the rate limit as sent.
+
+    They would be unanswered, and block other requests.
+    """
 
     async def act(scenario: Scenario) -> None:
         for settings in scenario.controller_settings.values():
@@ -204,7 +209,7 @@
 
 
 def test_adopted_request_is_not_withdrawn() -> None:
-    """Guards against: machines that the earlier term's request has rented are never known."""
+    """Guards against never learning of machines that the earlier term's request has rented."""
     request = ScaleOutRequest("b1", "a", False, 1)
     predecessor_log = OperationLog("hive-0", 1, 2048, retention_s=10.0)
     adopted = predecessor_log.decide_scale_out(request, 1.0)
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Packages import each other in one direction only."""
+"""Packages import only packages of lower layers."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 import topazhold
 
 PACKAGE = Path(topazhold.__file__).parent
-#: What each package may not import.
+#: Packages that each package may not import.
 FORBIDDEN_IMPORTS = {
     "wire": ("core", "io", "interfaces", "operations", "control"),
     "io": ("core", "interfaces", "operations", "control"),
--- a/tests/test_scale_out_limits.py
+++ b/tests/test_scale_out_limits.py
@@ -1,4 +1,4 @@
-"""How many machines one scale-out request names: the protocol takes 50 at the most."""
+"""The protocol accepts at most 50 machines in one scale-out request."""
 
 from __future__ import annotations
 
@@ -13,29 +13,31 @@
 from topazhold.core.capacity_demand import CapacityDemand
 from topazhold.core.machines import Machine, MachineState
 
-#: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured, and
-#: not taken from the product, which is to be held to it.
+#: `POST /machines` in the protocol: "`count` is at most 50". Not imported from the code under
+#: test, which must keep to the protocol.
 PROTOCOL_MACHINES = 50
-#: One demand may be for so many machines, and so many of a kind may be there.
+#: Most machines of one drawn demand.
 MAX_DEMANDED = 130
+#: Most machines of one zone and kind in a drawn fleet.
 MAX_PRESENT = 40
 NOW = 100.0
-#: The same examples in every run; none are kept.
+#: Draws the same examples in every run and stores none. The seed is derived from the source of
+#: the test function: another docstring or name draws other examples.
 FIXED_EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True, database=None)
 
 ZONES = st.sampled_from(MACHINE_TYPE.zones)
 ANYWHERE_OR_ZONE = st.none() | ZONES
-#: Zone and kind (True: spot).
+#: A zone, and whether the machines are spot (else on-demand).
 KINDS = st.tuples(ZONES, st.booleans())
 MACHINE_COUNTS = st.dictionaries(KINDS, st.integers(0, MAX_PRESENT))
 REFUSED_KINDS = st.sets(KINDS)
 
 
 class Demand(NamedTuple):
-    """Machines wanted of one kind, as it is drawn."""
+    """A drawn demand for machines, spot or on-demand."""
 
-    machines: list[tuple[int, str | None]]  # so many of a zone, or of any
-    minimum_by_zone: dict[str, int]  # so many in a zone, of whichever
+    machines: list[tuple[int, str | None]]  # number of machines, and their zone or None for any
+    minimum_by_zone: dict[str, int]  # least number of machines by zone, bound to it or not
 
     @property
     def total(self) -> int:
@@ -56,7 +58,7 @@
     st.lists(st.tuples(DEMAND_SIZES, ANYWHERE_OR_ZONE), max_size=4),
     st.dictionaries(ZONES, DEMAND_SIZES),
 )
-#: What one request may name, in all.
+#: Demands that fit one request.
 SMALL_DEMANDS = st.builds(
     Demand,
     st.lists(st.tuples(st.integers(0, PROTOCOL_MACHINES), ANYWHERE_OR_ZONE), max_size=4),
@@ -67,7 +69,7 @@
 
 
 def fleet_of(counts: dict[tuple[str, bool], int]) -> Fleet:
-    """Machines that are ready, so many of each zone and kind."""
+    """Return a fleet with the given number of ready machines by zone and kind."""
     machines = []
     for (zone, spot), count in counts.items():
         for number in range(count):
@@ -79,7 +81,7 @@
 
 
 def refuse(capacity_backoff: CapacityBackoff, kinds: set[tuple[str, bool]], now: float) -> None:
-    """The cloud had none of these just now."""
+    """Record that the cloud has refused these kinds of machines now."""
     for zone, spot in kinds:
         capacity_backoff.on_refused(MACHINE_TYPE.name, zone, spot, 10.0, now)
 
--- a/tests/test_scheduler_failover.py
+++ b/tests/test_scheduler_failover.py
@@ -1,4 +1,4 @@
-"""What a new leader does with the intents and jobs of the one before."""
+"""A new leader rebuilds its state from the intents and jobs of its predecessor."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def test_new_leader_places_intended_tasks_only_after_a_heartbeat_of_its_term() -> None:
-    """An intent may be running until its machine has reported under this term."""
+    """A task of an intent may be running until its machine has sent a heartbeat of this term."""
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
     intents = [Intents("host-0", 1, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
@@ -40,7 +40,10 @@
 
 
 def test_new_leader_waits_for_heartbeats_before_releasing_for_a_cancelled_job() -> None:
-    """An intent may be stale: the workers' heartbeats show whether a task is there at all."""
+    """Guards against releasing a machine for a stale intent.
+
+    Only the workers' heartbeats show whether the task exists.
+    """
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
     job.abort(harness.now - 0.7 * harness.scheduler.cancel_s)
@@ -77,20 +80,26 @@
 
 
 def test_newer_incarnation_proves_an_earlier_terms_tasks_gone() -> None:
-    """A machine that no command reaches never reports under the new term."""
+    """Guards against waiting for ever for a machine that no command reaches.
+
+    It never sends a heartbeat of the new term.
+    """
     harness = SchedulerHarness(machines=0, term=8)
     job = Job(make_spec(shape="batch", tasks=1), harness.now, 1e9, "hive-0")
     intents = [Intents("host-0", 3, "a", False, "b1", [AttemptIntent("wk-000001", 0, 77)])]
     failover.rebuild(harness.scheduler, [job], intents, harness.now)
     harness.heartbeat("host-1")
     harness.heartbeat("host-0", term=7, incarnation=3)
-    assert harness.plan_and_commit() == [], "the same session proves nothing"
+    assert harness.plan_and_commit() == [], "the same incarnation may still run the task"
     harness.heartbeat("host-0", term=7, incarnation=4)
     assert [attempt.machine for attempt in harness.plan_and_commit()] == ["host-1"]
 
 
 def test_late_heartbeat_to_a_new_leader_adds_no_capacity() -> None:
-    """It can't know that it was released: it must not count as capacity."""
+    """Guards against counting a machine that may have been released already.
+
+    The machine does not know of its release, so only the cloud's list makes it capacity.
+    """
     harness = SchedulerHarness(machines=1, term=8)
     harness.heartbeat("host-9", term=7)
     machine = harness.scheduler.machines["host-9"]
--- a/tests/test_scheduler_gangs.py
+++ b/tests/test_scheduler_gangs.py
@@ -1,4 +1,4 @@
-"""Gangs start, stop and end together, on room that is reserved for them."""
+"""Gangs start, stop and end as a unit, on capacity that is reserved for them."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def running_gang(harness: SchedulerHarness, number: int = 1, **changes: object) -> Job:
+    """Add a gang and bring its two tasks to run on host-0 and host-2."""
     job = harness.add_job(make_spec(number, **changes))
     harness.reserve(job, {"host-0": 1, "host-2": 1})
     harness.plan_and_commit()
@@ -28,7 +29,7 @@
     harness: SchedulerHarness,
 ) -> None:
     job = running_gang(harness)
-    harness.tasks["host-0"].clear()  # a new session: its tasks are gone
+    harness.tasks["host-0"].clear()  # a new incarnation has none of the old tasks
     harness.heartbeat("host-0", incarnation=2)
     harness.scheduler.tick(harness.now)
     assert job.gang_state is GangState.STOPPING
@@ -75,8 +76,10 @@
 
 
 def test_array_is_not_placed_on_a_reservation_whose_gang_starts_within_seconds() -> None:
-    """The gang's other machine is a moment behind; an array would be stopped before its
-    image is there."""
+    """Guards against placing an array that would be preempted before its image is pulled.
+
+    The gang waits only for its other machine, which is free within seconds.
+    """
     harness = SchedulerHarness(machines=0)
     for name in ("host-0", "host-1"):
         harness.heartbeat(name)
@@ -94,7 +97,7 @@
 
 
 def test_gang_is_not_offered_the_capacity_of_a_service() -> None:
-    """A service's tasks, of 0 s by the estimate, don't end by themselves."""
+    """Guards against taking a service's estimated run time of 0 s for an end within 0 s."""
     harness = SchedulerHarness(machines=0)
     for name in ("host-0", "host-1"):
         harness.heartbeat(name)
@@ -118,7 +121,10 @@
 
 
 def test_aged_gang_is_not_offered_capacity_that_only_a_guarantee_can_preempt() -> None:
-    """Else it reserves without end a machine that only a guarantee could free."""
+    """Guards against a gang that reserves for ever a machine that only a guarantee could free.
+
+    An aged gang preempts by urgency alone.
+    """
     harness = SchedulerHarness(machines=2)
     for number in (1, 2):
         harness.add_job(make_spec(number, shape="batch", tasks=1, gpus=4.0, team="blue"))
@@ -148,5 +154,5 @@
     assert offer.wait_s_for(aged, need) > soon_limit_s
     aged_and_urgent = (AGED, 1)
     assert offer.wait_s_for(aged_and_urgent, need) < soon_limit_s, (
-        "by its urgency it may stop that work"
+        "its urgency alone lets it preempt that task"
     )
--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -1,4 +1,4 @@
-"""The leader launches tasks only from written intents, and repeats what was lost."""
+"""The leader launches tasks only from written intents, and repeats lost launches."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 
 def launched(commands: list[Command]) -> list[str]:
+    """Return the names of the tasks that the commands launch."""
     return [command.task_name for command in commands if command.kind == "launch"]
 
 
@@ -26,7 +27,7 @@
 
 
 def test_lost_launch_is_repeated_on_the_same_machine(harness: SchedulerHarness) -> None:
-    """The answer with the launch was dropped: the next report lacks the task."""
+    """The response with the launch was lost, so the next heartbeat lacks the task."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     assert launched(harness.heartbeat(attempt.machine, apply_commands=False)) == ["wk-000001/0"]
@@ -37,7 +38,7 @@
 
 
 def test_answer_to_a_direct_command_does_not_prove_a_task_absent(harness: SchedulerHarness) -> None:
-    """A direct command's answer may overtake the launch that is under way."""
+    """The response to a direct command may overtake a launch in transit."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     harness.heartbeat(attempt.machine, apply_commands=False)
@@ -52,7 +53,7 @@
 def test_gang_keeps_its_reservation_when_intents_cannot_be_written(
     harness: SchedulerHarness,
 ) -> None:
-    """It starts with the same reservation once they can be written."""
+    """The gang starts with the same reservation once the intents can be written."""
     job = harness.add_job(make_spec())
     harness.reserve(job, {"host-0": 1, "host-2": 1})
     harness.scheduler.intents_failed(harness.scheduler.plan(harness.now), harness.now)
@@ -62,7 +63,7 @@
 
 
 def test_done_task_is_cleared_only_once_it_is_saved(harness: SchedulerHarness) -> None:
-    """Until then the worker's word is the only record of it."""
+    """Until its completion mark is stored, the worker's status is the only record of it."""
     job = harness.add_job(make_spec(shape="batch", tasks=8, gpus=1.0, cpus=1.0))
     name = harness.plan_and_commit()[0].machine
     harness.all_heartbeats()
@@ -76,7 +77,7 @@
 
 
 def test_worker_with_an_unsent_launch_is_made_to_report_at_once(harness: SchedulerHarness) -> None:
-    """A direct clear changes the worker's tasks, so that it reports at once."""
+    """A direct `clear` changes the worker's tasks, which makes it send a heartbeat at once."""
     harness.add_job(make_spec(1, shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     harness.heartbeat(attempt.machine)
@@ -108,7 +109,7 @@
 
 
 def test_unsent_launch_is_withdrawn_from_a_draining_machine(harness: SchedulerHarness) -> None:
-    """The task is placed elsewhere instead of waiting for the machine."""
+    """Guards against a task that waits for the machine instead of being placed elsewhere."""
     job = harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     harness.scheduler.machines[attempt.machine].drain("sick", harness.now)
@@ -120,7 +121,7 @@
 def test_task_is_launched_only_in_the_incarnation_that_its_intent_names(
     harness: SchedulerHarness,
 ) -> None:
-    """So a newer session proves that a task of an older intent is gone."""
+    """Otherwise a newer incarnation would not prove a task of an older intent gone."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     attempt.incarnation = 9
@@ -147,7 +148,7 @@
 def test_tasks_are_placed_on_machines_whose_fetch_rate_is_not_known(
     harness: SchedulerHarness,
 ) -> None:
-    """Guards against: a catalog rate of 0 was divided by, which ended every leader's term."""
+    """Guards against dividing by a catalog rate of 0, which ended every leader's term."""
     unknown_rate = msgspec.structs.replace(MACHINE_TYPE, fetch_gb_per_s=0.0)
     for machine in harness.scheduler.machines.values():
         machine.machine_type = unknown_rate
--- a/tests/test_scheduler_machine_failures.py
+++ b/tests/test_scheduler_machine_failures.py
@@ -1,4 +1,4 @@
-"""Machines that fall silent, are cut off, fail, or are taken away."""
+"""Machines that stop sending heartbeats, are partitioned, fail or are reclaimed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def harness_with_silent_machines(share: float) -> tuple[SchedulerHarness, int]:
-    """A zone of forty machines, a share of which falls silent at once."""
+    """Return a zone of forty machines, and how many of them are silent.
+
+    That share of them fell silent at once, one and a half leases ago.
+    """
     harness = SchedulerHarness(machines=0)
     for number in range(40):
         harness.heartbeat(f"host-{number:02d}")
@@ -27,7 +30,7 @@
 
 
 def test_tasks_of_a_removed_machine_free_their_teams_quota(harness: SchedulerHarness) -> None:
-    """Runs of a gone machine must not count against their team any more."""
+    """Guards against a quota used up by tasks of a machine that no longer exists."""
     harness.add_job(make_spec(shape="batch", tasks=1))
     (attempt,) = harness.plan_and_commit()
     assert harness.scheduler.usage.used("red") == (4.0, 2.0)
@@ -54,7 +57,7 @@
 
 
 def test_machines_of_a_zone_that_is_cut_off_are_not_released(harness: SchedulerHarness) -> None:
-    """Many machines silent at once are a cut, which proves nothing."""
+    """Many machines silent at once suggest a partition, behind which their tasks may run on."""
     harness = SchedulerHarness(machines=8)
     harness.now += 30.0
     for name, machine in harness.scheduler.machines.items():
@@ -127,8 +130,10 @@
 
 
 def test_reconnected_zone_is_neither_unreachable_nor_released() -> None:
-    """After a partition of minutes a zone's first heartbeats name the old term; some
-    machines are a moment later than others."""
+    """Guards against giving up a zone after a partition of some minutes.
+
+    Its first heartbeats name the old term, and some machines send theirs later than others.
+    """
     harness = SchedulerHarness(machines=0, term=8)
     names = [f"host-{number}" for number in range(8)]
     intents = [
@@ -149,7 +154,7 @@
             harness.heartbeat(name)
         harness.scheduler.tick(harness.now)
     assert harness.scheduler.releases == {}
-    for _ in range(8):  # who stays away alone is given up in the end
+    for _ in range(8):  # the few that stay silent are released in the end
         harness.now += 1.0
         for name in names[:6]:
             harness.heartbeat(name)
@@ -158,7 +163,7 @@
 
 
 def test_hung_machines_of_a_zone_are_not_released_while_they_may_recover() -> None:
-    """A third of a zone may hang for longer than a lease and come back."""
+    """Guards against releasing a third of a zone that hangs longer than a lease and recovers."""
     harness, silent_count = harness_with_silent_machines(0.3)
     assert not harness.scheduler.releases
     missing = [
@@ -166,12 +171,16 @@
         for m in harness.scheduler.machines.values()
         if harness.scheduler.parts.failure_detection.is_missing(m, harness.now)
     ]
-    assert len(missing) == silent_count, "made up for, in case they are dead"
+    assert len(missing) == silent_count, (
+        "capacity is planned to replace them, in case they are dead"
+    )
     for number in range(silent_count - 1):
         harness.heartbeat(f"host-{number:02d}", incarnation=2)
     harness.now += 1.0
     harness.scheduler.tick(harness.now)
-    assert list(harness.scheduler.releases) == [f"host-{silent_count - 1:02d}"], "the lone one goes"
+    assert list(harness.scheduler.releases) == [f"host-{silent_count - 1:02d}"], (
+        "a single silent machine is released"
+    )
 
 
 def test_machines_of_a_zone_that_stay_silent_are_released() -> None:
--- a/tests/test_scheduler_offers.py
+++ b/tests/test_scheduler_offers.py
@@ -1,4 +1,4 @@
-"""Which machines the leader offers to the controllers that search places for gangs."""
+"""The machines that the leader offers to the controllers that search for gangs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def test_number_of_offers_grows_with_the_largest_gang() -> None:
-    """Of twenty machines hardly sixteen are empty where GPUs come free one by one."""
+    """Guards against too few offers for a gang of 16 tasks.
+
+    Where GPUs are freed one at a time, hardly 16 of 20 offered machines are empty.
+    """
     harness = SchedulerHarness(machines=0)
     for number in range(60):
         harness.heartbeat(f"host-{number}")
@@ -19,7 +22,7 @@
 
 
 def test_fully_reserved_machines_do_not_crowd_out_other_offers() -> None:
-    """Else no gang sees any machine but those that others have reserved."""
+    """Guards against offering gangs only the machines that others have reserved."""
     harness = SchedulerHarness(machines=0)
     for number in range(60):
         harness.heartbeat(f"host-{number:02d}")
@@ -28,9 +31,7 @@
         harness.reserve(harness.add_job(make_spec(number, tasks=1, gpus=4.0)), {name: 1})
     names = [offer.name for offer in harness.scheduler.offers("a", harness.now)]
     assert len(set(names) - set(reserved_names)) == 20
-    assert set(reserved_names) <= set(names), (
-        "work whose turn comes before may take them all the same"
-    )
+    assert set(reserved_names) <= set(names), "work ahead of them in the queue may still use them"
 
 
 def test_offers_include_empty_machines_for_a_gang_that_needs_them() -> None:
@@ -50,7 +51,7 @@
 
 
 def test_offers_always_include_reserved_machines() -> None:
-    """Else a reserved group can't be judged, and is given up for one that frees later."""
+    """Guards against giving up a reserved group, which can't be scored, for a later one."""
     harness = SchedulerHarness(machines=0)
     for number in range(30):
         harness.heartbeat(f"host-{number:02d}")
--- a/tests/test_scheduler_priorities.py
+++ b/tests/test_scheduler_priorities.py
@@ -1,4 +1,4 @@
-"""Quotas, preemption and ageing: whose turn it is."""
+"""Quotas, preemption and ageing: the order in which jobs are placed."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def test_reservations_of_lower_priority_gangs_do_not_block_higher_priority_work() -> None:
-    """Guest gangs that book everything must not starve work that goes first."""
+    """Guards against best-effort gangs that reserve all machines and starve urgent work."""
     harness = SchedulerHarness(machines=2)
     for number in (1, 2):
         best_effort_gang = harness.add_job(
@@ -98,7 +98,10 @@
 
 
 def test_no_two_jobs_may_preempt_each_other() -> None:
-    """Not even urgent work beyond a guarantee and low work within one."""
+    """Guards against endless preemption between two jobs.
+
+    An urgent job beyond its guarantee and a best-effort job within one are no exception.
+    """
     harness = SchedulerHarness(machines=2)
     urgent = harness.add_job(make_spec(1, urgency="urgent", team="blue"))
     low = harness.add_job(make_spec(2, urgency="best_effort", team="red"))
@@ -111,7 +114,7 @@
 
 
 def test_aged_gang_preempts_work_within_guarantees() -> None:
-    """Else arrays within guarantees fill each machine before a large gang has them all."""
+    """Guards against arrays within guarantees that fill each machine a large gang waits for."""
     harness = SchedulerHarness(machines=2)
     filler = harness.add_job(
         make_spec(
@@ -140,12 +143,12 @@
         borrowing_gang, filler, harness.scheduler.usage
     )
     assert not preemption.may_preempt(filler, borrowing_gang, harness.scheduler.usage), (
-        "never both ways"
+        "two jobs must not preempt each other"
     )
 
 
 def test_urgent_and_large_gangs_age_sooner(harness: SchedulerHarness) -> None:
-    """The largest must begin within the longest wait, however many small ones come."""
+    """Guards against small gangs that keep the largest from starting within the longest wait."""
     jobs = [
         harness.add_job(make_spec(number, tasks=tasks, urgency=urgency))
         for number, (tasks, urgency) in enumerate(
@@ -165,4 +168,4 @@
     assert preemption.queue_key(quick) < preemption.queue_key(slow)
     harness.now += harness.scheduler.ageing_threshold_s(slow)
     harness.scheduler.tick(harness.now)
-    assert preemption.queue_key(slow) < preemption.queue_key(quick), "until it presses"
+    assert preemption.queue_key(slow) < preemption.queue_key(quick), "an aged gang goes first"
--- a/tests/test_scheduler_scale_out.py
+++ b/tests/test_scheduler_scale_out.py
@@ -1,4 +1,4 @@
-"""Machines are rented in the zone where work lacks room."""
+"""Machines are requested in the zone where work lacks capacity."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 def test_machine_is_rented_for_a_one_zone_gang_despite_free_machines_elsewhere(
     harness: SchedulerHarness,
 ) -> None:
-    """A machine is free in each zone beside work that runs on for hours, and the machines
-    that others use do not count as room."""
+    """Guards against counting free capacity of other zones, and machines in use, for the gang.
+
+    Each zone has one free machine; its other machine is used by a long job.
+    """
     for zone in "ab":
         long_job = harness.add_job(
             make_spec(ord(zone), shape="batch", tasks=1, gpus=4.0, zone=zone)
@@ -22,8 +24,10 @@
     harness.all_heartbeats()
     gang = harness.add_job(make_spec(7, tasks=2, gpus=4.0, spot=False))
     assert harness.plan_and_commit() == []
-    harness.scheduler.last_arrival = -1e9  # no headroom while nothing comes
-    assert harness.scheduler.scale_out(harness.now) == [], "not at once: others may be done soon"
+    harness.scheduler.last_arrival = -1e9  # no headroom without recent arrivals
+    assert harness.scheduler.scale_out(harness.now) == [], (
+        "not before ageing: tasks of others may end soon"
+    )
     harness.now += harness.scheduler.ageing_threshold_s(gang) + 1.0
     harness.all_heartbeats()
     harness.scheduler.tick(harness.now)
@@ -33,7 +37,7 @@
 
 
 def test_machine_is_rented_in_the_full_zone_for_a_gang_of_two_zones() -> None:
-    """Long work fills one zone; the other one has more than enough room."""
+    """A long job fills one zone; the other zone has more capacity than the gang needs."""
     harness = SchedulerHarness(machines=4)
     long_gang = harness.add_job(make_spec(5, tasks=2, gpus=4.0, zone="b", estimated_run_s=5000.0))
     harness.reserve(long_gang, {"host-1": 1, "host-3": 1})
@@ -76,7 +80,7 @@
 
 
 def test_machines_are_rented_for_a_team_without_a_gpu_limit(harness: SchedulerHarness) -> None:
-    """A limit of 0 means none (deployment page, `gpus_max`)."""
+    """A limit of 0 means unlimited (deployment page, `gpus_max`)."""
     harness.scheduler.usage.teams["red"].gpus_max = 0.0
     harness.add_job(make_spec(1, shape="batch", tasks=6, gpus=4.0, same_zone=False))
     requests = harness.scheduler.scale_out(harness.now)
@@ -84,13 +88,13 @@
 
 
 def test_no_machines_are_rented_beyond_a_cpu_limit() -> None:
-    """Guards against: machines were requested for tasks that the CPU limit never lets start."""
+    """Guards against requesting machines for tasks that the CPU limit never lets start."""
     harness = SchedulerHarness(machines=0)
     harness.scheduler.usage.teams["red"].cpus_max = 2 * MACHINE_TYPE.cpus
     harness.add_job(
         make_spec(1, shape="batch", tasks=6, cpus=MACHINE_TYPE.cpus, gpus=0.0, same_zone=False)
     )
-    harness.scheduler.last_arrival = -1e9  # no headroom while nothing comes
+    harness.scheduler.last_arrival = -1e9  # no headroom without recent arrivals
     requests = harness.scheduler.scale_out(harness.now)
     assert sum(request.count for request in requests) == 2
 
@@ -98,7 +102,7 @@
 def test_no_machines_are_rented_for_a_team_missing_from_the_settings(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    """Guards against: machines were requested for a job that can't start, and nothing said so."""
+    """Guards against requesting machines for a job that can't start, and not logging why."""
     harness = SchedulerHarness(machines=0)
     harness.add_job(make_spec(1, shape="batch", team="gone", gpus=0.0, same_zone=False))
     harness.scheduler.last_arrival = -1e9
--- a/tests/test_scheduler_unreachable_machines.py
+++ b/tests/test_scheduler_unreachable_machines.py
@@ -1,4 +1,4 @@
-"""Machines whose heartbeats arrive while nothing reaches them."""
+"""Machines whose heartbeats arrive, but which no command reaches."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 def test_machine_whose_launches_never_arrive_is_unreachable_for_commands(
     harness: SchedulerHarness,
 ) -> None:
-    """Its heartbeats look well, so nothing else keeps gangs off it."""
+    """Guards against placing gangs on such a machine: its heartbeats look healthy."""
     job = harness.add_job(make_spec())
     harness.reserve(job, {"host-0": 1, "host-2": 1})
     harness.plan_and_commit()
@@ -21,7 +21,7 @@
         harness.heartbeat("host-2")
     machine = harness.scheduler.machines["host-0"]
     assert machine.command_unreachable and not harness.scheduler.usable(machine, harness.now)
-    assert not machine.attempts, "no limit is kept for it"
+    assert not machine.attempts, "its tasks no longer use quota"
     assert not counts_as_capacity(machine)
     harness.scheduler.tick(harness.now)
     assert job.gang_state is not GangState.STARTING
@@ -47,8 +47,10 @@
     machine = harness.scheduler.machines[attempt.machine]
     assert machine.command_unreachable and attempt.state is AttemptState.GONE
     replacements = harness.plan_and_commit()
-    assert replacements and replacements[0].machine != attempt.machine, "placed again, elsewhere"
-    for _ in range(14):  # a session that outlasts its lease has heard answers
+    assert replacements and replacements[0].machine != attempt.machine, (
+        "the task is placed on another machine"
+    )
+    for _ in range(14):  # an incarnation older than its lease has received responses
         harness.now += 1.0
         harness.heartbeat(attempt.machine, incarnation=2)
     assert not machine.command_unreachable
--- a/tests/test_scheduling_rounds.py
+++ b/tests/test_scheduling_rounds.py
@@ -1,4 +1,4 @@
-"""When a round of planning is worth its while: only after something that it depends on."""
+"""A scheduling round is needed only after a change that its result depends on."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def attempts_with_grace(harness: SchedulerHarness) -> list[tuple[str, int, float | None]]:
-    """All tasks on machines, with the grace of those that were told to stop."""
+    """Return the attempts on all machines, with the grace period of those being stopped."""
     return sorted(
         (attempt.task_name, attempt.attempt_number, attempt.stop_grace_s)
         for machine in harness.scheduler.machines.values()
@@ -26,14 +26,14 @@
 
 
 class RandomEvents:
-    """Random events at a scheduler, one at a time."""
+    """Applies random events to a scheduler, one at a time."""
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.harness = SchedulerHarness(machines=6)
         self.reservation_serial = 0
         self.job_count = 0
-        self.silent_machine: str | None = None  # a machine that does not report by itself
+        self.silent_machine: str | None = None  # sends no heartbeats when time advances
 
     def new_job(self) -> None:
         self.job_count += 1
@@ -52,7 +52,7 @@
             self.reserve(job.id)
 
     def reserve(self, job_id: str) -> None:
-        """A hold, as its controller would write it."""
+        """Reserve random machines for a gang, as the job's controller would."""
         scheduler = self.harness.scheduler
         job = scheduler.jobs[job_id]
         self.reservation_serial += 1
@@ -61,7 +61,7 @@
             name = self.rng.choice(list(scheduler.machines))
             slots[name] = slots.get(name, 0) + 1
         self.harness.reserve(job, slots, self.reservation_serial)
-        scheduler.changes += 1  # as the watch of the holds tells
+        scheduler.changes += 1  # the watch of the reservations counts this
 
     def renew_reservation(self) -> None:
         scheduler = self.harness.scheduler
@@ -74,7 +74,7 @@
             self.reserve(self.rng.choice(gangs))
 
     def progress(self) -> None:
-        """A worker's tasks move on, and it reports."""
+        """Advance some tasks of a worker, and send its heartbeat."""
         name = self.rng.choice(list(self.harness.scheduler.machines))
         for task in self.harness.tasks[name].values():
             if self.rng.random() < 0.6:
@@ -95,13 +95,13 @@
         self.harness.heartbeat(name, incarnation=incarnation)
 
     def add_machine(self) -> None:
-        """A machine reports for the first time."""
+        """Send the first heartbeat of a new machine, up to 12 machines."""
         count = len(self.harness.scheduler.machines)
         if count < 12:
             self.harness.heartbeat(f"host-{count}", zone=self.rng.choice("ab"))
 
     def silence_another_machine(self) -> None:
-        """A machine that was silent for a while reports, another one falls silent."""
+        """Send a heartbeat of the silent machine, and silence another one."""
         if self.silent_machine is not None:
             self.harness.heartbeat(self.silent_machine)
         self.silent_machine = self.rng.choice(list(self.harness.scheduler.machines))
@@ -131,12 +131,12 @@
         return kind
 
     def plan_until_stable(self) -> None:
-        """Plan until nothing more is found at this time."""
+        """Plan and commit until a round places nothing more."""
         while self.harness.plan_and_commit():
             pass
 
     def advance_time(self) -> None:
-        """A part of a heartbeat interval, within which every machine reports."""
+        """Advance by part of a heartbeat interval, with a heartbeat of every machine not silent."""
         self.harness.now += (
             self.rng.uniform(0.05, 1.0) * self.harness.scheduler.heartbeat_interval_s
         )
@@ -148,8 +148,10 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_rounds_place_nothing_until_the_change_counter_moves(seed: int) -> None:
-    """Seen to fail without the count of new jobs, of tasks that are gone, and of gangs that
-    change their state."""
+    """Guards against skipping a round that would place or preempt something.
+
+    Fails if new jobs, tasks that are gone or gangs that change state are not counted.
+    """
     events = RandomEvents(seed)
     skipped = planned = 0
     for _ in range(400):
@@ -169,11 +171,11 @@
         assert events.harness.scheduler.plan(events.harness.now) == [], f"{kind} was not counted"
         assert attempts_with_grace(events.harness) == attempts_before, f"{kind} was not counted"
     assert skipped > 100 and planned > 50
-    assert events.reservation_serial > 10, "hardly a gang was booked"
+    assert events.reservation_serial > 10, "too few gangs were reserved"
 
 
 def test_heartbeats_without_changes_are_not_counted() -> None:
-    """However many machines report, an unchanged fleet gives no reason to plan."""
+    """Guards against planning after every heartbeat, however many machines send one."""
     for machines in (6, 60):
         harness = SchedulerHarness(machines)
         harness.add_job(make_spec(1, shape="batch", tasks=2, gpus=4.0))
@@ -192,22 +194,25 @@
 
 
 def test_machines_that_return_or_get_a_notice_are_counted_as_changes() -> None:
-    """Seen to fail without the look at what a report changes of its machine."""
+    """Fails if the changes that a heartbeat makes to its machine are not counted."""
     harness = SchedulerHarness(machines=2)
     changes_before = harness.scheduler.changes
     harness.now += 4 * harness.scheduler.heartbeat_interval_s
     harness.heartbeat("host-0")
-    assert harness.scheduler.changes > changes_before, "it was silent, and takes work again"
+    assert harness.scheduler.changes > changes_before, "a machine that was silent takes tasks again"
     changes_before = harness.scheduler.changes
     harness.heartbeat("host-0", notice_s=20.0)
-    assert harness.scheduler.changes > changes_before, "it takes no more work"
+    assert harness.scheduler.changes > changes_before, "a machine under notice takes no more tasks"
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_caches_of_scheduling_rounds_change_no_decision(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The same day with every hold checked and every array's room looked for anew."""
+    """Compares the same events with and without the caches.
+
+    Without them, every reservation is checked and every array searched for in each round.
+    """
 
     class AlwaysEmptySet(set[object]):
         def add(self, item: object) -> None:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -1,4 +1,4 @@
-"""The search and the booking."""
+"""The search for groups of machines, and the reservations made from it."""
 
 from __future__ import annotations
 
@@ -148,7 +148,7 @@
 
 
 def test_reservations_bind_only_work_later_in_the_queue() -> None:
-    """Else a stream of small gangs keeps a large one, that came first, from its machines."""
+    """Guards against later small gangs that keep an earlier large one from its machines."""
     reservation_table = ReservationTable("hive-0")
     reservation_table.update(
         "hive-1",
@@ -194,7 +194,7 @@
 
 
 def test_reservation_is_scored_by_current_offers() -> None:
-    """A hold on machines that free late must lose against a better group."""
+    """Guards against keeping a reservation on machines that become free later than others."""
     spec = make_spec(tasks=2, gpus=4.0)
     _, caches = fleet(offer("m1", "a", 80.0), offer("m2", "a", 90.0))
     reserved = {"m1": 1, "m2": 1}
@@ -205,7 +205,10 @@
 
 
 def test_preemptible_work_uses_capacity_reserved_by_gangs_that_still_wait() -> None:
-    """Gangs that waited for their last machine kept a quarter of a fleet idle."""
+    """Guards against idle reserved machines.
+
+    Gangs that waited for their last machine kept a quarter of a fleet idle.
+    """
     reservation_table = ReservationTable("hive-0")
     reservation_table.update(
         "hive-1",
@@ -218,7 +221,7 @@
         lambda reservation: reservation.job == "wk-3",
     )
     assert reserved.reserved_for_others("wk-2", (1, 3, 7.0), preemptible=True).keys() == {"m3"}, (
-        "wk-3 gathers"
+        "only wk-3 is gathering its machines"
     )
     assert reserved.reserved_for_others("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
     assert reserved.reserved_for_others("wk-2", (1, 3, 8.0), preemptible=True).keys() == {"m3"}
@@ -232,7 +235,7 @@
 
 
 def test_machine_without_a_free_gpu_is_not_available_now() -> None:
-    """Full machines filled the caches, and those about to boot were not in them."""
+    """Guards against full machines that crowd machines about to boot out of the caches."""
     full = ResourceOffer(
         "m1",
         "a",
@@ -250,7 +253,7 @@
 
 
 def test_machine_names_of_a_whole_zone_fit_one_value() -> None:
-    """Forty names a zone were told: of 300 machines most were never a pivot."""
+    """Guards against lists cut to 40 names a zone: most of 300 machines were never a pivot."""
     names = [f"host-{number:06d}" for number in range(450)]
     assert zone_summary.unpack_names(zone_summary.pack_names(names)) == names
     assert json_size(zone_summary.pack_names(names)) < 4096
@@ -261,8 +264,11 @@
 def test_small_gang_gets_the_best_group_and_each_group_is_scored_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A swap loop tried some 70 groups of four candidates, which make six, and half the
-    processor time of a full fleet went there: a day took over 400 s of it."""
+    """Guards against scoring the same group repeatedly.
+
+    A swap loop scored some 70 groups of four candidates, which make only six. That took half
+    the processor time of a full fleet, over 400 s a day.
+    """
     rng = Random(3)
     scored: list[int] = []
     score_group = group_search.score_group
@@ -281,4 +287,4 @@
             group = search(spec, directory, caches, tries=6)
         earliest = sorted(offers, key=lambda item: item.availability[0][0])[:size]
         assert group is not None and set(group.slots) == {item.name for item in earliest}
-        assert len(scored) <= 73, "each group once, however many tries"
+        assert len(scored) <= 73, "each group is scored once, however many tries"
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Services: replicas that run until their job is cancelled."""
+"""Services: jobs whose replicas run until the job is cancelled."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def service_spec(number: int = 1, **changes: Any) -> JobSpec:
+    """Return a critical service of two small replicas, except for `changes`."""
     fields: dict[str, Any] = {
         "shape": "daemon",
         "urgency": "critical",
@@ -35,7 +36,7 @@
 
 
 def start_planned_tasks(harness: SchedulerHarness) -> None:
-    """Let everything that is planned come to run."""
+    """Place what can be placed, and bring all tasks on machines to run."""
     harness.plan_and_commit()
     harness.all_heartbeats()
     for name, tasks in harness.tasks.items():
@@ -45,6 +46,7 @@
 
 
 def running_service(harness: SchedulerHarness, **changes: Any) -> Job:
+    """Add a service and bring all its replicas to run."""
     job = harness.add_job(service_spec(**changes))
     start_planned_tasks(harness)
     assert job.running_count() == job.spec.tasks
@@ -56,7 +58,7 @@
 
 
 def test_replicas_go_to_different_machines_and_zones(harness: SchedulerHarness) -> None:
-    """One loss must not take two of them."""
+    """Guards against losing two replicas to one failure."""
     job = running_service(harness, tasks=4)
     machines = [attempt.machine for attempt in job.attempts.values()]
     assert len(set(machines)) == 4
@@ -81,7 +83,7 @@
 
 
 def test_completion_marks_of_a_service_are_ignored() -> None:
-    """A record with marks, whoever wrote it, must not end a service."""
+    """Guards against a service that ends because a stored part has completion marks."""
     marked = Job(make_spec(shape="batch", tasks=2), 0.0, 0.0, "")
     marked.mark_completed(0)
     marked.mark_completed(1)
@@ -91,7 +93,7 @@
 
 
 def test_replica_is_replaced_only_once_it_is_proven_gone(harness: SchedulerHarness) -> None:
-    """A silent machine may still run its replica; a newer session shows that it is gone."""
+    """A silent machine may still run its replica; a newer incarnation proves that it is gone."""
     job = running_service(harness)
     lost_machine = attempt_of(job).machine
     others = [name for name in harness.scheduler.machines if name != lost_machine]
@@ -109,8 +111,10 @@
 def test_machine_with_replicas_is_released_once_its_lease_expires(
     harness: SchedulerHarness,
 ) -> None:
-    """A service is down until the release proves its replica gone; other work can wait for
-    the machine to come back."""
+    """Guards against a replica that stays down while its machine may come back.
+
+    Only the release proves the replica gone; tasks of other jobs can wait for the machine.
+    """
     job = running_service(harness)
     lost_machine = attempt_of(job).machine
     harness.now += 1.1 * harness.scheduler.lease_s
@@ -124,7 +128,7 @@
 
 
 def test_machines_with_replicas_in_a_zone_that_is_cut_off_are_not_released() -> None:
-    """They may run on there: a controller in the zone answers its workers."""
+    """The replicas may run on there, since a controller in the zone answers the workers."""
     harness = SchedulerHarness(machines=8)
     job = running_service(harness)
     zone = harness.scheduler.zone_of[attempt_of(job).machine]
@@ -138,8 +142,10 @@
 
 
 def test_unsent_launch_on_a_silent_machine_is_placed_elsewhere(harness: SchedulerHarness) -> None:
-    """The machine fell silent before it could take its launch: nothing is there to be proven.
-    The replica waited for the machine's release, well over a lease."""
+    """Guards against a replica that waits for the machine's release, well over a lease.
+
+    The launch was never sent, so the replica can't be running there.
+    """
     job = harness.add_job(service_spec(tasks=1))
     (attempt,) = harness.plan_and_commit()
     assert attempt.state is AttemptState.WRITTEN
@@ -150,11 +156,11 @@
     harness.scheduler.tick(harness.now)
     (replacement,) = harness.plan_and_commit()
     assert replacement.machine != attempt.machine and job.attempts[0] is replacement
-    assert harness.heartbeat(attempt.machine) == [], "the old plan must not be carried out any more"
+    assert harness.heartbeat(attempt.machine) == [], "the withdrawn launch must not be sent"
 
 
 def test_scatter_counts_present_replicas_when_one_is_replaced(harness: SchedulerHarness) -> None:
-    """At most half may be in one zone, also for a replacement."""
+    """Guards against a replacement that puts more than half the replicas in one zone."""
     job = running_service(harness, tasks=2, spread_zones=True)
     failed_attempt = attempt_of(job)
     zone = harness.scheduler.zone_of[failed_attempt.machine]
@@ -163,11 +169,14 @@
     for name, machine in harness.scheduler.machines.items():
         if machine.zone == zone:
             harness.heartbeat(name, notice_s=100.0)
-    assert harness.plan_and_commit() == [], "the other zone has its share"
+    assert harness.plan_and_commit() == [], "the other zone already has half the replicas"
 
 
 def test_replica_leaves_a_machine_under_notice(harness: SchedulerHarness) -> None:
-    """At once if it has another place: the gap is the same later, and longer once it is taken."""
+    """A replica that fits elsewhere is stopped at once.
+
+    Stopping it later gives the same gap, and losing the machine gives a longer one.
+    """
     job = running_service(harness)
     lost_machine = attempt_of(job).machine
     harness.heartbeat(lost_machine, notice_s=20.0)
@@ -195,14 +204,14 @@
 def test_replica_is_packed_beside_a_gangs_task_rather_than_on_an_empty_machine(
     harness: SchedulerHarness,
 ) -> None:
-    """A machine takes one of ten CPUs, and a replica of six beside it; not two replicas."""
+    """A machine has room for the gang's task of ten CPUs and one replica of six, not for two."""
     gang = harness.add_job(make_spec(7, tasks=1, cpus=10.0, gpus=4.0))
     harness.reserve(gang, {"host-2": 1})
     harness.plan_and_commit()
     harness.all_heartbeats()
     job = harness.add_job(service_spec(tasks=1, cpus=6.0))
     (attempt,) = harness.plan_and_commit()
-    assert attempt.machine == "host-2", "the empty machines could be given back"
+    assert attempt.machine == "host-2", "the empty machines can be released"
     non_service_sizes = NonServiceSizes(harness.scheduler.jobs.values())
     displaced_shares = {
         name: non_service_sizes.displaced_share(machine, job.need)
@@ -222,7 +231,7 @@
 
 
 def test_service_within_its_guarantee_is_not_preempted_for_another_guarantee() -> None:
-    """Its team's other work is beyond the guarantee of GPUs; the replicas take none."""
+    """The team's other tasks are beyond its GPU guarantee, but the replicas use no GPUs."""
     harness = SchedulerHarness(machines=1)
     job = running_service(harness, tasks=1, cpus=16.0)
     harness.add_job(make_spec(5, shape="batch", tasks=5, team="red", gpus=2.0))
@@ -252,11 +261,11 @@
     assert backoffs_s[0] == 0.0 and max(backoffs_s) > 0.0
     assert max(backoffs_s) <= 2**5 * harness.scheduler.lease_s
     healthy = [m for m in harness.scheduler.machines.values() if m.state is MachineState.READY]
-    assert len(healthy) >= 4, "the job must not take the machines with it"
+    assert len(healthy) >= 4, "a failing job must not drain the machines"
 
 
 def test_failures_of_one_replica_are_attributed_to_its_machine(harness: SchedulerHarness) -> None:
-    """The others run: it is the machine that fails what it starts."""
+    """The other replicas run, so the machine is at fault."""
     job = running_service(harness, tasks=2)
     failed_attempt = attempt_of(job)
     harness.set_task_states(failed_attempt.machine, "ended", "error")
@@ -274,7 +283,7 @@
 
 
 def test_no_replacement_after_a_cancellation(harness: SchedulerHarness) -> None:
-    """A replica ends at the very moment at which its job is cancelled."""
+    """A replica ends at the moment its job is cancelled."""
     job = running_service(harness)
     failed_attempt = attempt_of(job)
     harness.set_task_states(failed_attempt.machine, "ended", "error")
@@ -284,10 +293,10 @@
     assert all(attempt.stopping for attempt in job.attempts.values())
 
 
-# -- with the controllers around it ------------------------------------------------
+# -- with whole controllers --------------------------------------------------------
 
 
-#: How old the state in an answer to a user may be, by the protocol.
+#: Limit by the protocol for how old the state in an answer to a user may be.
 MAX_ANSWER_LAG_S = 3.0
 SERVICE = {
     "shape": "daemon",
@@ -312,7 +321,7 @@
 def test_replacement_and_cancellation_continue_after_a_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A replica ends, the leader with it, and the job is cancelled before the next one acts."""
+    """Replicas and the leader fail, and one job is cancelled before the next leader acts."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
@@ -330,7 +339,7 @@
         await scenario.wait_for_new_leader(leader)
         await scenario.wait_until(lambda: running_replicas(scenario, kept_job) == 3)
         await scenario.wait_until(lambda: cancelled_job not in scenario.present_jobs())
-        # An answer may lag by 3 s (PROTOCOL); asked at that very moment, it had to be luck.
+        # By the protocol an answer may lag: a single poll here would pass only by luck.
         polling_since = scenario.clock.now
         status, body = await scenario.poll(kept_job, via)
         while (status, body["stage"]) != (HTTPStatus.OK, "running"):
@@ -345,7 +354,10 @@
 
 
 def test_replicas_outlast_an_outage_of_the_state_service(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Workers are still answered, for longer than their lease; no replica is started twice."""
+    """Workers are still answered during an outage longer than their lease.
+
+    No replica stops, and none is started twice.
+    """
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
--- a/tests/test_unlimited_teams.py
+++ b/tests/test_unlimited_teams.py
@@ -1,4 +1,4 @@
-"""Teams without a limit: 0 in the settings means that there is none."""
+"""Teams without limits: 0 in the settings means unlimited."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from tests.scenarios import Scenario, assert_no_violations, run_scenario
 from tests.scheduler_harness import SchedulerHarness
 
-#: Times within which a machine is requested, has booted and has its task's image, many times over.
+#: Many times what it takes to request a machine, boot it and pull a task's image.
 START_LIMIT_S = 60.0
 
 
 def remove_limits(scenario: Scenario, team_name: str) -> None:
-    """The team's limits are 0 in the settings of all controllers."""
+    """Set the team's limits to 0 in the settings of all controllers."""
     for settings in scenario.controller_settings.values():
         for team in settings.cluster.teams:
             if team.name == team_name:
@@ -23,7 +23,7 @@
 def test_jobs_of_unlimited_and_other_teams_get_machines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against: one job of an unlimited team ended every leader's term, for all teams."""
+    """Guards against one job of an unlimited team ending every leader's term, for all teams."""
 
     async def act(scenario: Scenario) -> None:
         remove_limits(scenario, "red")
@@ -41,7 +41,7 @@
 
 
 def test_job_of_a_tiny_gpu_share_does_not_stop_scale_out() -> None:
-    """Guards against: the limit divided by such an amount was no integer any more."""
+    """Guards against a limit divided by such an amount, which is too large for an integer."""
     harness = SchedulerHarness(machines=2)
     harness.add_job(make_spec(1, shape="batch", tasks=1, gpus=1e-320, same_zone=False))
     harness.add_job(make_spec(2, shape="batch", tasks=6, gpus=4.0, same_zone=False, team="blue"))
