--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -74,14 +74,14 @@
     assert group is not None and group.slots == {"m1": 2}
 
 
-def test_same_place_group_never_spans_zones() -> None:
+def test_same_zone_group_never_spans_zones() -> None:
     directory, caches = fleet(offer("m1", "a"), offer("m2", "b"), offer("m3", "b", 40.0))
     for seed in range(20):
         group = search(make_spec(tasks=2, gpus=4.0), directory, caches, seed)
         assert group is None or set(group.slots) == {"m2", "m3"}
 
 
-def test_scattered_group_has_at_most_half_its_tasks_in_a_zone() -> None:
+def test_spread_group_has_at_most_half_its_tasks_in_a_zone() -> None:
     directory, caches = fleet(*(offer(f"m{n}", "ab"[n % 2]) for n in range(8)))
     spec = make_spec(tasks=5, gpus=4.0, same_zone=False, spread_zones=True)
     for seed in range(20):
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -159,7 +159,9 @@
     assert harness.heartbeat(attempt.machine) == [], "the withdrawn launch must not be sent"
 
 
-def test_scatter_counts_present_replicas_when_one_is_replaced(harness: SchedulerHarness) -> None:
+def test_zone_spread_counts_present_replicas_when_one_is_replaced(
+    harness: SchedulerHarness,
+) -> None:
     """Guards against a replacement that puts more than half the replicas in one zone."""
     job = running_service(harness, tasks=2, spread_zones=True)
     failed_attempt = attempt_of(job)
