--- a/tests/simulation/rules.py
+++ b/tests/simulation/rules.py
@@ -238,7 +238,7 @@
         return max(slots.values(), default=0) if spec["same_place"] else sum(slots.values())
 
     def check_starvation(self) -> None:
-        """Check that half of the jobs of each class, each team and the largest gangs were served."""
+        """Check that at least half of the jobs per class and team and of the largest gangs ran."""
         for name, jobs in self._service_groups().items():
             served = [job for job in jobs if self._was_served(job, name == "largest")]
             if 2 * len(served) < len(jobs):
