--- a/tools/compare_messages.py
+++ b/tools/compare_messages.py
@@ -106,9 +106,9 @@
 def first_difference(base: Iterable[str], work: Iterable[str]) -> tuple[int, Difference | None]:
     """Return the number of equal messages at the start, and the first difference if any."""
     index = -1
-    for index, (one, other) in enumerate(zip_longest(base, work)):
-        if one != other:
-            return index, Difference(index, one, other)
+    for index, (base_message, work_message) in enumerate(zip_longest(base, work)):
+        if base_message != work_message:
+            return index, Difference(index, base_message, work_message)
     return index + 1, None
 
 
@@ -130,10 +130,10 @@
 
 def git_dir() -> str:
     """Return the git directory from which each harness extracts the production version."""
-    found = subprocess.run(
+    result = subprocess.run(
         ["git", "rev-parse", "--absolute-git-dir"], cwd=ROOT, capture_output=True, check=True
     )
-    return found.stdout.decode().strip()
+    return result.stdout.decode().strip()
 
 
 def record(root: Path, day: Day, folder: Path, variant: str | None = None) -> Path:
@@ -165,9 +165,9 @@
 def compare_day(base: Path, work: Path, day: Day) -> Outcome:
     """Play a day with both versions and compare their messages."""
     with tempfile.TemporaryDirectory(prefix="messages-") as folder:
-        one = record(base, day, Path(folder, "base"))
-        other = record(work, day, Path(folder, "work"))
-        with one.open() as base_lines, other.open() as work_lines:
+        base_file = record(base, day, Path(folder, "base"))
+        work_file = record(work, day, Path(folder, "work"))
+        with base_file.open() as base_lines, work_file.open() as work_lines:
             return Outcome(day, *first_difference(base_lines, work_lines))
 
 
@@ -176,8 +176,8 @@
     with ThreadPoolExecutor(jobs) as pool:
         pending = [pool.submit(compare_day, base, work, day) for day in days]
         try:
-            for each in pending:
-                outcome = each.result()
+            for future in pending:
+                outcome = future.result()
                 yield outcome
                 if outcome.difference is not None:
                     return
--- a/topazhold/settings.py
+++ b/topazhold/settings.py
@@ -38,7 +38,7 @@
 
 
 class Team(msgspec.Struct):
-    """A team's guaranteed quota (`cpus`, `gpus`) and limits (`cpus_max`, `gpus_max`; 0: none)."""
+    """A team's guaranteed quota (`cpus`, `gpus`) and its limits (`..._max`; 0: unlimited)."""
 
     name: str
     cpus: float = 0.0
@@ -148,13 +148,13 @@
 
     def wait_objectives(self) -> dict[str, tuple[float, float]]:
         """Return the shortest and longest wait objective of each job class, in seconds."""
-        found: dict[str, tuple[float, float]] = {}
+        waits: dict[str, tuple[float, float]] = {}
         for objective in self.objectives:
             job_class, within_s = objective.job_class, objective.within_s
             if objective.kind == "wait" and job_class is not None and within_s is not None:
-                shortest, longest = found.get(job_class, (within_s, within_s))
-                found[job_class] = (min(shortest, within_s), max(longest, within_s))
-        return found
+                shortest, longest = waits.get(job_class, (within_s, within_s))
+                waits[job_class] = (min(shortest, within_s), max(longest, within_s))
+        return waits
 
 
 class Settings(msgspec.Struct):
