--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -165,4 +165,4 @@
         assert not shown.recorded()
 
     assert_no_violations(run_scenario(act, monkeypatch))
-    assert "refused for good" in caplog.text
+    assert "permanently refused" in caplog.text
--- a/topazhold/interfaces/__init__.py
+++ b/topazhold/interfaces/__init__.py
@@ -1,4 +1,4 @@
-"""What packages need of each other without importing one another: interfaces and their errors.
+"""Interfaces, and their errors, that decouple `operations` from `control`.
 
-`control` implements them; `operations` uses them. Nothing here imports `control` or `operations`.
+`control` implements them and `operations` uses them. Nothing here imports either package.
 """
--- a/topazhold/interfaces/cloud.py
+++ b/topazhold/interfaces/cloud.py
@@ -1,4 +1,4 @@
-"""Access to the cloud, as far as cloud operations use it, and how its requests fail."""
+"""The cloud interface that cloud operations use, and its errors."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 
 
 class CloudUnavailableError(Exception):
-    """No use could be made of the cloud just now."""
+    """The cloud is unreachable, refuses a request for now, or its answer is unusable."""
 
 
 class CloudRequestRejectedError(CloudUnavailableError):
-    """The cloud calls the request malformed; it need not be repeated."""
+    """The cloud rejects the request as malformed; retrying it is of no use."""
 
 
 class CloudCapacityError(Exception):
-    """Nothing to rent of that type, zone and kind."""
+    """The cloud has no machines of the requested type, zone and price model (spot or ordinary)."""
 
 
 class CloudRequests(Protocol):
-    """Requests that change machines; every one can be repeated as it is."""
+    """Requests that change machines; all of them are idempotent."""
 
     async def wait_for_limits(self) -> None:
-        """Let time pass until the rate allows a request, within bounds."""
+        """Wait until the rate limit allows a request, for a bounded time."""
         ...
 
     async def rent(self, name: str, request: ScaleOutRequest, /) -> list[str]:
-        """Request machines; repeating the name gives the same ones.
+        """Rent machines and return their names; repeating a request name returns the same ones.
 
         Raises CloudCapacityError, CloudRequestRejectedError or CloudUnavailableError.
         """
         ...
 
     async def release(self, names: list[str]) -> None:
-        """Release machines; returns once they are gone. Raises CloudUnavailableError."""
+        """Release machines and return once they are gone. Raises CloudUnavailableError."""
         ...
--- a/topazhold/interfaces/store.py
+++ b/topazhold/interfaces/store.py
@@ -1,6 +1,6 @@
-"""Access to the key-value store, as far as cloud operations use it, and what requests carry.
+"""The key-value store interface that cloud operations use.
 
-Requests fail as `store_errors` says.
+Its errors are in `store_errors`.
 """
 
 from __future__ import annotations
@@ -10,28 +10,29 @@
 
 from topazhold.wire.key_value_store import Entry
 
-#: Shares of the request limit that lower priorities must leave to higher ones.
+#: Request priorities: the share of the request limit that a request must leave to requests of
+#: higher priority. 0 is the highest priority.
 LEASE_PRIORITY = 0.0
 DECISION_PRIORITY = 0.1
 USER_PRIORITY = 0.3
 
 
 class Precondition(NamedTuple):
-    """A key must have this revision, 0 for a key that does not exist."""
+    """The revision that a key must have; 0 means that the key must not exist."""
 
     key: str
     revision: int
 
 
 class Store(Protocol):
-    """Reads and compare-and-swap; every request raises KeyValueStoreError, in one of its kinds."""
+    """Reads and compare-and-swap; a failed request raises a subclass of KeyValueStoreError."""
 
     async def get(self, key: str, priority: float = ...) -> Entry | None:
-        """A key's entry, or None if the key does not exist."""
+        """Return a key's entry, or None if the key does not exist."""
         ...
 
     async def entries(self, prefix: str, priority: float = ...) -> tuple[list[Entry], int]:
-        """All entries under a prefix, and the revision of the first page."""
+        """Return all entries under a prefix and the revision of the first page."""
         ...
 
     async def compare_and_swap(
@@ -40,8 +41,8 @@
         operations: Sequence[dict[str, Any]],
         priority: float,
     ) -> int:
-        """Carry out all operations if all preconditions hold; the new revision.
+        """Apply all operations if all preconditions hold, and return the new revision.
 
-        Raises PreconditionFailedError if one of them does not hold.
+        Raises PreconditionFailedError if a precondition does not hold.
         """
         ...
--- a/topazhold/interfaces/store_errors.py
+++ b/topazhold/interfaces/store_errors.py
@@ -1,20 +1,20 @@
-"""How requests to the key-value store fail; all errors are kinds of `KeyValueStoreError`."""
+"""Errors of the key-value store; all are subclasses of `KeyValueStoreError`."""
 
 from __future__ import annotations
 
 
 class KeyValueStoreError(Exception):
-    """What was asked of the store was not done, or may not have been done.
+    """A request to the store failed, or may have failed.
 
-    Every request may end in the first three of its kinds.
+    Every request may raise StoreUnavailableError, OutcomeUnknownError or UnreadableAnswerError.
     """
 
 
 class StoreUnavailableError(KeyValueStoreError):
-    """Not carried out: refused, over the limit, or out of reach.
+    """The request was not carried out: refused, over the rate limit, or store unreachable.
 
-    `malformed`: the store calls the request malformed or too large, or a lease in it has ended;
-    repeated as it is, it is refused again.
+    `malformed` is true if the store rejects the request as malformed or too large, or because a
+    lease in it has expired. Retried unchanged, such a request is refused again.
     """
 
     def __init__(self, reason: str, malformed: bool = False) -> None:
@@ -23,15 +23,15 @@
 
 
 class OutcomeUnknownError(KeyValueStoreError):
-    """No answer: the change may have been, or may yet be, carried out."""
+    """The store gave no answer: the change may have been applied, or may still be."""
 
 
 class UnreadableAnswerError(KeyValueStoreError):
-    """The store answered, but not in the form of its protocol."""
+    """The store's answer does not follow its protocol."""
 
 
 class PreconditionFailedError(KeyValueStoreError):
-    """A precondition failed, and nothing was changed; `keys` are those that had changed."""
+    """A precondition failed and nothing was changed; `keys` have other revisions than required."""
 
     def __init__(self, keys: list[str]) -> None:
         super().__init__(", ".join(keys))
@@ -39,4 +39,4 @@
 
 
 class WatchCompactedError(KeyValueStoreError):
-    """The store's history does not go back that far; read the keys again."""
+    """The store's history no longer reaches the watched revision; the keys must be reread."""
--- a/topazhold/interfaces/term.py
+++ b/topazhold/interfaces/term.py
@@ -1,4 +1,4 @@
-"""A leader's term, as far as cloud operations use it."""
+"""The interface of a leader's term that cloud operations use."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 from topazhold.core.scheduler import Scheduler
 from topazhold.interfaces.store import Precondition, Store
 
-#: Bytes that values may take of a transaction, whose limit is 64 KiB in all.
+#: Maximum size of all values of a transaction, in bytes; the store limits the whole transaction
+#: to 64 KiB.
 MAX_TXN_VALUE_BYTES = 48 * 1024
 
 
 class LeadershipLostError(Exception):
-    """The term is over: another controller may be leader."""
+    """The term is over: another controller may be the leader."""
 
 
 class LeaseIsValid(Protocol):
-    """Whether, at a steady clock's time in seconds, nobody else can be leader yet."""
+    """Returns whether the lease rules out another leader at a monotonic time in seconds."""
 
     def __call__(self, now: float, /) -> bool: ...
 
 
 class JobCleanup(Protocol):
-    """Called with each job that is over, so that what it left in the store is removed."""
+    """Called with each ended job to remove its leftover data from the store."""
 
     def __call__(self, job: Job, /) -> None: ...
 
 
 class Term(Protocol):
-    """What exists for as long as a term lasts; times in seconds, by the monotonic clock."""
+    """The state of a leader's term; times are in seconds of the monotonic clock."""
 
     clean_up: JobCleanup
 
@@ -46,7 +47,7 @@
 
     @property
     def revision(self) -> int:
-        """The revision of the leadership's key."""
+        """The revision of the leader key."""
         ...
 
     @property
@@ -61,46 +62,46 @@
 
     @property
     def shards(self) -> IntentShards:
-        """The stored intents."""
+        """The shards of the stored intents."""
         ...
 
     @property
     def heartbeat_interval_s(self) -> float:
-        """The interval of workers' heartbeats."""
+        """The interval between two heartbeats of a worker."""
         ...
 
     @property
     def retry_s(self) -> float:
-        """The time between two tries of what has failed."""
+        """The pause before a failed operation is retried."""
         ...
 
     @property
     def max_value_bytes(self) -> int:
-        """Bytes of a stored value, at the most."""
+        """The maximum size of a stored value, in bytes."""
         ...
 
     @property
     def max_txn_ops(self) -> int:
-        """Changes of a transaction, at the most."""
+        """The maximum number of puts and deletes in a transaction."""
         ...
 
     @property
     def lease_is_valid(self) -> LeaseIsValid:
-        """Whether the leadership's lease holds."""
+        """The check whether the leader's lease is valid at a given time."""
         ...
 
     def preconditions(self) -> list[Precondition]:
-        """What every transaction of the term carries: it fails once the term is over."""
+        """Return the preconditions of every transaction of the term; they fail once it is over."""
         ...
 
     async def request_plan(self) -> None:
-        """Something changed: plan soon."""
+        """Request a planning round after a change."""
         ...
 
 
 class IntentPruner(Protocol):
-    """Removes intents that are of no use any more."""
+    """Removes obsolete intents."""
 
     async def prune(self, shards: set[IntentShard]) -> None:
-        """Intents of machines that are gone; what fails is found by a successor."""
+        """Remove the intents of machines that are gone; a successor retries removals that fail."""
         ...
--- a/topazhold/operations/cleanup.py
+++ b/topazhold/operations/cleanup.py
@@ -1,8 +1,8 @@
-"""Clean-up: removes the completion bitmaps of large jobs that are over.
+"""Clean-up: removes the completion bitmaps of large jobs that have ended.
 
-Their parts may take several transactions to remove. Then the job and its parts are recorded
-first, so that a successor goes on where this leader ended. What a user's cancellation left
-behind while nobody led is found by a read of all parts when a term begins.
+If the parts of a bitmap do not fit one transaction, the job and its parts are recorded first, so
+that a successor can complete the removal. Parts of jobs that users cancelled while there was no
+leader are found by reading all parts when a term begins.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 
 log = logging.getLogger(__name__)
 
-#: States of an operation that is not carried out yet.
+#: States of an operation that is not yet carried out.
 UNFINISHED_STATES = (OperationState.DECIDED, OperationState.RECORDED, OperationState.SENT)
 
 
 class CleanupExecutor:
-    """Removes what jobs that are over have left in the key-value store."""
+    """Removes leftover data of ended jobs from the key-value store."""
 
     def __init__(self, context: Term, executor: FencedExecutor) -> None:
         self._context = context
@@ -38,7 +38,7 @@
         self._swept = False
 
     def on_job_ended(self, job: Job) -> None:
-        """A job is over: decide to remove its parts, if it has any."""
+        """Decide to remove the bitmap parts of an ended job, if it has any."""
         self._decide(job.id, range(1, records.part_count(job)))
 
     def _decide(self, job_id: str, parts: range | list[int]) -> None:
@@ -67,16 +67,16 @@
                 await self._attempt(self._remove_all)
 
     async def _attempt(self, action: Callable[[], Awaitable[None]]) -> bool:
-        """Whether the key-value store let the work be done."""
+        """Run an action; return false if a request to the key-value store failed."""
         try:
             await action()
         except KeyValueStoreError as exc:
-            log.debug("clean-up waits: %s", exc)
+            log.debug("clean-up deferred: %s", exc)
             return False
         return True
 
     async def _sweep(self) -> None:
-        """Decide to remove the parts of jobs that are not live; one read of all parts."""
+        """Read all parts and decide to remove those of jobs that are not live."""
         store = self._context.store
         entries, _ = await store.entries(records.PART_PREFIX, USER_PRIORITY)
         parts: dict[str, list[int]] = {}
@@ -86,7 +86,7 @@
                 parts.setdefault(job_id, []).append(int(number))
         for job_id, numbers in parts.items():
             if await store.get(records.live_key(job_id), USER_PRIORITY) is None:
-                log.info("%d parts of %s were left behind", len(numbers), job_id)
+                log.info("found %d leftover parts of ended job %s", len(numbers), job_id)
                 self._decide(job_id, numbers)
 
     async def _remove_all(self) -> None:
@@ -102,12 +102,12 @@
             except PreconditionFailedError as exc:
                 if LEADER_KEY in exc.keys:
                     raise LeadershipLostError("the leadership mark has changed") from None
-                # Its parts are in use: there is nothing to remove, now or later.
-                log.error("clean-up %s met a live job: %s", operation.key, exc)
+                # A live job uses the parts: this clean-up has nothing to remove, now or later.
+                log.error("clean-up %s abandoned, its job is live: %s", operation.key, exc)
             operation_log.mark_confirmed(operation, await curio.clock())
 
     async def _remove(self, job_id: str, parts: list[int]) -> None:
-        """Remove parts, as many at a time as a transaction takes; never a live job's."""
+        """Remove parts in batches that fit a transaction, on condition that the job is not live."""
         context = self._context
         conditions = [*context.preconditions(), Precondition(records.live_key(job_id), 0)]
         for start in range(0, len(parts), context.max_txn_ops):
--- a/topazhold/operations/counters.py
+++ b/topazhold/operations/counters.py
@@ -1,4 +1,4 @@
-"""Totals of one term's cloud operations, for its last log line."""
+"""Totals of one term's cloud operations, logged when the term ends."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 @dataclass
 class OperationCounters:
-    """How many operations of a term, and requests for them, came to what."""
+    """Numbers of operations and requests of a term, by outcome."""
 
     decided: int = 0
     adopted: int = 0  # left open by an earlier term
-    superseded: int = 0  # of a machine that a later term than the operation's has used
+    superseded: int = 0  # releases dropped because a later term has used the machine
     bypassed: int = 0  # sent before their record could be written
-    withdrawn: int = 0  # scale-outs that were not sent, since the cloud has no more of the kind
+    withdrawn: int = 0  # scale-outs not sent because the cloud has no more machines of the kind
     requests: int = 0
-    repeated: int = 0  # requests that were made before in this term
+    repeated: int = 0  # requests for operations that were sent before in this term
     confirmed: int = 0
     closed: int = 0
-    refused: int = 0  # their records can't be stored
-    unreadable: int = 0  # stored records that can't be read
+    refused: int = 0  # their records cannot be stored
+    unreadable: int = 0  # stored records that cannot be decoded
 
     def count_request(self, repeated: bool) -> None:
-        """A request is about to be sent; `repeated`: not for the first time in this term."""
+        """Count a request; `repeated` if its operation was sent before in this term."""
         self.requests += 1
         self.repeated += repeated
--- a/topazhold/operations/descriptions.py
+++ b/topazhold/operations/descriptions.py
@@ -1,4 +1,4 @@
-"""Operations in words, for people: by the names that the command `duties` shows."""
+"""Descriptions of operations for operators, in the terms that `topazhold duties` prints."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
     ScaleOutRecord,
 )
 
-#: Names of machines in a line of text, at the most.
+#: Maximum machine names in a line of text.
 MAX_SHOWN_NAMES = 4
 
 
 class Description(NamedTuple):
-    """An operation's kind, and what it is about."""
+    """An operation's kind and its details."""
 
     kind: str
     text: str
 
 
 def describe(record: OperationRecord) -> Description:
-    """What an operation is to do, in one line."""
+    """Return the kind and a one-line description of an operation."""
     if isinstance(record, ScaleInRecord):
         names = list(record.machines)
         shown = ", ".join(f"{name} ({record.machines[name]})" for name in names[:MAX_SHOWN_NAMES])
--- a/topazhold/operations/failover.py
+++ b/topazhold/operations/failover.py
@@ -1,7 +1,7 @@
-"""Failover: a new leader adopts the operations that earlier terms left open, and completes them.
+"""Failover: a new leader adopts and completes the operations that earlier terms left open.
 
-They are read before anything is decided. A machine of an open scale-in is released for good,
-also when it still sends heartbeats; an open scale-out is requested again under its name.
+They are read before any new decision. A machine of an open scale-in is released even if it
+still sends heartbeats. An open scale-out is requested again under the same request name.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 async def load_operations(context: Term) -> list[Entry]:
-    """All stored operations; raises what the key-value store raises."""
+    """Read all stored operations. Raises KeyValueStoreError."""
     entries, _ = await context.store.entries(OPERATION_PREFIX, LEASE_PRIORITY)
     return entries
 
@@ -34,16 +34,16 @@
 def rebuild_operations(
     scheduler: Scheduler, operation_log: OperationLog, entries: list[Entry], now: float
 ) -> None:
-    """Adopt all stored operations, once the scheduler's jobs and intents are rebuilt."""
+    """Adopt all stored operations; call after the scheduler's jobs and intents are rebuilt."""
     for record in _decode_entries(entries, operation_log):
         operation = operation_log.adopt(record, now)
-        log.info("operation %s of term %d is adopted", operation.key, record.term)
+        log.info("adopted operation %s of term %d", operation.key, record.term)
         if isinstance(record, ScaleInRecord):
             _adopt_scale_in(scheduler, operation_log, record, now)
 
 
 def _decode_entries(entries: list[Entry], operation_log: OperationLog) -> list[OperationRecord]:
-    """The records of the entries; malformed ones are logged and left as they are."""
+    """Decode the records of the entries; malformed ones are logged and stay in the store."""
     decoded = []
     for entry in entries:
         try:
@@ -62,9 +62,9 @@
         if operation_log.scale_in_of(name) is None:
             continue
         if _used_since(scheduler, name, record.term):
-            # Only a controller that knows no records can have done that. What it placed
-            # there is not to be lost for a decision that it did not know of.
-            log.info("release of %s is superseded: a later term has used it", name)
+            # Only a leader of a version without records can have placed tasks there. They must
+            # not be lost to a release that it could not know of.
+            log.info("release of %s superseded: a later term has placed tasks on it", name)
             operation_log.supersede_scale_in(name, now)
             continue
         machine = scheduler.add_machine(name, "", False, "", now)
@@ -72,7 +72,7 @@
 
 
 def _used_since(scheduler: Scheduler, name: str, term: int) -> bool:
-    """Whether a term later than `term` has placed tasks on the machine."""
+    """Return whether a term later than `term` has placed tasks on the machine."""
     machine = scheduler.machines.get(name)
     return machine is not None and any(
         attempt.attempt_number // ATTEMPTS_PER_TERM > term for attempt in machine.attempts.values()
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -1,7 +1,7 @@
-"""Says whether a term's cloud operations may be recorded and sent just now.
+"""Fencing of a term's cloud operations: checks whether they may be recorded and sent.
 
-Their records are written on the precondition that the leadership holds; and a successor reads
-all records before it decides anything.
+Records are written on the precondition that the term still lasts, and a successor reads all
+records before it decides anything.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 
 log = logging.getLogger(__name__)
 
-#: A longer time between two checks of the clocks is taken for a pause; checks are due after a
-#: fifth of it. In leases of a controller.
+#: Time between two clock checks above which the process counts as paused, and the interval of the
+#: checks, which is a fifth of it; both in controller leases.
 PAUSE_CONTROLLER_LEASES = 0.5
 CLOCK_CHECK_CONTROLLER_LEASES = 0.1
-#: What must be left of the lease when an operation is decided or sent, in leases.
+#: Minimum remaining lease when an operation is decided or sent, in controller leases.
 MARGIN_CONTROLLER_LEASES = 0.05
-#: Heartbeat intervals after a pause before a machine may be released without a record: what was
-#: known of the machines is old.
+#: Time after a pause before a machine may be released without a record, in heartbeat intervals:
+#: until then, the known state of the machines may be stale.
 STALE_STATE_HEARTBEATS = 2.5
-#: Heartbeat intervals between two removals of records.
+#: Interval between two removals of records, in heartbeat intervals.
 REMOVAL_HEARTBEATS = 1.0
 
 
 class FencedExecutor:
-    """Fences the operations of a term: records first, and no request in doubt of the lease.
+    """Ensures that operations are recorded before they are sent, and only with a valid lease.
 
-    `controller_lease_s` is the duration of a controller's lease in seconds. Methods that reach
-    the key-value store raise `LeadershipLostError` where another leader shows.
+    `controller_lease_s` is the duration of a controller's lease in seconds. Methods that access
+    the key-value store raise `LeadershipLostError` if it shows that the term is over.
     """
 
     def __init__(
@@ -59,11 +59,11 @@
     # -- lease -----------------------------------------------------------------
 
     def begin(self, now: float) -> None:
-        """The term is loaded; from here on the clocks are checked."""
+        """Start the clock checks once the term is loaded."""
         self.lease_confidence.begin(now, time.time())
 
     async def lease_confirmed(self) -> bool:
-        """Check the clocks; whether operations may be decided and sent just now."""
+        """Check the clocks and the lease; return whether operations may be decided and sent."""
         now = await curio.clock()
         lease_is_valid = self._context.lease_is_valid(
             now + MARGIN_CONTROLLER_LEASES * self._controller_lease_s
@@ -78,7 +78,7 @@
         return confidence is LeaseConfidence.CONFIRMED
 
     async def verify_leadership(self) -> bool:
-        """Whether the lease holds; where in doubt, the leadership is looked up."""
+        """Return whether operations may be decided and sent; if in doubt, read the leader key."""
         if await self.lease_confirmed():
             return True
         requested_at = await curio.clock()
@@ -94,12 +94,12 @@
         return await self.lease_confirmed()
 
     def may_bypass_records(self, now: float) -> bool:
-        """Whether what is known of the machines is fresh enough for an unrecorded release."""
+        """Return whether the state of the machines is fresh enough for unrecorded releases."""
         since_pause_s = now - self.lease_confidence.paused_at
         return since_pause_s > STALE_STATE_HEARTBEATS * self._context.heartbeat_interval_s
 
     async def watch_clocks(self) -> None:
-        """Check often, so that a pause shows before the next operation."""
+        """Check the clocks often enough to detect a pause before the next operation."""
         while True:
             await curio.sleep(CLOCK_CHECK_CONTROLLER_LEASES * self._controller_lease_s)
             await self.lease_confirmed()
@@ -107,7 +107,7 @@
     # -- records ---------------------------------------------------------------
 
     async def write_records(self) -> None:
-        """Write the records that are due; those that can't be written now stay due."""
+        """Write the records that are due; those that cannot be written now stay due."""
         try:
             await self._record_writer.write_due()
         except LeadershipLostError:
@@ -115,7 +115,7 @@
             raise
 
     async def removal_loop(self) -> None:
-        """Remove the records of operations that are over, once every heartbeat interval."""
+        """Remove the records of ended operations once every heartbeat interval."""
         while True:
             await curio.sleep(REMOVAL_HEARTBEATS * self._context.heartbeat_interval_s)
             await self._record_writer.remove_due()
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -1,7 +1,7 @@
-"""The command `duties`: who leads, and which operations are open.
+"""The command `topazhold duties`, which shows the leader and the open operations.
 
-Reads the key-value store only, and changes nothing. The output keeps the names of the first
-version: a duty is a kind of operation, its holder the leader, an order an operation.
+It only reads the key-value store. The output keeps the names of the first version: a duty is a
+kind of operation, its holder is the leader, and an order is an operation.
 """
 
 from __future__ import annotations
@@ -24,9 +24,9 @@
 from topazhold.settings import Settings, parse_address
 from topazhold.wire.key_value_store import Entry
 
-#: Time limit of one request, in seconds.
+#: Timeout of a request, in seconds.
 TIMEOUT_S = 5.0
-#: The kinds of operations by the name that is shown, and what each is about.
+#: The kinds of operations: the name that is shown and a description.
 OPERATION_KINDS = {
     "renting": "scale-out: requests for machines",
     "returning": "scale-in: releases of machines",
@@ -35,11 +35,11 @@
 
 
 class StoreUnreachableError(Exception):
-    """The key-value store gave no answer that can be used."""
+    """The key-value store gave no usable answer."""
 
 
 class OperationKindState(msgspec.Struct):
-    """A kind of operation, and the leader and term that decide on it, if there is one."""
+    """A kind of operation, and the leader that decides on it with its term, if there is one."""
 
     duty: str
     holder: str | None
@@ -47,7 +47,7 @@
 
 
 class OpenOperation(msgspec.Struct):
-    """A stored operation; `age_s` is in seconds, None in place of what can't be read."""
+    """A stored operation; `term` and `age_s` are None if its record cannot be decoded."""
 
     key: str
     kind: str
@@ -60,8 +60,8 @@
 class OperationsReport(msgspec.Struct):
     """The output of `topazhold duties`.
 
-    `refused`: operations of the present term whose records can't be stored, as its leader's last
-    summary names them.
+    `refused` are the operations of the current term whose records cannot be stored, as named in
+    the leader's last summary.
     """
 
     duties: list[OperationKindState]
@@ -69,12 +69,12 @@
     refused: list[RefusedOperation]
 
 
-#: Opens access to the key-value store over a client, with a time limit of a request in seconds.
+#: Opens a key-value store over a client, with the timeout of a request in seconds.
 OpenStore = Callable[[Client, float], Store]
 
 
 async def inspect(settings: Settings, open_store: OpenStore) -> OperationsReport:
-    """Read the leader and all operations.
+    """Read the leader, all stored operations and the refused operations.
 
     Raises:
         StoreUnreachableError: the key-value store gave no usable answer.
@@ -100,7 +100,7 @@
 
 
 def _refused_of(summary: Entry | None, term: int | None) -> list[RefusedOperation]:
-    """The refused operations that a summary of this term names."""
+    """Return the refused operations named in a summary of this term."""
     data = summary.data if summary is not None else None
     if not isinstance(data, dict) or data.get("crown") != term:
         return []
@@ -108,7 +108,7 @@
 
 
 def read_report(settings: Settings, open_store: OpenStore) -> OperationsReport:
-    """`inspect`, for a program that runs nothing else; raises the same."""
+    """Run `inspect` in an event loop of its own. Raises StoreUnreachableError."""
     report: OperationsReport = curio.run(inspect, settings, open_store)
     return report
 
@@ -125,7 +125,7 @@
 
 
 def as_text(report: OperationsReport) -> str:
-    """The report for a terminal."""
+    """Format the report for a terminal."""
     lines = []
     for duty in report.duties:
         holder = f"{duty.holder}, term {duty.term}" if duty.holder else "nobody"
--- a/topazhold/operations/lease_confidence.py
+++ b/topazhold/operations/lease_confidence.py
@@ -1,32 +1,32 @@
-"""Whether a leader may rely on its lease at this moment.
+"""Decides whether a leader may rely on its lease.
 
-A process can be stopped for any time between two of its instructions. What it knew before is
-then old, and its lease may have expired. Every check of the clocks that comes later than it
-should shows such a pause; until the leadership has been looked up since, nothing is decided.
+A process can be paused for any time between two instructions. Its state is then stale and its
+lease may have expired. A clock check that comes late reveals such a pause; no operation is
+decided until the leader key has been read again.
 
-Times named `now` are of the monotonic clock, `wall` of the time of day, both in seconds.
+Times are in seconds: `now` of the monotonic clock, `wall` of the time of day.
 """
 
 from __future__ import annotations
 
 from enum import Enum
 
-#: Initial time of the last pause on the monotonic clock, in seconds: further back than any limit.
+#: `paused_at` before the first pause, in seconds: long before any monotonic time.
 NO_PAUSE_YET_S = -1e9
 
 
 class LeaseConfidence(Enum):
-    """What a leader may assume of its leadership."""
+    """The confidence of a leader in its leadership."""
 
     CONFIRMED = "confirmed"
-    DOUBTED = "doubted"  # the leadership has to be looked up first
-    LOST = "lost"  # another leader was seen
+    DOUBTED = "doubted"  # the leader key has to be read first
+    LOST = "lost"  # another leader was found
 
 
 class LeaseConfidenceTracker:
-    """Follows the clocks and the lease of one leader.
+    """Tracks the clocks and the lease of one leader.
 
-    A gap of more than `max_gap_s` seconds between two checks is taken for a pause.
+    A gap of more than `max_gap_s` seconds between two checks counts as a pause.
     """
 
     def __init__(self, max_gap_s: float, now: float, wall: float) -> None:
@@ -34,20 +34,20 @@
         self._checked_at = now
         self._clock_offset = wall - now
         self._state = LeaseConfidence.CONFIRMED
-        self.paused_at = NO_PAUSE_YET_S  # when the last pause was noticed
+        self.paused_at = NO_PAUSE_YET_S  # monotonic time at which the last pause was detected
         self.pauses = 0
 
     def begin(self, now: float, wall: float) -> None:
-        """The term is loaded, however long that took: doubted until it is looked up."""
+        """Start the checks; loading may have taken long, so the leadership is in doubt at first."""
         self._checked_at = now
         self._clock_offset = wall - now
         self._state = LeaseConfidence.DOUBTED
 
     def check(self, now: float, wall: float, lease_is_valid: bool) -> LeaseConfidence:
-        """Check the clocks; `lease_is_valid`: nobody else can be leader yet.
+        """Check the clocks for a pause; `lease_is_valid` if the lease rules out another leader.
 
-        The monotonic clock may stand still while a machine is suspended; the time of day then
-        jumps against it. A time of day set back says nothing and is taken as it is.
+        The monotonic clock may stop while the machine is suspended; the time of day then jumps
+        ahead of it. A time of day that is set back is ignored: it does not indicate a pause.
         """
         gap = now - self._checked_at
         jump = (wall - now) - self._clock_offset
@@ -67,10 +67,10 @@
         self._state = LeaseConfidence.DOUBTED
 
     def confirm(self, requested_at: float) -> None:
-        """The leadership was looked up by a request sent at `requested_at`, and is held."""
+        """Note that a read of the leader key, sent at `requested_at`, confirmed the leadership."""
         if self._state is LeaseConfidence.DOUBTED and requested_at >= self.paused_at:
             self._state = LeaseConfidence.CONFIRMED
 
     def mark_lost(self) -> None:
-        """The leadership is lost; there is no way back in this term."""
+        """Mark the leadership as lost, which is final for this term."""
         self._state = LeaseConfidence.LOST
--- a/topazhold/operations/operation_log.py
+++ b/topazhold/operations/operation_log.py
@@ -1,9 +1,9 @@
-"""The open cloud operations of one term, and what is due for each of them.
+"""The open cloud operations of one term, and the next step that is due for each.
 
-No I/O and no clock: the executors ask for what is due, do it, and report the outcome. Every
-release of a machine goes through here, so that a machine is released by one operation.
+The log does no I/O and reads no clock: the executors query it for due steps, carry them out and
+report the outcome. Every release goes through it, so that only one operation releases a machine.
 
-Times named `now` are of the monotonic clock, `wall` of the time of day, both in seconds.
+Times are in seconds: `now` of the monotonic clock, `wall` of the time of day.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class OperationLog:
-    """The operations of one term: those that it decided and those that it adopted.
+    """The open operations of one term, both decided and adopted ones.
 
     `max_value_bytes` is the maximum size of a stored value. The record of a scale-in is kept for
     `retention_s` seconds after its end. Without `record_operations` nothing is recorded.
@@ -72,7 +72,7 @@
         return operations
 
     def decide_scale_in(self, reasons: Mapping[str, str], wall: float) -> list[ScaleInOperation]:
-        """Release machines, given with their reasons; those of other operations are left out."""
+        """Decide to release machines for the given reasons, except those of open operations."""
         unreleasable = self.machines_of_open_scale_outs()
         new = {
             name: reason
@@ -84,20 +84,20 @@
         return self._add_scale_ins(new, wall)
 
     def decide_scale_out(self, request: ScaleOutRequest, wall: float) -> ScaleOutOperation:
-        """Request machines, under a request name that is this operation's own."""
+        """Decide to request machines, under a unique request name."""
         return self._add(ScaleOutOperation(self._record_factory.scale_out(request, wall)))
 
     def decide_cleanup(self, job: str, parts: Iterable[int], wall: float) -> CleanupOperation:
-        """Remove parts of an ended job's completion bitmap."""
+        """Decide to remove parts of an ended job's completion bitmap."""
         return self._add(CleanupOperation(self._record_factory.cleanup(job, parts, wall)))
 
     def adopt(self, record: OperationRecord, now: float) -> AnyOperation:
-        """An operation that an earlier term left open: it is recorded, and completed here."""
+        """Adopt a recorded operation that an earlier term left open, and return it."""
         operation = operation_for(record)
         if isinstance(operation, ScaleInOperation):
             for name in operation.record.machines:
-                # Two terms can only have decided on one machine where a controller that
-                # knows no records led in between; the first decision stands.
+                # Two terms can only have released the same machine if a leader of a version
+                # without records came between them; the first decision stands.
                 self._scale_in_of.setdefault(name, operation)
             operation.remaining_machines = {
                 name: None
@@ -112,7 +112,7 @@
         return operation
 
     def supersede_scale_in(self, name: str, now: float) -> None:
-        """A later term than the operation's has used the machine: it is not released by it."""
+        """Drop a machine from its scale-in because a later term has placed tasks on it."""
         operation = self._scale_in_of.pop(name)
         operation.remaining_machines.pop(name, None)
         self.counters.superseded += 1
@@ -121,11 +121,11 @@
     # -- lookup ----------------------------------------------------------------
 
     def open_operations(self) -> list[AnyOperation]:
-        """All operations that are not closed, the oldest first."""
+        """Return all operations that are not closed, the oldest first."""
         return list(self._operations.values())
 
     def of_kind(self, kind: type[Kind], *states: OperationState) -> list[Kind]:
-        """Operations of a kind in the given states, the oldest first."""
+        """Return the operations of a kind in the given states, the oldest first."""
         return [
             operation
             for operation in self._operations.values()
@@ -133,14 +133,14 @@
         ]
 
     def scale_in_of(self, name: str) -> ScaleInOperation | None:
-        """The one operation that releases a machine."""
+        """Return the operation that releases a machine, or None."""
         return self._scale_in_of.get(name)
 
     def machines_of_open_scale_outs(self) -> set[str]:
-        """Machines that a successor could find through an open scale-out.
+        """Return the machines that open scale-outs have obtained.
 
-        They are not released before its record is gone: a successor that repeated the request
-        would take them for new ones.
+        They are not released before the scale-out's record is removed: a successor would repeat
+        the request and take the returned machines for new ones.
         """
         return {
             name
@@ -152,9 +152,9 @@
     # -- records ---------------------------------------------------------------
 
     def operations_to_record(self, limit: int) -> list[AnyOperation]:
-        """Operations whose records are to be written, at most `limit`.
+        """Return at most `limit` operations whose records are to be written.
 
-        One that was sent without a record gets it later, so that a successor learns of it.
+        An operation that bypassed its record is recorded later, so that a successor finds it.
         """
         if not self._record_operations:
             return []
@@ -168,15 +168,15 @@
         return due[:limit]
 
     def mark_recorded(self, operations: Iterable[AnyOperation], now: float) -> None:
-        """The records are committed."""
+        """Mark operations whose records are committed."""
         for operation in operations:
             operation.record_committed()
             operation.confirm_if_empty(now)
 
     def refuse(self, operation: AnyOperation, cause: RefusalCause, reason: str) -> None:
-        """The record can't be stored: the operation ends unsent, and lets go what it held.
+        """Refuse an operation whose record cannot be stored; it is forgotten unsent.
 
-        One that was sent without its record is completed all the same.
+        An operation that bypassed its record is still completed.
         """
         operation.refuse_record()
         self.counters.refused += 1
@@ -187,7 +187,7 @@
     # -- requests --------------------------------------------------------------
 
     def bypass_records(self, reasons: Mapping[str, str], wall: float) -> None:
-        """Release machines, given with their reasons, before it can be recorded."""
+        """Decide to release machines for the given reasons without waiting for the records."""
         missing = {
             name: reason for name, reason in reasons.items() if name not in self._scale_in_of
         }
@@ -201,9 +201,9 @@
     def release_request(
         self, must_be_released: Callable[[str], bool], only_required: bool
     ) -> ReleaseRequest | None:
-        """Machines to release now, those that must go first.
+        """Return the next release request, or None; required releases come first.
 
-        `only_required`: a leader in doubt of its lease requests these alone.
+        With `only_required`, for a leader in doubt of its lease, it contains no others.
         """
         sendable = self.of_kind(ScaleInOperation, OperationState.RECORDED, OperationState.SENT)
         due = due_releases(sendable, must_be_released, only_required)
@@ -215,17 +215,17 @@
         return ReleaseRequest([release.name for release in due], repeated)
 
     def start_request(self, operation: AnyOperation) -> bool:
-        """A scale-out or clean-up is about to be sent; whether it is a repetition."""
+        """Mark an operation as sent before each request; return whether it was sent before."""
         repeated = operation.mark_sent()
         self.counters.count_request(repeated)
         return repeated
 
     def scale_outs_due(self) -> list[ScaleOutOperation]:
-        """Scale-outs to request, for the first time or once more."""
+        """Return the scale-outs to request, for the first time or again."""
         return self.of_kind(ScaleOutOperation, OperationState.RECORDED, OperationState.SENT)
 
     def unanswered_scale_outs(self) -> list[ScaleOutOperation]:
-        """Scale-outs that are decided, and of which no outcome is known."""
+        """Return the scale-outs whose outcome is not known yet."""
         return self.of_kind(
             ScaleOutOperation,
             OperationState.DECIDED,
@@ -234,13 +234,13 @@
         )
 
     def may_scale_out(self) -> bool:
-        """Whether another scale-out may be decided."""
+        """Return whether another scale-out may be decided."""
         return may_scale_out(self.unanswered_scale_outs())
 
     # -- outcomes --------------------------------------------------------------
 
     def mark_machines_gone(self, names: Iterable[str], now: float) -> None:
-        """Machines are proven to be gone."""
+        """Remove machines that are proven to be gone from their scale-ins."""
         for name in names:
             self.refused.forget_machine(name)
             operation = self._scale_in_of.get(name)
@@ -254,14 +254,14 @@
     def complete_scale_out(
         self, operation: ScaleOutOperation, machines: list[str], now: float
     ) -> None:
-        """The cloud has answered a scale-out: with machines, or with none for good."""
+        """Confirm a scale-out with the machines it got; none if the cloud refused it."""
         operation.machines = list(machines)
         self.mark_confirmed(operation, now)
 
     def withdraw_unsent(self, refused: ScaleOutOperation, now: float) -> None:
-        """The cloud has no more of what this one requested: others for the same are over unsent.
+        """Withdraw the unsent scale-outs for the same kind of machine as a refused one.
 
-        Not so those of earlier terms, which may have been sent.
+        Adopted scale-outs stay open: an earlier term may have sent them.
         """
         for operation in self.of_kind(ScaleOutOperation, OperationState.RECORDED):
             if operation.record.kind == refused.record.kind and not operation.adopted:
@@ -269,14 +269,14 @@
                 self.counters.withdrawn += 1
 
     def mark_confirmed(self, operation: AnyOperation, now: float) -> None:
-        """An operation that was sent is carried out, or refused for good."""
+        """Confirm a sent operation that was carried out or permanently refused."""
         operation.confirm(now)
         self.counters.confirmed += 1
 
     # -- removal of records ----------------------------------------------------
 
     def operations_to_close(self, now: float, limit: int) -> list[AnyOperation]:
-        """Operations whose records are to be removed now, at most `limit`."""
+        """Return at most `limit` operations whose records are to be removed now."""
         confirmed = [
             operation
             for operation in self._operations.values()
@@ -285,7 +285,7 @@
         return removable(confirmed, self._retention_s, now)[:limit]
 
     def mark_closed(self, operations: Iterable[AnyOperation]) -> None:
-        """The records are removed."""
+        """Close operations whose records are removed."""
         for operation in operations:
             operation.close()
             self.counters.closed += 1
--- a/topazhold/operations/record_factory.py
+++ b/topazhold/operations/record_factory.py
@@ -1,4 +1,4 @@
-"""Makes the records of a term's decisions, each within what a record takes."""
+"""Creates the records of a term's operations, within the limits of a record."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class RecordFactory:
-    """Numbers the records of one term; no number, token or request name is used twice.
+    """Creates the records of one term; numbers, tokens and request names are unique.
 
-    Times named `wall` are of the time of day, in seconds.
+    Times named `wall` are in seconds of the time of day.
     """
 
     def __init__(self, node: str, term: int) -> None:
@@ -27,17 +27,17 @@
         self._number = 0
 
     def _header(self, wall: float) -> dict[str, Any]:
-        """The fields that all records share, with the term's next number."""
+        """Return the fields that all records share, with the term's next number."""
         self._number += 1
         token = f"d{self._term}-{self._number}"
         return {"by": token, "term": self._term, "number": self._number, "at": max(0.0, wall)}
 
     def scale_in(self, machines: dict[str, str], wall: float) -> ScaleInRecord:
-        """Of machines, given with their reasons: a portion of `split_machines`."""
+        """Return the record of a release; `machines` is a batch of `split_machines`."""
         return ScaleInRecord(**self._header(wall), machines=machines)
 
     def scale_out(self, request: ScaleOutRequest, wall: float) -> ScaleOutRecord:
-        """Of a request, under a name that is its own."""
+        """Return the record of a request for machines, under a unique request name."""
         header = self._header(wall)
         suffix = f"-{self._term}-{self._number}"
         return ScaleOutRecord(
@@ -50,5 +50,5 @@
         )
 
     def cleanup(self, job: str, parts: Iterable[int], wall: float) -> CleanupRecord:
-        """Of parts of an ended job's completion bitmap, or of the first `MAX_PARTS`."""
+        """Return the record of a clean-up of bitmap parts, of at most the first `MAX_PARTS`."""
         return CleanupRecord(**self._header(wall), job=job, parts=sorted(parts)[:MAX_PARTS])
--- a/topazhold/operations/record_writer.py
+++ b/topazhold/operations/record_writer.py
@@ -1,8 +1,8 @@
-"""Writes the records of a term's operations to the key-value store, and removes them.
+"""Writes the records of a term's operations to the key-value store and removes them.
 
-A record is written on the precondition that the leadership holds, so that none of a term can
-be written once its successor is elected. One that can't be stored is refused by itself, and
-the others go on.
+Records are written on the precondition that the term still lasts, so that none can be written
+after a successor is elected. A record that cannot be stored is refused without holding up the
+others.
 """
 
 from __future__ import annotations
@@ -31,30 +31,30 @@
 
 
 class PendingRecord(NamedTuple):
-    """A record that is to be written, as it is stored."""
+    """An operation whose record is to be written, and the encoded record."""
 
     operation: AnyOperation
     value: dict[str, Any]
 
 
 class RecordWriter:
-    """Keeps the stored records of a term in step with its operation log.
+    """Keeps the stored records of a term in sync with its operation log.
 
-    Every method raises `LeadershipLostError` where another leader shows.
+    Every method raises `LeadershipLostError` if the store shows that the term is over.
     """
 
     def __init__(self, context: Term, operation_log: OperationLog) -> None:
         self._context = context
         self._operation_log = operation_log
-        self._write_lock = curio.Lock()  # so that a record is put once at a time
-        self._unconfirmed: dict[str, AnyOperation] = {}  # whose records may have been written
+        self._write_lock = curio.Lock()  # prevents concurrent writes of a record
+        self._unconfirmed: dict[str, AnyOperation] = {}  # outcome of the write unknown
 
     # -- writing ---------------------------------------------------------------
 
     async def write_due(self) -> None:
         """Write the records that are due.
 
-        What the store does not take now stays due; what it can't take ever is refused.
+        Records stay due while the store is unavailable; those it cannot accept are refused.
         """
         context = self._context
         limit = min(context.max_txn_ops, max(1, MAX_TXN_VALUE_BYTES // context.max_value_bytes))
@@ -65,7 +65,7 @@
                     return
 
     def _storable(self, operations: list[AnyOperation]) -> list[PendingRecord]:
-        """The records that can be stored; the operations of the others are refused."""
+        """Return the records that can be stored; refuse the operations of the others."""
         pending = []
         for operation in operations:
             try:
@@ -77,7 +77,7 @@
         return pending
 
     async def _write(self, pending: list[PendingRecord]) -> bool:
-        """One transaction; whether one more may settle what it left."""
+        """Write records in one transaction; return whether a further one may be tried at once."""
         context = self._context
         operations = [record.operation for record in pending]
         conditions = context.preconditions() + [
@@ -92,9 +92,9 @@
                 [each for each in operations if each.key in exc.keys]
             )
         except OutcomeUnknownError as exc:
-            # It may yet be carried out: the operation is recorded under the same key again.
+            # The write may still be applied, so the next attempt uses the same key.
             self._unconfirmed.update({operation.key: operation for operation in operations})
-            log.debug("operations perhaps not recorded: %s", exc)
+            log.debug("outcome of writing operation records unknown: %s", exc)
             return False
         except StoreUnavailableError as exc:
             if exc.malformed:
@@ -108,7 +108,7 @@
         return True
 
     async def _write_individually(self, pending: list[PendingRecord], reason: str) -> bool:
-        """The store takes a transaction in no case: each record goes alone, to find which."""
+        """Write each record in its own transaction to find those that the store rejects."""
         if len(pending) == 1:
             operation = pending[0].operation
             self._refuse(operation, RefusalCause.UNSTORABLE, f"refused by the store: {reason}")
@@ -117,9 +117,9 @@
         return all(resolved)
 
     async def _resolve_conflicts(self, operations: list[AnyOperation]) -> bool:
-        """Keys that exist already: an earlier try without an answer wrote them, or somebody else.
+        """Resolve conflicts on keys that exist already; return whether all were resolved.
 
-        Whether all of them could be settled.
+        The keys were written by an earlier attempt that got no answer, or by another writer.
         """
         resolved = [await self._resolve_conflict(operation) for operation in operations]
         return bool(resolved) and all(resolved)
@@ -131,7 +131,7 @@
             log.debug("record %s not read: %s", operation.key, exc)
             return False
         if entry is None:
-            return False  # removed since: it is put again
+            return False  # removed in the meantime: the record is written again
         if _token(entry.data) == operation.record.by:
             self._mark_recorded([operation], await curio.clock())
         else:
@@ -156,7 +156,7 @@
     # -- removal ---------------------------------------------------------------
 
     async def remove_due(self) -> None:
-        """Remove the records of operations that are over, in one transaction."""
+        """Remove the records of ended operations in one transaction."""
         now = await curio.clock()
         due = self._operation_log.operations_to_close(now, self._context.max_txn_ops)
         stored = [
@@ -171,7 +171,7 @@
             except PreconditionFailedError:
                 raise LeadershipLostError("the leadership mark has changed") from None
             except KeyValueStoreError as exc:
-                log.debug("%d records stay: %s", len(stored), exc)
+                log.debug("%d operation records not removed: %s", len(stored), exc)
                 return
         for operation in stored:
             self._unconfirmed.pop(operation.key, None)
--- a/topazhold/operations/records.py
+++ b/topazhold/operations/records.py
@@ -1,8 +1,8 @@
-"""Records of cloud operations in the key-value store, checked when written and when read.
+"""Records of cloud operations in the key-value store, validated on writing and on reading.
 
-A record is written, on the precondition that the leadership holds, before its operation is
-sent, so that a successor can complete it. Its key names the term and a number within the term,
-and is never used twice. Keys and fields keep the names of the first version.
+A record is written before its operation is sent, on the precondition that the term still lasts,
+so that a successor can complete the operation. Its key consists of the term and a number within
+the term, and is never reused. Keys and fields keep the names of the first version.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 SCALE_OUT_PREFIX = "duty/rental/"
 CLEANUP_PREFIX = "duty/cleanup/"
 
-#: Characters of a name and of a reason; longer names are refused, longer reasons cut.
+#: Maximum characters of a name and of a reason; longer names are refused, longer reasons cut.
 MAX_NAME_LENGTH = 200
 MAX_REASON_LENGTH = 60
-#: Parts of one clean-up, at the most.
+#: Maximum parts of one clean-up.
 MAX_PARTS = 1000
-#: Size of a record without its machines, in bytes of JSON, at the most.
+#: Maximum size of a record without its machines, in bytes of JSON.
 RECORD_OVERHEAD_BYTES = 400
-#: The largest term or number.
+#: Maximum term or number: the largest signed 64-bit integer.
 MAX_INTEGER = 2**63 - 1
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
@@ -77,7 +77,7 @@
 
     @property
     def kind(self) -> MachineKind:
-        """What the cloud may have none of."""
+        """Return the kind of machine requested; capacity backoff is kept per kind."""
         return MachineKind(self.machine_type, self.zone, self.spot)
 
 
@@ -100,16 +100,16 @@
 
 
 class InvalidRecordError(ValueError):
-    """A record that can't be read or must not be written."""
+    """A record cannot be decoded or must not be stored."""
 
 
 def operation_key(prefix: str, term: int, number: int) -> str:
-    """The key of an operation; in key order the oldest of a kind come first."""
+    """Return the key of an operation; key order sorts the operations of a prefix by age."""
     return f"{prefix}{term:012d}-{number:08d}"
 
 
 def key_of(record: OperationRecord) -> str:
-    """The key that a record belongs under.
+    """Return the key under which a record is stored.
 
     Raises:
         InvalidRecordError: records of this type are not stored.
@@ -121,10 +121,10 @@
 
 
 def encode_record(record: OperationRecord) -> dict[str, Any]:
-    """The value to store.
+    """Return the value to store.
 
     Raises:
-        InvalidRecordError: the record could not be read again.
+        InvalidRecordError: the value could not be decoded again.
     """
     value: dict[str, Any] = msgspec.to_builtins(record)
     try:
@@ -135,10 +135,10 @@
 
 
 def storable_value(record: OperationRecord, max_value_bytes: int) -> dict[str, Any]:
-    """The value to store, of `max_value_bytes` bytes at the most.
+    """Return the value to store, of at most `max_value_bytes` bytes.
 
     Raises:
-        InvalidRecordError: the record could not be read again, or is too large.
+        InvalidRecordError: the value could not be decoded again, or is too large.
     """
     value = encode_record(record)
     size = json_size(value)
@@ -148,7 +148,7 @@
 
 
 def decode_record(key: str, value: Any) -> OperationRecord:
-    """The record that is stored under a key.
+    """Return the record that is stored under a key.
 
     Raises:
         InvalidRecordError: the value is malformed, or belongs under another key.
@@ -166,7 +166,7 @@
 
 
 def split_machines(machines: Mapping[str, str], max_value_bytes: int) -> Iterator[dict[str, str]]:
-    """Machines with their reasons, in portions that each fit a value of `max_value_bytes` bytes."""
+    """Split machines, mapped to their reasons, into batches that each fit a stored value."""
     batch: dict[str, str] = {}
     size = RECORD_OVERHEAD_BYTES
     for name, reason in machines.items():
--- a/topazhold/operations/refused_operations.py
+++ b/topazhold/operations/refused_operations.py
@@ -1,4 +1,4 @@
-"""Operations of a term whose records can't be stored, and what follows for later decisions."""
+"""Operations of a term whose records cannot be stored, and their effect on later decisions."""
 
 from __future__ import annotations
 
@@ -11,33 +11,33 @@
 from topazhold.operations.descriptions import describe
 from topazhold.operations.records import ScaleOutRecord, split_machines
 
-#: Refused operations kept to be shown; the oldest are forgotten.
+#: Maximum refused operations kept for `topazhold duties`; the oldest are dropped.
 MAX_SHOWN_OPERATIONS = 8
-#: Characters of a reason that are shown.
+#: Maximum characters of a reason that is shown.
 MAX_SHOWN_REASON_LENGTH = 120
 
 
 class RefusalCause(Enum):
-    """Why a record can't be stored."""
+    """The cause for which a record cannot be stored."""
 
     UNSTORABLE = "the record is invalid, too large, or refused by the store"
     KEY_TAKEN = "another record stands under its key"
 
 
 class RefusedOperation(NamedTuple):
-    """What is told of a refused operation."""
+    """A refused operation as reported to operators."""
 
     key: str
     kind: str
     reason: str
 
     def pack(self) -> list[str]:
-        """The form that the leader's summary in the key-value store carries."""
+        """Return the encoding used in the leader's summary in the key-value store."""
         return [self.key, self.kind, self.reason[:MAX_SHOWN_REASON_LENGTH]]
 
 
 def unpack_refused(data: Any) -> list[RefusedOperation]:
-    """Refused operations as a summary carries them; what can't be read is left out."""
+    """Decode the refused operations of a summary; malformed ones are skipped."""
     operations = []
     for item in data if isinstance(data, list) else ():
         if isinstance(item, list) and len(item) == len(RefusedOperation._fields):
@@ -46,24 +46,25 @@
 
 
 class RefusedOperations:
-    """Remembers what was refused, so that the same is not decided again in each round.
+    """Remembers refused operations, so that they are not decided again in every round.
 
-    A scale-in of several machines is decided anew machine by machine, so that one name that
-    can't be recorded holds up no other; a single machine is not decided on again.
+    After the refusal of a scale-in of several machines, each machine gets a scale-in of its own,
+    so that a name that cannot be recorded does not hold up the others. A machine whose own
+    scale-in is refused gets no further one.
     """
 
     def __init__(self) -> None:
         self.recent: deque[RefusedOperation] = deque(maxlen=MAX_SHOWN_OPERATIONS)
         self._scale_outs: list[ScaleOutRecord] = []
-        self._individually: set[str] = set()  # machines that get a scale-in each
+        self._individually: set[str] = set()  # machines that get a scale-in of their own
         self._unrecordable: set[str] = set()  # machines whose own scale-in was refused
 
     def add(self, operation: AnyOperation, cause: RefusalCause, reason: str) -> None:
-        """An operation is refused."""
+        """Remember a refused operation."""
         kind, _ = describe(operation.record)
         self.recent.append(RefusedOperation(operation.key, kind, reason))
         if cause is RefusalCause.KEY_TAKEN:
-            return  # decided anew, it gets another key
+            return  # the next decision uses another key
         if isinstance(operation, ScaleInOperation):
             names = operation.record.machines
             (self._individually if len(names) > 1 else self._unrecordable).update(names)
@@ -71,16 +72,16 @@
             self._scale_outs.append(operation.record)
 
     def take_scale_outs(self) -> list[ScaleOutRecord]:
-        """Scale-outs that were refused since this was last called."""
+        """Return the scale-outs refused since the last call."""
         scale_outs, self._scale_outs = self._scale_outs, []
         return scale_outs
 
     def is_recordable(self, name: str) -> bool:
-        """Whether a scale-in of the machine may be decided."""
+        """Return whether a scale-in of the machine may be decided."""
         return name not in self._unrecordable
 
     def batches(self, reasons: Mapping[str, str], max_value_bytes: int) -> Iterator[dict[str, str]]:
-        """Machines with their reasons, in portions for one record each."""
+        """Split machines, mapped to their reasons, into one batch per record."""
         together = {name: why for name, why in reasons.items() if name not in self._individually}
         yield from split_machines(together, max_value_bytes)
         for name, why in reasons.items():
@@ -88,6 +89,6 @@
                 yield from split_machines({name: why}, max_value_bytes)
 
     def forget_machine(self, name: str) -> None:
-        """A machine is gone."""
+        """Drop all state about a machine that is gone."""
         self._individually.discard(name)
         self._unrecordable.discard(name)
--- a/topazhold/operations/released_machines.py
+++ b/topazhold/operations/released_machines.py
@@ -1,31 +1,31 @@
 """Names of machines that other controllers have released.
 
-A machine with a task of a cancelled job is released also by a controller that can't record
-it. Once the cloud has answered, that controller tells all others. A machine's name is never
-used twice, so what was true once stays true.
+A controller releases a machine with a task of a cancelled job even if it cannot record the
+release. Once the cloud has confirmed it, the controller informs all others. Machine names are
+never reused, so an entry never becomes wrong.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-#: Machines remembered; the oldest are forgotten.
+#: Maximum machine names kept; the oldest are dropped.
 MAX_REMEMBERED_MACHINES = 5000
 
 
 class ReleasedMachines:
-    """Machines that are gone, as this controller was told; bounded."""
+    """A bounded set of the machines that other controllers have reported as released."""
 
     def __init__(self) -> None:
         self._names: dict[str, None] = {}
 
     def add(self, names: Iterable[str]) -> None:
-        """Remember machines that are gone."""
+        """Add machines that are gone."""
         for name in names:
             self._names[name] = None
             if len(self._names) > MAX_REMEMBERED_MACHINES:
                 del self._names[next(iter(self._names))]
 
     def names(self) -> list[str]:
-        """All that are remembered, the oldest first."""
+        """Return all names, the oldest first."""
         return list(self._names)
--- a/topazhold/operations/requests.py
+++ b/topazhold/operations/requests.py
@@ -1,4 +1,4 @@
-"""Which open operations the next requests to the cloud are made for: pure functions."""
+"""Pure functions that choose the open operations for the next requests to the cloud."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
 from topazhold.operations.cloud_operations import ScaleInOperation, ScaleOutOperation
 
-#: Requests without an answer after which a scale-out no longer holds up others.
+#: Number of unanswered requests after which a scale-out no longer blocks others.
 MAX_BLOCKING_REQUESTS = 6
-#: Scale-outs without an answer, at the most; beyond, nothing more is requested.
+#: Maximum unanswered scale-outs; no more are decided beyond.
 MAX_OPEN_SCALE_OUTS = 8
 
 
 @dataclass(frozen=True)
 class ReleaseRequest:
-    """Machines to name in one release request to the cloud."""
+    """The machines of one release request to the cloud."""
 
     names: list[str]
-    repeated: bool  # whether some of it was requested before in this term
+    repeated: bool  # whether any of them was requested before in this term
 
 
 class DueRelease(NamedTuple):
-    """A machine that is to be released; in ascending order those that must go come first."""
+    """A machine to release; required releases sort before deferrable ones."""
 
     deferrable: bool
     name: str
@@ -36,9 +36,9 @@
     must_be_released: Callable[[str], bool],
     only_required: bool,
 ) -> list[DueRelease]:
-    """The machines of the next release request, as many as the protocol takes.
+    """Return the machines of the next release request, at most as many as the protocol allows.
 
-    `only_required`: those that may wait are left out.
+    With `only_required`, deferrable releases are left out.
     """
     due = [
         DueRelease(not must_be_released(name), name, operation)
@@ -52,11 +52,14 @@
 
 
 def may_scale_out(unanswered: Sequence[ScaleOutOperation]) -> bool:
-    """Whether more may be requested: what is under way must first be answered, within bounds."""
+    """Return whether another scale-out may be decided.
+
+    Open ones must be answered first, unless they have been requested without success too often.
+    """
     blocking = [each for each in unanswered if each.request_count < MAX_BLOCKING_REQUESTS]
     return not blocking and free_scale_out_slots(unanswered) > 0
 
 
 def free_scale_out_slots(unanswered: Sequence[ScaleOutOperation]) -> int:
-    """How many more scale-outs may be open at the same time."""
+    """Return how many more scale-outs may be open at the same time."""
     return max(0, MAX_OPEN_SCALE_OUTS - len(unanswered))
--- a/topazhold/operations/retention.py
+++ b/topazhold/operations/retention.py
@@ -1,4 +1,4 @@
-"""When the record of an operation that is over may be removed: a pure function."""
+"""A pure function that selects the records of ended operations to remove."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 from topazhold.operations.cloud_operations import AnyOperation, ScaleInOperation
 
-#: Scale-ins that are kept after their end; the oldest go first.
+#: Maximum confirmed scale-ins whose records are kept; the oldest are removed first.
 MAX_RETAINED_SCALE_INS = 256
 
 
 def removable(
     confirmed: Sequence[AnyOperation], retention_s: float, now: float
 ) -> list[AnyOperation]:
-    """Of the confirmed operations, oldest first, those whose records are to be removed now.
+    """Return the operations whose records are to be removed; `confirmed` is oldest first.
 
-    A scale-in is kept for `retention_s` seconds: the machine list is late, and a successor that
-    knew nothing of it would take the machine for one that is there, and release it once more.
+    The record of a scale-in is kept for `retention_s` seconds: the machine list lags behind, and
+    without the record a successor would consider the machine present and release it again.
     """
     scale_ins = [operation for operation in confirmed if isinstance(operation, ScaleInOperation)]
     excess = {
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -1,7 +1,7 @@
 """Scale-in: releases machines, each by one operation that is recorded first.
 
-`Scheduler.releases` says which machines are to go and why: idle, silent, failed, unreachable by
-commands, under a spot notice, or with cancelled tasks that can't be shown to be gone.
+`Scheduler.releases` maps the machines to release to the reasons: idle, silent, failed,
+unreachable by commands, under a spot notice, or with cancelled tasks not proven to be gone.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Names machines that were released without a record to the other controllers.
+#: Announces machines that were released without a record to the other controllers.
 AnnounceReleased = Callable[[list[str]], Awaitable[None]]
 
 
@@ -43,7 +43,7 @@
         self._announce_released = announce_released
 
     async def loop(self) -> None:
-        """Release what is to go, for as long as the term lasts."""
+        """Release machines for as long as the term lasts."""
         while True:
             await curio.sleep(self._context.retry_s)
             request = await self.next_request()
@@ -51,10 +51,10 @@
                 await self._send(request)
 
     async def next_request(self) -> ReleaseRequest | None:
-        """Decide and record what is new; the next request to send, if any.
+        """Decide and record new releases; return the next request to send, if any.
 
-        A leader in doubt of its lease must not release machines that another may be using.
-        Only machines with cancelled tasks have to go in any case.
+        A leader in doubt of its lease must not release machines that another leader may be
+        using, except those with cancelled tasks, which are released in any case.
         """
         scheduler, operation_log = self._context.scheduler, self._executor.operation_log
         if not scheduler.releases and not operation_log.open_operations():
@@ -73,7 +73,7 @@
         )
 
     def _bypass_records(self) -> None:
-        """Machines with cancelled tasks go also while nothing can be recorded."""
+        """Release machines with cancelled tasks even while nothing can be recorded."""
         scheduler, operation_log = self._context.scheduler, self._executor.operation_log
         unrecorded = {}
         for name, reason in scheduler.releases.items():
@@ -83,15 +83,15 @@
                     unrecorded[name] = reason
         operation_log.bypass_records(unrecorded, time.time())
         if unrecorded:
-            log.info("%d machines with cancelled tasks released without a record", len(unrecorded))
+            log.info("releasing %d machines with cancelled tasks without a record", len(unrecorded))
 
     async def _send(self, request: ReleaseRequest) -> None:
         again = " again" if request.repeated else ""
-        log.info("release of %d machines requested%s", len(request.names), again)
+        log.info("requesting the release of %d machines%s", len(request.names), again)
         try:
             await self._cloud.release(request.names)
         except CloudUnavailableError as exc:
-            log.debug("release: %s", exc)
+            log.debug("release of machines failed: %s", exc)
             return
         now = await curio.clock()
         operation_log = self._executor.operation_log
@@ -108,7 +108,7 @@
             await self._announce_released(unrecorded)
 
     async def released_by_peer(self, names: list[str], now: float) -> None:
-        """Another controller's release of these machines was confirmed: they are gone."""
+        """Remove machines whose release by another controller was confirmed."""
         self._executor.operation_log.mark_machines_gone(names, now)
         known = [name for name in names if name in self._context.scheduler.machines]
         for name in names:
@@ -118,7 +118,7 @@
             await self._context.request_plan()
 
     async def _remove_machines(self, names: list[str], now: float) -> None:
-        """The machines and all on them are gone: remove them, and their intents."""
+        """Remove machines that are gone, with their tasks and intents."""
         stale: set[IntentShard] = set()
         for name in names:
             self._context.scheduler.remove_machine(name, now)
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -1,4 +1,4 @@
-"""Scale-out: every request for machines is recorded under its name before it is sent."""
+"""Scale-out: requests machines; each request is recorded with its name before it is sent."""
 
 from __future__ import annotations
 
@@ -21,12 +21,13 @@
 
 log = logging.getLogger(__name__)
 
-#: Heartbeat intervals for which nothing more is requested of what the cloud does not have.
+#: How long no more machines of a kind are requested after the cloud had too few, in heartbeat
+#: intervals.
 CAPACITY_BACKOFF_HEARTBEATS = 4
 
 
 class ScaleOutExecutor:
-    """Requests the machines that the scheduler wants, and completes what was left open."""
+    """Requests the machines that the scheduler wants, and completes open scale-outs."""
 
     def __init__(
         self,
@@ -40,10 +41,10 @@
         self._cloud = cloud
         self._machines_listed = machines_listed  # set once a machine list of this term has arrived
         self._capacity_backoff_s = CAPACITY_BACKOFF_HEARTBEATS * context.heartbeat_interval_s
-        self._fleet_known_at = 0.0  # by the monotonic clock; 0: no list has arrived
+        self._fleet_known_at = 0.0  # in seconds of the monotonic clock; 0: no machine list yet
 
     async def loop(self) -> None:
-        """Scale out for as long as the term lasts; what was left open is completed at once."""
+        """Scale out for as long as the term lasts, completing open scale-outs first."""
         context = self._context
         while True:
             demand_left = False
@@ -54,10 +55,10 @@
             await curio.sleep(context.retry_s if demand_left else context.heartbeat_interval_s)
 
     async def _fleet_is_known(self) -> bool:
-        """Whether the machines that exist already are known.
+        """Return whether the existing machines are known.
 
-        A new leader waits for a machine list, and then for its lag: the last machines that its
-        predecessor requested are not listed at first.
+        A new leader waits for a machine list and then for the lag of the list: the last machines
+        that its predecessor requested are not listed at first.
         """
         if not self._machines_listed.is_set():
             return False
@@ -67,7 +68,7 @@
         return await curio.clock() >= self._fleet_known_at
 
     async def _scale_out(self) -> bool:
-        """Decide, record and send; whether so much is wanted that more is to be decided soon."""
+        """Decide, record and send scale-outs; return whether more should be decided soon."""
         operation_log = self._executor.operation_log
         wanted = self._context.scheduler.scale_out(await curio.clock())
         requests = wanted[: free_scale_out_slots(operation_log.unanswered_scale_outs())]
@@ -80,41 +81,41 @@
         return len(wanted) > len(requests) or wanted_machines >= MAX_SCALE_OUT_MACHINES
 
     async def _back_off_from_refused(self) -> None:
-        """What can't be recorded is not requested again at once."""
+        """Apply the capacity backoff to scale-outs that could not be recorded."""
         now = await curio.clock()
         for record in self._executor.operation_log.refused.take_scale_outs():
             capacity_backoff = self._context.scheduler.capacity_backoff
             capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
 
     async def _send_due(self) -> None:
-        """Send what is recorded and not answered yet."""
+        """Send all scale-outs that are recorded and not answered yet."""
         await self._executor.write_records()
         await self._back_off_from_refused()
         for operation in self._executor.operation_log.scale_outs_due():
             await self._cloud.wait_for_limits()
             if not await self._executor.lease_confirmed():
                 return
-            if operation.state is not OperationState.CONFIRMED:  # by being withdrawn
+            if operation.state is not OperationState.CONFIRMED:  # withdrawn meanwhile
                 await self._send(operation)
 
     async def _send(self, operation: ScaleOutOperation) -> None:
         record, operation_log = operation.record, self._executor.operation_log
         capacity_backoff = self._context.scheduler.capacity_backoff
         if operation_log.start_request(operation):
-            log.info("scale-out %s requested again", record.request)
+            log.info("requesting scale-out %s again", record.request)
         request = ScaleOutRequest(record.machine_type, record.zone, record.spot, record.count)
         try:
             names = await self._cloud.rent(record.request, request)
         except (CloudCapacityError, CloudRequestRejectedError) as exc:
             if isinstance(exc, CloudRequestRejectedError):
-                log.error("scale-out %s refused for good: %s", record.request, exc)
+                log.error("scale-out %s permanently refused: %s", record.request, exc)
             now = await curio.clock()
             capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
             operation_log.complete_scale_out(operation, [], now)
             operation_log.withdraw_unsent(operation, now)
             return
         except CloudUnavailableError as exc:
-            log.debug("scale-out %s: %s", record.request, exc)
+            log.debug("scale-out %s failed: %s", record.request, exc)
             return
         now = await curio.clock()
         operation_log.complete_scale_out(operation, names, now)
@@ -123,7 +124,13 @@
                 name, record.zone, record.spot, record.machine_type, now
             )
         price = "spot" if record.spot else "ordinary"
-        log.info("scale-out: %d of %d %s in %s", len(names), record.count, price, record.zone)
+        log.info(
+            "scale-out: got %d of %d %s machines in %s",
+            len(names),
+            record.count,
+            price,
+            record.zone,
+        )
         if len(names) < record.count:
             capacity_backoff.on_refused(*record.kind, self._capacity_backoff_s, now)
             operation_log.withdraw_unsent(operation, now)
--- a/topazhold/operations/schemas.py
+++ b/topazhold/operations/schemas.py
@@ -1,4 +1,4 @@
-"""JSON Schemas of the stored records, made from their types."""
+"""JSON Schemas of the stored records, generated from their types."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def schema_of(prefix: str) -> dict[str, Any]:
-    """The JSON Schema of the values under a prefix, whole by itself."""
+    """Return the self-contained JSON Schema of the values under a prefix."""
     (schema,), components = msgspec.json.schema_components(
         [RECORD_TYPES[prefix]], ref_template="#/$defs/{name}"
     )
@@ -25,7 +25,7 @@
 
 
 def render_page() -> str:
-    """The Markdown page of all schemas."""
+    """Return the Markdown page of all schemas."""
     parts = [PREAMBLE]
     for prefix in RECORD_TYPES:
         text = json.dumps(schema_of(prefix), indent=2, sort_keys=True)
--- a/topazhold/operations/term_operations.py
+++ b/topazhold/operations/term_operations.py
@@ -1,4 +1,4 @@
-"""All cloud operations of one term: their log, and the loops that carry them out."""
+"""The cloud operations of one term: their log and the loops that carry them out."""
 
 from __future__ import annotations
 
@@ -23,25 +23,25 @@
 
 log = logging.getLogger(__name__)
 
-#: A scale-in's record is kept for as long as a machine list, or a late heartbeat, may still name
-#: the machine: so many lags of the list and leases of the workers.
+#: How long the record of a scale-in is kept after its end, in lags of the cloud's machine list and
+#: in worker leases: until then, a machine list or a late heartbeat may still name the machine.
 RETENTION_LIST_LAGS = 4.0
 RETENTION_WORKER_LEASES = 2.0
 
 
 @dataclass(frozen=True)
 class OperationSettings:
-    """The settings that operations depend on; times in seconds."""
+    """The settings of operations; times are in seconds."""
 
     controller_lease_s: float
-    retention_s: float  # how long the record of a scale-in outlasts its end
+    retention_s: float  # how long the record of a scale-in is kept after its end
     record_operations: bool
 
     @classmethod
     def from_settings(
         cls, settings: Settings, operator: OperatorSettings, controller_lease_s: float
     ) -> OperationSettings:
-        """Out of the platform's and the operators' settings."""
+        """Return the settings that follow from the platform's and the operators' settings."""
         cloud, workers = settings.cluster.cloud, settings.cluster.workers
         retention_s = (
             RETENTION_LIST_LAGS * cloud.list_lag_s + RETENTION_WORKER_LEASES * workers.lease_s
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class OperationServices:
-    """What operations reach outside their package, besides the term itself."""
+    """The dependencies of operations on other packages, besides the term itself."""
 
     cloud: CloudRequests
     intents: IntentPruner
@@ -60,7 +60,7 @@
 
 
 class TermOperations:
-    """What the leader of one term does outside the cluster's state, by recorded operations."""
+    """Decides, records and carries out the cloud operations of one term."""
 
     def __init__(
         self,
@@ -94,7 +94,10 @@
         context.clean_up = self._cleanup.on_job_ended
 
     async def rebuild(self, entries: list[Entry], released: list[str]) -> None:
-        """Adopt what earlier terms left open; `released` machines are known to be gone."""
+        """Adopt the operations that earlier terms left open.
+
+        `released` are machines that other controllers have reported as released.
+        """
         now = await curio.clock()
         self.executor.begin(now)
         rebuild_operations(self._context.scheduler, self.operation_log, entries, now)
@@ -105,14 +108,14 @@
                 for operation in self.operation_log.open_operations()
             )
             log.info(
-                "term %d adopts %d operations, %d of them scale-ins",
+                "term %d adopted %d operations, %d of them scale-ins",
                 self._context.term,
                 self.operation_log.counters.adopted,
                 scale_ins,
             )
 
     def loops(self) -> tuple[Callable[[], Awaitable[None]], ...]:
-        """The loops to run while the term lasts."""
+        """Return the loops to run for as long as the term lasts."""
         return (
             self._scale_out.loop,
             self.scale_in.loop,
@@ -122,7 +125,7 @@
         )
 
     def log_totals(self) -> None:
-        """Log one line about all operations of the term."""
+        """Log the totals of all operations of the term."""
         counters = self.operation_log.counters
         log.info(
             "operations of term %d: %d decided, %d adopted, %d superseded, %d sent unrecorded, "
