--- a/topazhold/operations/refused_operations.py
+++ b/topazhold/operations/refused_operations.py
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self.recent: deque[RefusedOperation] = deque(maxlen=MAX_SHOWN_OPERATIONS)
         self._scale_outs: list[ScaleOutRecord] = []
-        self._individually: set[str] = set()  # machines that get a scale-in of their own
+        self._released_individually: set[str] = set()  # machines that get a scale-in of their own
         self._unrecordable: set[str] = set()  # machines whose own scale-in was refused
 
     def add(self, operation: AnyOperation, cause: RefusalCause, reason: str) -> None:
@@ -67,7 +67,7 @@
             return  # the next decision uses another key
         if isinstance(operation, ScaleInOperation):
             names = operation.record.machines
-            (self._individually if len(names) > 1 else self._unrecordable).update(names)
+            (self._released_individually if len(names) > 1 else self._unrecordable).update(names)
         elif isinstance(operation, ScaleOutOperation):
             self._scale_outs.append(operation.record)
 
@@ -82,13 +82,15 @@
 
     def batches(self, reasons: Mapping[str, str], max_value_bytes: int) -> Iterator[dict[str, str]]:
         """Split machines, mapped to their reasons, into one batch per record."""
-        together = {name: why for name, why in reasons.items() if name not in self._individually}
+        together = {
+            name: why for name, why in reasons.items() if name not in self._released_individually
+        }
         yield from split_machines(together, max_value_bytes)
         for name, why in reasons.items():
-            if name in self._individually:
+            if name in self._released_individually:
                 yield from split_machines({name: why}, max_value_bytes)
 
     def forget_machine(self, name: str) -> None:
         """Drop all state about a machine that is gone."""
-        self._individually.discard(name)
+        self._released_individually.discard(name)
         self._unrecordable.discard(name)
