--- a/tests/test_compare_messages.py
+++ b/tests/test_compare_messages.py
@@ -50,17 +50,17 @@
     """Change the maps that go out, where all senders encode them."""
     dumps = cbor2.dumps
 
-    def changed(value: Any, *args: Any, **kwargs: Any) -> bytes:
+    def dumps_changed(value: Any, *args: Any, **kwargs: Any) -> bytes:
         return dumps(change(value) if isinstance(value, dict) else value, *args, **kwargs)
 
-    cbor2.dumps = changed  # type: ignore[assignment]
+    cbor2.dumps = dumps_changed  # type: ignore[assignment]
 
 
 def drop_one_clear() -> None:
     """The first task to be cleared is not: its command is missing."""
     dropped: list[tuple[str, int]] = []
 
-    def drops(command: dict[str, Any]) -> bool:
+    def is_dropped(command: dict[str, Any]) -> bool:
         if command["call"] != "clear":
             return False
         task = (command["frame"], command["try"])
@@ -71,7 +71,9 @@
     def change(message: dict[str, Any]) -> dict[str, Any]:
         if "calls" not in message:
             return message
-        return message | {"calls": [each for each in message["calls"] if not drops(each)]}
+        return message | {
+            "calls": [command for command in message["calls"] if not is_dropped(command)]
+        }
 
     _change_outgoing(change)
 
@@ -123,8 +125,8 @@
 def test_first_difference_is_found(
     work: list[str], index: int, base_message: str | None, work_message: str | None
 ) -> None:
-    found = first_difference(MESSAGES, work)
-    assert found == (index, Difference(index, base_message, work_message))
+    result = first_difference(MESSAGES, work)
+    assert result == (index, Difference(index, base_message, work_message))
 
 
 def test_equal_messages_are_counted() -> None:
@@ -133,7 +135,7 @@
     assert first_difference([], []) == (0, None)
 
 
-def test_a_version_equals_itself() -> None:
+def test_version_equals_itself() -> None:
     assert len(recorded()) > 500
     kinds = {json.loads(line)["kind"] for line in recorded()}
     assert kinds >= {"request", "answer", "frame"}
@@ -141,18 +143,18 @@
     assert outcomes == [Outcome(SHORT_DAY, len(recorded()), None)]
 
 
-def test_a_command_that_is_missing_is_found() -> None:
+def test_missing_command_is_found() -> None:
     base, work = parsed_difference("drop_one_clear")
     assert base["kind"] == work["kind"]
     calls = base["body"]["calls"]
-    left = work["body"].pop("calls")
-    assert len(left) == len(calls) - 1
-    (missing,) = [call for call in calls if call not in left]
+    remaining = work["body"].pop("calls")
+    assert len(remaining) == len(calls) - 1
+    (missing,) = [call for call in calls if call not in remaining]
     assert missing["call"] == "clear"
     assert base["body"] == work["body"] | {"calls": calls}
 
 
-def test_operations_in_another_order_are_found() -> None:
+def test_reordered_operations_are_found() -> None:
     base, work = parsed_difference("reorder_operations")
     assert base["path"] == "/multi"
     assert base["body"]["then"] != work["body"]["then"]
@@ -174,7 +176,7 @@
     ],
     ids=["equal", "different"],
 )
-def test_exit_code_tells_the_outcome(
+def test_exit_code_depends_on_the_outcome(
     difference: Difference | None, exit_code: int, text: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     outcomes = [Outcome(SHORT_DAY, 3, None), Outcome(SHORT_DAY, 3, difference)]
@@ -184,20 +186,20 @@
     assert text in result.output
 
 
-def test_a_day_that_is_not_played_ends_with_an_exit_code_of_its_own(
+def test_failure_to_play_a_day_has_its_own_exit_code(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def fails(*_: Any) -> Any:
+    def fail(*_: Any) -> Any:
         raise PlayError("seed 8")
 
-    monkeypatch.setattr(compare_messages, "compare", fails)
+    monkeypatch.setattr(compare_messages, "compare", fail)
     assert CliRunner().invoke(main, ["--base", "HEAD"]).exit_code == 2
 
 
 # -- what is played and recorded -----------------------------------------------
 
 
-def test_sources_of_a_commit_last_as_long_as_the_context() -> None:
+def test_extracted_sources_are_deleted_with_the_context() -> None:
     with extract_sources("HEAD") as folder:
         assert {path.name for path in folder.iterdir()} == set(SOURCES)
     assert not folder.exists()
@@ -205,7 +207,7 @@
         pass
 
 
-def test_a_day_that_can_not_be_played_is_no_equal_day(tmp_path: Path) -> None:
+def test_day_that_cannot_be_played_is_an_error(tmp_path: Path) -> None:
     with pytest.raises(PlayError, match="No module named 'topazhold'"):
         record(tmp_path, SHORT_DAY, tmp_path / "out")
     check_sources(ROOT)
@@ -221,14 +223,16 @@
     assert sum("MANY" in day.kinds for day in days) >= 6
 
 
-def test_places_are_tried_in_order() -> None:
-    here = f"{__name__}:MESSAGES"
-    assert find_value(("tests.no_such_module:name", f"{__name__}:no_such_name", here)) is MESSAGES
+def test_first_place_that_exists_is_used() -> None:
+    existing = f"{__name__}:MESSAGES"
+    assert (
+        find_value(("tests.no_such_module:name", f"{__name__}:no_such_name", existing)) is MESSAGES
+    )
     with pytest.raises(UnknownLayoutError, match="no_such_name"):
         find_value((f"{__name__}:no_such_name",))
 
 
-def test_bodies_keep_their_types_but_not_the_order_of_maps() -> None:
+def test_canonical_bodies_keep_types_but_not_the_order_of_maps() -> None:
     assert json.dumps(canonical({"b": 1, "a": 2})) == json.dumps(canonical({"a": 2, "b": 1}))
     assert json.dumps(canonical([1, 2])) != json.dumps(canonical([2, 1]))
     values = [1, 1.0, "1", True, b"1", None, {1}, [1], {"1": 1}, {1: 1}]
--- a/tests/test_cpu_accounting.py
+++ b/tests/test_cpu_accounting.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self.now = 50.0
 
-    def work(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         self.now += seconds
 
 
@@ -26,7 +26,7 @@
     return clock
 
 
-def taken(cpu_accounting: CpuAccounting) -> dict[WorkCategory, tuple[float, int]]:
+def nonzero_usage(cpu_accounting: CpuAccounting) -> dict[WorkCategory, tuple[float, int]]:
     """Seconds and pieces of all duties that had any."""
     return {
         category: (usage.seconds, usage.slices)
@@ -35,7 +35,7 @@
     }
 
 
-def run(
+def run_in_categories(
     cpu_accounting: CpuAccounting, *loops: tuple[WorkCategory, Callable[[], Awaitable[None]]]
 ) -> None:
     async def main() -> None:
@@ -46,62 +46,64 @@
     curio.run(main, activations=[cpu_accounting])
 
 
-def test_a_task_that_waits_for_another_does_not_count_its_work(clock: Clock) -> None:
+def test_time_spent_waiting_for_another_task_is_not_counted(clock: Clock) -> None:
     cpu_accounting = CpuAccounting()
     ready = curio.Event()
 
     async def plan() -> None:
-        clock.work(2.0)
+        clock.advance(2.0)
         await ready.set()
-        clock.work(1.0)
+        clock.advance(1.0)
 
     async def report() -> None:
         await ready.wait()
-        clock.work(0.5)
+        clock.advance(0.5)
 
-    run(cpu_accounting, (WorkCategory.HEARTBEATS, report), (WorkCategory.PLANNING, plan))
-    found = taken(cpu_accounting)
-    assert found[WorkCategory.PLANNING] == (3.0, 1)
-    assert found[WorkCategory.HEARTBEATS] == (0.5, 2)
+    run_in_categories(
+        cpu_accounting, (WorkCategory.HEARTBEATS, report), (WorkCategory.PLANNING, plan)
+    )
+    measured = nonzero_usage(cpu_accounting)
+    assert measured[WorkCategory.PLANNING] == (3.0, 1)
+    assert measured[WorkCategory.HEARTBEATS] == (0.5, 2)
     assert cpu_accounting.report_line().startswith(
         "busy 100.0% of 4 s: planning 85.71% (1, 3000.00 ms, at most 3000)"
     )
 
 
-def test_a_piece_of_work_counts_for_the_category_that_it_turns_out_to_be_of(clock: Clock) -> None:
+def test_slice_counts_for_the_category_that_is_set_during_it(clock: Clock) -> None:
     """A connection does not know what it serves before it has read the request."""
     cpu_accounting = CpuAccounting()
 
     async def connection() -> None:
         for category in (WorkCategory.HEARTBEATS, WorkCategory.USERS):
-            clock.work(1.0)
+            clock.advance(1.0)
             cpu_accounting.set_category(category)
-            clock.work(1.0)
+            clock.advance(1.0)
             await curio.sleep(0)
 
-    async def untold() -> None:
-        clock.work(1.0)
+    async def uncategorized() -> None:
+        clock.advance(1.0)
 
     async def main() -> None:
         await curio.spawn(connection, daemon=True)
         await curio.sleep(0)
-        await (await curio.spawn(untold)).join()
+        await (await curio.spawn(uncategorized)).join()
 
     curio.run(main, activations=[cpu_accounting])
-    found = taken(cpu_accounting)
-    assert found[WorkCategory.HEARTBEATS] == (2.0, 1)
-    assert found[WorkCategory.USERS] == (2.0, 2)  # and its end
-    assert found[WorkCategory.OTHER][0] == 1.0
+    measured = nonzero_usage(cpu_accounting)
+    assert measured[WorkCategory.HEARTBEATS] == (2.0, 1)
+    assert measured[WorkCategory.USERS] == (2.0, 2)  # and its end
+    assert measured[WorkCategory.OTHER][0] == 1.0
 
 
-def test_a_statement_begins_the_next_one(clock: Clock) -> None:
+def test_report_resets_the_usage(clock: Clock) -> None:
     cpu_accounting = CpuAccounting()
 
     async def work() -> None:
-        clock.work(3.0)
+        clock.advance(3.0)
 
-    run(cpu_accounting, (WorkCategory.CLOUD, work))
+    run_in_categories(cpu_accounting, (WorkCategory.CLOUD, work))
     assert "cloud" in cpu_accounting.report_line()
-    clock.work(4.0)
+    clock.advance(4.0)
     assert cpu_accounting.report_line().startswith("busy 0.0% of 4 s: ;")
     assert cpu_accounting._categories == {}, "tasks that have ended are forgotten"
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -25,7 +25,7 @@
 from topazhold.operator_settings import OperatorSettings
 
 
-def cancelled_run(scheduler: Scheduler, number: int, name: str, now: float) -> TaskAttempt:
+def add_cancelled_task(scheduler: Scheduler, number: int, name: str, now: float) -> TaskAttempt:
     job = Job(make_spec(number, tasks=1, shape="batch"), now, 0.0, "hive-0")
     scheduler.add_job(job)
     attempt = TaskAttempt(job, 0, 1, name, now)
@@ -37,26 +37,28 @@
     return attempt
 
 
-def test_living_and_cancelled_are_commanded_first(harness: SchedulerHarness) -> None:
+def test_responsive_machines_and_cancelled_tasks_are_commanded_first(
+    harness: SchedulerHarness,
+) -> None:
     scheduler = harness.scheduler
     harness.now += 3 * scheduler.heartbeat_interval_s
     harness.heartbeat("host-2", zone="a")
     harness.heartbeat("host-3", zone="b")
-    cancelled_run(scheduler, 7, "host-3", harness.now)
+    add_cancelled_task(scheduler, 7, "host-3", harness.now)
     order = scheduler.command_order(["host-0", "host-1", "host-2", "host-3"], harness.now)
     assert [machine.name for machine in order] == ["host-3", "host-2", "host-0", "host-1"]
 
 
-class DeadClient:
+class UnresponsiveClient:
     """A connection to a worker that never answers."""
 
-    asked: list[str] = []
+    requested_hosts: list[str] = []
 
-    def __init__(self, address: tuple[str, int], keep: int) -> None:
-        self._name = address[0]
+    def __init__(self, address: tuple[str, int], max_idle: int) -> None:
+        self._host = address[0]
 
     async def request(self, *args: Any) -> Any:
-        DeadClient.asked.append(self._name)
+        UnresponsiveClient.requested_hosts.append(self._host)
         await curio.sleep(args[-1])
         raise NoResponseError("dead")
 
@@ -64,7 +66,7 @@
         pass
 
 
-def fleet(machines: int) -> tuple[TermContext, Scheduler]:
+def make_context(machines: int) -> tuple[TermContext, Scheduler]:
     settings = make_settings("hive-0", "a", [])
     scheduler = Scheduler(
         settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
@@ -78,40 +80,44 @@
     return context, scheduler
 
 
-def test_dead_machines_do_not_keep_kills_from_the_living(
+def test_silent_machines_do_not_delay_kills_on_responsive_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Sixteen at a time in order of name: the last of 300 was told after 20 s."""
 
     async def main(clock: VirtualTime) -> None:
-        DeadClient.asked.clear()
-        context, scheduler = fleet(300)
-        living = scheduler.machines["host-000299"]
-        living.last_heartbeat_at = await curio.clock()
+        UnresponsiveClient.requested_hosts.clear()
+        context, scheduler = make_context(300)
+        responsive = scheduler.machines["host-000299"]
+        responsive.last_heartbeat_at = await curio.clock()
         for number, name in enumerate(scheduler.machines):
-            cancelled_run(scheduler, number, name, clock.now)
-        to_command = DirectCommands(context, 640, DeadClient, lambda heartbeat: None)  # type: ignore[arg-type]
-        await to_command.send_due()
+            add_cancelled_task(scheduler, number, name, clock.now)
+        direct_commands = DirectCommands(context, 640, UnresponsiveClient, lambda heartbeat: None)  # type: ignore[arg-type]
+        await direct_commands.send_due()
         await curio.sleep(0.01)
-        assert "10.0.1.49" in DeadClient.asked
-        assert len(DeadClient.asked) < 20, "places stay free for those who answer"
+        assert "10.0.1.49" in UnresponsiveClient.requested_hosts
+        assert len(UnresponsiveClient.requested_hosts) < 20, "places stay free for those who answer"
 
     run_virtual(main, monkeypatch)
 
 
-def test_machines_with_cancelled_work_are_released_first(
+def test_machines_with_cancelled_tasks_are_released_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A hundred names a request, in order of name: the machine that had to go waited."""
 
     async def main(clock: VirtualTime) -> None:
-        context, scheduler = fleet(250)
+        context, scheduler = make_context(250)
         for machine in list(scheduler.machines.values()):
             scheduler.release(machine, "idle", clock.now)
-        cancelled_run(scheduler, 1, "host-000249", clock.now)
-        book = OperationLog(context.node, context.term, context.max_value_bytes, retention_s=1.0)
-        book.mark_recorded(book.decide_scale_in(scheduler.releases, clock.now), clock.now)
-        request = book.release_request(scheduler.must_be_released, only_required=False)
+        add_cancelled_task(scheduler, 1, "host-000249", clock.now)
+        operation_log = OperationLog(
+            context.node, context.term, context.max_value_bytes, retention_s=1.0
+        )
+        operation_log.mark_recorded(
+            operation_log.decide_scale_in(scheduler.releases, clock.now), clock.now
+        )
+        request = operation_log.release_request(scheduler.must_be_released, only_required=False)
         assert request is not None
         assert len(request.names) == MAX_RELEASED_MACHINES and request.names[0] == "host-000249"
 
--- a/tests/test_follower_heartbeats.py
+++ b/tests/test_follower_heartbeats.py
@@ -7,75 +7,79 @@
 from topazhold.wire.workers import Heartbeat, TaskStatus
 
 
-def report(
+def make_heartbeat(
     term: int = 7, machine: str = "host-1", zone: str = "a", busy: bool = False
 ) -> Heartbeat:
     tasks = [TaskStatus("wk-1/0", 1, "running")] if busy else []
     return Heartbeat(machine, "h:1", "b1", zone, False, 1, 1, term, tasks)
 
 
-def follower(leader: str | None = "hive-1", term: int = 7) -> tuple[FollowerHeartbeats, Leadership]:
-    lead = Leadership("hive-0")
-    lead.term, lead.leader = term, leader
-    return FollowerHeartbeats(lead, "a", 2, FollowerTiming(2.0, lease_s=10.0), now=0.0), lead
+def make_follower(
+    leader: str | None = "hive-1", term: int = 7
+) -> tuple[FollowerHeartbeats, Leadership]:
+    leadership = Leadership("hive-0")
+    leadership.term, leadership.leader = term, leader
+    return FollowerHeartbeats(
+        leadership, "a", 2, FollowerTiming(2.0, lease_s=10.0), now=0.0
+    ), leadership
 
 
-def test_sends_workers_to_a_leader_that_lives() -> None:
-    follower_heartbeats, _ = follower()
+def test_redirects_workers_to_a_live_leader() -> None:
+    follower_heartbeats, _ = make_follower()
     follower_heartbeats.on_ping("hive-1", True, [], 5.0)
-    assert not follower_heartbeats.should_serve(report(), 5.5)
+    assert not follower_heartbeats.should_serve(make_heartbeat(), 5.5)
 
 
-def test_keeps_workers_of_a_silent_leader_and_of_none() -> None:
-    follower_heartbeats, lead = follower()
+def test_serves_workers_if_the_leader_is_silent_or_unknown() -> None:
+    follower_heartbeats, leadership = make_follower()
     follower_heartbeats.on_ping("hive-1", True, [], 5.0)
-    assert follower_heartbeats.should_serve(report(), 9.0)
-    lead.leader = None
-    assert follower_heartbeats.should_serve(report(), 9.0)
+    assert follower_heartbeats.should_serve(make_heartbeat(), 9.0)
+    leadership.leader = None
+    assert follower_heartbeats.should_serve(make_heartbeat(), 9.0)
 
 
-def test_never_keeps_a_worker_that_saw_another_term() -> None:
+def test_never_serves_a_worker_that_knows_another_term() -> None:
     """A 200 with a lower term would be dropped while the lease runs out."""
-    follower_heartbeats, _ = follower()
-    assert not follower_heartbeats.should_serve(report(term=8), 9.0)
-    assert not follower_heartbeats.should_serve(report(term=6), 9.0)
-    none, _ = follower(leader=None, term=0)
-    assert not none.should_serve(report(term=0), 9.0)
+    follower_heartbeats, _ = make_follower()
+    assert not follower_heartbeats.should_serve(make_heartbeat(term=8), 9.0)
+    assert not follower_heartbeats.should_serve(make_heartbeat(term=6), 9.0)
+    leaderless, _ = make_follower(leader=None, term=0)
+    assert not leaderless.should_serve(make_heartbeat(term=0), 9.0)
 
 
-def test_tries_the_leader_again_once_per_lease() -> None:
-    follower_heartbeats, _ = follower()
-    answers = []
+def test_redirects_a_worker_that_the_leader_lists_as_silent_once_per_lease() -> None:
+    follower_heartbeats, _ = make_follower()
+    served = []
     for second in range(30):
         follower_heartbeats.on_ping("hive-1", True, ["host-1"], float(second))
-        answers.append(follower_heartbeats.should_serve(report(), float(second)))
-    assert answers[0] and answers.count(False) == 2
+        served.append(follower_heartbeats.should_serve(make_heartbeat(), float(second)))
+    assert served[0] and served.count(False) == 2
     follower_heartbeats.on_ping("hive-1", True, [], 30.0)
-    assert not follower_heartbeats.should_serve(report(), 30.0)
+    assert not follower_heartbeats.should_serve(make_heartbeat(), 30.0)
 
 
-def test_heartbeats_are_forwarded_in_parts_that_fit() -> None:
-    follower_heartbeats, _ = follower()
+def test_heartbeats_are_forwarded_in_batches_of_limited_size() -> None:
+    follower_heartbeats, _ = make_follower()
     for number in range(10):
-        follower_heartbeats.queue_for_forwarding(report(machine=f"host-{number}"))
-    seen = []
-    while part := follower_heartbeats.take_for_forwarding(500):
-        seen += [item["box"] for item in part]
-    assert seen == [f"host-{number}" for number in range(10)]
+        follower_heartbeats.queue_for_forwarding(make_heartbeat(machine=f"host-{number}"))
+    machines = []
+    while batch := follower_heartbeats.take_for_forwarding(500):
+        machines += [item["box"] for item in batch]
+    assert machines == [f"host-{number}" for number in range(10)]
 
 
-def test_leadership_never_goes_back() -> None:
-    lead = Leadership("hive-0")
-    lead.become_candidate()
-    lead.become_leader(4)
-    assert not lead.observe_term("hive-1", 3) and lead.is_leader
-    assert lead.observe_term("hive-1", 5) and lead.role is Role.FOLLOWER
-    assert not lead.observe_term("hive-2", 4) and lead.leader == "hive-1"
+def test_leadership_ignores_lower_terms() -> None:
+    leadership = Leadership("hive-0")
+    leadership.become_candidate()
+    leadership.become_leader(4)
+    assert not leadership.observe_term("hive-1", 3) and leadership.is_leader
+    assert leadership.observe_term("hive-1", 5) and leadership.role is Role.FOLLOWER
+    assert not leadership.observe_term("hive-2", 4) and leadership.leader == "hive-1"
 
 
-def test_only_a_node_that_alone_is_not_served_goes_unhealthy() -> None:
+def test_node_is_isolated_if_peers_have_the_store_or_are_silent() -> None:
     """In an outage for all, unhealthy nodes would only lengthen it."""
-    follower_heartbeats, _ = follower()
+    follower_heartbeats, _ = make_follower()
     assert not follower_heartbeats.is_isolated(1.0)
     follower_heartbeats.on_ping("hive-1", False, None, 1.0)
     assert not follower_heartbeats.is_isolated(1.5)
@@ -87,8 +91,8 @@
 # -- a node that reaches nothing but workers ------------------------------------
 
 
-def test_adrift_only_without_state_service_and_peers() -> None:
-    follower_heartbeats, _ = follower()
+def test_node_is_partitioned_only_without_store_and_peers() -> None:
+    follower_heartbeats, _ = make_follower()
     assert not follower_heartbeats.is_partitioned(False, 1.0), "just started"
     assert follower_heartbeats.is_partitioned(False, 10.0)
     assert not follower_heartbeats.is_partitioned(True, 10.0)
@@ -96,60 +100,64 @@
     assert not follower_heartbeats.is_partitioned(False, 11.0)
 
 
-def test_isolated_node_sends_workers_away_that_can_reach_others() -> None:
+def test_partitioned_node_redirects_workers_that_can_reach_others() -> None:
     """Its answers led nowhere: nothing launched, nothing seen to end, while the leader waited."""
-    follower_heartbeats, _ = follower()
+    follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
     assert not follower_heartbeats.should_serve_while_partitioned(
-        report(machine="host-9", zone="b"), 20.0
-    )
-    assert not follower_heartbeats.should_serve_while_partitioned(report(busy=True), 20.5), (
-        "the zone is not cut off"
+        make_heartbeat(machine="host-9", zone="b"), 20.0
     )
+    assert not follower_heartbeats.should_serve_while_partitioned(
+        make_heartbeat(busy=True), 20.5
+    ), "the zone is not cut off"
 
 
-def test_node_of_a_cut_zone_keeps_busy_workers() -> None:
+def test_node_of_a_partitioned_zone_serves_busy_workers() -> None:
     """Sent away, they would find nobody, and lose their leases on the way round."""
-    follower_heartbeats, _ = follower()
+    follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
-    assert not follower_heartbeats.should_serve_while_partitioned(report(machine="host-2"), 20.0), (
-        "has nothing to lose"
-    )
-    assert follower_heartbeats.should_serve_while_partitioned(report(busy=True), 20.5)
-    assert follower_heartbeats.should_serve_while_partitioned(report(machine="host-2"), 26.0), (
-        "it came back: nobody else is there"
-    )
+    assert not follower_heartbeats.should_serve_while_partitioned(
+        make_heartbeat(machine="host-2"), 20.0
+    ), "has nothing to lose"
+    assert follower_heartbeats.should_serve_while_partitioned(make_heartbeat(busy=True), 20.5)
+    assert follower_heartbeats.should_serve_while_partitioned(
+        make_heartbeat(machine="host-2"), 26.0
+    ), "it came back: nobody else is there"
     for second in range(21, 36):
-        assert follower_heartbeats.should_serve_while_partitioned(report(busy=True), float(second))
+        assert follower_heartbeats.should_serve_while_partitioned(
+            make_heartbeat(busy=True), float(second)
+        )
 
 
-def test_worker_sent_ahead_that_stays_away_shows_the_way_out() -> None:
-    follower_heartbeats, _ = follower()
+def test_probe_that_does_not_return_shows_that_others_are_reachable() -> None:
+    follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
     assert not follower_heartbeats.should_serve_while_partitioned(
-        report(machine="host-2", busy=True), 20.0
+        make_heartbeat(machine="host-2", busy=True), 20.0
     ), "one goes ahead"
     assert follower_heartbeats.should_serve_while_partitioned(
-        report(machine="host-3", busy=True), 20.5
+        make_heartbeat(machine="host-3", busy=True), 20.5
     )
     assert not follower_heartbeats.should_serve_while_partitioned(
-        report(machine="host-3", busy=True), 31.0
+        make_heartbeat(machine="host-3", busy=True), 31.0
     )
 
 
-def test_isolated_node_never_keeps_a_worker_that_saw_another_term() -> None:
-    follower_heartbeats, _ = follower()
+def test_partitioned_node_never_serves_a_worker_that_knows_another_term() -> None:
+    follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
-    follower_heartbeats.should_serve_while_partitioned(report(machine="host-2"), 20.0)
-    assert not follower_heartbeats.should_serve_while_partitioned(report(term=8, busy=True), 20.5)
+    follower_heartbeats.should_serve_while_partitioned(make_heartbeat(machine="host-2"), 20.0)
+    assert not follower_heartbeats.should_serve_while_partitioned(
+        make_heartbeat(term=8, busy=True), 20.5
+    )
 
 
-def test_news_of_ended_tasks_is_passed_on_first() -> None:
+def test_heartbeats_with_ended_tasks_are_forwarded_first() -> None:
     """Of a cut zone's 150 reports a value takes a dozen: in order of arrival the leader
     learnt of ended tasks minutes late."""
-    follower_heartbeats, _ = follower()
+    follower_heartbeats, _ = make_follower()
     for number in range(150):
-        heartbeat = report(machine=f"host-{number}", busy=True)
+        heartbeat = make_heartbeat(machine=f"host-{number}", busy=True)
         if number >= 145:
             heartbeat.tasks[0].state = "ended"
         follower_heartbeats.queue_for_forwarding(heartbeat)
@@ -158,19 +166,19 @@
     }
 
 
-def test_heartbeat_that_fits_no_value_delays_no_other() -> None:
-    follower_heartbeats, _ = follower()
-    big = report(machine="host-1", busy=True)
-    big.tasks *= 100
-    follower_heartbeats.queue_for_forwarding(big)
-    follower_heartbeats.queue_for_forwarding(report(machine="host-2"))
+def test_oversized_heartbeat_does_not_delay_others() -> None:
+    follower_heartbeats, _ = make_follower()
+    oversized = make_heartbeat(machine="host-1", busy=True)
+    oversized.tasks *= 100
+    follower_heartbeats.queue_for_forwarding(oversized)
+    follower_heartbeats.queue_for_forwarding(make_heartbeat(machine="host-2"))
     assert [item["box"] for item in follower_heartbeats.take_for_forwarding(500)] == ["host-2"]
     assert follower_heartbeats.take_for_forwarding(500) == []
 
 
-def test_late_copy_does_not_take_a_newer_heartbeats_place() -> None:
-    follower_heartbeats, _ = follower()
-    newer, older = report(busy=True), report()
+def test_late_copy_does_not_replace_a_newer_heartbeat() -> None:
+    follower_heartbeats, _ = make_follower()
+    newer, older = make_heartbeat(busy=True), make_heartbeat()
     newer.sequence = 9
     follower_heartbeats.queue_for_forwarding(newer)
     follower_heartbeats.queue_for_forwarding(older)
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 import cbor2
@@ -25,14 +26,14 @@
     if request.path == "/fail":
         raise RuntimeError("on purpose")
     if request.path == "/busy":
-        return Response(503, retry_after=2.4)
+        return Response(HTTPStatus.SERVICE_UNAVAILABLE, retry_after=2.4)
     if request.path == "/slow":
         await curio.sleep(30)
     body = cbor2.loads(request.body) if request.body else None
-    return Response(200, {"path": request.path, "query": request.query, "body": body})
+    return Response(HTTPStatus.OK, {"path": request.path, "query": request.query, "body": body})
 
 
-def serve(
+def run_with_server(
     main: Callable[[tuple[str, int]], Awaitable[Any]],
     limit: int = 8,
     max_limited: int = 8,
@@ -43,18 +44,18 @@
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
         await probe.close()
-        serving = Server(echo, limit, idle_s, is_limited, max_limited)
-        server = await curio.spawn(serving.run, address, daemon=True)
+        server = Server(echo, limit, idle_s, is_limited, max_limited)
+        server_task = await curio.spawn(server.run, address, daemon=True)
         await curio.sleep(0.05)
         try:
             return await curio.timeout_after(10, main, address)
         finally:
-            await server.cancel()
+            await server_task.cancel()
 
     return curio.run(run)
 
 
-async def raw(address: tuple[str, int], data: bytes) -> bytes:
+async def send_raw(address: tuple[str, int], data: bytes) -> bytes:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     await sock.connect(address)
     await sock.sendall(data)
@@ -76,144 +77,149 @@
         client = Client(address)
         for number in range(3):
             status, body = await client.request("POST", "/a?b=c", {"n": number}, 2.0)
-            assert status == 200
+            assert status == HTTPStatus.OK
             assert cbor2.loads(body) == {"path": "/a", "query": "b=c", "body": {"n": number}}
         status, _ = await client.request("GET", "/fail", None, 2.0)
-        assert status == 500
+        assert status == HTTPStatus.INTERNAL_SERVER_ERROR
         await client.close()
 
-    serve(main)
+    run_with_server(main)
 
 
-def test_broken_http_gets_400_and_the_server_lives() -> None:
+def test_invalid_http_is_refused_and_the_server_survives() -> None:
     async def main(address: tuple[str, int]) -> None:
-        assert b" 400 " in await raw(address, b"nonsense\r\n\r\n")
-        assert b" 4" in (await raw(address, b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 9000))[:20]
-        huge = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70000
-        assert b" 413 " in await raw(address, huge)
-        answer = await raw(address, b"GET /busy HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert b" 400 " in await send_raw(address, b"nonsense\r\n\r\n")
+        assert b" 4" in (await send_raw(address, b"GET / HTTP/1.1\r\n" + b"x: y\r\n" * 9000))[:20]
+        oversized = b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70000
+        assert b" 413 " in await send_raw(address, oversized)
+        answer = await send_raw(address, b"GET /busy HTTP/1.1\r\nHost: x\r\n\r\n")
         assert b" 503 " in answer and b"retry-after: 2" in answer.lower()
         status, _ = await Client(address).request("GET", "/", None, 2.0)
-        assert status == 200
+        assert status == HTTPStatus.OK
 
-    serve(main)
+    run_with_server(main)
 
 
-def test_no_answer_and_not_sent_are_told_apart() -> None:
+def test_client_tells_no_response_from_not_sent() -> None:
     async def main(address: tuple[str, int]) -> None:
         with pytest.raises(NoResponseError):
             await Client(address).request("GET", "/slow", None, 0.2)
         with pytest.raises(RequestNotSentError):
             await Client(("127.0.0.1", 1)).request("GET", "/", None, 0.5)
 
-    serve(main)
+    run_with_server(main)
 
 
-def test_connections_are_bounded() -> None:
+def test_number_of_connections_is_limited() -> None:
     async def main(address: tuple[str, int]) -> None:
-        held = []
+        open_sockets = []
         for _ in range(4):
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             await sock.connect(address)
-            held.append(sock)
+            open_sockets.append(sock)
         await curio.sleep(0.1)
-        assert await raw(address, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n") == b""
-        for sock in held:
+        assert await send_raw(address, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n") == b""
+        for sock in open_sockets:
             await sock.close()
         await curio.sleep(0.1)
-        assert b" 200 " in await raw(address, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
+        assert b" 200 " in await send_raw(address, b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
 
-    serve(main, limit=4)
+    run_with_server(main, limit=4)
 
 
-def test_idle_connections_are_ended_and_busy_ones_are_not() -> None:
+def test_idle_connections_are_closed_and_busy_ones_are_not() -> None:
     async def main(address: tuple[str, int]) -> None:
         idle = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         await idle.connect(address)
-        begun = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        await begun.connect(address)
-        await begun.sendall(b"POST / HTTP/1.1\r\n")
+        incomplete = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        await incomplete.connect(address)
+        await incomplete.sendall(b"POST / HTTP/1.1\r\n")
         busy = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         await busy.connect(address)
         await busy.sendall(b"GET /slow HTTP/1.1\r\nHost: x\r\n\r\n")
         assert await curio.timeout_after(2.0, idle.recv, 100) == b""
-        assert await curio.timeout_after(2.0, begun.recv, 100) == b""
+        assert await curio.timeout_after(2.0, incomplete.recv, 100) == b""
         with pytest.raises(curio.TaskTimeout):
             await curio.timeout_after(0.5, busy.recv, 100)
 
-    serve(main, idle_s=0.4)
+    run_with_server(main, idle_s=0.4)
 
 
 def test_server_waits_for_an_address_that_is_in_use() -> None:
     """A controller ended for that, and its platform waits before it starts one again."""
 
     async def run() -> int:
-        holder = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-        holder.bind(("127.0.0.1", 0))
-        address = holder.getsockname()
-        server = await curio.spawn(Server(echo, 8, 5.0).run, address, daemon=True)
+        occupying_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        occupying_socket.bind(("127.0.0.1", 0))
+        address = occupying_socket.getsockname()
+        server_task = await curio.spawn(Server(echo, 8, 5.0).run, address, daemon=True)
         await curio.sleep(0.1)
-        assert not server.terminated
-        await holder.close()
+        assert not server_task.terminated
+        await occupying_socket.close()
         await curio.sleep(0.5)
         status, _ = await Client(address).request("GET", "/", None, 2.0)
-        await server.cancel()
+        await server_task.cancel()
         return status
 
-    assert curio.run(run) == 200
+    assert curio.run(run) == HTTPStatus.OK
 
 
-def test_guests_leave_room_for_others() -> None:
+def test_limited_connections_leave_room_for_others() -> None:
     """Users' connections must not keep workers out."""
 
     async def main(address: tuple[str, int]) -> None:
         clients = [Client(address) for _ in range(4)]
         statuses = [(await client.request("GET", "/guest", None, 2.0))[0] for client in clients]
-        assert statuses == [200, 200, 503, 503]
-        assert (await Client(address).request("GET", "/report", None, 2.0))[0] == 200
+        assert statuses == [
+            HTTPStatus.OK,
+            HTTPStatus.OK,
+            HTTPStatus.SERVICE_UNAVAILABLE,
+            HTTPStatus.SERVICE_UNAVAILABLE,
+        ]
+        assert (await Client(address).request("GET", "/report", None, 2.0))[0] == HTTPStatus.OK
         await clients[0].close()
         await curio.sleep(0.1)
-        assert (await clients[2].request("GET", "/guest", None, 2.0))[0] == 200
+        assert (await clients[2].request("GET", "/guest", None, 2.0))[0] == HTTPStatus.OK
 
-    serve(main, max_limited=2)
+    run_with_server(main, max_limited=2)
 
 
-def test_links_carry_tagged_tuples_and_drop_anything_else() -> None:
+def test_peer_connections_carry_tagged_tuples_and_drop_anything_else() -> None:
     async def run() -> None:
         probe = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         probe.bind(("127.0.0.1", 0))
         address = probe.getsockname()
         await probe.close()
-        heard: list[tuple[Any, ...]] = []
+        received: list[tuple[Any, ...]] = []
 
         async def receive(message: tuple[Any, ...]) -> None:
             if message[0] == "bad":
                 raise ValueError("on purpose")
-            heard.append(message)
+            received.append(message)
 
-        listener = await curio.spawn(
+        listener_task = await curio.spawn(
             peer_transport.PeerListener(receive, 5.0).run, address, daemon=True
         )
-        link = peer_transport.PeerConnection(address, 0.2)
-        runner = await curio.spawn(link.run, daemon=True)
+        connection = peer_transport.PeerConnection(address, 0.2)
+        connection_task = await curio.spawn(connection.run, daemon=True)
         await curio.sleep(0.1)
-        await link.send(peer_transport.encode_frame(("bad",)))
-        await link.send(peer_transport.encode_frame(("ping", "hive-0", 7)))
-        await raw(address, b"\x00\x00\x00\x01\xff")
-        await raw(address, b"\xff\xff\xff\xff")
-        await link.send(peer_transport.encode_frame(("ping", "hive-0", 8)))
+        await connection.send(peer_transport.encode_frame(("bad",)))
+        await connection.send(peer_transport.encode_frame(("ping", "hive-0", 7)))
+        await send_raw(address, b"\x00\x00\x00\x01\xff")
+        await send_raw(address, b"\xff\xff\xff\xff")
+        await connection.send(peer_transport.encode_frame(("ping", "hive-0", 8)))
         await curio.sleep(0.2)
         assert (
             peer_transport.encode_frame(("big", "x" * peer_transport.MAX_MESSAGE_BYTES)) == b""
         ), "would end the link"
-        assert heard == [("ping", "hive-0", 7), ("ping", "hive-0", 8)]
-        await runner.cancel()
-        await listener.cancel()
+        assert received == [("ping", "hive-0", 7), ("ping", "hive-0", 8)]
+        await connection_task.cancel()
+        await listener_task.cancel()
 
     curio.run(run)
 
 
-def test_bucket_keeps_the_reserve_for_higher_ranks() -> None:
+def test_token_bucket_keeps_its_reserve_for_higher_priorities() -> None:
     """Under overload reports and decisions go first, submissions last."""
     bucket = TokenBucket(10.0)
     users = sum(bucket.take(0.0, 1, reserve=0.3) for _ in range(20))
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from random import Random
 from typing import Any
 
@@ -30,7 +31,7 @@
         self.sent.append(data)
 
 
-def exchange(pieces: list[bytes], answers: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
+def exchange(pieces: list[bytes], response_rng: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
     """All requests of a connection as the server sees them, and all that it sends."""
     sock = ScriptedSocket(list(pieces))
     connection = Connection(sock, None, 0.0)
@@ -39,23 +40,28 @@
         try:
             request = run_nonblocking(connection.receive())
         except h11.RemoteProtocolError as exc:
-            run_nonblocking(connection.refuse(exc.error_status_hint or 400))
+            run_nonblocking(connection.refuse(exc.error_status_hint or HTTPStatus.BAD_REQUEST))
             seen.append(type(exc))
             break
         if request is None:
             break
         if isinstance(request, Request):
             seen.append((request.method, request.path, request.query, request.body))
-            answer = Response(answers.choice((200, 421, 503)), {"n": answers.random()})
+            response = Response(
+                response_rng.choice(
+                    (HTTPStatus.OK, HTTPStatus.MISDIRECTED_REQUEST, HTTPStatus.SERVICE_UNAVAILABLE)
+                ),
+                {"n": response_rng.random()},
+            )
         else:
             seen.append(request.status)
-            answer = request
-        if not run_nonblocking(connection.send(answer)):
+            response = request
+        if not run_nonblocking(connection.send(response)):
             break
     return seen, b"".join(sock.sent), sock
 
 
-def some_request(rng: Random) -> bytes:
+def random_request(rng: Random) -> bytes:
     """A request of any kind, plain or odd; some are malformed."""
     method = rng.choice((b"GET", b"POST", b"POST", b"POST", b"HEAD", b"DELETE"))
     body = rng.randbytes(rng.choice((0, 1, 40, 3000)))
@@ -74,12 +80,12 @@
     if extra:
         headers.insert(rng.randrange(len(headers) + 1), extra)
     version = rng.choice((b"1.1", b"1.1", b"1.1", b"1.0"))
-    end = rng.choice((b"\r\n", b"\r\n", b"\n"))
+    line_end = rng.choice((b"\r\n", b"\r\n", b"\n"))
     target = rng.choice((b"/v1/report", b"/api/jobs?a=b", b"/healthz"))
-    return end.join([b"%s %s HTTP/%s" % (method, target, version), *headers, b"", b""]) + body
+    return line_end.join([b"%s %s HTTP/%s" % (method, target, version), *headers, b"", b""]) + body
 
 
-def in_pieces(rng: Random, data: bytes) -> list[bytes]:
+def split_randomly(rng: Random, data: bytes) -> list[bytes]:
     pieces = []
     while data:
         size = rng.randint(1, len(data))
@@ -88,24 +94,24 @@
     return pieces
 
 
-def test_remembered_heads_change_nothing_but_the_cost() -> None:
+def test_cached_heads_give_the_same_requests_and_responses_as_h11() -> None:
     """A connection whose first bytes come alone is h11's from then on; the same bytes in
     whole requests go by remembered heads. Both must see and send the same."""
     rng = Random(7)
-    plain = 0
+    request_count = 0
     for _ in range(300):
-        requests = [some_request(rng) for _ in range(rng.randint(1, 5))]
+        requests = [random_request(rng) for _ in range(rng.randint(1, 5))]
         stream = b"".join(requests)
         seed = rng.random()
         by_h11 = exchange([stream[:1], stream[1:]], Random(seed))
         assert exchange(requests, Random(seed))[:2] == by_h11[:2]
         assert exchange([stream], Random(seed))[:2] == by_h11[:2]
-        assert exchange(in_pieces(rng, stream), Random(seed))[:2] == by_h11[:2]
-        plain += len(by_h11[0])
-    assert plain > 300
+        assert exchange(split_randomly(rng, stream), Random(seed))[:2] == by_h11[:2]
+        request_count += len(by_h11[0])
+    assert request_count > 300
 
 
-def report(number: int) -> bytes:
+def heartbeat_request(number: int) -> bytes:
     body = cbor2.dumps({"box": "host-1", "tally": 1000 + number})
     return b"POST /v1/report HTTP/1.1\r\nHost: 10.0.0.1:8080\r\nContent-Length: %d\r\n\r\n%s" % (
         len(body),
@@ -116,21 +122,21 @@
 def test_a_heartbeat_costs_one_receive_one_send_and_no_parsing() -> None:
     """However many come: h11 took a third of a leader's time for heads that were the same."""
     for count in (10, 200):
-        pieces = [report(number) for number in range(count)]
+        pieces = [heartbeat_request(number) for number in range(count)]
         exchange(pieces, Random(1))  # once, so that the heads are known
-        parsed = parse_request_head.cache_info().misses
-        rendered = render_response_head.cache_info().misses
+        parse_misses = parse_request_head.cache_info().misses
+        render_misses = render_response_head.cache_info().misses
         seen, _, sock = exchange(pieces, Random(1))
         assert len(seen) == len(sock.sent) == count
         assert sock.receives == count + 2  # and the end, seen by us and by h11
-        assert parse_request_head.cache_info().misses == parsed
-        assert render_response_head.cache_info().misses == rendered
+        assert parse_request_head.cache_info().misses == parse_misses
+        assert render_response_head.cache_info().misses == render_misses
 
 
-def test_remembered_heads_are_bounded() -> None:
+def test_caches_of_heads_are_bounded() -> None:
     """Users choose the paths, and so the heads."""
     for number in range(2 * MAX_CACHED_HEADS):
         assert parse_request_head(b"GET /api/jobs/wk-%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
     assert parse_request_head.cache_info().currsize == MAX_CACHED_HEADS
-    long = b"GET /" + b"a" * 2000 + b" HTTP/1.1\r\nHost: x\r\n\r\n"
-    assert parse_request_head(long) is None
+    long_head = b"GET /" + b"a" * 2000 + b" HTTP/1.1\r\nHost: x\r\n\r\n"
+    assert parse_request_head(long_head) is None
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -23,7 +23,7 @@
 COMMAND = "python -m pytest (seed 1)"
 
 
-def entry(test: str) -> str:
+def entry_line(test: str) -> str:
     return f"{test}, {COMMAND}, it fails, at once, issue 1\n"
 
 
@@ -37,25 +37,25 @@
     )
 
 
-def test_fields_of_an_entry(tmp_path: Path) -> None:
+def test_entry_is_split_into_its_fields(tmp_path: Path) -> None:
     path = tmp_path / "list"
-    path.write_text("\n" + entry("test_some.py::test_two[a, b]"))
-    (found,) = read_entries(path)
-    assert found == KnownRed(
+    path.write_text("\n" + entry_line("test_some.py::test_two[a, b]"))
+    (parsed,) = read_entries(path)
+    assert parsed == KnownRed(
         "test_some.py::test_two[a, b]", COMMAND, "it fails, at once", "issue 1"
     )
     assert read_entries(tmp_path / "none") == []
 
 
 @pytest.mark.parametrize("line", ["a.py::test_a", "a.py::test_a, b, c", "a, , , d", ", b, c, d"])
-def test_entry_without_its_four_fields_is_named(line: str, tmp_path: Path) -> None:
+def test_entry_without_four_fields_is_named_in_the_error(line: str, tmp_path: Path) -> None:
     path = tmp_path / "list"
-    path.write_text(entry("a.py::test_b") + line)
+    path.write_text(entry_line("a.py::test_b") + line)
     with pytest.raises(InvalidListError, match=line):
         read_entries(path)
 
 
-def test_entry_that_names_no_test_is_named() -> None:
+def test_entry_of_an_unknown_test_is_named_in_the_error() -> None:
     """Guards against: a part of a name passes for one, or nobody notices a misspelt one."""
     known = KnownRed("a.py::test_a", COMMAND, "it fails", "issue 1")
     require_collected([known], ["a.py::test_a", "a.py::test_a_b"])
@@ -63,24 +63,26 @@
         require_collected([known], ["a.py::test_a_b"])
 
 
-def test_exactly_the_listed_tests_are_passed_over(tmp_path: Path) -> None:
+def test_exactly_the_listed_tests_are_deselected(tmp_path: Path) -> None:
     """Guards against: tests whose names begin with a listed one are passed over with it."""
     listed = [f"test_some.py::{name}" for name in ("test_one", "test_two[a, b]")]
-    (tmp_path / "list").write_text("".join(map(entry, listed)))
-    checked = run_module(tmp_path, "tools.known_red", "list")
-    assert checked.returncode == 0, checked.stderr
-    assert all(name in checked.stdout for name in listed)
+    (tmp_path / "list").write_text("".join(map(entry_line, listed)))
+    validation = run_module(tmp_path, "tools.known_red", "list")
+    assert validation.returncode == 0, validation.stderr
+    assert all(name in validation.stdout for name in listed)
     arguments = ("pytest", "-p", "tools.known_red", "--known-red", "list")
     for processes in ("0", "2"):
-        ran = run_module(tmp_path, *arguments, "-n", processes)
-        assert ran.returncode == 0, ran.stdout
-        assert "2 passed" in ran.stdout
+        result = run_module(tmp_path, *arguments, "-n", processes)
+        assert result.returncode == 0, result.stdout
+        assert "2 passed" in result.stdout
 
 
-@pytest.mark.parametrize("line", ["test_some.py::test_one, b\n", entry("test_some.py::test_on")])
-def test_list_that_cannot_be_used_fails_with_one_line(line: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    "line", ["test_some.py::test_one, b\n", entry_line("test_some.py::test_on")]
+)
+def test_invalid_list_fails_with_one_line(line: str, tmp_path: Path) -> None:
     (tmp_path / "list").write_text(line)
-    checked = run_module(tmp_path, "tools.known_red", "list")
-    assert checked.returncode == 1
-    assert len(checked.stderr.splitlines()) == 1
-    assert line.split(",")[0] in checked.stderr
+    validation = run_module(tmp_path, "tools.known_red", "list")
+    assert validation.returncode == 1
+    assert len(validation.stderr.splitlines()) == 1
+    assert line.split(",")[0] in validation.stderr
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -10,7 +10,7 @@
 from topazhold import settings as conf
 from topazhold.cli import main
 
-GOOD = """
+VALID_SETTINGS = """
 node_name = "hive-0"
 domain = "a"
 bind = "127.0.0.1:8080"
@@ -57,16 +57,16 @@
 
 
 @pytest.fixture
-def good(tmp_path: Path) -> Path:
+def settings_path(tmp_path: Path) -> Path:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     return path
 
 
-def test_good_settings_and_unknown_fields(good: Path) -> None:
-    settings = conf.load(good)
+def test_valid_settings_load_and_unknown_fields_are_ignored(settings_path: Path) -> None:
+    settings = conf.load(settings_path)
     assert settings.cluster.teams[0].gpus_max == 8.0
-    result = CliRunner().invoke(main, ["check", "--config", str(good)])
+    result = CliRunner().invoke(main, ["check", "--config", str(settings_path)])
     assert result.exit_code == 0 and "hive-0" in result.output
 
 
@@ -87,24 +87,28 @@
         ("[cluster.workers]", f"{OBJECTIVE}inf\n[cluster.workers]", "within_s of train"),
     ],
 )
-def test_bad_settings_are_one_clear_line(good: Path, old: str, new: str, field: str) -> None:
-    good.write_text(GOOD.replace(old, new))
-    result = CliRunner().invoke(main, ["check", "--config", str(good)])
+def test_invalid_settings_are_reported_in_one_line(
+    settings_path: Path, old: str, new: str, field: str
+) -> None:
+    settings_path.write_text(VALID_SETTINGS.replace(old, new))
+    result = CliRunner().invoke(main, ["check", "--config", str(settings_path)])
     assert result.exit_code == 2
     lines = result.stderr.strip().splitlines()
-    assert len(lines) == 1 and str(good) in lines[0] and field in lines[0]
+    assert len(lines) == 1 and str(settings_path) in lines[0] and field in lines[0]
 
 
-def test_missing_file(tmp_path: Path) -> None:
+def test_missing_settings_file_is_reported(tmp_path: Path) -> None:
     result = CliRunner().invoke(main, ["--config", str(tmp_path / "none.toml")])
     assert result.exit_code == 2 and "none.toml" in result.stderr
 
 
-def test_operators_file(good: Path, tmp_path: Path) -> None:
+def test_operator_settings_load(settings_path: Path, tmp_path: Path) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text("# a comment\nalpha: 3.0\nuse_spot: false\n")
-    own = conf.load_operator_settings(path)
-    assert own.candidates_per_task == 3.0 and not own.use_spot and own.summary_s == 5.0
+    operator = conf.load_operator_settings(path)
+    assert (
+        operator.candidates_per_task == 3.0 and not operator.use_spot and operator.summary_s == 5.0
+    )
     assert conf.load_operator_settings(None) == conf.OperatorSettings()
 
 
@@ -112,18 +116,22 @@
     ("text", "field"),
     [("alhpa: 3.0", "alhpa"), ("alpha: 0.5", "alpha"), ("alpha: nan", "alpha"), ("alpha 3", "")],
 )
-def test_bad_operators_file(good: Path, tmp_path: Path, text: str, field: str) -> None:
+def test_invalid_operator_settings_are_reported_in_one_line(
+    settings_path: Path, tmp_path: Path, text: str, field: str
+) -> None:
     path = tmp_path / "operator.textproto"
     path.write_text(text)
-    result = CliRunner().invoke(main, ["check", "--config", str(good), "--operator", str(path)])
+    result = CliRunner().invoke(
+        main, ["check", "--config", str(settings_path), "--operator", str(path)]
+    )
     assert result.exit_code == 2
     lines = result.stderr.strip().splitlines()
     assert len(lines) == 1 and str(path) in lines[0] and field in lines[0]
 
 
-def test_shipped_operators_file_and_version() -> None:
-    shipped = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
-    assert conf.load_operator_settings(shipped).headroom_share > 0
+def test_deployed_operator_settings_version_and_help() -> None:
+    deployed = Path(__file__).resolve().parent.parent / "deploy" / "operator.textproto"
+    assert conf.load_operator_settings(deployed).headroom_share > 0
     result = CliRunner().invoke(main, ["--version"])
     assert result.exit_code == 0 and "topazhold" in result.output
     assert CliRunner().invoke(main, ["--help"]).exit_code == 0
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -15,7 +15,7 @@
 from tests.job_specs import MACHINE_TYPE, make_spec
 from tests.scheduler_harness import SchedulerHarness
 from tests.test_intent_shards import fill, fleet
-from tests.test_settings import GOOD
+from tests.test_settings import VALID_SETTINGS
 from topazhold import settings as conf
 from topazhold.cli import main
 from topazhold.control.election import ElectionResult
@@ -45,7 +45,7 @@
 
 def test_later_limits_are_kept_from_the_start(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD + LATER)
+    path.write_text(VALID_SETTINGS + LATER)
     state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (2048, 5)
     assert (state.write_rps, state.lasting_write_rps) == (20.0, 15.0)
@@ -54,13 +54,13 @@
 
 def test_limits_that_grow_are_not_used_before(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD + LATER.replace("value_kb = 2.0", "value_kb = 64.0"))
+    path.write_text(VALID_SETTINGS + LATER.replace("value_kb = 2.0", "value_kb = 64.0"))
     assert conf.load(path).cluster.key_value_store.lasting_value_bytes == 8 * 1024
 
 
 def test_without_later_limits_the_present_ones_last(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD)
+    path.write_text(VALID_SETTINGS)
     state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (8 * 1024, 16)
 
@@ -78,7 +78,7 @@
     tmp_path: Path, old: str, new: str, field: str
 ) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(GOOD + LATER.replace(old, new))
+    path.write_text(VALID_SETTINGS + LATER.replace(old, new))
     result = CliRunner().invoke(main, ["check", "--config", str(path)])
     assert result.exit_code == 2 and field in result.stderr
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -21,7 +22,7 @@
 
 
 def run_with_controller(
-    monkeypatch: pytest.MonkeyPatch, act: ControllerTest, grace_s: float = 2.0
+    monkeypatch: pytest.MonkeyPatch, act: ControllerTest, startup_s: float = 2.0
 ) -> Simulation:
     """One controller, a store and a cloud; `act` gets the simulation and the controller."""
     simulations: list[Simulation] = []
@@ -30,7 +31,7 @@
         simulation = Simulation(clock, 1)
         simulations.append(simulation)
         await start_controller(simulation, CONTROLLER_NAMES[0])
-        await curio.sleep(grace_s)
+        await curio.sleep(startup_s)
         await act(simulation, simulation.controllers[CONTROLLER_NAMES[0]])
 
     run_virtual(main, monkeypatch)
@@ -43,49 +44,71 @@
     return await node.handle(Request("POST", "/api/jobs", pack(body)))
 
 
-async def ask(node: Any, method: str, path: str, body: bytes = b"") -> Any:
+async def send_request(node: Any, method: str, path: str, body: bytes = b"") -> Any:
     return await node.handle(Request(method, path, body))
 
 
-def test_submissions_get_their_proper_status(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_get_the_expected_status(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
-        assert (await submit(node)).status == 201
-        again = await submit(node)
-        assert again.status == 200 and again.body["stage"] == "pending"
-        assert (await submit(node, id="wk-2", team="green")).status == 422
-        assert (await submit(node, id="wk-3", cpus=17.0)).status == 422
-        assert (await submit(node, id="wk-4", machine_types=["b9"])).status == 422
-        assert (await submit(node, id="wk-5", tasks=11)).status == 422
-        assert (await submit(node, id="wk-6", tasks=0)).status == 400
+        assert (await submit(node)).status == HTTPStatus.CREATED
+        repeated = await submit(node)
+        assert repeated.status == HTTPStatus.OK and repeated.body["stage"] == "pending"
+        assert (
+            await submit(node, id="wk-2", team="green")
+        ).status == HTTPStatus.UNPROCESSABLE_ENTITY
+        assert (await submit(node, id="wk-3", cpus=17.0)).status == HTTPStatus.UNPROCESSABLE_ENTITY
+        assert (
+            await submit(node, id="wk-4", machine_types=["b9"])
+        ).status == HTTPStatus.UNPROCESSABLE_ENTITY
+        assert (await submit(node, id="wk-5", tasks=11)).status == HTTPStatus.UNPROCESSABLE_ENTITY
+        assert (await submit(node, id="wk-6", tasks=0)).status == HTTPStatus.BAD_REQUEST
         # All replicas of a service run at once; of an array one task need fit the limit.
-        assert (await submit(node, id="wk-7", tasks=11, shape="daemon")).status == 422
-        assert (await submit(node, id="wk-8", tasks=11, shape="batch")).status == 201
-        assert (await submit(node, id="wk-10", tasks=10, shape="daemon")).status == 201
-        assert (await ask(node, "POST", "/api/jobs", b"\xff\x00nonsense")).status == 400
-        assert (await ask(node, "POST", "/api/jobs", pack([1, 2]))).status == 400
+        assert (
+            await submit(node, id="wk-7", tasks=11, shape="daemon")
+        ).status == HTTPStatus.UNPROCESSABLE_ENTITY
+        assert (await submit(node, id="wk-8", tasks=11, shape="batch")).status == HTTPStatus.CREATED
+        assert (
+            await submit(node, id="wk-10", tasks=10, shape="daemon")
+        ).status == HTTPStatus.CREATED
+        assert (
+            await send_request(node, "POST", "/api/jobs", b"\xff\x00nonsense")
+        ).status == HTTPStatus.BAD_REQUEST
+        assert (
+            await send_request(node, "POST", "/api/jobs", pack([1, 2]))
+        ).status == HTTPStatus.BAD_REQUEST
         for path in ("/api/jobs/wk-9", "/api/jobs/none", "/api/jobs/wk-1/x", "/nothing"):
-            assert (await ask(node, "GET", path)).status == 404
-        assert (await ask(node, "POST", "/api/jobs/wk-9/cancel")).status == 404
-        assert (await ask(node, "DELETE", "/api/jobs/wk-9")).status == 405
-        assert (await ask(node, "GET", "/api/jobs")).status == 405
-        assert (await ask(node, "GET", "/v1/report")).status == 405
-        assert (await ask(node, "POST", "/v1/report", b"?")).status == 400
-        assert (await ask(node, "GET", "/healthz")).status == 200
+            assert (await send_request(node, "GET", path)).status == HTTPStatus.NOT_FOUND
+        assert (
+            await send_request(node, "POST", "/api/jobs/wk-9/cancel")
+        ).status == HTTPStatus.NOT_FOUND
+        assert (
+            await send_request(node, "DELETE", "/api/jobs/wk-9")
+        ).status == HTTPStatus.METHOD_NOT_ALLOWED
+        assert (
+            await send_request(node, "GET", "/api/jobs")
+        ).status == HTTPStatus.METHOD_NOT_ALLOWED
+        assert (
+            await send_request(node, "GET", "/v1/report")
+        ).status == HTTPStatus.METHOD_NOT_ALLOWED
+        assert (
+            await send_request(node, "POST", "/v1/report", b"?")
+        ).status == HTTPStatus.BAD_REQUEST
+        assert (await send_request(node, "GET", "/healthz")).status == HTTPStatus.OK
 
     run_with_controller(monkeypatch, act)
 
 
-def test_repeated_submission_is_known_whatever_its_body(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_repeated_submission_is_recognized_by_its_id_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
-        assert (await submit(node)).status == 201
+        assert (await submit(node)).status == HTTPStatus.CREATED
         for changes in ({"crew": "green"}, {"frames": 0}, {"vcpus": 99.0}, {"shape": None}):
-            assert (await submit(node, **changes)).status == 200
-        answer = await ask(node, "POST", "/api/jobs/wk-000001/cancel")
-        assert (answer.status, answer.body["stage"]) == (200, "aborted")
+            assert (await submit(node, **changes)).status == HTTPStatus.OK
+        answer = await send_request(node, "POST", "/api/jobs/wk-000001/cancel")
+        assert (answer.status, answer.body["stage"]) == (HTTPStatus.OK, "aborted")
         assert (await submit(node)).body["stage"] == "aborted"
         assert (await submit(node, team="green")).body["stage"] == "aborted"
         node.users._final_stages.clear()
-        assert (await ask(node, "GET", "/api/jobs/wk-000001")).body["stage"] == "aborted"
+        assert (await send_request(node, "GET", "/api/jobs/wk-000001")).body["stage"] == "aborted"
 
     run_with_controller(monkeypatch, act)
 
@@ -95,8 +118,8 @@
 ) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node)
-        assert answer.status == 503 and answer.retry_after >= 1.0
-        assert (await submit(node, tasks=0)).status == 400
+        assert answer.status == HTTPStatus.SERVICE_UNAVAILABLE and answer.retry_after >= 1.0
+        assert (await submit(node, tasks=0)).status == HTTPStatus.BAD_REQUEST
 
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 1)
@@ -108,21 +131,23 @@
     run_virtual(main, monkeypatch)
 
 
-def test_requests_in_an_outage_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_requests_in_a_store_outage_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """What can't be taken is refused at once, with a time to come back."""
 
     async def act(simulation: Simulation, node: Any) -> None:
-        assert (await submit(node)).status == 201
+        assert (await submit(node)).status == HTTPStatus.CREATED
         simulation.store.set_down(True)
         await curio.sleep(1.0)
-        before = simulation.clock.now
+        started_at = simulation.clock.now
         answer = await submit(node, id="wk-7")
-        assert answer.status == 503 and answer.retry_after is not None
-        assert (await ask(node, "GET", "/api/jobs/wk-000001")).status == 503
-        assert simulation.clock.now - before < 0.5
+        assert answer.status == HTTPStatus.SERVICE_UNAVAILABLE and answer.retry_after is not None
+        assert (
+            await send_request(node, "GET", "/api/jobs/wk-000001")
+        ).status == HTTPStatus.SERVICE_UNAVAILABLE
+        assert simulation.clock.now - started_at < 0.5
         simulation.store.set_down(False)
         await curio.sleep(1.0)
-        assert (await submit(node, id="wk-7")).status == 201
+        assert (await submit(node, id="wk-7")).status == HTTPStatus.CREATED
 
     run_with_controller(monkeypatch, act)
 
@@ -132,13 +157,15 @@
     statuses: list[int] = []
 
     async def act(simulation: Simulation, node: Any) -> None:
-        async def one(number: int) -> None:
+        async def submit_one(number: int) -> None:
             answer = await submit(node, id=f"wk-{number}", tasks=1)
             statuses.append(answer.status)
-            if answer.status != 201:
-                assert answer.status == 503 and answer.retry_after >= 1.0
+            if answer.status != HTTPStatus.CREATED:
+                assert answer.status == HTTPStatus.SERVICE_UNAVAILABLE and answer.retry_after >= 1.0
 
-        users = [await curio.spawn(one, number, daemon=True) for number in range(100, 600)]
+        submissions = [
+            await curio.spawn(submit_one, number, daemon=True) for number in range(100, 600)
+        ]
         report = {
             "box": "host-1",
             "endpoint": "host-1:9",
@@ -150,21 +177,24 @@
             "crown": node.state.leadership.term,
             "frames": [],
         }
-        before = simulation.clock.now
-        answer = await ask(node, "POST", "/v1/report", pack(report))
-        assert answer.status == 200 and simulation.clock.now - before < 0.5
-        for user in users:
-            await user.join()
+        started_at = simulation.clock.now
+        answer = await send_request(node, "POST", "/v1/report", pack(report))
+        assert answer.status == HTTPStatus.OK and simulation.clock.now - started_at < 0.5
+        for submission in submissions:
+            await submission.join()
         assert node.users._requests_in_progress == 0
 
     run_with_controller(monkeypatch, act)
-    assert statuses.count(503) > 300 and 10 < statuses.count(201) < 200
+    assert (
+        statuses.count(HTTPStatus.SERVICE_UNAVAILABLE) > 300
+        and 10 < statuses.count(HTTPStatus.CREATED) < 200
+    )
 
 
 def test_largest_job_is_stored_and_read_back(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
         answer = await submit(node, shape="batch", tasks=100_000, gpus=0.5, cpus=1.0)
-        assert answer.status == 201
+        assert answer.status == HTTPStatus.CREATED
         await curio.sleep(3.0)
         job = node.leader_term.scheduler.jobs["wk-000001"]
         for index in range(0, 100_000, 3):
@@ -173,21 +203,21 @@
             await node.leader_term.job_persistence.save(job, simulation.clock.now)
         assert not job.unsaved_parts
         await load_completion_bitmaps(node.leader_term.context, job)
-        fresh = type(job)(job.spec, 0.0, 0.0, "")
-        fresh.load_part(0, simulation.store.data["live/wk-000001"][0]["done"])
-        await load_completion_bitmaps(node.leader_term.context, fresh)
-        assert fresh.completed == job.completed
+        restored = type(job)(job.spec, 0.0, 0.0, "")
+        restored.load_part(0, simulation.store.data["live/wk-000001"][0]["done"])
+        await load_completion_bitmaps(node.leader_term.context, restored)
+        assert restored.completed == job.completed
 
     run_with_controller(monkeypatch, act)
 
 
 def test_a_service_runs_until_it_is_cancelled(monkeypatch: pytest.MonkeyPatch) -> None:
     async def act(simulation: Simulation, node: Any) -> None:
-        assert (await submit(node, shape="daemon")).status == 201
+        assert (await submit(node, shape="daemon")).status == HTTPStatus.CREATED
         await curio.sleep(1.0)
         job = node.leader_term.scheduler.jobs["wk-000001"]
         assert not job.gang and job.waiting_count == 2
-        answer = await ask(node, "POST", "/api/jobs/wk-000001/cancel")
+        answer = await send_request(node, "POST", "/api/jobs/wk-000001/cancel")
         assert answer.body["stage"] == "aborted"
         await curio.sleep(1.0)
         assert "wk-000001" not in node.leader_term.scheduler.jobs
@@ -195,7 +225,7 @@
     run_with_controller(monkeypatch, act)
 
 
-def test_unreadable_record_hides_no_other_job(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unreadable_record_does_not_block_other_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
     """It kept each new leader from taking over, and every job from running."""
 
     async def main(clock: VirtualTime) -> None:
@@ -212,10 +242,10 @@
         await curio.sleep(2.0)
         node = simulation.controllers[CONTROLLER_NAMES[0]]
         assert node.leader_term is not None and node.leader_term.loaded
-        assert (await submit(node)).status == 201
-        for odd in ("wk-000077", "wk-000078"):
-            answer = await ask(node, "GET", f"/api/jobs/{odd}")
-            assert answer.status == 200 and answer.body["stage"] == "pending"
+        assert (await submit(node)).status == HTTPStatus.CREATED
+        for job_id in ("wk-000077", "wk-000078"):
+            answer = await send_request(node, "GET", f"/api/jobs/{job_id}")
+            assert answer.status == HTTPStatus.OK and answer.body["stage"] == "pending"
         assert sorted(node.leader_term.scheduler.jobs) == ["wk-000001"]
         assert node.leader_term.scheduler.cluster.is_removed("host-000099"), (
             "only a release proves what is on it"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -20,14 +20,14 @@
 from topazhold.wire.workers import Heartbeat
 
 
-def fields(**changes: Any) -> dict[str, Any]:
-    base = msgspec.to_builtins(make_spec())
-    base.update(changes)
-    return base
+def spec_fields(**changes: Any) -> dict[str, Any]:
+    fields = msgspec.to_builtins(make_spec())
+    fields.update(changes)
+    return fields
 
 
-def test_null_may_be_missing_and_unknown_is_ignored() -> None:
-    body = fields(machine_types=None, zone=None, colour="red")
+def test_null_fields_may_be_missing_and_unknown_fields_are_ignored() -> None:
+    body = spec_fields(machine_types=None, zone=None, colour="red")
     spec = decode(cbor2.dumps(body), JobSpec)
     assert spec.machine_types is None and spec.deadline_s is None and spec.invalid_field() is None
 
@@ -61,9 +61,9 @@
     ],
     ids=str,
 )
-def test_bad_fields_are_refused(change: dict[str, Any]) -> None:
+def test_invalid_fields_are_refused(change: dict[str, Any]) -> None:
     try:
-        spec = decode(cbor2.dumps(fields(**change)), JobSpec)
+        spec = decode(cbor2.dumps(spec_fields(**change)), JobSpec)
     except InvalidMessageError:
         return
     assert spec.invalid_field() is not None
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("name", ["id", "lane", "frames", "vcpus", "drones", "seal_s"])
 def test_missing_fields_are_refused(name: str) -> None:
-    body = fields()
+    body = spec_fields()
     del body[name]
     with pytest.raises(InvalidMessageError):
         decode(cbor2.dumps(body), JobSpec)
@@ -99,13 +99,13 @@
         decode(cbor2.dumps(value), JobSpec)
 
 
-def test_calls_have_the_protocols_names() -> None:
+def test_commands_use_the_protocols_names() -> None:
     command = unpack(pack(wire.kill("wk-1/0", 3, 2.5)))
     assert command == {"call": "kill", "frame": "wk-1/0", "try": 3, "settle_s": 2.5}
     assert "settle_s" not in unpack(pack(wire.launch("wk-1/0", 3)))
 
 
-def test_frame_names() -> None:
+def test_task_names_are_split() -> None:
     assert wire.split_task_name("wk-000412/3") == ("wk-000412", 3)
     for bad in ("wk-000412", "wk-x/3", "wk-1/x", "wk-1/-1", "/3", "wk-1/" + "9" * 30):
         assert wire.split_task_name(bad) is None
@@ -115,9 +115,9 @@
     job = Job(make_spec(shape="batch", tasks=9000), 50.0, 1000.0, "hive-1")
     for index in (0, 7, 4095, 4096, 8999):
         job.mark_completed(index)
-    again = records.read_live_job(records.live_value(job, "t"), 3, 1010.0, 60.0)
-    assert again.spec == job.spec and again.revision == 3 and again.arrived == 50.0
-    assert [i for i in range(9000) if again.completed[i]] == [0, 7, 4095]
+    restored = records.read_live_job(records.live_value(job, "t"), 3, 1010.0, 60.0)
+    assert restored.spec == job.spec and restored.revision == 3 and restored.arrived == 50.0
+    assert [i for i in range(9000) if restored.completed[i]] == [0, 7, 4095]
     for part in (1, 2):
-        again.load_part(part, job.part_text(part))
-    assert again.completed == job.completed
+        restored.load_part(part, job.part_text(part))
+    assert restored.completed == job.completed
