--- a/tests/test_compare_messages.py
+++ b/tests/test_compare_messages.py
@@ -1,4 +1,4 @@
-"""The comparison of two versions must see a single message that differs."""
+"""The comparison of two versions must detect a single different message."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
     sent_body,
 )
 
-#: Long enough for jobs to run, to end and to be cleared.
+#: Jobs run, end and are cleared within this day.
 SHORT_DAY = Day(seed=8, jobs=6, trouble_s=6.0, calm_s=60.0)
 MESSAGES = ["a", "b", "c", "d"]
 
 
-# -- broken variants, called in the recorder's process -------------------------
+# -- faulty variants, called in the recorder's process -------------------------
 
 
 def _change_outgoing(change: Callable[[dict[str, Any]], dict[str, Any]]) -> None:
-    """Change the maps that go out, where all senders encode them."""
+    """Apply `change` to each outgoing map in `cbor2.dumps`, which all senders use."""
     dumps = cbor2.dumps
 
     def dumps_changed(value: Any, *args: Any, **kwargs: Any) -> bytes:
@@ -57,7 +57,7 @@
 
 
 def drop_one_clear() -> None:
-    """The first task to be cleared is not: its command is missing."""
+    """Drop all `clear` commands of the first task that is to be cleared."""
     dropped: list[tuple[str, int]] = []
 
     def is_dropped(command: dict[str, Any]) -> bool:
@@ -79,7 +79,7 @@
 
 
 def reorder_operations() -> None:
-    """A transaction's operations come in the opposite order."""
+    """Reverse the order of the operations in each transaction."""
 
     def change(message: dict[str, Any]) -> dict[str, Any]:
         if "guards" not in message:
@@ -94,14 +94,14 @@
 
 @cache
 def recorded(variant: str | None = None) -> list[str]:
-    """The messages of the short day; a variant is a function of this module."""
+    """Return the messages of the short day; `variant` names a function of this module to apply."""
     name = None if variant is None else f"{__name__}:{variant}"
     with TemporaryDirectory() as folder:
         return record(ROOT, SHORT_DAY, Path(folder), name).read_text().splitlines()
 
 
 def parsed_difference(variant: str) -> tuple[dict[str, Any], dict[str, Any]]:
-    """The first messages in which the short day and its variant differ."""
+    """Return the first two messages that differ between the short day and its variant."""
     _, difference = first_difference(recorded(), recorded(variant))
     assert difference is not None, f"{variant} was missed"
     assert difference.base is not None
@@ -196,7 +196,7 @@
     assert CliRunner().invoke(main, ["--base", "HEAD"]).exit_code == 2
 
 
-# -- what is played and recorded -----------------------------------------------
+# -- playing and recording ------------------------------------------------------
 
 
 def test_extracted_sources_are_deleted_with_the_context() -> None:
--- a/tests/test_cpu_accounting.py
+++ b/tests/test_cpu_accounting.py
@@ -1,4 +1,4 @@
-"""The account of a process's time: what runs is counted, what waits is not."""
+"""CPU accounting: running time is counted by category, waiting time is not."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def nonzero_usage(cpu_accounting: CpuAccounting) -> dict[WorkCategory, tuple[float, int]]:
-    """Seconds and pieces of all duties that had any."""
+    """Return the seconds and the number of slices of each category that has any."""
     return {
         category: (usage.seconds, usage.slices)
         for category, usage in cpu_accounting.usage_by_category.items()
@@ -71,7 +71,7 @@
 
 
 def test_slice_counts_for_the_category_that_is_set_during_it(clock: Clock) -> None:
-    """A connection does not know what it serves before it has read the request."""
+    """A connection's category is known only after it has read the request."""
     cpu_accounting = CpuAccounting()
 
     async def connection() -> None:
@@ -92,7 +92,7 @@
     curio.run(main, activations=[cpu_accounting])
     measured = nonzero_usage(cpu_accounting)
     assert measured[WorkCategory.HEARTBEATS] == (2.0, 1)
-    assert measured[WorkCategory.USERS] == (2.0, 2)  # and its end
+    assert measured[WorkCategory.USERS] == (2.0, 2)  # the second slice is the end of the task
     assert measured[WorkCategory.OTHER][0] == 1.0
 
 
@@ -106,4 +106,4 @@
     assert "cloud" in cpu_accounting.report_line()
     clock.advance(4.0)
     assert cpu_accounting.report_line().startswith("busy 0.0% of 4 s: ;")
-    assert cpu_accounting._categories == {}, "tasks that have ended are forgotten"
+    assert cpu_accounting._categories == {}, "categories of ended tasks are removed"
--- a/tests/test_direct_commands.py
+++ b/tests/test_direct_commands.py
@@ -50,7 +50,7 @@
 
 
 class UnresponsiveClient:
-    """A connection to a worker that never answers."""
+    """A client whose requests get no response; records the requested hosts."""
 
     requested_hosts: list[str] = []
 
@@ -83,7 +83,7 @@
 def test_silent_machines_do_not_delay_kills_on_responsive_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Sixteen at a time in order of name: the last of 300 was told after 20 s."""
+    """With sixteen commands in flight in order of name, the last of 300 machines waited 20 s."""
 
     async def main(clock: VirtualTime) -> None:
         UnresponsiveClient.requested_hosts.clear()
@@ -96,7 +96,9 @@
         await direct_commands.send_due()
         await curio.sleep(0.01)
         assert "10.0.1.49" in UnresponsiveClient.requested_hosts
-        assert len(UnresponsiveClient.requested_hosts) < 20, "places stay free for those who answer"
+        assert len(UnresponsiveClient.requested_hosts) < 20, (
+            "slots stay free for responsive machines"
+        )
 
     run_virtual(main, monkeypatch)
 
@@ -104,7 +106,8 @@
 def test_machines_with_cancelled_tasks_are_released_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A hundred names a request, in order of name: the machine that had to go waited."""
+    """A request has at most a hundred machines: in order of name, a machine whose release is
+    required waited behind idle ones."""
 
     async def main(clock: VirtualTime) -> None:
         context, scheduler = make_context(250)
--- a/tests/test_follower_heartbeats.py
+++ b/tests/test_follower_heartbeats.py
@@ -1,4 +1,4 @@
-"""Which workers a follower keeps when the leader can't reach them."""
+"""Which workers a follower serves itself, and how it forwards their heartbeats."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_never_serves_a_worker_that_knows_another_term() -> None:
-    """A 200 with a lower term would be dropped while the lease runs out."""
+    """The worker would ignore a response with a lower term, and its lease would expire."""
     follower_heartbeats, _ = make_follower()
     assert not follower_heartbeats.should_serve(make_heartbeat(term=8), 9.0)
     assert not follower_heartbeats.should_serve(make_heartbeat(term=6), 9.0)
@@ -78,7 +78,7 @@
 
 
 def test_node_is_isolated_if_peers_have_the_store_or_are_silent() -> None:
-    """In an outage for all, unhealthy nodes would only lengthen it."""
+    """If no node reaches the store, reporting them unhealthy would only prolong the outage."""
     follower_heartbeats, _ = make_follower()
     assert not follower_heartbeats.is_isolated(1.0)
     follower_heartbeats.on_ping("hive-1", False, None, 1.0)
@@ -88,7 +88,7 @@
     assert follower_heartbeats.is_isolated(60.0)
 
 
-# -- a node that reaches nothing but workers ------------------------------------
+# -- a node that reaches neither the store nor a peer ----------------------------
 
 
 def test_node_is_partitioned_only_without_store_and_peers() -> None:
@@ -101,7 +101,7 @@
 
 
 def test_partitioned_node_redirects_workers_that_can_reach_others() -> None:
-    """Its answers led nowhere: nothing launched, nothing seen to end, while the leader waited."""
+    """Served here, they got no launches, and the leader waited for unreported ends of tasks."""
     follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
     assert not follower_heartbeats.should_serve_while_partitioned(
@@ -109,20 +109,20 @@
     )
     assert not follower_heartbeats.should_serve_while_partitioned(
         make_heartbeat(busy=True), 20.5
-    ), "the zone is not cut off"
+    ), "the zone is not partitioned"
 
 
 def test_node_of_a_partitioned_zone_serves_busy_workers() -> None:
-    """Sent away, they would find nobody, and lose their leases on the way round."""
+    """Redirected, they would reach no controller and lose their leases while they try all."""
     follower_heartbeats, _ = make_follower()
     assert follower_heartbeats.is_partitioned(False, 20.0)
     assert not follower_heartbeats.should_serve_while_partitioned(
         make_heartbeat(machine="host-2"), 20.0
-    ), "has nothing to lose"
+    ), "idle workers lose nothing by a redirect"
     assert follower_heartbeats.should_serve_while_partitioned(make_heartbeat(busy=True), 20.5)
     assert follower_heartbeats.should_serve_while_partitioned(
         make_heartbeat(machine="host-2"), 26.0
-    ), "it came back: nobody else is there"
+    ), "it returned, so no other controller is reachable"
     for second in range(21, 36):
         assert follower_heartbeats.should_serve_while_partitioned(
             make_heartbeat(busy=True), float(second)
@@ -134,7 +134,7 @@
     assert follower_heartbeats.is_partitioned(False, 20.0)
     assert not follower_heartbeats.should_serve_while_partitioned(
         make_heartbeat(machine="host-2", busy=True), 20.0
-    ), "one goes ahead"
+    ), "one busy worker is redirected as a probe"
     assert follower_heartbeats.should_serve_while_partitioned(
         make_heartbeat(machine="host-3", busy=True), 20.5
     )
@@ -153,8 +153,8 @@
 
 
 def test_heartbeats_with_ended_tasks_are_forwarded_first() -> None:
-    """Of a cut zone's 150 reports a value takes a dozen: in order of arrival the leader
-    learnt of ended tasks minutes late."""
+    """A stored value holds about a dozen of a partitioned zone's 150 heartbeats. In order of
+    arrival, the leader learnt of ended tasks minutes late."""
     follower_heartbeats, _ = make_follower()
     for number in range(150):
         heartbeat = make_heartbeat(machine=f"host-{number}", busy=True)
--- a/tests/test_gang_reservations.py
+++ b/tests/test_gang_reservations.py
@@ -1,4 +1,4 @@
-"""A controller's holds: kept, changed and booked anew."""
+"""A controller's reservations for gangs: searches, changes, renewals and conflicts."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Clock:
-    """The time of day, set by hand."""
+    """A time of day that the test sets."""
 
     def __init__(self, monkeypatch: Any) -> None:
         self.now = 1e9
@@ -64,7 +64,7 @@
 
 
 def test_reservation_changes_only_for_a_clearly_better_group(monkeypatch: Any) -> None:
-    """Gangs of eight changed machines every few seconds and never had them all."""
+    """Gangs of eight changed reservations every few seconds and never got all their machines."""
     clock = Clock(monkeypatch)
     pending_gangs = make_pending_gangs(clock)
     pending_gangs.search_round(make_cluster_view(m1=100.0), 0.0)
@@ -98,11 +98,11 @@
     )
     clock.now += 61.0
     pending_gangs.search_round(make_cluster_view(), 122.0)
-    assert pending_gangs.reservations.own == {}, "nothing is known of it any more"
+    assert pending_gangs.reservations.own == {}, "no offer of the reserved machine is left"
 
 
 def test_gangs_with_reservations_are_searched_for_in_turn(monkeypatch: Any) -> None:
-    """Those with holds were not, as long as enough others had none."""
+    """They were not while enough other gangs had no reservation."""
     clock = Clock(monkeypatch)
     pending_gangs = make_pending_gangs(clock)
     pending_gangs.search_round(make_cluster_view(m1=100.0), 0.0)
@@ -116,7 +116,7 @@
 
 
 def test_conflict_drops_only_contested_new_reservations(monkeypatch: Any) -> None:
-    """All holds were thrown away at a conflict, those that stood before included."""
+    """A conflict dropped all reservations, also those stored before."""
     pending_gangs = make_pending_gangs(Clock(monkeypatch))
     pending_gangs.search_round(make_cluster_view(m1=5.0, m2=50.0, m3=50.0), 0.0)
     pending_gangs.reservations.table.reservations["hive-0"] = dict(pending_gangs.reservations.own)
@@ -139,7 +139,7 @@
 
 
 def test_truncated_list_does_not_list_all_waiting_gangs() -> None:
-    """Sixty gangs were told of; followers dropped the holds of all others."""
+    """Followers took a list of sixty gangs for complete and dropped all other reservations."""
     cluster_view = ClusterView()
     cluster_view.read_jobs({"crown": 1, "waiting": [], "cut": True})
     assert not cluster_view.lists_all_waiting
@@ -148,7 +148,7 @@
 
 
 def test_searches_per_round_depend_on_the_cpu_share() -> None:
-    """Sixty-four searches on 18% of a core would keep a lease waiting for a second."""
+    """64 searches on 18% of a core would delay lease renewal by a second."""
     assert [max_follower_searches(share) for share in (0.05, 0.18, 0.576, 1.476)] == [
         16,
         16,
@@ -158,8 +158,8 @@
 
 
 def test_late_copy_of_a_summary_is_outdated() -> None:
-    """Carried out late, an old one named gangs as waiting that had started, and left out
-    others, whose controllers then gave up searching."""
+    """A late write of an old summary listed gangs that had already started and omitted others,
+    whose controllers then stopped searching for them."""
     cluster_view = ClusterView()
     cluster_view.read_jobs({"crown": 2, "at": 100.0, "waiting": []})
     assert cluster_view.is_outdated({"crown": 2, "at": 95.0}) and cluster_view.is_outdated(
@@ -171,7 +171,7 @@
 
 
 def test_search_round_stops_at_its_time_limit(monkeypatch: pytest.MonkeyPatch) -> None:
-    """On a small share of a core sixteen searches kept the lease waiting for a second."""
+    """On a small share of a core sixteen searches delayed lease renewal by a second."""
     clock = [50.0]
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     searched: list[str] = []
@@ -192,13 +192,13 @@
     pending_gangs.search_round(ClusterView(), 1.0)
     assert searched == order[:2]
     pending_gangs.search_round(ClusterView(), 2.0)
-    assert searched == order[:4], "those that were left come first"
+    assert searched == order[:4], "the remaining gangs come first"
     pending_gangs.search_round(ClusterView(), 3.0)
     assert searched[4:] == [order[4], order[0]]
 
 
 def test_controller_lease_is_longer_on_a_smaller_cpu_share() -> None:
-    """At 1.5 s on 6.5% of a core a leader lost its lease every few seconds."""
+    """With a lease of 1.5 s on 6.5% of a core a leader lost it every few seconds."""
     settings = make_settings("hive-0", "a", [])
     lease_durations = []
     for share in (2.0, 0.43, 0.065, 0.0):
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP server, its clients and the peer links, on loopback sockets."""
+"""The HTTP server and client, peer connections and the token bucket, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
 
 
 def test_server_waits_for_an_address_that_is_in_use() -> None:
-    """A controller ended for that, and its platform waits before it starts one again."""
+    """Otherwise the controller exits, and its platform restarts it only after a delay."""
 
     async def run() -> int:
         occupying_socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -165,7 +165,7 @@
 
 
 def test_limited_connections_leave_room_for_others() -> None:
-    """Users' connections must not keep workers out."""
+    """Users' connections must not take all connections from workers."""
 
     async def main(address: tuple[str, int]) -> None:
         clients = [Client(address) for _ in range(4)]
@@ -211,7 +211,7 @@
         await curio.sleep(0.2)
         assert (
             peer_transport.encode_frame(("big", "x" * peer_transport.MAX_MESSAGE_BYTES)) == b""
-        ), "would end the link"
+        ), "the receiver would close the connection"
         assert received == [("ping", "hive-0", 7), ("ping", "hive-0", 8)]
         await connection_task.cancel()
         await listener_task.cancel()
@@ -220,7 +220,7 @@
 
 
 def test_token_bucket_keeps_its_reserve_for_higher_priorities() -> None:
-    """Under overload reports and decisions go first, submissions last."""
+    """Under overload leases come first, then decisions, submissions last."""
     bucket = TokenBucket(10.0)
     users = sum(bucket.take(0.0, 1, reserve=0.3) for _ in range(20))
     decisions = sum(bucket.take(0.0, 1, reserve=0.1) for _ in range(20))
--- a/tests/test_http_heads.py
+++ b/tests/test_http_heads.py
@@ -1,4 +1,4 @@
-"""Remembered message heads: the same requests and answers as by h11 alone, at a fixed cost."""
+"""Cached HTTP heads: same requests and responses as with h11 alone, at a constant cost."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ScriptedSocket:
-    """Gives what it was made with, piece by piece, and counts the calls."""
+    """A socket that receives the given pieces one by one; records sent data and counts receives."""
 
     def __init__(self, pieces: list[bytes]) -> None:
         self.pieces = pieces
@@ -32,7 +32,7 @@
 
 
 def exchange(pieces: list[bytes], response_rng: Random) -> tuple[list[Any], bytes, ScriptedSocket]:
-    """All requests of a connection as the server sees them, and all that it sends."""
+    """Serve a connection; return its requests and errors, the sent bytes and the socket."""
     sock = ScriptedSocket(list(pieces))
     connection = Connection(sock, None, 0.0)
     seen: list[Any] = []
@@ -62,7 +62,7 @@
 
 
 def random_request(rng: Random) -> bytes:
-    """A request of any kind, plain or odd; some are malformed."""
+    """Return a random request: plain, one that only h11 handles, or malformed."""
     method = rng.choice((b"GET", b"POST", b"POST", b"POST", b"HEAD", b"DELETE"))
     body = rng.randbytes(rng.choice((0, 1, 40, 3000)))
     headers = [b"Host: x"]
@@ -95,8 +95,8 @@
 
 
 def test_cached_heads_give_the_same_requests_and_responses_as_h11() -> None:
-    """A connection whose first bytes come alone is h11's from then on; the same bytes in
-    whole requests go by remembered heads. Both must see and send the same."""
+    """If the first head does not arrive in one piece, h11 parses the whole connection. The same
+    bytes in whole requests use cached heads, with the same requests and responses."""
     rng = Random(7)
     request_count = 0
     for _ in range(300):
@@ -120,21 +120,21 @@
 
 
 def test_a_heartbeat_costs_one_receive_one_send_and_no_parsing() -> None:
-    """However many come: h11 took a third of a leader's time for heads that were the same."""
+    """Parsing and rendering identical heads with h11 took a third of a leader's CPU time."""
     for count in (10, 200):
         pieces = [heartbeat_request(number) for number in range(count)]
-        exchange(pieces, Random(1))  # once, so that the heads are known
+        exchange(pieces, Random(1))  # fills the caches
         parse_misses = parse_request_head.cache_info().misses
         render_misses = render_response_head.cache_info().misses
         seen, _, sock = exchange(pieces, Random(1))
         assert len(seen) == len(sock.sent) == count
-        assert sock.receives == count + 2  # and the end, seen by us and by h11
+        assert sock.receives == count + 2  # the end is received twice: before and by h11
         assert parse_request_head.cache_info().misses == parse_misses
         assert render_response_head.cache_info().misses == render_misses
 
 
 def test_caches_of_heads_are_bounded() -> None:
-    """Users choose the paths, and so the heads."""
+    """Users choose the paths, and so the number of different heads."""
     for number in range(2 * MAX_CACHED_HEADS):
         assert parse_request_head(b"GET /api/jobs/wk-%d HTTP/1.1\r\nHost: x\r\n\r\n" % number)
     assert parse_request_head.cache_info().currsize == MAX_CACHED_HEADS
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that CI passes over: exactly these, and each of them is a test."""
+"""The list of tests that CI deselects: exactly the listed tests, all of which must exist."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def run_module(folder: Path, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """Run a module in a folder with tests of its own."""
+    """Run a Python module in `folder`, which gets a test file with `TESTS`."""
     (folder / "test_some.py").write_text(TESTS)
     environment = {**os.environ, "PYTHONPATH": str(ROOT)}
     command = [sys.executable, "-m", *arguments]
@@ -56,7 +56,7 @@
 
 
 def test_entry_of_an_unknown_test_is_named_in_the_error() -> None:
-    """Guards against: a part of a name passes for one, or nobody notices a misspelt one."""
+    """A prefix of a test's name must not match, and a misspelt name must not go unnoticed."""
     known = KnownRed("a.py::test_a", COMMAND, "it fails", "issue 1")
     require_collected([known], ["a.py::test_a", "a.py::test_a_b"])
     with pytest.raises(InvalidListError, match=r"a\.py::test_a"):
@@ -64,7 +64,7 @@
 
 
 def test_exactly_the_listed_tests_are_deselected(tmp_path: Path) -> None:
-    """Guards against: tests whose names begin with a listed one are passed over with it."""
+    """Tests whose names start with a listed one must still run."""
     listed = [f"test_some.py::{name}" for name in ("test_one", "test_two[a, b]")]
     (tmp_path / "list").write_text("".join(map(entry_line, listed)))
     validation = run_module(tmp_path, "tools.known_red", "list")
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings and the command line."""
+"""Settings files, operator settings and the command line."""
 
 from __future__ import annotations
 
--- a/tests/test_users.py
+++ b/tests/test_users.py
@@ -1,4 +1,4 @@
-"""The users' interface against the real control code and the fake key-value store."""
+"""The users' API of a real controller with a fake key-value store."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def run_with_controller(
     monkeypatch: pytest.MonkeyPatch, act: ControllerTest, startup_s: float = 2.0
 ) -> Simulation:
-    """One controller, a store and a cloud; `act` gets the simulation and the controller."""
+    """Run `act` with a simulation and its only controller; return the simulation."""
     simulations: list[Simulation] = []
 
     async def main(clock: VirtualTime) -> None:
@@ -62,7 +62,7 @@
         ).status == HTTPStatus.UNPROCESSABLE_ENTITY
         assert (await submit(node, id="wk-5", tasks=11)).status == HTTPStatus.UNPROCESSABLE_ENTITY
         assert (await submit(node, id="wk-6", tasks=0)).status == HTTPStatus.BAD_REQUEST
-        # All replicas of a service run at once; of an array one task need fit the limit.
+        # All replicas of a service must fit the team's limit at once; of an array, one task.
         assert (
             await submit(node, id="wk-7", tasks=11, shape="daemon")
         ).status == HTTPStatus.UNPROCESSABLE_ENTITY
@@ -132,7 +132,7 @@
 
 
 def test_requests_in_a_store_outage_are_refused_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What can't be taken is refused at once, with a time to come back."""
+    """Requests that need the store must not wait for it; refused submissions get Retry-After."""
 
     async def act(simulation: Simulation, node: Any) -> None:
         assert (await submit(node)).status == HTTPStatus.CREATED
@@ -153,7 +153,7 @@
 
 
 def test_overload_refuses_submissions_first(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Reports are answered and decisions made while submissions are turned away."""
+    """Heartbeats are answered and decisions made while submissions are refused."""
     statuses: list[int] = []
 
     async def act(simulation: Simulation, node: Any) -> None:
@@ -226,7 +226,7 @@
 
 
 def test_unreadable_record_does_not_block_other_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It kept each new leader from taking over, and every job from running."""
+    """An unreadable record prevented each new leader from starting, so that no job ran."""
 
     async def main(clock: VirtualTime) -> None:
         simulation = Simulation(clock, 1)
@@ -248,7 +248,7 @@
             assert answer.status == HTTPStatus.OK and answer.body["stage"] == "pending"
         assert sorted(node.leader_term.scheduler.jobs) == ["wk-000001"]
         assert node.leader_term.scheduler.cluster.is_removed("host-000099"), (
-            "only a release proves what is on it"
+            "its tasks are unknown, so it can only be released"
         )
 
     run_virtual(main, monkeypatch)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Decoding of whatever comes in."""
+"""Decoding and encoding of messages and records, with invalid input."""
 
 from __future__ import annotations
 
