--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -21,28 +21,33 @@
 from topazhold.operator_settings import OperatorSettings
 from topazhold.wire import messages as wire
 
+#: Preconditions that a transaction may have for each of its changes.
+CONDITIONS_PER_CHANGE = 4
+#: Maximum size of a transaction.
+MAX_TRANSACTION_BYTES = 64 * 1024
+
 
 class RecordingStore:
     """A store that keeps what it was asked, within the protocol's limits."""
 
     def __init__(self, txn_ops: int) -> None:
         self.txn_ops = txn_ops
-        self.guarded: list[set[str]] = []
-        self.puts: list[set[str]] = []
+        self.condition_keys: list[set[str]] = []
+        self.written_keys: list[set[str]] = []
 
     async def commit(self, conditions: list[Any], operations: list[Any], *_: Any, **__: Any) -> int:
         return await self.compare_and_swap(conditions, operations)
 
     async def compare_and_swap(self, conditions: list[Any], operations: list[Any], *_: Any) -> int:
         assert len(operations) <= self.txn_ops
-        assert len(conditions) <= 4 * self.txn_ops
+        assert len(conditions) <= CONDITIONS_PER_CHANGE * self.txn_ops
         body = wire.transaction_body(
             [wire.condition(key, revision) for key, revision in conditions], operations
         )
-        assert len(str(body)) < 64 * 1024
-        self.guarded.append({key for key, _ in conditions})
-        self.puts.append({wire.changed_key(change) for change in operations})
-        return len(self.guarded)
+        assert len(str(body)) < MAX_TRANSACTION_BYTES
+        self.condition_keys.append({key for key, _ in conditions})
+        self.written_keys.append({wire.changed_key(change) for change in operations})
+        return len(self.condition_keys)
 
 
 def write_plan(
@@ -83,29 +88,29 @@
     return store, attempts
 
 
-def test_every_planned_job_is_guarded(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_every_planned_job_has_a_precondition(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards beyond four times `txn_ops` used to be cut: the last jobs of a plan of
     many small ones could be launched though they had been cancelled in between."""
     store, attempts = write_plan(monkeypatch, machines=8, jobs=96)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
     for attempt in attempts:
         assert any(
-            f"live/{attempt.job.id}" in guarded and "queen/now" in guarded
-            for guarded in store.guarded
+            f"live/{attempt.job.id}" in condition_keys and "queen/now" in condition_keys
+            for condition_keys in store.condition_keys
         ), attempt.job.id
 
 
-def test_plan_over_many_shards_and_full_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_plan_that_splits_shards_stays_within_the_limits(monkeypatch: pytest.MonkeyPatch) -> None:
     """Shards that split while they are written must not make a transaction too large."""
     store, attempts = write_plan(monkeypatch, machines=80, jobs=6000)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
-    assert len(set().union(*store.puts)) > 5
+    assert len(set().union(*store.written_keys)) > 5
 
 
-def test_plan_is_within_the_bytes_of_a_transaction_that_takes_many_changes(
+def test_plan_stays_within_the_transaction_size_with_many_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against: the preconditions alone fill it, and the same plan is refused for ever."""
     store, attempts = write_plan(monkeypatch, machines=96, jobs=2000, txn_ops=256, first_job=10**17)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
-    assert len(store.guarded) > 1
+    assert len(store.condition_keys) > 1
--- a/tests/test_operation_records.py
+++ b/tests/test_operation_records.py
@@ -34,7 +34,7 @@
 from topazhold.operations.schemas import render_page, schema_of
 from topazhold.operator_settings import OperatorSettings
 
-HEADER = {"by": "d4-1", "term": 4, "number": 1, "at": 1.0}
+COMMON_FIELDS = {"by": "d4-1", "term": 4, "number": 1, "at": 1.0}
 SAMPLES: dict[str, dict[str, Any]] = {
     SCALE_IN_PREFIX: {"machines": {"host-1": "idle"}},
     SCALE_OUT_PREFIX: {
@@ -46,14 +46,14 @@
     },
     CLEANUP_PREFIX: {"job": "wk-000001", "parts": [1, 2]},
 }
-KEY_END = "000000000004-00000001"
+KEY_SUFFIX = "000000000004-00000001"
 
 
-def test_page_of_schemas_is_new() -> None:
+def test_schema_page_is_up_to_date() -> None:
     assert (ROOT / "docs" / "duties-schemas.md").read_text() == render_page()
 
 
-def test_all_that_is_stored_fits_the_published_schemas(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stored_records_match_the_published_schemas(monkeypatch: pytest.MonkeyPatch) -> None:
     simulation = play(30, ["cloud_held", "crash_leader"], monkeypatch, trouble_s=40.0, calm_s=60.0)
     stored = [(key, data) for _, key, data in simulation.store.changes if data is not None]
     checked = 0
@@ -66,30 +66,30 @@
 
 
 @pytest.mark.parametrize("prefix", list(SAMPLES))
-def test_schema_and_reader_refuse_the_same(prefix: str) -> None:
+def test_schema_and_decoder_reject_the_same_values(prefix: str) -> None:
     """A field that is missing, of another type, or out of its bounds."""
-    good = {**HEADER, **SAMPLES[prefix]}
-    key = prefix + KEY_END
-    jsonschema.validate(good, schema_of(prefix))
-    assert decode_record(key, good).number == 1
-    for field in good:
-        without = {name: value for name, value in good.items() if name != field}
-        for odd in (without, {**good, field: []}, {**good, field: -1}, {**good, field: ""}):
+    valid = {**COMMON_FIELDS, **SAMPLES[prefix]}
+    key = prefix + KEY_SUFFIX
+    jsonschema.validate(valid, schema_of(prefix))
+    assert decode_record(key, valid).number == 1
+    for field in valid:
+        missing = {name: value for name, value in valid.items() if name != field}
+        for invalid in (missing, {**valid, field: []}, {**valid, field: -1}, {**valid, field: ""}):
             with pytest.raises(jsonschema.ValidationError):
-                jsonschema.validate(odd, schema_of(prefix))
+                jsonschema.validate(invalid, schema_of(prefix))
             with pytest.raises(InvalidRecordError):
-                decode_record(key, odd)
+                decode_record(key, invalid)
 
 
-def ask(simulation: LoopbackSimulation, *options: str) -> subprocess.Popen[str]:
+def start_duties_command(simulation: LoopbackSimulation, *options: str) -> subprocess.Popen[str]:
     config = str(simulation.write_settings(CONTROLLER_NAMES[0]))
     command = [sys.executable, "run.py", "duties", "--config", config, *options]
     pipe = subprocess.PIPE
     return subprocess.Popen(command, cwd=ROOT, stdout=pipe, stderr=pipe, text=True)
 
 
-def test_command_shows_holder_and_orders(tmp_path: Path) -> None:
-    answers: list[str] = []
+def test_duties_command_shows_leader_and_operations(tmp_path: Path) -> None:
+    outputs: list[str] = []
 
     async def scenario() -> None:
         simulation = LoopbackSimulation(1, tmp_path, "")
@@ -99,22 +99,26 @@
         )
         simulation.store.data[LEADER_KEY] = ({"node": "hive-2", "crown": 4}, 7, None)
         for number, (prefix, sample) in enumerate(SAMPLES.items()):
-            simulation.store.data[prefix + KEY_END] = ({**HEADER, **sample}, 8 + number, None)
+            simulation.store.data[prefix + KEY_SUFFIX] = (
+                {**COMMON_FIELDS, **sample},
+                8 + number,
+                None,
+            )
         simulation.store.data[f"{SCALE_IN_PREFIX}odd"] = ({"machines": 1}, 20, None)
-        before = dict(simulation.store.data)
+        stored_before = dict(simulation.store.data)
         for options in ((), ("--json",)):
-            process = ask(simulation, *options)
+            process = start_duties_command(simulation, *options)
             while process.poll() is None:
                 await curio.sleep(0.05)
             assert process.returncode == 0, process.communicate()
-            answers.append(process.communicate()[0])
-        assert simulation.store.data == before, "it changes nothing"
+            outputs.append(process.communicate()[0])
+        assert simulation.store.data == stored_before, "it changes nothing"
         await serving.cancel()
 
     curio.run(scenario)
-    text, data = answers[0], json.loads(answers[1])
+    text, data = outputs[0], json.loads(outputs[1])
     assert text.count("hive-2, term 4") == len(OPERATION_KINDS) and "host-1 (idle)" in text
-    assert {order["kind"] for order in data["orders"]} == {
+    assert {entry["kind"] for entry in data["orders"]} == {
         "return",
         "rental",
         "clean-up",
@@ -123,7 +127,7 @@
     assert all(len(line) <= 100 for line in text.splitlines())
 
 
-def test_command_without_state_service_or_settings(tmp_path: Path) -> None:
+def test_duties_command_fails_without_store_or_settings(tmp_path: Path) -> None:
     simulation = LoopbackSimulation(1, tmp_path, "")
     assert FakeKeyValueStore.HOST in simulation.network.hosts  # made, but not served
     simulation.ports[CONTROLLER_NAMES[0]]["state"] = free_port()
@@ -136,7 +140,7 @@
     assert result.exit_code == 2 and len(result.stderr.strip().splitlines()) == 1
 
 
-def test_command_shows_operations_that_were_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_duties_command_shows_refused_operations(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against: an operation that can't be recorded shows in one controller's log only."""
     reports: list[OperationsReport] = []
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 import curio
@@ -34,10 +35,10 @@
 
 #: Longer than a lease of a controller, by far.
 PAUSE_S = 30.0
-HELD_S = 120.0
+REQUEST_DELAY_S = 120.0
 
 
-def freeze(scenario: Scenario) -> Callable[[str], None]:
+def pause_sender(scenario: Scenario) -> Callable[[str], None]:
     def act(source: str) -> None:
         scenario.paused_until[source] = scenario.clock.now + PAUSE_S
 
@@ -48,10 +49,10 @@
     scenario: Scenario, point: str, kind: str, act: Callable[[str], None]
 ) -> OperationTrigger:
     """Let `act` happen to the sender of the first operation of a kind, at a point of it."""
-    return OperationTrigger(scenario.network.hosts, point, kind, act, HELD_S)
+    return OperationTrigger(scenario.network.hosts, point, kind, act, REQUEST_DELAY_S)
 
 
-def state_fails(scenario: Scenario) -> Callable[[str], None]:
+def stop_store(scenario: Scenario) -> Callable[[str], None]:
     """The state service is out from this point on, for longer than any lease of a controller."""
 
     def act(source: str) -> None:
@@ -60,7 +61,7 @@
     return act
 
 
-async def begin(scenario: Scenario) -> str:
+async def start_cluster(scenario: Scenario) -> str:
     await scenario.start(machines=4)
     await scenario.submit_running_jobs(2, scenario.controller_names[0], gpus=1.0)
     leader = scenario.leader()
@@ -68,7 +69,7 @@
     return leader
 
 
-async def operation(scenario: Scenario, leader: str, kind: str) -> None:
+async def decide_operation(scenario: Scenario, leader: str, kind: str) -> None:
     """Let the leader decide on a return or a rental."""
     scheduler = scenario.controllers[leader].leader_term.scheduler
     if kind == "return":
@@ -81,9 +82,9 @@
         await scenario.submit(via, 20.0, tasks=12, gpus=4.0, cpus=4.0)
 
 
-async def settle(scenario: Scenario) -> None:
+async def wait_until_settled(scenario: Scenario) -> None:
     """Every order ends, its record with it, and no controller is wrong about a machine."""
-    await curio.sleep(HELD_S + 10.0)
+    await curio.sleep(REQUEST_DELAY_S + 10.0)
     await scenario.wait_until(lambda: scenario.leader() is not None)
     leader = scenario.leader()
     assert leader is not None
@@ -106,13 +107,13 @@
 @pytest.mark.parametrize("successors", [1, 2])
 @pytest.mark.parametrize("kind", ["return", "rental"])
 @pytest.mark.parametrize("point", TRIGGER_POINTS)
-def test_paused_executor_does_no_harm_when_it_goes_on_after_its_successors(
+def test_operation_of_a_paused_executor_has_no_effect_after_failover(
     point: str, kind: str, successors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
-        trigger = trigger_on(scenario, point, kind, freeze(scenario))
-        await operation(scenario, leader, kind)
+        leader = await start_cluster(scenario)
+        trigger = trigger_on(scenario, point, kind, pause_sender(scenario))
+        await decide_operation(scenario, leader, kind)
         await scenario.wait_until(lambda: trigger.source is not None)
         assert trigger.source == leader
         new = await scenario.wait_for_new_leader(leader)
@@ -120,12 +121,14 @@
             await scenario.stop(new)
             await scenario.start_again(new, 1.0)
             await scenario.wait_until(lambda: scenario.leader() not in (None, leader), 30.0)
-        before = scenario.clock.now
-        await settle(scenario)
-        late = [
-            done for done in scenario.cloud.operations.executed if done.at > before and done.stale
+        takeover_at = scenario.clock.now
+        await wait_until_settled(scenario)
+        stale_operations = [
+            executed
+            for executed in scenario.cloud.operations.executed
+            if executed.at > takeover_at and executed.stale
         ]
-        assert late == [], "an order of a former holder had an effect"
+        assert stale_operations == [], "an order of a former holder had an effect"
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -136,25 +139,25 @@
     point: str, kind: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
-        trigger = trigger_on(scenario, point, kind, state_fails(scenario))
-        await operation(scenario, leader, kind)
+        leader = await start_cluster(scenario)
+        trigger = trigger_on(scenario, point, kind, stop_store(scenario))
+        await decide_operation(scenario, leader, kind)
         await scenario.wait_until(lambda: trigger.source is not None)
         await curio.sleep(PAUSE_S)
         scenario.store.set_down(False)
-        await settle(scenario)
+        await wait_until_settled(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("point", TRIGGER_POINTS)
-def test_open_operation_outlasts_the_end_of_all_controllers(
+def test_open_operation_survives_a_restart_of_all_controllers(
     point: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
-        trigger = trigger_on(scenario, point, "return", freeze(scenario))
-        await operation(scenario, leader, "return")
+        leader = await start_cluster(scenario)
+        trigger = trigger_on(scenario, point, "return", pause_sender(scenario))
+        await decide_operation(scenario, leader, "return")
         await scenario.wait_until(lambda: trigger.source is not None)
         for name in list(scenario.controllers):
             await scenario.stop(name)
@@ -162,7 +165,7 @@
         await curio.sleep(1.0)
         for name in scenario.controller_names:  # the same node may lead again, under another term
             await start_controller(scenario, name)
-        await settle(scenario)
+        await wait_until_settled(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -173,63 +176,65 @@
     """Of many orders none is decided twice, whatever is lost, late or refused."""
 
     async def act(scenario: Scenario) -> None:
-        await begin(scenario)
+        await start_cluster(scenario)
         network = scenario.network
         network.late_operation_share, network.late_write_share = 0.4, 0.3
         network.loss_share = 0.1
-        coming = await curio.spawn(scenario.run_users, 24, 48.0, daemon=True)
+        submitting = await curio.spawn(scenario.run_users, 24, 48.0, daemon=True)
         for number in range(8):
             await curio.sleep(6.0)
             scenario.cloud.down = number % 3 == 2
-        await coming.join()
+        await submitting.join()
         scenario.cloud.down = False
         network.late_operation_share = network.late_write_share = network.loss_share = 0.0
-        await settle(scenario)
+        await wait_until_settled(scenario)
         assert len(scenario.cloud.operations.executed) > 3
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
 @pytest.mark.parametrize("status", [400, 429, 503])
-def test_rental_goes_on_after_the_cloud_refuses_and_then_gives_a_part(
+def test_scale_out_completes_after_refusals_by_the_cloud(
     status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A request is repeated under its name; what is refused for good is given up."""
 
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
+        leader = await start_cluster(scenario)
         cloud = scenario.network.hosts[FakeCloud.HOST]
-        asked: list[str] = []
+        request_names: list[str] = []
 
         async def refuse(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-            if method == "POST" and path == "/machines" and len(asked) < 3:
-                asked.append(body["swarm_ask"])
+            if method == "POST" and path == "/machines" and len(request_names) < 3:
+                request_names.append(body["swarm_ask"])
                 return status, {"error": "trouble"}
             return await cloud(source, method, path, body)
 
         scenario.network.hosts[FakeCloud.HOST] = refuse
-        await operation(scenario, leader, "rental")
-        await scenario.wait_until(lambda: len(asked) == 3)
-        repeated = len(set(asked)) < 3
+        await decide_operation(scenario, leader, "rental")
+        await scenario.wait_until(lambda: len(request_names) == 3)
+        repeated = len(set(request_names)) < 3
         assert repeated == (status != 400)
         await scenario.wait_until(
             lambda: scenario.cloud.rented and len(scenario.cloud.workers) == 8
         )
-        await settle(scenario)
+        await wait_until_settled(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_forced_return_is_made_known(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unrecorded_release_in_an_outage_is_announced_to_all_controllers(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """In an outage a machine with a cancelled task goes without a record; all learn of it."""
 
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
+        leader = await start_cluster(scenario)
         via = scenario.other_controllers(leader)[0]
         (job,) = await scenario.submit_running_jobs(1, via, tasks=1, gpus=1.0)
         (worker,) = [w for w in scenario.cloud.workers.values() if job in w.hosted_jobs]
         worker.hanging_until = scenario.clock.now + 500.0
-        assert await scenario.cancel(job, via) == 200
+        assert await scenario.cancel(job, via) == HTTPStatus.OK
         await curio.sleep(0.5)
         scenario.store.set_down(True)
         await scenario.wait_until(lambda: worker.terminated)
@@ -242,22 +247,24 @@
         await scenario.stop(leader)
         new = await scenario.wait_for_new_leader(leader)
         assert worker.name not in scenario.controllers[new].leader_term.scheduler.machines
-        await settle(scenario)
+        await wait_until_settled(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_return_of_a_machine_with_a_launch_under_way(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_scale_in_of_a_machine_with_a_pending_launch_completes_after_failover(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """Its intents are written; the holder stops before it answers, the next returns it."""
 
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
+        leader = await start_cluster(scenario)
         idle = next(w for w in scenario.cloud.workers.values() if not w.active_tasks())
         await scenario.submit(scenario.other_controllers(leader)[0], 10.0, tasks=4, gpus=4.0)
-        written = "on/"
+        intents_prefix = "on/"
         await scenario.wait_until(
             lambda: any(
-                key.startswith(written) and idle.name in data["boxes"]
+                key.startswith(intents_prefix) and idle.name in data["boxes"]
                 for key, (data, _, _) in scenario.store.data.items()
             )
         )
@@ -266,40 +273,42 @@
         scheduler = scenario.controllers[new].leader_term.scheduler
         scheduler.release(scheduler.machines[idle.name], "chosen", scenario.clock.now)
         await scenario.wait_until(lambda: idle.terminated)
-        await settle(scenario)
+        await wait_until_settled(scenario)
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_spot_machine_is_taken_while_its_return_is_open(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_leader_survives_a_spot_preemption_during_an_open_scale_in(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
-        taken: list[str] = []
+        leader = await start_cluster(scenario)
+        preempted: list[str] = []
 
-        def take(source: str) -> None:
+        def preempt(source: str) -> None:
             for name in scenario.controllers[leader].leader_term.scheduler.releases:
-                taken.append(name)
+                preempted.append(name)
                 scenario.cloud.remove(scenario.cloud.workers[name])
 
-        trigger_on(scenario, "after_record", "return", take)
-        await operation(scenario, leader, "return")
-        await scenario.wait_until(lambda: bool(taken))
-        await settle(scenario)
+        trigger_on(scenario, "after_record", "return", preempt)
+        await decide_operation(scenario, leader, "return")
+        await scenario.wait_until(lambda: bool(preempted))
+        await wait_until_settled(scenario)
         assert scenario.leader() == leader
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_successor_places_nothing_on_a_machine_of_an_open_return(
+def test_successor_places_nothing_on_a_machine_of_an_open_scale_in(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The machine still reports, is booked for a gang, and has a launch on its way."""
 
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
-        trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
+        leader = await start_cluster(scenario)
+        trigger = trigger_on(scenario, "after_record", "return", pause_sender(scenario))
         scenario.cloud.down = True  # the successor can't complete it yet
-        await operation(scenario, leader, "return")
+        await decide_operation(scenario, leader, "return")
         await scenario.wait_until(lambda: trigger.source is not None)
         (name,) = scenario.controllers[leader].leader_term.scheduler.releases
         new = await scenario.wait_for_new_leader(leader)
@@ -308,22 +317,22 @@
         worker = scenario.cloud.workers[name]
         assert not worker.tasks and worker.up, "it reports, and gets nothing"
         scenario.cloud.down = False
-        await settle(scenario)
+        await wait_until_settled(scenario)
         assert name not in scenario.cloud.workers
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_return_that_a_leader_of_the_old_version_did_not_know_is_dropped(
+def test_scale_in_is_dropped_if_an_older_version_used_the_machine_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An old leader ignores the record and uses the machine; the next new one leaves it."""
 
     async def act(scenario: Scenario) -> None:
         scenario.cloud.operations.checks_enabled = False  # production records nothing
-        leader = await begin(scenario)
-        trigger = trigger_on(scenario, "after_record", "return", freeze(scenario))
-        await operation(scenario, leader, "return")
+        leader = await start_cluster(scenario)
+        trigger = trigger_on(scenario, "after_record", "return", pause_sender(scenario))
+        await decide_operation(scenario, leader, "return")
         await scenario.wait_until(lambda: trigger.source is not None)
         (name,) = scenario.controllers[leader].leader_term.scheduler.releases
         for node in list(scenario.controllers):
@@ -352,35 +361,35 @@
     assert_no_violations(run_scenario(act, monkeypatch))
 
 
-def test_odd_records_are_left_and_the_rest_goes_on(
+def test_unreadable_records_are_left_alone_and_others_are_processed(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    odd = {
+    unreadable_records = {
         f"{SCALE_IN_PREFIX}000000000001-00000001": {"machines": 3},
         f"{SCALE_IN_PREFIX}junk": None,
         f"{OPERATION_PREFIX}unheard/of": {"by": "x"},
     }
 
     async def act(scenario: Scenario) -> None:
-        for key, value in odd.items():
+        for key, value in unreadable_records.items():
             scenario.store.data[key] = (value, 5, None)
-        leader = await begin(scenario)
-        await operation(scenario, leader, "return")
+        leader = await start_cluster(scenario)
+        await decide_operation(scenario, leader, "return")
         await curio.sleep(5.0)
         assert scenario.cloud.operations.executed
-        assert odd.keys() <= scenario.store.data.keys()
+        assert unreadable_records.keys() <= scenario.store.data.keys()
 
     assert_no_violations(run_scenario(act, monkeypatch))
-    for key in odd:
+    for key in unreadable_records:
         assert f"{key} unreadable" in caplog.text
 
 
-def record_of(names: list[str], number: int = 1) -> ScaleInRecord:
+def scale_in_record(names: list[str], number: int = 1) -> ScaleInRecord:
     machines = dict.fromkeys(names, "idle")
     return ScaleInRecord(by="d1-1", term=1, number=number, at=1.0, machines=machines)
 
 
-def test_records_are_split_and_checked() -> None:
+def test_scale_in_records_are_split_to_fit_and_validated() -> None:
     operation_log = OperationLog("hive-0", 7, max_value_bytes=2048, retention_s=10.0)
     reasons = {f"host-{number:06d}": "silent and not listed" for number in range(300)}
     operations = operation_log.decide_scale_in(reasons, 5.0)
@@ -391,26 +400,26 @@
     for each in operations:
         assert decode_record(each.key, encode_record(each.record)) == each.record
     with pytest.raises(InvalidRecordError):
-        encode_record(record_of([]))
+        encode_record(scale_in_record([]))
     with pytest.raises(InvalidRecordError):
-        decode_record(operations[0].key, encode_record(record_of(["host-1"])))
+        decode_record(operations[0].key, encode_record(scale_in_record(["host-1"])))
 
 
-def test_states_change_in_order_only() -> None:
-    one = ScaleInOperation(record_of(["host-1"]))
-    for change in (one.mark_sent, lambda: one.confirm(1.0), one.close):
+def test_operation_states_change_only_in_order() -> None:
+    scale_in = ScaleInOperation(scale_in_record(["host-1"]))
+    for transition in (scale_in.mark_sent, lambda: scale_in.confirm(1.0), scale_in.close):
         with pytest.raises(OperationStateError):
-            change()
-    one.record_committed()
+            transition()
+    scale_in.record_committed()
     with pytest.raises(OperationStateError):
-        one.record_committed()
-    assert (one.mark_sent(), one.mark_sent()) == (False, True)
-    one.confirm(1.0)
-    one.close()
-    assert one.state is OperationState.CLOSED
+        scale_in.record_committed()
+    assert (scale_in.mark_sent(), scale_in.mark_sent()) == (False, True)
+    scale_in.confirm(1.0)
+    scale_in.close()
+    assert scale_in.state is OperationState.CLOSED
 
 
-def test_operations_do_not_pile_up() -> None:
+def test_number_of_operations_in_the_log_is_bounded() -> None:
     """Closed ones are forgotten, kept ones are bounded, open rentals too."""
     operation_log = OperationLog("hive-0", 7, max_value_bytes=2048, retention_s=1e9)
     for number in range(2 * MAX_RETAINED_SCALE_INS):
@@ -428,7 +437,7 @@
     assert len(operation_log.scale_outs_due()) < 10
 
 
-def test_executor_doubts_its_lease_after_a_pause_or_a_jump() -> None:
+def test_lease_is_doubted_after_a_pause_or_a_clock_jump() -> None:
     lease_confidence = LeaseConfidenceTracker(max_gap_s=1.0, now=0.0, wall=1000.0)
     assert lease_confidence.check(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
     assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
--- a/tests/test_operations_model.py
+++ b/tests/test_operations_model.py
@@ -35,14 +35,14 @@
 LEASE_S = 3.0
 NODES = ("hive-0", "hive-1", "hive-2")
 #: The leader, mostly, or one of its predecessors.
-HOLDER = st.sampled_from([0, 0, 1, 2])
+EXECUTOR_INDEX = st.sampled_from([0, 0, 1, 2])
 FATES = st.sampled_from(["done", "done", "answer_lost", "held", "refused"])
 
 
-class Holder:
+class Executor:
     """One term's leader: the production core, and what it was told."""
 
-    def __init__(self, model: DutiesModel, node: str, term: int) -> None:
+    def __init__(self, model: OperationsModel, node: str, term: int) -> None:
         self.node, self.term, self.revision = node, term, model.revision
         self.operation_log = OperationLog(node, term, 400, retention_s=20.0)
         self.lease_confidence = LeaseConfidenceTracker(LEASE_S / 2, model.now, model.now)
@@ -52,45 +52,45 @@
         self.request: ReleaseRequest | ScaleOutOperation | None = None  # about to be sent
 
 
-class DutiesModel(RuleBasedStateMachine):
+class OperationsModel(RuleBasedStateMachine):
     """What may happen, and what must never."""
 
-    reads_orders = True
+    adopts_records = True
 
     def __init__(self) -> None:
         super().__init__()
         self.now, self.revision, self.term = 100.0, 1, 0
         self.stored: dict[str, Any] = {}
-        self.ever: dict[str, str] = {}  # machine -> key of the one record that returns it
-        self.requests: dict[str, str] = {}  # request name -> key of its record
-        self.alive = {"host-a", "host-b", "host-c"}
-        self.rented: dict[str, list[str]] = {}
-        self.placed: dict[str, int] = {}  # machine -> last term that placed work there
-        self.held: list[Callable[[], Any]] = []
-        self.state_up = True
-        self.count = 0
-        self.holders: list[Holder] = []
+        self.scale_in_keys: dict[str, str] = {}  # machine -> key of the one record that returns it
+        self.scale_out_keys: dict[str, str] = {}  # request name -> key of its record
+        self.running_machines = {"host-a", "host-b", "host-c"}
+        self.machines_by_request: dict[str, list[str]] = {}
+        self.last_placement_term: dict[str, int] = {}  # machine -> last term that placed work there
+        self.delayed: list[Callable[[], Any]] = []
+        self.store_up = True
+        self.machine_count = 0
+        self.executors: list[Executor] = []
         self._elect("hive-0")
 
     # -- the world -----------------------------------------------------------
 
     @property
-    def leader(self) -> Holder:
-        return self.holders[-1]
+    def leader(self) -> Executor:
+        return self.executors[-1]
 
     def _elect(self, node: str) -> None:
         self.term += 1
         self.revision += 1
-        executor = Holder(self, node, self.term)
-        executor.machines = set(self.alive)
-        for key in sorted(self.stored) if self.reads_orders else ():
+        executor = Executor(self, node, self.term)
+        executor.machines = set(self.running_machines)
+        for key in sorted(self.stored) if self.adopts_records else ():
             record = decode_record(key, self.stored[key])
             executor.operation_log.adopt(record, self.now)
             if isinstance(record, ScaleInRecord):
                 executor.machines |= set(record.machines)
-        self.holders = [*self.holders[-4:], executor]
+        self.executors = [*self.executors[-4:], executor]
 
-    def _commit(self, revision: int, puts: dict[str, Any], drops: list[str]) -> bool:
+    def _commit(self, revision: int, puts: dict[str, Any], deletes: list[str]) -> bool:
         if revision != self.leader.revision or any(key in self.stored for key in puts):
             return False
         for key, value in puts.items():
@@ -99,55 +99,59 @@
             self.stored[key] = value
             if key.startswith(SCALE_IN_PREFIX):
                 for name in value["machines"]:
-                    assert self.ever.setdefault(name, key) == key, f"{name} returned twice"
+                    assert self.scale_in_keys.setdefault(name, key) == key, f"{name} returned twice"
             elif key.startswith(SCALE_OUT_PREFIX):
-                assert self.requests.setdefault(value["request"], key) == key, "name used twice"
-        for key in drops:
+                assert self.scale_out_keys.setdefault(value["request"], key) == key, (
+                    "name used twice"
+                )
+        for key in deletes:
             self.stored.pop(key, None)
         return True
 
     def _release(self, names: list[str]) -> None:
         for name in names:
-            if name in self.alive:
-                assert name in self.ever, f"{name} released without a record"
-                decided = int(self.ever[name].rpartition("/")[2].partition("-")[0])
-                assert self.placed.get(name, 0) <= decided, f"{name} was used by a later term"
-                self.alive.discard(name)
+            if name in self.running_machines:
+                assert name in self.scale_in_keys, f"{name} released without a record"
+                decided = int(self.scale_in_keys[name].rpartition("/")[2].partition("-")[0])
+                assert self.last_placement_term.get(name, 0) <= decided, (
+                    f"{name} was used by a later term"
+                )
+                self.running_machines.discard(name)
 
     def _rent(self, operation: ScaleOutOperation) -> list[str]:
         request = operation.record.request
-        if request not in self.rented:
-            assert request in self.requests, f"{request} is not recorded"
-            names = [f"host-{self.count + n}" for n in range(operation.record.count)]
-            self.count += len(names)
-            self.alive |= set(names)
-            self.rented[request] = names
-        return self.rented[request]
+        if request not in self.machines_by_request:
+            assert request in self.scale_out_keys, f"{request} is not recorded"
+            names = [f"host-{self.machine_count + n}" for n in range(operation.record.count)]
+            self.machine_count += len(names)
+            self.running_machines |= set(names)
+            self.machines_by_request[request] = names
+        return self.machines_by_request[request]
 
     # -- what a holder does ----------------------------------------------------
 
-    def _may_act(self, executor: Holder) -> bool:
-        if self._look(executor):
+    def _may_act(self, executor: Executor) -> bool:
+        if self._lease_confirmed(executor):
             return True
         if (
             executor.lease_confidence.check(self.now, self.now, True) is LeaseConfidence.LOST
-            or not self.state_up
+            or not self.store_up
         ):
             return False
         if executor is not self.leader:
             executor.lease_confidence.mark_lost()
             return False
         executor.lease_confidence.confirm(self.now)
-        return self._look(executor)
+        return self._lease_confirmed(executor)
 
-    def _look(self, executor: Holder) -> bool:
+    def _lease_confirmed(self, executor: Executor) -> bool:
         lease_is_valid = self.now < executor.valid_until
         return (
             executor.lease_confidence.check(self.now, self.now, lease_is_valid)
             is LeaseConfidence.CONFIRMED
         )
 
-    def _record(self, executor: Holder, fate: str) -> None:
+    def _record(self, executor: Executor, fate: str) -> None:
         operations = executor.operation_log.operations_to_record(4)
         puts = {operation.key: encode_record(operation.record) for operation in operations}
         known = [
@@ -158,32 +162,32 @@
         if known and executor is self.leader:  # read back after a lost answer
             executor.operation_log.mark_recorded(known, self.now)
         elif fate == "held":
-            self.held.append(lambda: self._commit(executor.revision, puts, []))
-        elif fate != "refused" and self.state_up:
+            self.delayed.append(lambda: self._commit(executor.revision, puts, []))
+        elif fate != "refused" and self.store_up:
             done = self._commit(executor.revision, puts, [])
             if done and fate == "done":
                 executor.operation_log.mark_recorded(operations, self.now)
 
-    def _running(self, index: int) -> Holder | None:
+    def _running_executor(self, index: int) -> Executor | None:
         executor = self._executor(index)
         return None if executor.paused else executor
 
-    def _executor(self, index: int) -> Holder:
+    def _executor(self, index: int) -> Executor:
         """The leader, or one of those before it."""
-        return self.holders[-1 - index % len(self.holders)]
+        return self.executors[-1 - index % len(self.executors)]
 
-    @rule(index=HOLDER, pick=st.integers(0, 9), fate=FATES)
+    @rule(index=EXECUTOR_INDEX, pick=st.integers(0, 9), fate=FATES)
     def return_a_machine(self, index: int, pick: int, fate: str) -> None:
-        executor = self._running(index)
+        executor = self._running_executor(index)
         if executor is not None and self._may_act(executor):
             known = sorted(executor.machines)
             chosen = known[pick % len(known) :][:2] if known else []
             executor.operation_log.decide_scale_in(dict.fromkeys(chosen, "idle"), self.now)
             self._record(executor, fate)
 
-    @rule(index=HOLDER, count=st.integers(1, 3), fate=FATES)
+    @rule(index=EXECUTOR_INDEX, count=st.integers(1, 3), fate=FATES)
     def rent_some(self, index: int, count: int, fate: str) -> None:
-        executor = self._running(index)
+        executor = self._running_executor(index)
         if (
             executor is not None
             and self._may_act(executor)
@@ -194,14 +198,14 @@
             )
             self._record(executor, fate)
 
-    @rule(index=HOLDER, rentals=st.booleans(), fate=FATES)
+    @rule(index=EXECUTOR_INDEX, rentals=st.booleans(), fate=FATES)
     def look_and_choose(self, index: int, rentals: bool, fate: str) -> None:
         """A pause may come between this and the sending."""
-        executor = self._running(index)
+        executor = self._running_executor(index)
         if executor is None or not self._may_act(executor):
             return
-        over = self.now > executor.valid_until + LEASE_S / 2
-        assert executor is self.leader or not over, "a replaced holder sends orders"
+        lease_ended = self.now > executor.valid_until + LEASE_S / 2
+        assert executor is self.leader or not lease_ended, "a replaced leader sends requests"
         self._record(executor, fate)
         if rentals:
             due = executor.operation_log.scale_outs_due()
@@ -209,9 +213,9 @@
         else:
             executor.request = executor.operation_log.release_request(lambda name: False, False)
 
-    @rule(index=HOLDER, fate=FATES)
+    @rule(index=EXECUTOR_INDEX, fate=FATES)
     def send(self, index: int, fate: str) -> None:
-        executor = self._running(index)
+        executor = self._running_executor(index)
         if executor is None or executor.request is None:
             return
         request, executor.request = executor.request, None
@@ -220,14 +224,14 @@
                 return
             executor.operation_log.start_request(request)
             if fate == "held":
-                self.held.append(lambda: self._rent(request))
+                self.delayed.append(lambda: self._rent(request))
             elif fate != "refused":
                 names = self._rent(request)
                 if fate == "done":
                     executor.operation_log.complete_scale_out(request, names, self.now)
                     executor.machines |= set(names)
         elif fate == "held":
-            self.held.append(lambda: self._release(request.names))
+            self.delayed.append(lambda: self._release(request.names))
         elif fate != "refused":
             self._release(request.names)
             if fate == "done":
@@ -240,10 +244,10 @@
         self.look_and_choose(0, rentals, "done")
         self.send(0, fate)
 
-    @rule(index=HOLDER, lost=st.booleans())
+    @rule(index=EXECUTOR_INDEX, lost=st.booleans())
     def close(self, index: int, lost: bool) -> None:
-        executor = self._running(index)
-        if executor is not None and self.state_up:
+        executor = self._running_executor(index)
+        if executor is not None and self.store_up:
             due = executor.operation_log.operations_to_close(self.now, 4)
             stored = [operation.key for operation in due if operation.stored]
             if self._commit(executor.revision, {}, stored) and not lost:
@@ -254,15 +258,15 @@
         """The leader uses a machine that no order returns."""
         free = sorted(
             name
-            for name in self.leader.machines & self.alive
+            for name in self.leader.machines & self.running_machines
             if self.leader.operation_log.scale_in_of(name) is None
         )
         if free and self.now < self.leader.valid_until and not self.leader.paused:
-            self.placed[free[pick % len(free)]] = self.term
+            self.last_placement_term[free[pick % len(free)]] = self.term
 
     # -- what happens to them ----------------------------------------------------
 
-    @rule(index=HOLDER)
+    @rule(index=EXECUTOR_INDEX)
     def pause_or_go_on(self, index: int) -> None:
         executor = self._executor(index)
         executor.paused = not executor.paused
@@ -271,18 +275,18 @@
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
 
-    @precondition(lambda self: self.state_up)
+    @precondition(lambda self: self.store_up)
     @rule()
     def renew(self) -> None:
         if not self.leader.paused:
             self.leader.valid_until = self.now + LEASE_S
 
-    @precondition(lambda self: self.state_up and self.now > self.leader.valid_until)
+    @precondition(lambda self: self.store_up and self.now > self.leader.valid_until)
     @rule(node=st.sampled_from(NODES))
     def elect(self, node: str) -> None:
         self._elect(node)
 
-    @precondition(lambda self: self.state_up)
+    @precondition(lambda self: self.store_up)
     @rule(node=st.sampled_from(NODES), paused=st.booleans())
     def take_over(self, node: str, paused: bool) -> None:
         """The leader's lease ends, and another is elected at once."""
@@ -290,20 +294,20 @@
         self.now = max(self.now, self.leader.valid_until + 0.1)
         self._elect(node)
 
-    @precondition(lambda self: bool(self.held))
+    @precondition(lambda self: bool(self.delayed))
     @rule(pick=st.integers(0, 99))
     def deliver(self, pick: int) -> None:
-        self.held.pop(pick % len(self.held))()
+        self.delayed.pop(pick % len(self.delayed))()
 
     @rule()
     def outage(self) -> None:
-        self.state_up = not self.state_up
+        self.store_up = not self.store_up
 
     def teardown(self) -> None:
         """Once all is well, every order ends, and every machine is known or gone."""
-        self.state_up = True
-        while self.held:
-            self.held.pop()()
+        self.store_up = True
+        while self.delayed:
+            self.delayed.pop()()
         self.now += 2 * LEASE_S
         self._elect("hive-0")
         leader = self.leader
@@ -312,9 +316,11 @@
             leader.valid_until = self.now + LEASE_S
             self.choose_and_send(bool(leader.operation_log.scale_outs_due()), "done")
             self.close(0, False)
-        assert not self.stored and not leader.operation_log.open_operations(), "an order stays open"
+        assert not self.stored and not leader.operation_log.open_operations(), (
+            "an operation stays open"
+        )
         # The machine list names what nobody was told of; here only orders may have done it.
-        assert self.alive <= leader.machines, "a rental is lost"
+        assert self.running_machines <= leader.machines, "a scale-out is lost"
 
 
 #: Examples of a check. Each broken variant must be seen within as many as the model itself
@@ -322,8 +328,8 @@
 EXAMPLES = 1500
 
 
-def check(model: type[DutiesModel], examples: int, broken: bool = False) -> None:
-    limits = settings(
+def run_model(model: type[OperationsModel], examples: int, broken: bool = False) -> None:
+    model_settings = settings(
         max_examples=examples,
         stateful_step_count=40,
         deadline=None,
@@ -333,14 +339,14 @@
         report_multiple_bugs=False,
         suppress_health_check=list(HealthCheck),
     )
-    run_state_machine_as_test(model, settings=limits)
+    run_state_machine_as_test(model, settings=model_settings)
 
 
 def test_no_sequence_of_events_breaks_the_operations() -> None:
-    check(DutiesModel, EXAMPLES)
+    run_model(OperationsModel, EXAMPLES)
 
 
-def order_before_record(patch: pytest.MonkeyPatch) -> None:
+def send_before_recording(patch: pytest.MonkeyPatch) -> None:
     """Orders are sent though they are not recorded."""
     init: Any = OperationLog.__init__
     patch.setattr(
@@ -348,16 +354,16 @@
     )
 
 
-def successor_does_not_read(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(DutiesModel, "reads_orders", False)
+def successor_ignores_records(patch: pytest.MonkeyPatch) -> None:
+    patch.setattr(OperationsModel, "adopts_records", False)
 
 
-def names_used_again(patch: pytest.MonkeyPatch) -> None:
+def reuse_request_names(patch: pytest.MonkeyPatch) -> None:
     """Names of requests do not carry the term."""
     decide = OperationLog.decide_scale_out
 
-    def reused(self: OperationLog, ask: ScaleOutRequest, wall: float) -> ScaleOutOperation:
-        operation = decide(self, ask, wall)
+    def reused(self: OperationLog, request: ScaleOutRequest, wall: float) -> ScaleOutOperation:
+        operation = decide(self, request, wall)
         number = operation.record.number
         operation.record = type(operation.record)(
             **{**encode_record(operation.record), "request": f"r-{number}"}
@@ -367,11 +373,11 @@
     patch.setattr(OperationLog, "decide_scale_out", reused)
 
 
-def no_look_after_a_pause(patch: pytest.MonkeyPatch) -> None:
+def never_doubt_the_lease(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(LeaseConfidenceTracker, "check", lambda *args: LeaseConfidence.CONFIRMED)
 
 
-def returns_not_kept(patch: pytest.MonkeyPatch) -> None:
+def forget_scale_ins_early(patch: pytest.MonkeyPatch) -> None:
     """A return is forgotten while the machine's rental may still be asked for again."""
     patch.setattr(OperationLog, "machines_of_open_scale_outs", lambda self: set())
     patch.setattr(
@@ -381,7 +387,7 @@
     )
 
 
-def two_orders_a_machine(patch: pytest.MonkeyPatch) -> None:
+def decide_machine_twice(patch: pytest.MonkeyPatch) -> None:
     """A machine that an order names already is decided on again."""
     decide = OperationLog.decide_scale_in
 
@@ -393,19 +399,24 @@
 
 
 @pytest.mark.parametrize(
-    ("variant", "seen_as"),
+    ("variant", "expected_message"),
     [
-        (order_before_record, "without a record|is not recorded"),
-        (successor_does_not_read, "returned twice|used by a later|rental is lost|order stays open"),
-        (names_used_again, "name used twice"),
-        (no_look_after_a_pause, "a replaced holder sends orders"),
-        (returns_not_kept, "returned twice|rental is lost|order stays open"),
-        (two_orders_a_machine, "returned twice"),
+        (send_before_recording, "without a record|is not recorded"),
+        (
+            successor_ignores_records,
+            "returned twice|used by a later|scale-out is lost|operation stays open",
+        ),
+        (reuse_request_names, "name used twice"),
+        (never_doubt_the_lease, "a replaced leader sends requests"),
+        (forget_scale_ins_early, "returned twice|scale-out is lost|operation stays open"),
+        (decide_machine_twice, "returned twice"),
     ],
 )
 def test_broken_variant_is_caught(
-    variant: Callable[[pytest.MonkeyPatch], None], seen_as: str, monkeypatch: pytest.MonkeyPatch
+    variant: Callable[[pytest.MonkeyPatch], None],
+    expected_message: str,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     variant(monkeypatch)
-    with pytest.raises(AssertionError, match=seen_as):
-        check(DutiesModel, EXAMPLES, broken=True)
+    with pytest.raises(AssertionError, match=expected_message):
+        run_model(OperationsModel, EXAMPLES, broken=True)
--- a/tests/test_record_limits.py
+++ b/tests/test_record_limits.py
@@ -78,7 +78,7 @@
     assert_storable(operation, 2048)
 
 
-def test_request_names_differ_also_where_a_controller_has_a_long_name() -> None:
+def test_request_names_are_unique_for_a_controller_with_a_long_name() -> None:
     """Guards against: what makes a name unique is cut with it."""
     names = set()
     for term in (1, 2):
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("value_limit", [900, 7372])
-def test_record_that_is_too_large_is_seen_before_it_is_written(value_limit: int) -> None:
+def test_too_large_record_is_rejected_before_it_is_written(value_limit: int) -> None:
     """Guards against: the store refuses it, and it is written again and again."""
     machines = {f"{LONG_NAME[:190]}{n}": "idle" for n in range(MAX_RELEASED_MACHINES)}
     record = ScaleInRecord(by="d1-1", term=1, number=1, at=1.0, machines=machines)
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from pathlib import Path
 from random import Random
 from typing import Any
@@ -14,7 +15,7 @@
 from tests.fakes.virtual_time import VirtualTime, run_virtual
 from tests.job_specs import MACHINE_TYPE, make_spec
 from tests.scheduler_harness import SchedulerHarness
-from tests.test_intent_shards import fill, fleet
+from tests.test_intent_shards import attach_tasks, fleet
 from tests.test_settings import VALID_SETTINGS
 from topazhold import settings as conf
 from topazhold.cli import main
@@ -36,29 +37,29 @@
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size, pack
 
-SMALL = 1800
-LATER = "\n[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\n"
+LOWERED_VALUE_BYTES = 1800
+LATER_LIMITS = "\n[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\n"
 
 
 # -- settings ---------------------------------------------------------------------
 
 
-def test_later_limits_are_kept_from_the_start(tmp_path: Path) -> None:
+def test_lower_later_limits_apply_from_the_start(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(VALID_SETTINGS + LATER)
+    path.write_text(VALID_SETTINGS + LATER_LIMITS)
     state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (2048, 5)
     assert (state.write_rps, state.lasting_write_rps) == (20.0, 15.0)
     assert state.lasting_rps == state.rps, "a limit that is not named stays as it is"
 
 
-def test_limits_that_grow_are_not_used_before(tmp_path: Path) -> None:
+def test_higher_later_limits_are_not_used_early(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(VALID_SETTINGS + LATER.replace("value_kb = 2.0", "value_kb = 64.0"))
+    path.write_text(VALID_SETTINGS + LATER_LIMITS.replace("value_kb = 2.0", "value_kb = 64.0"))
     assert conf.load(path).cluster.key_value_store.lasting_value_bytes == 8 * 1024
 
 
-def test_without_later_limits_the_present_ones_last(tmp_path: Path) -> None:
+def test_without_later_limits_the_current_ones_apply(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(VALID_SETTINGS)
     state = conf.load(path).cluster.key_value_store
@@ -74,11 +75,9 @@
         ("txn_ops = 5", 'txn_ops = "few"', "txn_ops"),
     ],
 )
-def test_later_limits_that_are_none_are_named(
-    tmp_path: Path, old: str, new: str, field: str
-) -> None:
+def test_invalid_later_limits_are_named(tmp_path: Path, old: str, new: str, field: str) -> None:
     path = tmp_path / "settings.toml"
-    path.write_text(VALID_SETTINGS + LATER.replace(old, new))
+    path.write_text(VALID_SETTINGS + LATER_LIMITS.replace(old, new))
     result = CliRunner().invoke(main, ["check", "--config", str(path)])
     assert result.exit_code == 2 and field in result.stderr
 
@@ -86,38 +85,38 @@
 # -- intents that an earlier version left under larger limits -----------------------
 
 
-def shards_of_larger_limits(harness: SchedulerHarness, machines: list[str]) -> IntentShards:
+def shards_with_oversized_value(harness: SchedulerHarness, machines: list[str]) -> IntentShards:
     """One stored value with all these machines, as the larger limit allowed it."""
-    shards = IntentShards(SMALL)
+    shards = IntentShards(LOWERED_VALUE_BYTES)
     shards.adopt("0001", 7, machines)
     return shards
 
 
-def test_large_shard_is_split_and_no_intent_is_ever_nowhere() -> None:
+def test_oversized_shard_is_split_and_keeps_every_intent() -> None:
     harness = fleet(16)
-    fill(harness, 4)
+    attach_tasks(harness, 4)
     machines = harness.scheduler.machines
-    shards = shards_of_larger_limits(harness, list(machines))
-    touched = shards.shard_of(machines["host-000"], machines)
-    values = shards.values({touched}, machines, "t")
+    shards = shards_with_oversized_value(harness, list(machines))
+    changed_shard = shards.shard_of(machines["host-000"], machines)
+    values = shards.values({changed_shard}, machines, "t")
     assert len(values) > 2
-    assert all(json_size(value) <= SMALL for _, value in values.values())
+    assert all(json_size(value) <= LOWERED_VALUE_BYTES for _, value in values.values())
     named = [name for _, value in values.values() for name in value["boxes"]]
     assert sorted(named) == sorted(machines)
 
 
-def test_machine_that_alone_is_too_large_stays_where_it_is_stored() -> None:
+def test_machine_too_large_for_any_value_stays_in_its_stored_shard() -> None:
     """Moved to a value of its own it would be in none: the state service takes no such value."""
     harness = fleet(6)
-    fill(harness, 4)
+    attach_tasks(harness, 4)
     machines = harness.scheduler.machines
     spec = make_spec(700, shape="batch", tasks=60)
     job = harness.add_job(spec)
     for index in range(60):
         harness.scheduler.cluster.attach(TaskAttempt(job, index, 2**40, "host-002", harness.now))
-    shards = shards_of_larger_limits(harness, list(machines))
+    shards = shards_with_oversized_value(harness, list(machines))
     values = shards.values({shards.shard_of(machines["host-000"], machines)}, machines, "t")
-    assert all(json_size(value) <= SMALL for _, value in values.values())
+    assert all(json_size(value) <= LOWERED_VALUE_BYTES for _, value in values.values())
     named = [name for _, value in values.values() for name in value["boxes"]]
     assert sorted(named) == sorted(machines.keys() - {"host-002"})
     assert "0001" not in values, "the stored value must go on naming it"
@@ -131,15 +130,17 @@
         self.txn_ops = txn_ops
         self.value_bytes = value_bytes
         self.stored: dict[str, Any] = {}
-        self.refuse = 0  # so many transactions to come get no further
-        self.steps: list[set[str]] = []  # machines that stand in any value, after each step
+        self.refusals_left = 0  # so many transactions to come get no further
+        self.machines_per_commit: list[
+            set[str]
+        ] = []  # machines that stand in any value, after each step
 
     async def commit(self, conditions: Any, operations: Any, *_: Any, **__: Any) -> int:
         return await self.compare_and_swap(conditions, operations)
 
     async def compare_and_swap(self, conditions: Any, operations: Any, *_: Any) -> int:
-        if self.refuse:
-            self.refuse -= 1
+        if self.refusals_left:
+            self.refusals_left -= 1
             raise StoreUnavailableError("refused")
         assert len(operations) <= self.txn_ops
         for change in operations:
@@ -148,8 +149,10 @@
                 self.stored[change["put"]] = change["data"]
             else:
                 self.stored.pop(change["drop"], None)
-        self.steps.append({name for value in self.stored.values() for name in value["boxes"]})
-        return 100 + len(self.steps)
+        self.machines_per_commit.append(
+            {name for value in self.stored.values() for name in value["boxes"]}
+        )
+        return 100 + len(self.machines_per_commit)
 
 
 def lowered_settings() -> Any:
@@ -159,13 +162,13 @@
 
 
 @pytest.mark.parametrize("refuse", [0, 1, 2])
-def test_machine_that_goes_leaves_no_other_without_intents(
+def test_pruning_a_removed_machine_keeps_the_intents_of_others(
     refuse: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its shard was too large and gave machines away. Written before the new ones, and these
     refused, their intents stood in no value."""
     harness = fleet(16)
-    fill(harness, 4)
+    attach_tasks(harness, 4)
     machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
     store.stored["on/0001"] = records.intents_value(machines.values(), "old")
@@ -179,23 +182,23 @@
         shard = context.shards.forget_machine("host-015")
         assert shard is not None
         del machines["host-015"]
-        store.refuse = refuse
+        store.refusals_left = refuse
         intents = Intents(context)
         for _ in range(3):
             await intents.prune({shard})
 
     run_virtual(act, monkeypatch)
-    assert store.steps
-    for step in store.steps:
-        assert step >= set(machines)
+    assert store.machines_per_commit
+    for stored_machines in store.machines_per_commit:
+        assert stored_machines >= set(machines)
 
 
-def test_plan_on_a_large_shard_is_written_within_the_limits(
+def test_plan_on_an_oversized_shard_is_written_within_the_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One more task there needs more new values than one transaction takes."""
     harness = fleet(16)
-    fill(harness, 16)
+    attach_tasks(harness, 16)
     machines = harness.scheduler.machines
     store = StrictStore(5, 2048)
     store.stored["on/0001"] = records.intents_value(machines.values(), "old")
@@ -213,8 +216,8 @@
 
     run_virtual(act, monkeypatch)
     assert attempt.state.value == "written"
-    for step in store.steps:
-        assert step >= set(machines)
+    for stored_machines in store.machines_per_commit:
+        assert stored_machines >= set(machines)
     stored = [
         packed
         for value in store.stored.values()
@@ -226,7 +229,7 @@
 # -- other values -------------------------------------------------------------------
 
 
-def test_summary_fits_the_lowered_limits_whatever_there_is(
+def test_summary_of_a_large_cluster_fits_the_lowered_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Names of a zone's 700 machines alone were more than a value, and nothing was written."""
@@ -242,10 +245,10 @@
     for number in range(300):
         spec = make_spec(tasks=4, id=f"wk-{10**17 + number}")
         scheduler.add_job(Job(spec, 0.0, 1e9, "hive-1"))
-    told: list[Any] = []
+    store_operations: list[Any] = []
     transactions: list[int] = []
 
-    class Taking:
+    class AcceptingStore:
         async def compare_and_swap(self, conditions: Any, operations: Any, priority: float) -> int:
             transactions.append(len(operations))
             return 1
@@ -253,31 +256,33 @@
     async def act(clock: VirtualTime) -> None:
         await curio.sleep(0)
         elected = ElectionResult(3, 7, 0.0)
-        context = TermContext(settings, Taking(), scheduler, elected, lambda now: True)  # type: ignore[arg-type]
+        context = TermContext(settings, AcceptingStore(), scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
-        told.append(summaries._store_operations(summaries.summary(1.0)))
-        await summaries._write(told[0])
+        store_operations.append(summaries._store_operations(summaries.summary(1.0)))
+        await summaries._write(store_operations[0])
 
     run_virtual(act, monkeypatch)
-    assert len(told[0]) == 9
-    assert all(json_size(change["data"]) <= 2048 for change in told[0])
-    assert all(change["data"]["all"][1] and change["data"]["cache"] for change in told[0][1:])
+    assert len(store_operations[0]) == 9
+    assert all(json_size(change["data"]) <= 2048 for change in store_operations[0])
+    assert all(
+        change["data"]["all"][1] and change["data"]["cache"] for change in store_operations[0][1:]
+    )
     assert sum(transactions) == 9 and max(transactions) <= 5
 
 
-def test_end_of_a_job_fits_whatever_its_live_value_was() -> None:
+def test_ended_job_record_fits_even_if_its_live_value_was_larger() -> None:
     spec = make_spec(
         image="i" * 200, job_class="c" * 200, team="t" * 200, machine_types=["m"] * 999
     )
     live = records.live_value(Job(spec, 0.0, 0.0, "hive-0"), "t")
     assert json_size(live) > 2048
-    over = records.ended_value(live["spec"], wire.DONE, 5.0, "t")
-    assert json_size(over) < 2048
-    assert records.read_ended_job(over, 6.0, 1.0).spec.team == spec.team
+    ended = records.ended_value(live["spec"], wire.DONE, 5.0, "t")
+    assert json_size(ended) < 2048
+    assert records.read_ended_job(ended, 6.0, 1.0).spec.team == spec.team
 
 
 @pytest.mark.parametrize("tasks", [1, 7, 4096, 100_000])
-def test_space_is_kept_for_the_completion_bitmap(tasks: int) -> None:
+def test_space_is_reserved_for_the_completion_bitmap(tasks: int) -> None:
     """A job is taken only if its record still fits when all its tasks are done."""
     spec = make_spec(shape="batch", tasks=tasks)
     job = Job(spec, 0.0, 0.0, "hive-0")
@@ -288,32 +293,34 @@
     assert json_size({**value, "count": 0}) <= before + records.max_bitmap_size(spec)
 
 
-# -- the rate -----------------------------------------------------------------------
+# -- the rate -------------------------------------------------------------------------------
 
 
-class Answering:
-    """A client whose state service gives the answers of a list, in turn."""
+class ScriptedClient:
+    """A client whose state service gives the responses of a list, in turn."""
 
-    def __init__(self, answers: list[tuple[int, Any]]) -> None:
-        self.answers = answers
-        self.asked = 0
+    def __init__(self, responses: list[tuple[int, Any]]) -> None:
+        self.responses = responses
+        self.request_count = 0
 
     async def request(self, *_: Any) -> tuple[int, bytes]:
-        self.asked += 1
-        status, body = self.answers.pop(0)
+        self.request_count += 1
+        status, body = self.responses.pop(0)
         return status, pack(body)
 
 
-def write_some(client: Answering, rate: LaterLimits | None, monkeypatch: pytest.MonkeyPatch) -> Any:
+def run_commits(
+    client: ScriptedClient, later_limits: LaterLimits | None, monkeypatch: pytest.MonkeyPatch
+) -> Any:
     settings = make_settings("hive-0", "a", [])
     settings.cluster.key_value_store.write_rps = 20.0
-    settings.cluster.key_value_store.next = rate
+    settings.cluster.key_value_store.next = later_limits
     outcomes: list[Any] = []
 
     async def act(clock: VirtualTime) -> None:
         store = KeyValueStore(client, client, settings.cluster.key_value_store, 1.0)  # type: ignore[arg-type]
         store.set_share(0.5)
-        while client.answers:
+        while client.responses:
             try:
                 outcomes.append(
                     await store.compare_and_swap([], [wire.delete("a/b")], DECISION_PRIORITY)
@@ -326,24 +333,30 @@
     return outcomes
 
 
-def test_refusal_for_the_rate_changes_over_to_the_later_limits(
+def test_rate_limit_refusal_switches_to_the_later_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The limits fall without notice: a refusal is all that shows it. Nothing is repeated."""
-    client = Answering([(200, {"harvest": 3}), (429, {}), (200, {"harvest": 4})])
-    outcomes = write_some(client, LaterLimits(write_rps=10.0), monkeypatch)
-    assert outcomes == [3, StoreUnavailableError, 4, 5.0] and client.asked == 3
+    client = ScriptedClient(
+        [
+            (HTTPStatus.OK, {"harvest": 3}),
+            (HTTPStatus.TOO_MANY_REQUESTS, {}),
+            (HTTPStatus.OK, {"harvest": 4}),
+        ]
+    )
+    outcomes = run_commits(client, LaterLimits(write_rps=10.0), monkeypatch)
+    assert outcomes == [3, StoreUnavailableError, 4, 5.0] and client.request_count == 3
 
 
-def test_share_of_the_rate_without_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
-    client = Answering([(200, {"harvest": 3})])
-    assert write_some(client, LaterLimits(write_rps=10.0), monkeypatch) == [3, 10.0]
+def test_current_write_rate_is_kept_without_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
+    client = ScriptedClient([(HTTPStatus.OK, {"harvest": 3})])
+    assert run_commits(client, LaterLimits(write_rps=10.0), monkeypatch) == [3, 10.0]
 
 
-def test_value_that_is_too_large_is_named_and_not_repeated(
+def test_too_large_value_is_logged_and_not_retried(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level("INFO")
-    client = Answering([(400, {"error": "too large"})])
-    assert write_some(client, None, monkeypatch) == [StoreUnavailableError, 10.0]
-    assert client.asked == 1 and "a/b" in caplog.text
+    client = ScriptedClient([(HTTPStatus.BAD_REQUEST, {"error": "too large"})])
+    assert run_commits(client, None, monkeypatch) == [StoreUnavailableError, 10.0]
+    assert client.request_count == 1 and "a/b" in caplog.text
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -21,13 +21,17 @@
 from topazhold.operator_settings import OperatorSettings
 from topazhold.wire.codec import json_size
 
+VALUE_KB = 16.0
+#: Maximum size of a summary's changes: a transaction of 64 KiB, less its preconditions.
+MAX_CHANGES_BYTES = 60 * 1024
+
 
 def test_summary_of_many_zones_fits_one_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
     """Six zones with values of 16 KiB each passed the 64 KiB of a transaction: none of
     it was written. What is left out is said to be."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
-    settings.cluster.key_value_store.value_kb = 16.0
+    settings.cluster.key_value_store.value_kb = VALUE_KB
     settings.cluster.teams[0].gpus_max = 1e6
     scheduler = Scheduler(
         settings, OperatorSettings(), 3, ReservationTable("hive-0"), Random(1), 0.0
@@ -37,26 +41,26 @@
         scheduler.add_machine(f"host-{number:06d}", "abcdef"[number % 6], False, "b1", 0.0)
     for number in range(400):
         scheduler.add_job(Job(make_spec(number, tasks=4), 0.0, 1e9, "hive-1"))
-    told: list[Any] = []
+    results: list[Any] = []
 
     async def main(clock: VirtualTime) -> None:
         await curio.sleep(0)
         elected = ElectionResult(3, 7, 0.0)
         context = TermContext(settings, None, scheduler, elected, lambda now: True)  # type: ignore[arg-type]
         summaries = SummaryPublisher(context, 5.0, None)  # type: ignore[arg-type]
-        told.append(summaries.summary(1.0))
-        told.append(summaries._store_operations(told[0]))
+        results.append(summaries.summary(1.0))
+        results.append(summaries._store_operations(results[0]))
 
     run_virtual(main, monkeypatch)
-    values, operations = told
+    values, operations = results
     assert len(values[""]["waiting"]) == 400
     assert 0 < len(encode_frame(("summary", 3, values))) < MAX_MESSAGE_BYTES
-    assert json_size(operations) < 60 * 1024
-    assert all(json_size(change["data"]) < 16 * 1024 for change in operations)
+    assert json_size(operations) < MAX_CHANGES_BYTES
+    assert all(json_size(change["data"]) < VALUE_KB * 1024 for change in operations)
     assert operations[0]["data"]["cut"] is True
 
 
-def test_others_get_their_turn_while_a_summary_is_made(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_other_tasks_run_while_a_summary_is_collected(monkeypatch: pytest.MonkeyPatch) -> None:
     """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
@@ -82,6 +86,6 @@
 
     run_virtual(main, monkeypatch)
     assert len(turns) >= 7, "after each zone, and after the jobs"
-    pieces, whole = collected
-    assert pieces.pop("")["waiting"] == whole.pop("")["waiting"]
-    assert pieces == whole
+    collected_by_step, built_at_once = collected
+    assert collected_by_step.pop("")["waiting"] == built_at_once.pop("")["waiting"]
+    assert collected_by_step == built_at_once
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Awaitable, Callable
 from functools import partial
+from http import HTTPStatus
 from typing import Any, NamedTuple
 
 import curio
@@ -17,13 +18,13 @@
 from topazhold.operations.records import InvalidRecordError, encode_record
 
 #: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
-PROTOCOL_MACHINES = 50
+MAX_MACHINES_PER_REQUEST = 50
 #: Within so many report periods an operation is recorded and sent. The scale-out loop goes round
 #: once a period: one until the operation is decided, one for a try that failed, one to spare.
-RECORDED_HEARTBEATS = 3.0
+MAX_RECORDING_HEARTBEATS = 3.0
 
 
-class Shown(NamedTuple):
+class OperationProgress(NamedTuple):
     """What the state service and the cloud show of an operation."""
 
     recorded: Callable[[], bool]
@@ -31,10 +32,10 @@
 
 
 #: Has the leader decide on an operation, from what it knows of machines and jobs.
-Decide = Callable[[Scenario, str], Awaitable[Shown]]
+Decide = Callable[[Scenario, str], Awaitable[OperationProgress]]
 
 
-async def begin(scenario: Scenario) -> str:
+async def start_cluster(scenario: Scenario) -> str:
     """A leader with more machines than tasks, and no scale-out under way."""
     await scenario.start(machines=4)
     await scenario.submit_running_jobs(1, scenario.controller_names[0], tasks=3, gpus=1.0)
@@ -54,23 +55,25 @@
     return sorted(machines.keys() & scenario.cloud.workers.keys() - busy)
 
 
-async def scale_in(scenario: Scenario, leader: str) -> Shown:
+async def scale_in(scenario: Scenario, leader: str) -> OperationProgress:
     """An idle machine is to go."""
     scheduler = scenario.controllers[leader].leader_term.scheduler
     name = idle_machines(scenario, leader)[0]
     worker = scenario.cloud.workers[name]
     scheduler.release(scheduler.machines[name], "chosen", scenario.clock.now)
-    return Shown(
+    return OperationProgress(
         lambda: name in scenario.cloud.operations.recorded_returns, lambda: worker.terminated
     )
 
 
-async def scale_out(scenario: Scenario, leader: str) -> Shown:
+async def scale_out(scenario: Scenario, leader: str) -> OperationProgress:
     """A job comes that needs more machines than there are."""
     history, requests = scenario.cloud.operations, scenario.cloud.rented
     recorded, sent = set(history.recorded_rentals), set(requests)
     await scenario.submit(scenario.other_controllers(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
-    return Shown(lambda: history.recorded_rentals > recorded, lambda: requests.keys() > sent)
+    return OperationProgress(
+        lambda: history.recorded_rentals > recorded, lambda: requests.keys() > sent
+    )
 
 
 def decide_unrecordable(scenario: Scenario, leader: str) -> None:
@@ -79,37 +82,40 @@
     operation = operation_log.decide_scale_out(
         ScaleOutRequest("b1", "a", False, 1), scenario.clock.now
     )
-    operation.record = msgspec.structs.replace(operation.record, count=PROTOCOL_MACHINES + 1)
+    operation.record = msgspec.structs.replace(operation.record, count=MAX_MACHINES_PER_REQUEST + 1)
     with pytest.raises(InvalidRecordError):
         encode_record(operation.record)
 
 
-async def wait_for(scenario: Scenario, true: Callable[[], bool]) -> bool:
+async def wait_until_in_time(scenario: Scenario, condition: Callable[[], bool]) -> bool:
     """Whether something is so within the time that an operation may take."""
-    end = scenario.clock.now + RECORDED_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s
-    while not true() and scenario.clock.now < end:
+    deadline = (
+        scenario.clock.now
+        + MAX_RECORDING_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s
+    )
+    while not condition() and scenario.clock.now < deadline:
         await curio.sleep(0.01)
-    return true()
+    return condition()
 
 
 async def assert_recorded_and_sent(scenario: Scenario, leader: str, decide: Decide) -> None:
     """Both in time, and in this term."""
-    shown = await decide(scenario, leader)
-    await wait_for(scenario, lambda: shown.recorded() and shown.sent())
-    assert shown.recorded(), f"not recorded within {RECORDED_HEARTBEATS} report periods"
-    assert shown.sent(), f"not sent within {RECORDED_HEARTBEATS} report periods"
+    progress = await decide(scenario, leader)
+    await wait_until_in_time(scenario, lambda: progress.recorded() and progress.sent())
+    assert progress.recorded(), f"not recorded within {MAX_RECORDING_HEARTBEATS} report periods"
+    assert progress.sent(), f"not sent within {MAX_RECORDING_HEARTBEATS} report periods"
     assert scenario.leader() == leader
 
 
-def refuse_too_many(scenario: Scenario) -> list[int]:
+def refuse_large_requests(scenario: Scenario) -> list[int]:
     """The cloud calls requests for too many machines malformed; their counts, as they come."""
     cloud = scenario.network.hosts[FakeCloud.HOST]
     refused: list[int] = []
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
-        if method == "POST" and path == "/machines" and body["count"] > PROTOCOL_MACHINES:
+        if method == "POST" and path == "/machines" and body["count"] > MAX_MACHINES_PER_REQUEST:
             refused.append(body["count"])
-            return 400, {"error": "malformed"}
+            return HTTPStatus.BAD_REQUEST, {"error": "malformed"}
         answer: tuple[int, Any] = await cloud(source, method, path, body)
         return answer
 
@@ -125,7 +131,7 @@
     decide: Decide, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
+        leader = await start_cluster(scenario)
         decide_unrecordable(scenario, leader)
         await assert_recorded_and_sent(scenario, leader, decide)
 
@@ -139,7 +145,7 @@
     """Control: the same operations with nothing in front of them."""
 
     async def act(scenario: Scenario) -> None:
-        leader = await begin(scenario)
+        leader = await start_cluster(scenario)
         await assert_recorded_and_sent(scenario, leader, decide)
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -150,19 +156,19 @@
     decide: Decide, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """Control, and what the operators' page advises: with `record_orders` off others go on."""
-    unrecorded = partial(topazhold.settings.OperatorSettings, record_operations=False)
-    monkeypatch.setattr(topazhold.settings, "OperatorSettings", unrecorded)
+    settings_without_records = partial(topazhold.settings.OperatorSettings, record_operations=False)
+    monkeypatch.setattr(topazhold.settings, "OperatorSettings", settings_without_records)
 
     async def act(scenario: Scenario) -> None:
         scenario.cloud.operations.checks_enabled = False  # nothing is recorded
-        leader = await begin(scenario)
-        refused = refuse_too_many(scenario)
+        leader = await start_cluster(scenario)
+        refused = refuse_large_requests(scenario)
         decide_unrecordable(scenario, leader)
-        shown = await decide(scenario, leader)
-        assert await wait_for(scenario, shown.sent), "held up"
-        await curio.sleep(RECORDED_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s)
-        assert refused == [PROTOCOL_MACHINES + 1], "asked for once, and lost"
-        assert not shown.recorded()
+        progress = await decide(scenario, leader)
+        assert await wait_until_in_time(scenario, progress.sent), "held up"
+        await curio.sleep(MAX_RECORDING_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s)
+        assert refused == [MAX_MACHINES_PER_REQUEST + 1], "asked for once, and lost"
+        assert not progress.recorded()
 
     assert_no_violations(run_scenario(act, monkeypatch))
     assert "permanently refused" in caplog.text
