--- a/tests/test_failing_items.py
+++ b/tests/test_failing_items.py
@@ -1,6 +1,6 @@
-"""One item that the store always refuses, and others behind it that must go on.
+"""An item that the store always refuses must not block the items queued behind it.
 
-The operations themselves are in `test_unrecordable_operation`.
+Operations whose record is invalid are tested in `test_unrecordable_operation`.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
     operation_key,
 )
 
-#: What the store refuses of a transaction's changes.
+#: Returns whether the store refuses a change of a transaction.
 ChangePredicate = Callable[[dict[str, Any]], bool]
-#: A count that marks a scale-out as the one that fails.
+#: Machine count by which the store recognizes the scale-out to refuse.
 MARKED_COUNT = 49
-#: Within so many heartbeat intervals what is not refused has come about, with time to spare.
+#: Heartbeat intervals within which everything that is not refused has completed, with a reserve.
 SETTLING_HEARTBEATS = 8.0
 
 
 def refuse_changes(scenario: Scenario, is_refused: ChangePredicate) -> None:
-    """The store calls transactions with such a change malformed; to be called before the start."""
+    """Make the store refuse transactions with such a change; call it before the cluster starts."""
     store = scenario.network.hosts[FakeKeyValueStore.HOST]
 
     async def handle(source: str, method: str, path: str, body: Any) -> tuple[int, Any]:
@@ -62,7 +62,7 @@
 
 
 def refusal_log_lines(caplog: pytest.LogCaptureFixture) -> list[str]:
-    """The lines about operations that were refused."""
+    """Return the log lines about refused operations."""
     return [
         record.getMessage()
         for record in caplog.records
@@ -74,7 +74,7 @@
 def test_record_that_the_store_refuses_does_not_hold_up_others(
     decide: Decide, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against: a record refused with 400 stayed the first of its term to be written."""
+    """Guards against: a record refused with 400 stays first in the queue for the whole term."""
 
     def is_marked(change: dict[str, Any]) -> bool:
         is_scale_out = change.get("put", "").startswith(SCALE_OUT_PREFIX)
@@ -95,7 +95,7 @@
 
 
 def test_operation_whose_key_is_taken_is_decided_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: the key was read again in each round, and nothing else was written."""
+    """Guards against: the key is read again in each round, and no other record is written."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -116,7 +116,7 @@
 def test_machine_whose_name_no_record_can_hold_does_not_block_other_scale_ins(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against: its name refused the scale-in of all machines that were to go with it."""
+    """Guards against: a too long name fails the scale-in of all machines in the same operation."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -131,7 +131,7 @@
         await wait_heartbeats(scenario)
         assert idle not in scenario.cloud.workers
         assert len(refusal_log_lines(caplog)) == 2, (
-            "together with others, then alone, and never again"
+            "refused once with the others, once alone, and not retried"
         )
 
     assert_no_violations(run_scenario(act, monkeypatch))
@@ -140,7 +140,7 @@
 def test_scale_out_that_is_refused_is_not_decided_again_in_each_round(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against: the same demand led to the same refused operation once a heartbeat."""
+    """Guards against: the same demand leads to the same refused operation at each heartbeat."""
 
     async def act(scenario: Scenario) -> None:
         refuse_changes(
@@ -155,7 +155,7 @@
         await wait_heartbeats(scenario, 16.0)
         assert 1 <= len(refusal_log_lines(caplog)) <= 4
         assert scenario.leader() == leader
-        assert job in scenario.present_jobs(), "the machines that are there are used"
+        assert job in scenario.present_jobs(), "the job does not use the present machines"
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -163,7 +163,7 @@
 def test_clean_up_of_a_live_job_does_not_hold_up_others(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against: it was tried first in each round, and by each successor."""
+    """Guards against: the refused clean-up is tried first in each round and by each successor."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -188,7 +188,7 @@
 def test_job_whose_end_is_refused_does_not_hold_up_the_ends_of_others(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against: while one job could not be moved, no later one was ever called done."""
+    """Guards against: while the end of one job can't be stored, no later job is reported done."""
 
     async def act(scenario: Scenario) -> None:
         refused_keys: list[str] = []
@@ -211,7 +211,7 @@
 def test_unreadable_completion_bitmap_does_not_prevent_a_new_term(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Guards against: each successor read it again, and ended before it led."""
+    """Guards against: each successor fails on reading the bitmap, and its term ends at once."""
     unreadable_parts = [("001", {"done": "odd"}), ("002", None), ("odd", {"done": ""})]
 
     async def act(scenario: Scenario) -> None:
--- a/tests/test_intent_shards.py
+++ b/tests/test_intent_shards.py
@@ -1,4 +1,4 @@
-"""Intents of several machines in one value of the state service."""
+"""Intent shards: the intents of several machines in one stored value."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 
 def fleet(count: int) -> SchedulerHarness:
+    """Return a harness with machines in two zones."""
     harness = SchedulerHarness(machines=0)
     for number in range(count):
         harness.heartbeat(f"host-{number:03d}", zone="ab"[number % 2])
@@ -22,7 +23,7 @@
 
 
 def attach_tasks(harness: SchedulerHarness, tasks: int) -> None:
-    """So many tasks on every machine, of jobs with the longest names."""
+    """Attach tasks to every machine, each of a job with the longest possible name."""
     for machine_index, machine in enumerate(harness.scheduler.machines.values()):
         for number in range(tasks):
             spec = make_spec(
@@ -60,7 +61,8 @@
 
 
 def test_restarted_failover_keeps_shard_names_unique() -> None:
-    """Two of one name overwrote each other: a task ran twice after the next take-over."""
+    """Guards against: two shards of one name overwrite each other, and the next failover runs a
+    task twice."""
     harness = fleet(4)
     old_shards = IntentShards(MAX_VALUE_BYTES)
     old_shards.adopt("0001", 5, ["host-000"])
@@ -73,7 +75,7 @@
 
 
 def test_machine_in_two_shards_keeps_both_intents() -> None:
-    """A machine that changed its shard may stand in the old value too: both are believed."""
+    """A machine that was moved to another shard may be in the old value too: both count."""
     harness = SchedulerHarness(machines=0, term=8)
     spec = make_spec(shape="batch", tasks=2)
     job = Job(spec, harness.now, 1e9, "hive-0")
@@ -92,7 +94,8 @@
 
 
 def test_moved_intents_are_included_until_they_are_written() -> None:
-    """The transaction with both shards failed, and the next one named the old one alone."""
+    """Guards against: after a failed transaction with both shards, the next writes the old one
+    alone, and the moved intents are in no stored value."""
     harness = fleet(32)
     attach_tasks(harness, 16)
     shards = IntentShards(MAX_VALUE_BYTES)
--- a/tests/test_intents.py
+++ b/tests/test_intents.py
@@ -1,4 +1,4 @@
-"""Intents: transactions within the protocol's limits, no guard ever left out."""
+"""Writing intents: transactions stay within the protocol's limits and keep all preconditions."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class RecordingStore:
-    """A store that keeps what it was asked, within the protocol's limits."""
+    """A store that records the keys of transactions and enforces the protocol's limits."""
 
     def __init__(self, txn_ops: int) -> None:
         self.txn_ops = txn_ops
@@ -57,7 +57,7 @@
     txn_ops: int | None = None,
     first_job: int = 0,
 ) -> tuple[RecordingStore, Any]:
-    """A plan of so many one-task jobs over so many machines, written."""
+    """Write a plan of one-task jobs, spread over the machines."""
     settings = make_settings("hive-0", "a", [])
     if txn_ops is not None:
         settings.cluster.key_value_store.txn_ops = txn_ops
@@ -89,8 +89,8 @@
 
 
 def test_every_planned_job_has_a_precondition(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards beyond four times `txn_ops` used to be cut: the last jobs of a plan of
-    many small ones could be launched though they had been cancelled in between."""
+    """Guards against: preconditions beyond four times `txn_ops` are dropped, so that the last of
+    many small jobs are launched although they were cancelled meanwhile."""
     store, attempts = write_plan(monkeypatch, machines=8, jobs=96)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
     for attempt in attempts:
@@ -101,7 +101,7 @@
 
 
 def test_plan_that_splits_shards_stays_within_the_limits(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shards that split while they are written must not make a transaction too large."""
+    """Shards that are split while they are written must not make a transaction too large."""
     store, attempts = write_plan(monkeypatch, machines=80, jobs=6000)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
     assert len(set().union(*store.written_keys)) > 5
@@ -110,7 +110,7 @@
 def test_plan_stays_within_the_transaction_size_with_many_changes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against: the preconditions alone fill it, and the same plan is refused for ever."""
+    """Guards against: the preconditions alone exceed it, and the plan is refused forever."""
     store, attempts = write_plan(monkeypatch, machines=96, jobs=2000, txn_ops=256, first_job=10**17)
     assert all(attempt.state is AttemptState.WRITTEN for attempt in attempts)
     assert len(store.condition_keys) > 1
--- a/tests/test_operation_records.py
+++ b/tests/test_operation_records.py
@@ -1,4 +1,4 @@
-"""Schemas of stored orders, and the command that shows them."""
+"""Schemas of stored operations, and the `duties` command that shows the operations."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("prefix", list(SAMPLES))
 def test_schema_and_decoder_reject_the_same_values(prefix: str) -> None:
-    """A field that is missing, of another type, or out of its bounds."""
+    """Fields that are missing, of a wrong type or out of bounds are rejected by both."""
     valid = {**COMMON_FIELDS, **SAMPLES[prefix]}
     key = prefix + KEY_SUFFIX
     jsonschema.validate(valid, schema_of(prefix))
@@ -112,7 +112,7 @@
                 await curio.sleep(0.05)
             assert process.returncode == 0, process.communicate()
             outputs.append(process.communicate()[0])
-        assert simulation.store.data == stored_before, "it changes nothing"
+        assert simulation.store.data == stored_before, "the command changed stored data"
         await serving.cancel()
 
     curio.run(scenario)
@@ -129,7 +129,7 @@
 
 def test_duties_command_fails_without_store_or_settings(tmp_path: Path) -> None:
     simulation = LoopbackSimulation(1, tmp_path, "")
-    assert FakeKeyValueStore.HOST in simulation.network.hosts  # made, but not served
+    assert FakeKeyValueStore.HOST in simulation.network.hosts  # created, but not served
     simulation.ports[CONTROLLER_NAMES[0]]["state"] = free_port()
     result = CliRunner().invoke(
         main, ["duties", "--config", str(simulation.write_settings(CONTROLLER_NAMES[0]))]
@@ -141,7 +141,7 @@
 
 
 def test_duties_command_shows_refused_operations(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against: an operation that can't be recorded shows in one controller's log only."""
+    """Guards against: an operation that can't be recorded is visible only in the leader's log."""
     reports: list[OperationsReport] = []
 
     async def act(scenario: Scenario) -> None:
@@ -162,6 +162,6 @@
         await curio.sleep(3 * OperatorSettings().summary_s)
         store = next(iter(scenario.controllers.values())).services.store
         reports.append(await inspect(scenario.settings, lambda client, timeout_s: store))
-        assert reports[1].refused == [], "a successor knows nothing of it"
+        assert reports[1].refused == [], "refused operations are not passed on to a successor"
 
     assert_no_violations(run_scenario(act, monkeypatch))
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""One holder of duties at a time: the real controllers, stopped at every point of an order."""
+"""Cloud operations of real controllers, interrupted at every point by pauses and outages."""
 
 from __future__ import annotations
 
@@ -33,12 +33,15 @@
 )
 from topazhold.operations.retention import MAX_RETAINED_SCALE_INS
 
-#: Longer than a lease of a controller, by far.
+#: Duration of a pause or an outage, much longer than a controller's lease.
 PAUSE_S = 30.0
+#: Time after which a request that the network held back arrives at the cloud.
 REQUEST_DELAY_S = 120.0
 
 
 def pause_sender(scenario: Scenario) -> Callable[[str], None]:
+    """Return an action that pauses the sender of an operation for `PAUSE_S`."""
+
     def act(source: str) -> None:
         scenario.paused_until[source] = scenario.clock.now + PAUSE_S
 
@@ -48,12 +51,12 @@
 def trigger_on(
     scenario: Scenario, point: str, kind: str, act: Callable[[str], None]
 ) -> OperationTrigger:
-    """Let `act` happen to the sender of the first operation of a kind, at a point of it."""
+    """Call `act` with the sender of the first operation of a kind, at a point of that operation."""
     return OperationTrigger(scenario.network.hosts, point, kind, act, REQUEST_DELAY_S)
 
 
 def stop_store(scenario: Scenario) -> Callable[[str], None]:
-    """The state service is out from this point on, for longer than any lease of a controller."""
+    """Return an action that stops the store; the test has to start it again."""
 
     def act(source: str) -> None:
         scenario.store.set_down(True)
@@ -62,6 +65,7 @@
 
 
 async def start_cluster(scenario: Scenario) -> str:
+    """Start the cluster with four machines and two running jobs; return the leader."""
     await scenario.start(machines=4)
     await scenario.submit_running_jobs(2, scenario.controller_names[0], gpus=1.0)
     leader = scenario.leader()
@@ -70,7 +74,7 @@
 
 
 async def decide_operation(scenario: Scenario, leader: str, kind: str) -> None:
-    """Let the leader decide on a return or a rental."""
+    """Have the leader decide on a scale-in ("return") or a scale-out ("rental")."""
     scheduler = scenario.controllers[leader].leader_term.scheduler
     if kind == "return":
         busy = {worker.name for worker in scenario.busy_workers()}
@@ -83,7 +87,7 @@
 
 
 async def wait_until_settled(scenario: Scenario) -> None:
-    """Every order ends, its record with it, and no controller is wrong about a machine."""
+    """Wait until all operations and their records are closed and the leader knows all machines."""
     await curio.sleep(REQUEST_DELAY_S + 10.0)
     await scenario.wait_until(lambda: scenario.leader() is not None)
     leader = scenario.leader()
@@ -94,7 +98,10 @@
 
 
 def open_records(scenario: Scenario) -> list[str]:
-    """Records of orders that are not just kept for late lists."""
+    """Return the keys of open records.
+
+    A record of a scale-in whose machines are gone is only retained for outdated machine lists.
+    """
     names = set(scenario.cloud.workers)
     return [
         key
@@ -128,7 +135,7 @@
             for executed in scenario.cloud.operations.executed
             if executed.at > takeover_at and executed.stale
         ]
-        assert stale_operations == [], "an order of a former holder had an effect"
+        assert stale_operations == [], "an operation of a former leader had an effect"
 
     assert_no_violations(run_scenario(act, monkeypatch))
 
@@ -163,7 +170,7 @@
             await scenario.stop(name)
         scenario.paused_until.clear()
         await curio.sleep(1.0)
-        for name in scenario.controller_names:  # the same node may lead again, under another term
+        for name in scenario.controller_names:  # the former leader may lead again
             await start_controller(scenario, name)
         await wait_until_settled(scenario)
 
@@ -173,8 +180,6 @@
 def test_no_operation_is_decided_twice_under_lost_answers_and_late_writes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Of many orders none is decided twice, whatever is lost, late or refused."""
-
     async def act(scenario: Scenario) -> None:
         await start_cluster(scenario)
         network = scenario.network
@@ -197,7 +202,7 @@
 def test_scale_out_completes_after_refusals_by_the_cloud(
     status: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A request is repeated under its name; what is refused for good is given up."""
+    """A request is retried under the same name, unless it was refused as malformed (400)."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -226,7 +231,7 @@
 def test_unrecorded_release_in_an_outage_is_announced_to_all_controllers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """In an outage a machine with a cancelled task goes without a record; all learn of it."""
+    """In an outage of the store, a machine that can't stop a cancelled task is released."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -255,7 +260,7 @@
 def test_scale_in_of_a_machine_with_a_pending_launch_completes_after_failover(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its intents are written; the holder stops before it answers, the next returns it."""
+    """The leader pauses after writing the launch's intents; its successor releases the machine."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -302,7 +307,7 @@
 def test_successor_places_nothing_on_a_machine_of_an_open_scale_in(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The machine still reports, is booked for a gang, and has a launch on its way."""
+    """The machine still sends heartbeats, and a gang that could use it is waiting."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -315,7 +320,7 @@
         await scenario.submit(new, 10.0, tasks=8, gpus=1.0, shape="gang")
         await curio.sleep(20.0)
         worker = scenario.cloud.workers[name]
-        assert not worker.tasks and worker.up, "it reports, and gets nothing"
+        assert not worker.tasks and worker.up, "the machine has tasks or is down"
         scenario.cloud.down = False
         await wait_until_settled(scenario)
         assert name not in scenario.cloud.workers
@@ -326,10 +331,10 @@
 def test_scale_in_is_dropped_if_an_older_version_used_the_machine_meanwhile(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An old leader ignores the record and uses the machine; the next new one leaves it."""
+    """The older version ignores the record and places tasks; the next leader keeps the machine."""
 
     async def act(scenario: Scenario) -> None:
-        scenario.cloud.operations.checks_enabled = False  # production records nothing
+        scenario.cloud.operations.checks_enabled = False  # production records none
         leader = await start_cluster(scenario)
         trigger = trigger_on(scenario, "after_record", "return", pause_sender(scenario))
         await decide_operation(scenario, leader, "return")
@@ -342,9 +347,9 @@
         for node in scenario.controller_names:
             await start_controller(scenario, node)
         await scenario.wait_until(lambda: scenario.leader() is not None)
-        await scenario.submit(
+        await scenario.submit(  # enough tasks to use all machines
             scenario.controller_names[0], 500.0, tasks=16, gpus=1.0
-        )  # on all machines
+        )
         worker = scenario.cloud.workers[name]
         await scenario.wait_until(lambda: any(t.state == "running" for t in worker.tasks.values()))
         for node in scenario.controller_names:
@@ -420,7 +425,7 @@
 
 
 def test_number_of_operations_in_the_log_is_bounded() -> None:
-    """Closed ones are forgotten, kept ones are bounded, open rentals too."""
+    """Closed operations are removed; retained scale-ins and open scale-outs are bounded."""
     operation_log = OperationLog("hive-0", 7, max_value_bytes=2048, retention_s=1e9)
     for number in range(2 * MAX_RETAINED_SCALE_INS):
         name = f"host-{number}"
@@ -440,22 +445,22 @@
 def test_lease_is_doubted_after_a_pause_or_a_clock_jump() -> None:
     lease_confidence = LeaseConfidenceTracker(max_gap_s=1.0, now=0.0, wall=1000.0)
     assert lease_confidence.check(0.9, 1000.9, True) is LeaseConfidence.CONFIRMED
-    assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "it stood still"
+    assert lease_confidence.check(2.5, 1002.5, True) is LeaseConfidence.DOUBTED, "paused"
     lease_confidence.confirm(requested_at=2.4)
     assert lease_confidence.check(2.6, 1002.6, True) is LeaseConfidence.DOUBTED, (
-        "asked before the pause"
+        "looked up before the pause"
     )
     lease_confidence.confirm(requested_at=2.6)
     assert lease_confidence.check(2.7, 1002.7, True) is LeaseConfidence.CONFIRMED
     assert lease_confidence.check(2.8, 1302.8, True) is LeaseConfidence.DOUBTED, (
-        "suspended: one clock stood"
+        "suspended: the monotonic clock stood still"
     )
     lease_confidence.confirm(requested_at=2.8)
     assert lease_confidence.check(2.9, 1002.9, True) is LeaseConfidence.CONFIRMED, (
-        "the time of day set back"
+        "the time of day was set back"
     )
     assert lease_confidence.check(3.0, 1003.0, False) is LeaseConfidence.DOUBTED, (
-        "its lease is near its end"
+        "the lease is about to expire"
     )
     lease_confidence.confirm(requested_at=3.0)
     lease_confidence.mark_lost()
--- a/tests/test_operations_model.py
+++ b/tests/test_operations_model.py
@@ -1,8 +1,8 @@
-"""Holders, state service, cloud and network as a model, in any order of events.
+"""State machine test of cloud operations: executors, store, cloud and network in any order.
 
-The orders, their book, their records and the holder's standing are the production core. The
-rest is as simple as can be, so that hypothesis can interleave pauses, late deliveries, lost
-answers, elections and outages as it likes. Broken variants of the core must be caught.
+Operations, operation log, records and lease confidence are the real implementation. Everything
+else is a minimal model, so that Hypothesis can interleave pauses, late deliveries, lost responses,
+elections and outages freely. Broken variants of the implementation must be caught.
 """
 
 from __future__ import annotations
@@ -34,13 +34,14 @@
 
 LEASE_S = 3.0
 NODES = ("hive-0", "hive-1", "hive-2")
-#: The leader, mostly, or one of its predecessors.
+#: Index of an executor: mostly the leader (0), or one of its predecessors.
 EXECUTOR_INDEX = st.sampled_from([0, 0, 1, 2])
+#: What happens to a request: it is done, its response is lost, it arrives late, or it is refused.
 FATES = st.sampled_from(["done", "done", "answer_lost", "held", "refused"])
 
 
 class Executor:
-    """One term's leader: the production core, and what it was told."""
+    """The leader of a term: the real operation log and lease tracker, and its known machines."""
 
     def __init__(self, model: OperationsModel, node: str, term: int) -> None:
         self.node, self.term, self.revision = node, term, model.revision
@@ -53,7 +54,7 @@
 
 
 class OperationsModel(RuleBasedStateMachine):
-    """What may happen, and what must never."""
+    """The possible events as rules, and the forbidden effects as assertions."""
 
     adopts_records = True
 
@@ -61,18 +62,18 @@
         super().__init__()
         self.now, self.revision, self.term = 100.0, 1, 0
         self.stored: dict[str, Any] = {}
-        self.scale_in_keys: dict[str, str] = {}  # machine -> key of the one record that returns it
-        self.scale_out_keys: dict[str, str] = {}  # request name -> key of its record
+        self.scale_in_keys: dict[str, str] = {}  # by machine: key of its only record
+        self.scale_out_keys: dict[str, str] = {}  # by request name: key of its record
         self.running_machines = {"host-a", "host-b", "host-c"}
         self.machines_by_request: dict[str, list[str]] = {}
-        self.last_placement_term: dict[str, int] = {}  # machine -> last term that placed work there
+        self.last_placement_term: dict[str, int] = {}  # by machine
         self.delayed: list[Callable[[], Any]] = []
         self.store_up = True
         self.machine_count = 0
         self.executors: list[Executor] = []
         self._elect("hive-0")
 
-    # -- the world -----------------------------------------------------------
+    # -- store, cloud and elections --------------------------------------------
 
     @property
     def leader(self) -> Executor:
@@ -95,7 +96,7 @@
             return False
         for key, value in puts.items():
             record = decode_record(key, value)
-            assert record.term == self.term, "recorded by who does not hold the duties"
+            assert record.term == self.term, "recorded by a former leader"
             self.stored[key] = value
             if key.startswith(SCALE_IN_PREFIX):
                 for name in value["machines"]:
@@ -128,7 +129,7 @@
             self.machines_by_request[request] = names
         return self.machines_by_request[request]
 
-    # -- what a holder does ----------------------------------------------------
+    # -- actions of an executor --------------------------------------------------
 
     def _may_act(self, executor: Executor) -> bool:
         if self._lease_confirmed(executor):
@@ -159,7 +160,7 @@
             for operation in operations
             if self.stored.get(operation.key) == puts[operation.key]
         ]
-        if known and executor is self.leader:  # read back after a lost answer
+        if known and executor is self.leader:  # read back after a lost response
             executor.operation_log.mark_recorded(known, self.now)
         elif fate == "held":
             self.delayed.append(lambda: self._commit(executor.revision, puts, []))
@@ -173,7 +174,7 @@
         return None if executor.paused else executor
 
     def _executor(self, index: int) -> Executor:
-        """The leader, or one of those before it."""
+        """Return the leader or one of its predecessors."""
         return self.executors[-1 - index % len(self.executors)]
 
     @rule(index=EXECUTOR_INDEX, pick=st.integers(0, 9), fate=FATES)
@@ -200,7 +201,7 @@
 
     @rule(index=EXECUTOR_INDEX, rentals=st.booleans(), fate=FATES)
     def look_and_choose(self, index: int, rentals: bool, fate: str) -> None:
-        """A pause may come between this and the sending."""
+        """Choose the next request; the executor may be paused before it sends it."""
         executor = self._running_executor(index)
         if executor is None or not self._may_act(executor):
             return
@@ -240,7 +241,7 @@
 
     @rule(rentals=st.booleans(), fate=FATES)
     def choose_and_send(self, rentals: bool, fate: str) -> None:
-        """The leader, without anything in between."""
+        """Choose and send a request of the leader without an event in between."""
         self.look_and_choose(0, rentals, "done")
         self.send(0, fate)
 
@@ -255,7 +256,7 @@
 
     @rule(pick=st.integers(0, 9))
     def place(self, pick: int) -> None:
-        """The leader uses a machine that no order returns."""
+        """Let the leader place a task on a machine that no scale-in releases."""
         free = sorted(
             name
             for name in self.leader.machines & self.running_machines
@@ -264,7 +265,7 @@
         if free and self.now < self.leader.valid_until and not self.leader.paused:
             self.last_placement_term[free[pick % len(free)]] = self.term
 
-    # -- what happens to them ----------------------------------------------------
+    # -- events ------------------------------------------------------------------
 
     @rule(index=EXECUTOR_INDEX)
     def pause_or_go_on(self, index: int) -> None:
@@ -289,7 +290,7 @@
     @precondition(lambda self: self.store_up)
     @rule(node=st.sampled_from(NODES), paused=st.booleans())
     def take_over(self, node: str, paused: bool) -> None:
-        """The leader's lease ends, and another is elected at once."""
+        """End the leader's lease and elect another leader at once."""
         self.leader.paused = paused
         self.now = max(self.now, self.leader.valid_until + 0.1)
         self._elect(node)
@@ -304,7 +305,7 @@
         self.store_up = not self.store_up
 
     def teardown(self) -> None:
-        """Once all is well, every order ends, and every machine is known or gone."""
+        """Check that without faults all operations close and the leader knows every machine."""
         self.store_up = True
         while self.delayed:
             self.delayed.pop()()
@@ -319,12 +320,14 @@
         assert not self.stored and not leader.operation_log.open_operations(), (
             "an operation stays open"
         )
-        # The machine list names what nobody was told of; here only orders may have done it.
+        # In production the machine list also reveals machines whose response was lost; the model
+        # has none, so that the operations alone must account for every machine.
         assert self.running_machines <= leader.machines, "a scale-out is lost"
 
 
-#: Examples of a check. Each broken variant must be seen within as many as the model itself
-#: is checked by. Hypothesis draws on the constants of the sources: an edit changes them.
+#: Examples per run. Each broken variant must be caught within as many examples as the model
+#: itself is checked with. Hypothesis derives the examples from the source of the model and from
+#: constants in the sources, so that an edit of either changes them.
 EXAMPLES = 1500
 
 
@@ -347,7 +350,7 @@
 
 
 def send_before_recording(patch: pytest.MonkeyPatch) -> None:
-    """Orders are sent though they are not recorded."""
+    """Requests are sent although their operations are not recorded."""
     init: Any = OperationLog.__init__
     patch.setattr(
         OperationLog, "__init__", lambda self, *args, **kwargs: init(self, *args[:3], 20.0, False)
@@ -355,11 +358,12 @@
 
 
 def successor_ignores_records(patch: pytest.MonkeyPatch) -> None:
+    """A new leader does not adopt the stored operations."""
     patch.setattr(OperationsModel, "adopts_records", False)
 
 
 def reuse_request_names(patch: pytest.MonkeyPatch) -> None:
-    """Names of requests do not carry the term."""
+    """Request names do not contain the term."""
     decide = OperationLog.decide_scale_out
 
     def reused(self: OperationLog, request: ScaleOutRequest, wall: float) -> ScaleOutOperation:
@@ -374,11 +378,12 @@
 
 
 def never_doubt_the_lease(patch: pytest.MonkeyPatch) -> None:
+    """The leadership is not looked up after a pause."""
     patch.setattr(LeaseConfidenceTracker, "check", lambda *args: LeaseConfidence.CONFIRMED)
 
 
 def forget_scale_ins_early(patch: pytest.MonkeyPatch) -> None:
-    """A return is forgotten while the machine's rental may still be asked for again."""
+    """A scale-in is closed while its machine's scale-out request may still be retried."""
     patch.setattr(OperationLog, "machines_of_open_scale_outs", lambda self: set())
     patch.setattr(
         OperationLog,
@@ -388,7 +393,7 @@
 
 
 def decide_machine_twice(patch: pytest.MonkeyPatch) -> None:
-    """A machine that an order names already is decided on again."""
+    """A machine that an operation already releases is released by a second one."""
     decide = OperationLog.decide_scale_in
 
     def again(self: OperationLog, reasons: Any, wall: float) -> list[ScaleInOperation]:
--- a/tests/test_record_limits.py
+++ b/tests/test_record_limits.py
@@ -1,4 +1,4 @@
-"""What may be decided, against what a stored record of it takes."""
+"""Every operation that can be decided fits into a stored record."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 )
 from topazhold.wire.jobs import MAX_TASKS
 
-#: Bytes of a stored value that records may take: of 1 KiB, and of larger ones.
+#: Maximum sizes of a record in bytes; 900 is the limit where stored values are up to 1 KiB.
 VALUE_LIMITS = st.sampled_from([900, 2048, 7372, 14_745])
 TERMS = st.integers(1, MAX_INTEGER)
 NAMES = st.text(st.characters(codec="ascii", exclude_categories=["Cc", "Cs"]), min_size=1)
@@ -79,7 +79,7 @@
 
 
 def test_request_names_are_unique_for_a_controller_with_a_long_name() -> None:
-    """Guards against: what makes a name unique is cut with it."""
+    """Guards against: truncation removes the part of a request name that makes it unique."""
     names = set()
     for term in (1, 2):
         log = log_of(term, 2048, LONG_NAME)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize("value_limit", [900, 7372])
 def test_too_large_record_is_rejected_before_it_is_written(value_limit: int) -> None:
-    """Guards against: the store refuses it, and it is written again and again."""
+    """Guards against: the store refuses the record, and its write is retried endlessly."""
     machines = {f"{LONG_NAME[:190]}{n}": "idle" for n in range(MAX_RELEASED_MACHINES)}
     record = ScaleInRecord(by="d1-1", term=1, number=1, at=1.0, machines=machines)
     with pytest.raises(InvalidRecordError, match="bytes"):
--- a/tests/test_state_limits.py
+++ b/tests/test_state_limits.py
@@ -1,4 +1,4 @@
-"""The state service's limits, which may become smaller at any moment."""
+"""The store's limits, which may be lowered at any time."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
 from topazhold.wire import messages as wire
 from topazhold.wire.codec import json_size, pack
 
+#: Maximum size of a shard's value under the lowered limits.
 LOWERED_VALUE_BYTES = 1800
 LATER_LIMITS = "\n[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 5\n"
 
@@ -50,7 +51,7 @@
     state = conf.load(path).cluster.key_value_store
     assert (state.lasting_value_bytes, state.lasting_txn_ops) == (2048, 5)
     assert (state.write_rps, state.lasting_write_rps) == (20.0, 15.0)
-    assert state.lasting_rps == state.rps, "a limit that is not named stays as it is"
+    assert state.lasting_rps == state.rps, "a limit that is not named stays unchanged"
 
 
 def test_higher_later_limits_are_not_used_early(tmp_path: Path) -> None:
@@ -82,11 +83,11 @@
     assert result.exit_code == 2 and field in result.stderr
 
 
-# -- intents that an earlier version left under larger limits -----------------------
+# -- intents stored under larger limits ---------------------------------------------
 
 
 def shards_with_oversized_value(harness: SchedulerHarness, machines: list[str]) -> IntentShards:
-    """One stored value with all these machines, as the larger limit allowed it."""
+    """Return shards with one stored value for all machines, as a larger limit allowed."""
     shards = IntentShards(LOWERED_VALUE_BYTES)
     shards.adopt("0001", 7, machines)
     return shards
@@ -106,7 +107,7 @@
 
 
 def test_machine_too_large_for_any_value_stays_in_its_stored_shard() -> None:
-    """Moved to a value of its own it would be in none: the state service takes no such value."""
+    """In a value of its own its intents would be lost: the store refuses such a value."""
     harness = fleet(6)
     attach_tasks(harness, 4)
     machines = harness.scheduler.machines
@@ -124,13 +125,13 @@
 
 
 class StrictStore:
-    """Takes what the lowered limits allow, and knows what is stored."""
+    """A store that enforces the lowered limits."""
 
     def __init__(self, txn_ops: int, value_bytes: int) -> None:
         self.txn_ops = txn_ops
         self.value_bytes = value_bytes
         self.stored: dict[str, Any] = {}
-        self.refusals_left = 0  # so many transactions to come get no further
+        self.refusals_left = 0  # number of next transactions to refuse
         self.machines_per_commit: list[
             set[str]
         ] = []  # machines that stand in any value, after each step
@@ -156,6 +157,7 @@
 
 
 def lowered_settings() -> Any:
+    """Return settings that announce lower limits of the store."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.key_value_store.next = LaterLimits(value_kb=2.0, txn_ops=5)
     return settings
@@ -165,8 +167,8 @@
 def test_pruning_a_removed_machine_keeps_the_intents_of_others(
     refuse: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its shard was too large and gave machines away. Written before the new ones, and these
-    refused, their intents stood in no value."""
+    """The removed machine's shard is too large and is split. If it were written before the new
+    shards and those refused, the moved machines' intents would be in no stored value."""
     harness = fleet(16)
     attach_tasks(harness, 4)
     machines = harness.scheduler.machines
@@ -196,7 +198,7 @@
 def test_plan_on_an_oversized_shard_is_written_within_the_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One more task there needs more new values than one transaction takes."""
+    """The split that one more task causes takes more changes than fit one transaction."""
     harness = fleet(16)
     attach_tasks(harness, 16)
     machines = harness.scheduler.machines
@@ -232,7 +234,7 @@
 def test_summary_of_a_large_cluster_fits_the_lowered_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Names of a zone's 700 machines alone were more than a value, and nothing was written."""
+    """Guards against: the names of a zone's 700 machines exceed a value, and nothing is written."""
     settings = lowered_settings()
     settings.cluster.zones = list("abcdefgh")
     settings.cluster.teams[0].gpus_max = 1e6
@@ -283,7 +285,7 @@
 
 @pytest.mark.parametrize("tasks", [1, 7, 4096, 100_000])
 def test_space_is_reserved_for_the_completion_bitmap(tasks: int) -> None:
-    """A job is taken only if its record still fits when all its tasks are done."""
+    """A job is accepted only if its record still fits when all its tasks are completed."""
     spec = make_spec(shape="batch", tasks=tasks)
     job = Job(spec, 0.0, 0.0, "hive-0")
     before = json_size(records.live_value(job, "t"))
@@ -297,7 +299,7 @@
 
 
 class ScriptedClient:
-    """A client whose state service gives the responses of a list, in turn."""
+    """A store client that returns the listed responses in turn."""
 
     def __init__(self, responses: list[tuple[int, Any]]) -> None:
         self.responses = responses
@@ -312,6 +314,7 @@
 def run_commits(
     client: ScriptedClient, later_limits: LaterLimits | None, monkeypatch: pytest.MonkeyPatch
 ) -> Any:
+    """Commit a delete per response; return the outcomes and the final write rate."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.key_value_store.write_rps = 20.0
     settings.cluster.key_value_store.next = later_limits
@@ -336,7 +339,7 @@
 def test_rate_limit_refusal_switches_to_the_later_limits(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The limits fall without notice: a refusal is all that shows it. Nothing is repeated."""
+    """The limits are lowered without notice; only a refusal shows it. It is not retried."""
     client = ScriptedClient(
         [
             (HTTPStatus.OK, {"harvest": 3}),
--- a/tests/test_summaries.py
+++ b/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""What peers are told of a large fleet, within the state service's limits."""
+"""Summaries of large clusters, sent to peers and written to the store within its limits."""
 
 from __future__ import annotations
 
@@ -21,14 +21,15 @@
 from topazhold.operator_settings import OperatorSettings
 from topazhold.wire.codec import json_size
 
+#: Maximum size of a stored value, in KiB.
 VALUE_KB = 16.0
 #: Maximum size of a summary's changes: a transaction of 64 KiB, less its preconditions.
 MAX_CHANGES_BYTES = 60 * 1024
 
 
 def test_summary_of_many_zones_fits_one_transaction(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Six zones with values of 16 KiB each passed the 64 KiB of a transaction: none of
-    it was written. What is left out is said to be."""
+    """Guards against: the values of six zones, 16 KiB each, exceed the 64 KiB of a transaction,
+    and none is written. A shortened value is marked as cut."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
     settings.cluster.key_value_store.value_kb = VALUE_KB
@@ -61,7 +62,7 @@
 
 
 def test_other_tasks_run_while_a_summary_is_collected(monkeypatch: pytest.MonkeyPatch) -> None:
-    """In one piece it kept the lease's renewal waiting, and cost the leader its lease."""
+    """Guards against: building a summary in one go delays the lease's renewal until it expires."""
     settings = make_settings("hive-0", "a", [])
     settings.cluster.zones = list("abcdef")
     scheduler = Scheduler(
@@ -85,7 +86,7 @@
         collected.append(summaries.summary(1.0))
 
     run_virtual(main, monkeypatch)
-    assert len(turns) >= 7, "after each zone, and after the jobs"
+    assert len(turns) >= 7, "collecting yields after each zone and after the jobs"
     collected_by_step, built_at_once = collected
     assert collected_by_step.pop("")["waiting"] == built_at_once.pop("")["waiting"]
     assert collected_by_step == built_at_once
--- a/tests/test_unrecordable_operation.py
+++ b/tests/test_unrecordable_operation.py
@@ -1,4 +1,4 @@
-"""A cloud operation whose record is refused, and the operations decided after it."""
+"""An operation that can't be recorded must not block the operations decided after it."""
 
 from __future__ import annotations
 
@@ -17,26 +17,26 @@
 from topazhold.core.autoscaling import ScaleOutRequest
 from topazhold.operations.records import InvalidRecordError, encode_record
 
-#: `POST /machines` in the protocol: "`count` is at most 50". Stated there, not measured.
+#: `POST /machines` in the protocol: "`count` is at most 50".
 MAX_MACHINES_PER_REQUEST = 50
-#: Within so many report periods an operation is recorded and sent. The scale-out loop goes round
-#: once a period: one until the operation is decided, one for a try that failed, one to spare.
+#: Heartbeat intervals within which an operation is recorded and sent. The scale-out loop runs once
+#: per interval: one until the operation is decided, one for a failed attempt, one in reserve.
 MAX_RECORDING_HEARTBEATS = 3.0
 
 
 class OperationProgress(NamedTuple):
-    """What the state service and the cloud show of an operation."""
+    """Predicates: the store has the operation's record, the cloud has received its request."""
 
     recorded: Callable[[], bool]
     sent: Callable[[], bool]
 
 
-#: Has the leader decide on an operation, from what it knows of machines and jobs.
+#: Makes the leader decide on an operation through its usual inputs, machines and jobs.
 Decide = Callable[[Scenario, str], Awaitable[OperationProgress]]
 
 
 async def start_cluster(scenario: Scenario) -> str:
-    """A leader with more machines than tasks, and no scale-out under way."""
+    """Start a cluster with an idle machine and no open scale-out; return the leader."""
     await scenario.start(machines=4)
     await scenario.submit_running_jobs(1, scenario.controller_names[0], tasks=3, gpus=1.0)
     leader = scenario.leader()
@@ -49,14 +49,14 @@
 
 
 def idle_machines(scenario: Scenario, leader: str) -> list[str]:
-    """Machines without tasks that the leader knows of."""
+    """Return the machines without tasks that the leader knows."""
     busy = {worker.name for worker in scenario.busy_workers()}
     machines = scenario.controllers[leader].leader_term.scheduler.machines
     return sorted(machines.keys() & scenario.cloud.workers.keys() - busy)
 
 
 async def scale_in(scenario: Scenario, leader: str) -> OperationProgress:
-    """An idle machine is to go."""
+    """Release an idle machine."""
     scheduler = scenario.controllers[leader].leader_term.scheduler
     name = idle_machines(scenario, leader)[0]
     worker = scenario.cloud.workers[name]
@@ -67,7 +67,7 @@
 
 
 async def scale_out(scenario: Scenario, leader: str) -> OperationProgress:
-    """A job comes that needs more machines than there are."""
+    """Submit a job that needs more machines than there are."""
     history, requests = scenario.cloud.operations, scenario.cloud.rented
     recorded, sent = set(history.recorded_rentals), set(requests)
     await scenario.submit(scenario.other_controllers(leader)[0], 20.0, tasks=12, gpus=4.0, cpus=4.0)
@@ -77,7 +77,7 @@
 
 
 def decide_unrecordable(scenario: Scenario, leader: str) -> None:
-    """An operation whose record is refused, however its count came to be."""
+    """Decide on a scale-out whose count is too large for a valid record."""
     operation_log = scenario.controllers[leader].leader_term.operations.operation_log
     operation = operation_log.decide_scale_out(
         ScaleOutRequest("b1", "a", False, 1), scenario.clock.now
@@ -88,7 +88,7 @@
 
 
 async def wait_until_in_time(scenario: Scenario, condition: Callable[[], bool]) -> bool:
-    """Whether something is so within the time that an operation may take."""
+    """Return whether the condition is met within `MAX_RECORDING_HEARTBEATS`."""
     deadline = (
         scenario.clock.now
         + MAX_RECORDING_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s
@@ -99,16 +99,16 @@
 
 
 async def assert_recorded_and_sent(scenario: Scenario, leader: str, decide: Decide) -> None:
-    """Both in time, and in this term."""
+    """Check that an operation is recorded and sent in time and without a change of leader."""
     progress = await decide(scenario, leader)
     await wait_until_in_time(scenario, lambda: progress.recorded() and progress.sent())
-    assert progress.recorded(), f"not recorded within {MAX_RECORDING_HEARTBEATS} report periods"
-    assert progress.sent(), f"not sent within {MAX_RECORDING_HEARTBEATS} report periods"
+    assert progress.recorded(), f"not recorded within {MAX_RECORDING_HEARTBEATS} heartbeats"
+    assert progress.sent(), f"not sent within {MAX_RECORDING_HEARTBEATS} heartbeats"
     assert scenario.leader() == leader
 
 
 def refuse_large_requests(scenario: Scenario) -> list[int]:
-    """The cloud calls requests for too many machines malformed; their counts, as they come."""
+    """Make the cloud refuse requests for too many machines; return a list of their counts."""
     cloud = scenario.network.hosts[FakeCloud.HOST]
     refused: list[int] = []
 
@@ -142,7 +142,7 @@
 def test_operation_alone_is_recorded_and_sent_in_time(
     decide: Decide, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Control: the same operations with nothing in front of them."""
+    """Control: the same operations without an unrecordable one before them."""
 
     async def act(scenario: Scenario) -> None:
         leader = await start_cluster(scenario)
@@ -155,7 +155,7 @@
 def test_without_records_only_the_refused_request_is_lost(
     decide: Decide, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Control, and what the operators' page advises: with `record_orders` off others go on."""
+    """Control: with `record_orders` off, as the operators' page advises, others are executed."""
     settings_without_records = partial(topazhold.settings.OperatorSettings, record_operations=False)
     monkeypatch.setattr(topazhold.settings, "OperatorSettings", settings_without_records)
 
@@ -165,9 +165,9 @@
         refused = refuse_large_requests(scenario)
         decide_unrecordable(scenario, leader)
         progress = await decide(scenario, leader)
-        assert await wait_until_in_time(scenario, progress.sent), "held up"
+        assert await wait_until_in_time(scenario, progress.sent), "blocked by the refused request"
         await curio.sleep(MAX_RECORDING_HEARTBEATS * scenario.worker_settings.heartbeat_interval_s)
-        assert refused == [MAX_MACHINES_PER_REQUEST + 1], "asked for once, and lost"
+        assert refused == [MAX_MACHINES_PER_REQUEST + 1], "requested once and not retried"
         assert not progress.recorded()
 
     assert_no_violations(run_scenario(act, monkeypatch))
