--- a/topazhold/control/cancellation_exchange.py
+++ b/topazhold/control/cancellation_exchange.py
@@ -16,7 +16,7 @@
 
 
 class OnCancelled(Protocol):
-    """Notifies the term led here of a cancelled job, with the time of day of the confirmation."""
+    """Notifies the term led here of a cancelled job and the wall-clock time of the confirmation."""
 
     async def __call__(self, job_id: str, at: float, /) -> None: ...
 
--- a/topazhold/control/cluster_view.py
+++ b/topazhold/control/cluster_view.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.observed_at = -1e9  # monotonic clock, seconds: when the data was current
         self.term = 0
-        self.made_at = 0.0  # time of day at which the leader made the summary
+        self.made_at = 0.0  # wall-clock time at which the leader made the summary
         self.directory: list[tuple[str, str]] = []  # (machine, zone) of the whole fleet
         self.caches: dict[str, Sequence[ResourceOffer]] = {}
         #: By job: the controller that accepted it, its queue key, whether it needs a reservation.
--- a/topazhold/control/failover.py
+++ b/topazhold/control/failover.py
@@ -27,7 +27,7 @@
     """When the state was read, in seconds by two clocks."""
 
     monotonic: float  # monotonic clock
-    wall: float  # time of day
+    wall: float  # wall-clock time
 
 
 async def load_state(context: TermContext, machine_types: dict[str, MachineType]) -> dict[str, int]:
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -81,7 +81,7 @@
         return planned
 
     def reserve(self, spec: JobSpec, queue_key: QueueKey, group: Group, wall: float) -> None:
-        """Reserve a group for a gang instead of its former one, if any; `wall` is a time of day."""
+        """Reserve a group for a gang in place of its former one; `wall` is a wall-clock time."""
         self._serial = max(self._serial + 1, int(wall * MS_PER_S))
         self.own[spec.id] = Reservation(
             spec.id,
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -219,7 +219,7 @@
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
         """Apply a cancellation that this controller or a peer confirmed to a user.
 
-        `at` is the time of day of the confirmation.
+        `at` is the wall-clock time of the confirmation.
         """
         if self.loaded:
             await self.context.on_job_cancelled(job_id, at)
@@ -279,6 +279,6 @@
         return term if term is not None and term.loaded else None
 
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
-        """Pass a cancellation, with its time of day, to the term, if there is one."""
+        """Pass a cancellation, with its wall-clock time, to the term, if there is one."""
         if self.leader_term is not None:
             await self.leader_term.on_job_cancelled(job_id, at)
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -110,7 +110,7 @@
                 job.revision = entry.revision
 
     async def on_job_cancelled(self, job_id: str, at: float) -> None:
-        """Apply the committed cancellation of a job; `at` is its time of day.
+        """Apply the committed cancellation of a job; `at` is its wall-clock time.
 
         This does not wait for the store: an outage must not delay the kills of cancelled jobs.
         """
--- a/topazhold/control/users.py
+++ b/topazhold/control/users.py
@@ -57,7 +57,7 @@
 
 
 class ConfirmCancellation(Protocol):
-    """Called with the time of day of a cancellation, before any user gets a response about it."""
+    """Called with the wall-clock time of a cancellation before a user gets a response about it."""
 
     async def __call__(self, job_id: str, at: float, /) -> None: ...
 
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -27,11 +27,11 @@
 
     after: int
     upto: int
-    entries: list[list[Any]]  # [job, time of day]
+    entries: list[list[Any]]  # [job, wall-clock time]
 
 
 class _Entry(NamedTuple):
-    """A cancelled job's entry number, and the time of day of its cancellation."""
+    """A cancelled job's entry number, and the wall-clock time of its cancellation."""
 
     number: int
     at: float
@@ -91,7 +91,7 @@
         return len(self._entries)
 
     def cancelled_at(self, job: str) -> float | None:
-        """Return the time of day at which the job was cancelled; None if it is not recorded."""
+        """Return the wall-clock time at which the job was cancelled; None if it is not recorded."""
         entry = self._entries.get(job)
         return entry.at if entry is not None else None
 
@@ -157,7 +157,7 @@
     def receive(
         self, peer: str, incarnation: str, after: int, upto: int, entries: Iterable[Any], now: float
     ) -> list[tuple[str, float]]:
-        """Add a peer's changes; return the (job, time of day) of the new ones.
+        """Add a peer's changes; return the (job, wall-clock time) of the new ones.
 
         Changes after a gap are ignored: the unchanged acknowledgement makes the peer send them
         again.
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -47,7 +47,7 @@
 #: Heartbeat intervals without a heartbeat here after which an unsynced worker is sent the term
 #: directly.
 ANNOUNCEMENT_INTERVALS = 0.4
-#: Seconds; earlier than any time of the steady clock.
+#: Seconds; earlier than any time of the monotonic clock.
 NEVER = -1e9
 
 
--- a/topazhold/core/jobs.py
+++ b/topazhold/core/jobs.py
@@ -16,7 +16,7 @@
 
 #: Seconds; wait objective of a job whose class has no start objective.
 NO_OBJECTIVE = 1e9
-#: Seconds; earlier than any time of a steady clock.
+#: Seconds; earlier than any time of the monotonic clock.
 DISTANT_PAST = -1e9
 
 #: CPUs, GPUs, memory in GB.
@@ -46,8 +46,8 @@
     def __init__(self, spec: JobSpec, arrived: float, submitted: float, node: str) -> None:
         """Create a live job.
 
-        `node` is the controller that accepted it. All times are seconds: `submitted` is the time
-        of day, `arrived` and all others are on the local steady clock.
+        `node` is the controller that accepted it. All times are seconds: `submitted` is a
+        wall-clock time, `arrived` and all others are on the local monotonic clock.
         """
         self.spec = spec
         self.id = spec.id
@@ -148,7 +148,7 @@
         self.state = JobState.DONE
 
     def abort(self, cancelled_at: float) -> None:
-        """Mark the job as aborted; `cancelled_at` is on the steady clock."""
+        """Mark the job as aborted; `cancelled_at` is on the monotonic clock."""
         self.state = JobState.ABORTED
         self.cancelled_at = cancelled_at
 
--- a/topazhold/core/placement_hints.py
+++ b/topazhold/core/placement_hints.py
@@ -28,7 +28,7 @@
         self.jobs: frozenset[str] = frozenset()
         self.incarnation = 0  # of the newest heartbeat, as is the sequence
         self.sequence = -1
-        self.last_probed_at = 0.0  # on the steady clock
+        self.last_probed_at = 0.0  # on the monotonic clock
 
 
 class PlacementHints:
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -75,8 +75,8 @@
     return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
 
 
-def read_live_job(data: Any, revision: int, wall_time: float, steady_time: float) -> Job:
-    """Read a live job; `wall_time` is the present time of day, `steady_time` the steady clock's.
+def read_live_job(data: Any, revision: int, wall_time: float, monotonic_time: float) -> Job:
+    """Read a live job; both times are the present ones.
 
     Raises:
         InvalidMessageError, TypeError, ValueError: the value is not a valid live job.
@@ -86,7 +86,7 @@
     spec = convert(data.get("spec"), JobSpec)
     submitted = float(data.get("at", wall_time))
     job = Job(
-        spec, steady_time - max(0.0, wall_time - submitted), submitted, str(data.get("node", ""))
+        spec, monotonic_time - max(0.0, wall_time - submitted), submitted, str(data.get("node", ""))
     )
     job.revision = revision
     if data.get("done"):
@@ -116,7 +116,7 @@
     return cut
 
 
-def read_ended_job(data: Any, wall_time: float, steady_time: float) -> Job:
+def read_ended_job(data: Any, wall_time: float, monotonic_time: float) -> Job:
     """Read an ended job, whose tasks may still be on machines; times as for `read_live_job`.
 
     Raises:
@@ -126,11 +126,11 @@
         raise InvalidMessageError("not a job that is over")
     spec = convert(data.get("spec"), JobSpec)
     at = float(data.get("at", wall_time))
-    job = Job(spec, steady_time, at, "")
+    job = Job(spec, monotonic_time, at, "")
     if data.get("stage") == wire.DONE:
         job.state = JobState.DONE
     else:
-        job.abort(steady_time - max(0.0, wall_time - at))
+        job.abort(monotonic_time - max(0.0, wall_time - at))
     return job
 
 
@@ -147,7 +147,7 @@
 
 
 def ended_at(data: Any, default: float) -> float:
-    """Return the time of day at which the job ended; `default` if it is unreadable."""
+    """Return the wall-clock time at which the job ended; `default` if it is unreadable."""
     at = data.get("at") if isinstance(data, dict) else None
     return float(at) if isinstance(at, int | float) else default
 
--- a/topazhold/core/task_attempts.py
+++ b/topazhold/core/task_attempts.py
@@ -63,7 +63,7 @@
     )
 
     def __init__(self, job: Job, index: int, attempt_number: int, machine: str, now: float) -> None:
-        """Create an attempt; all times are seconds on the controller's steady clock."""
+        """Create an attempt; all times are seconds on the controller's monotonic clock."""
         self.job = job
         self.index = index  # of the task in its job
         self.attempt_number = attempt_number
--- a/topazhold/operations/lease_confidence.py
+++ b/topazhold/operations/lease_confidence.py
@@ -4,7 +4,7 @@
 lease may have expired. A clock check that comes late reveals such a pause; no operation is
 decided until the leader key has been read again.
 
-Times are in seconds: `now` of the monotonic clock, `wall` of the time of day.
+Times are in seconds: `now` of the monotonic clock, `wall` of the wall clock.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
     def check(self, now: float, wall: float, lease_is_valid: bool) -> LeaseConfidence:
         """Check the clocks for a pause; `lease_is_valid` if the lease rules out another leader.
 
-        The monotonic clock may stop while the machine is suspended; the time of day then jumps
-        ahead of it. A time of day that is set back is ignored: it does not indicate a pause.
+        The monotonic clock may stop while the machine is suspended; the wall clock then jumps
+        ahead of it. A wall clock that is set back is ignored: that does not indicate a pause.
         """
         gap = now - self._checked_at
         jump = (wall - now) - self._clock_offset
--- a/topazhold/operations/operation_log.py
+++ b/topazhold/operations/operation_log.py
@@ -3,7 +3,7 @@
 The log does no I/O and reads no clock: the executors query it for due steps, carry them out and
 report the outcome. Every release goes through it, so that only one operation releases a machine.
 
-Times are in seconds: `now` of the monotonic clock, `wall` of the time of day.
+Times are in seconds: `now` of the monotonic clock, `wall` of the wall clock.
 """
 
 from __future__ import annotations
--- a/topazhold/operations/record_factory.py
+++ b/topazhold/operations/record_factory.py
@@ -18,7 +18,7 @@
 class RecordFactory:
     """Creates the records of one term; numbers, tokens and request names are unique.
 
-    Times named `wall` are in seconds of the time of day.
+    Times named `wall` are wall-clock times in seconds.
     """
 
     def __init__(self, node: str, term: int) -> None:
