--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -20,6 +20,7 @@
 from topazhold.control.controller_services import ControllerState, Dial
 from topazhold.control.waiting_loops import wait_then_work
 from topazhold.core.autoscaling import MAX_RELEASED_MACHINES
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.core.placement_hints import PlacementHint
 from topazhold.interfaces.cloud import CloudUnavailableError
 from topazhold.io.client import ClientPool
@@ -90,7 +91,7 @@
         self._probing: set[str] = set()
         self._clients = ClientPool(dial, self._max_concurrent_probes)
         self._unhandled_since: dict[str, float] = {}  # by job, monotonic clock
-        self._listed_at = -1e9
+        self._listed_at = DISTANT_PAST
         self._releasing = False
 
     async def loop(self) -> None:
--- a/topazhold/control/cluster_view.py
+++ b/topazhold/control/cluster_view.py
@@ -5,6 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.core.reservations import QueueKey
 from topazhold.core.resource_offer import ResourceOffer, unpack_offer
 from topazhold.core.zone_summary import unpack_names
@@ -14,7 +15,7 @@
     """Resource offers of each zone, waiting gangs, and the number of running tasks of each job."""
 
     def __init__(self) -> None:
-        self.observed_at = -1e9  # monotonic clock, seconds: when the data was current
+        self.observed_at = DISTANT_PAST  # monotonic clock, seconds: when the data was current
         self.term = 0
         self.made_at = 0.0  # wall-clock time at which the leader made the summary
         self.directory: list[tuple[str, str]] = []  # (machine, zone) of the whole fleet
--- a/topazhold/control/gang_reservations.py
+++ b/topazhold/control/gang_reservations.py
@@ -12,6 +12,7 @@
 from topazhold.control.key_value_store import MS_PER_S, KeyValueStore
 from topazhold.core import records
 from topazhold.core.group_search import Group
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.core.reservations import (
     RESERVATION_PREFIX,
     QueueKey,
@@ -60,7 +61,7 @@
         self.table = table
         self.own: dict[str, Reservation] = {}
         self.search_due = curio.Event()
-        self.wrote_at = -1e9  # monotonic clock, seconds
+        self.wrote_at = DISTANT_PAST  # monotonic clock, seconds
         self._last_written: list[Any] | None = None
         self._serial = 0
         self._sequence = 0
--- a/topazhold/control/peer_service.py
+++ b/topazhold/control/peer_service.py
@@ -34,6 +34,7 @@
     Summary,
 )
 from topazhold.control.placement_search import PlacementSearch
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.core.zone_summary import unpack_names
 
 
@@ -63,7 +64,7 @@
         self._recipients = recipients
         self._peer_expiry_s = PEER_EXPIRY_SILENCES * SILENCE_LEASE_SHARE * controller_lease_s
         self._loaded_leader = ""  # the last to ping as leader of a loaded term
-        self._loaded_leader_at = -1e9
+        self._loaded_leader_at = DISTANT_PAST
         self._peer_incarnations: dict[str, str] = {}
         self._handlers: dict[str, Callable[[tuple[Any, ...]], Awaitable[None]]] = {
             PING: self._on_ping,
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -10,7 +10,7 @@
 from topazhold.control.gang_reservations import GangReservations
 from topazhold.core.candidate_slots import SearchContext, SearchRules
 from topazhold.core.group_search import Group, find_group, score_reservation
-from topazhold.core.jobs import Job
+from topazhold.core.jobs import DISTANT_PAST, Job
 from topazhold.core.preemption import queue_key
 from topazhold.core.reservations import NOT_AGED, QueueKey, Reservation, ReservationTable
 from topazhold.core.resource_offer import AGED, Priority
@@ -55,7 +55,7 @@
         self.spec = spec
         self.queue_key = queue_key
         self.pending_since = pending_since
-        self.searched_at = -1e9  # monotonic clock, seconds
+        self.searched_at = DISTANT_PAST  # monotonic clock, seconds
 
     @property
     def priority(self) -> Priority:
--- a/topazhold/control/placement_search.py
+++ b/topazhold/control/placement_search.py
@@ -20,7 +20,7 @@
     max_follower_searches,
 )
 from topazhold.core import records
-from topazhold.core.jobs import Job
+from topazhold.core.jobs import DISTANT_PAST, Job
 from topazhold.core.preemption import queue_key
 from topazhold.interfaces.store import DECISION_PRIORITY
 from topazhold.interfaces.store_errors import KeyValueStoreError
@@ -67,7 +67,7 @@
         self.cluster_view = ClusterView()  # from the last summary
         self._current = current
         self._lease = lease
-        self._fetched_at = -1e9
+        self._fetched_at = DISTANT_PAST
         self._max_searches = max_follower_searches(settings.cluster.limits.cpu_share)
 
     def read_summary(self, values: dict[str, Any], now: float) -> None:
--- a/topazhold/control/planning_loop.py
+++ b/topazhold/control/planning_loop.py
@@ -9,6 +9,7 @@
 from topazhold.control.intents import Intents
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import wait_then_work
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.interfaces.store import DECISION_PRIORITY
 
 #: In heartbeat intervals: minimum time between two scheduler ticks, minimum time between two
@@ -31,8 +32,8 @@
         self._context = context
         self._intents = intents
         self._round_done = curio.Event()  # set and replaced at the end of each round
-        self._ticked_at = -1e9
-        self._planned_at = -1e9
+        self._ticked_at = DISTANT_PAST
+        self._planned_at = DISTANT_PAST
 
     def is_due(self, now: float) -> bool:
         """Return whether a new round may differ from the last; most heartbeats change nothing."""
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -15,7 +15,7 @@
 from topazhold.control.term_context import TermContext
 from topazhold.control.waiting_loops import work_then_wait
 from topazhold.core import records
-from topazhold.core.jobs import JobState
+from topazhold.core.jobs import DISTANT_PAST, JobState
 from topazhold.core.machines import Machine
 from topazhold.core.preemption import queue_key
 from topazhold.core.task_attempts import AttemptState
@@ -67,7 +67,7 @@
         self._broadcast = broadcast
         self._sent: dict[str, tuple[int, str | None]] = {}  # machine -> changes, endpoint last sent
         self._rounds = 0
-        self._written_at = -1e9  # monotonic clock, seconds
+        self._written_at = DISTANT_PAST  # monotonic clock, seconds
 
     def placements(self) -> list[list[Any]]:
         """Return for every machine its name, endpoint, and the jobs whose tasks may run there."""
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -8,6 +8,7 @@
 
 from topazhold.core.cluster_state import UP_STATES, ClusterState
 from topazhold.core.draining import Draining
+from topazhold.core.jobs import DISTANT_PAST
 from topazhold.core.machines import COMMANDS_UNREACHABLE, Machine, MachineState
 from topazhold.core.task_attempts import AttemptState
 
@@ -47,8 +48,6 @@
 #: Heartbeat intervals without a heartbeat here after which an unsynced worker is sent the term
 #: directly.
 ANNOUNCEMENT_INTERVALS = 0.4
-#: Seconds; earlier than any time of the monotonic clock.
-NEVER = -1e9
 
 
 class ZoneCounts(NamedTuple):
@@ -205,7 +204,7 @@
         # When a partition ends, machines return one by one, and the last ones look like
         # isolated failures.
         if (
-            now - self._partition_seen_at.get(machine.zone, NEVER)
+            now - self._partition_seen_at.get(machine.zone, DISTANT_PAST)
             < ISOLATED_RELEASE_LEASES * self._lease_s
         ):
             return math.inf
--- a/topazhold/core/resource_offers.py
+++ b/topazhold/core/resource_offers.py
@@ -7,7 +7,7 @@
 
 from topazhold.core import autoscaling, preemption
 from topazhold.core.cluster_state import ClusterState
-from topazhold.core.jobs import GangState, Job, Resources
+from topazhold.core.jobs import DISTANT_PAST, GangState, Job, Resources
 from topazhold.core.machines import Machine, MachineState
 from topazhold.core.reservations import ReservationTable, add_reservation
 from topazhold.core.resource_offer import (
@@ -35,8 +35,6 @@
 MIN_BOOT_WAIT_HEARTBEATS = 2
 #: Mean wait for a worker's next heartbeat, in heartbeat intervals.
 MEAN_HEARTBEAT_WAIT = 0.5
-#: Seconds; earlier than any time of the monotonic clock.
-NEVER = -1e9
 
 
 class CachedOffer(NamedTuple):
@@ -260,7 +258,7 @@
 
     def _offers_of_zone(self, zone: str, now: float) -> list[ResourceOffer]:
         """Return all offers of a zone, cached for searches and summaries at about the same time."""
-        at, offers = self._zone_offers.get(zone, (NEVER, []))
+        at, offers = self._zone_offers.get(zone, (DISTANT_PAST, []))
         if now - at < OFFER_LIST_MAX_AGE_HEARTBEATS * self._heartbeat_interval_s:
             return offers
         offers = []
