--- a/topazhold/core/autoscaling.py
+++ b/topazhold/core/autoscaling.py
@@ -84,13 +84,13 @@
             self.counts[key] = self.counts.get(key, 0) + 1
 
     def count(self, spot: bool) -> int:
-        """Return the number of spot or ordinary machines in all zones."""
+        """Return the number of spot or on-demand machines in all zones."""
         return sum(count for (_, is_spot), count in self.counts.items() if is_spot is spot)
 
 
 @dataclass(frozen=True, slots=True)
 class _Supply:
-    """Spot or ordinary machines of one type, and the zones where more may be requested."""
+    """Spot or on-demand machines of one type, and the zones where more may be requested."""
 
     machine_type: str
     spot: bool
@@ -138,29 +138,29 @@
 ) -> list[ScaleOutRequest]:
     """Return the requests that raise a type's capacity to the demand.
 
-    Spot instances are requested first; ordinary machines replace those the cloud can't grant.
+    Spot instances are requested first; on-demand machines replace those the cloud can't grant.
     """
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
-    ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
-    # Ordinary machines beyond their own demand run spot work too.
-    spare_ordinary = max(0, fleet.count(False) - math.ceil(ordinary_demand.total))
+    on_demand_demand = demands.get((machine_type.name, False), CapacityDemand())
+    # On-demand machines beyond their own demand run spot work too.
+    spare_on_demand = max(0, fleet.count(False) - math.ceil(on_demand_demand.total))
     spot_supply = _supply_of(machine_type, True, fleet, capacity_backoff, now)
     spot_plan = _plan_scale_out(
-        spot_supply, math.ceil(spot_demand.total) - spare_ordinary, spot_demand
+        spot_supply, math.ceil(spot_demand.total) - spare_on_demand, spot_demand
     )
-    substitutes = _with_substitutes(ordinary_demand, spot_demand, spot_plan, fleet)
-    ordinary_supply = _supply_of(machine_type, False, fleet, capacity_backoff, now)
-    ordinary_total = math.ceil(ordinary_demand.total) + spot_plan.missing
-    ordinary_plan = _plan_scale_out(ordinary_supply, ordinary_total, substitutes)
-    return spot_plan.requests + ordinary_plan.requests
+    substitutes = _with_substitutes(on_demand_demand, spot_demand, spot_plan, fleet)
+    on_demand_supply = _supply_of(machine_type, False, fleet, capacity_backoff, now)
+    on_demand_total = math.ceil(on_demand_demand.total) + spot_plan.missing
+    on_demand_plan = _plan_scale_out(on_demand_supply, on_demand_total, substitutes)
+    return spot_plan.requests + on_demand_plan.requests
 
 
 def _with_substitutes(
-    ordinary: CapacityDemand, spot: CapacityDemand, spot_plan: _ScaleOutPlan, fleet: Fleet
+    on_demand: CapacityDemand, spot: CapacityDemand, spot_plan: _ScaleOutPlan, fleet: Fleet
 ) -> CapacityDemand:
-    """Return the demand for ordinary machines, including those replacing spot instances."""
+    """Return the demand for on-demand machines, including those replacing spot instances."""
     demand = CapacityDemand(
-        minimum_by_zone=dict(ordinary.minimum_by_zone), bound_by_zone=dict(ordinary.bound_by_zone)
+        minimum_by_zone=dict(on_demand.minimum_by_zone), bound_by_zone=dict(on_demand.bound_by_zone)
     )
     for zone, missing in spot_plan.missing_by_zone.items():
         demand.minimum_by_zone[zone] = demand.minimum_by_zone.get(zone, 0.0) + missing
@@ -258,14 +258,14 @@
     is kept for less, since it is less likely to be needed.
     """
     spot_demand = demands.get((machine_type.name, True), CapacityDemand())
-    ordinary_demand = demands.get((machine_type.name, False), CapacityDemand())
+    on_demand_demand = demands.get((machine_type.name, False), CapacityDemand())
     spot_shortfall = max(0.0, spot_demand.total - fleet.count(True))
     surplus = {
-        False: fleet.count(False) - math.ceil(ordinary_demand.total + spot_shortfall),
+        False: fleet.count(False) - math.ceil(on_demand_demand.total + spot_shortfall),
         True: fleet.count(True) - math.ceil(spot_demand.total),
     }
     minimums = {
-        (zone, False): machines for zone, machines in ordinary_demand.minimum_by_zone.items()
+        (zone, False): machines for zone, machines in on_demand_demand.minimum_by_zone.items()
     }
     minimums.update(
         {(zone, True): machines for zone, machines in spot_demand.minimum_by_zone.items()}
--- a/topazhold/core/capacity_demand.py
+++ b/topazhold/core/capacity_demand.py
@@ -1,4 +1,4 @@
-"""Demand for machines by type, spot or ordinary, and zone, derived from unfinished work."""
+"""Demand for machines by type, spot or on-demand, and zone, derived from unfinished work."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, eq=False)
 class CapacityDemand:
-    """Demand for machines of one type, spot or ordinary: in total, and minimums by zone.
+    """Demand for machines of one type, spot or on-demand: in total, and minimums by zone.
 
     Demand in `bound_by_zone` can't be met in any other zone.
     """
--- a/topazhold/interfaces/cloud.py
+++ b/topazhold/interfaces/cloud.py
@@ -16,7 +16,7 @@
 
 
 class CloudCapacityError(Exception):
-    """The cloud has no machines of the requested type, zone and price model (spot or ordinary)."""
+    """The cloud has no machines of the requested type, zone and price model (spot or on-demand)."""
 
 
 class CloudRequests(Protocol):
