--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -56,7 +56,7 @@
             return
         if not attempt.stopping or (attempt.stop_grace_s or 0.0) > grace_s:
             log.info(
-                "task %s try %d on %s stopped: %s",
+                "task %s attempt %d on %s stopped: %s",
                 attempt.task_name,
                 attempt.attempt_number,
                 attempt.machine,
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -104,7 +104,7 @@
         survey.on_gang_placed(job, attempts)
         job.starting_reservation = reservation.serial
         log.info(
-            "gang %s try %d starts on %s, waited %.1f s",
+            "gang %s attempt %d starts on %s, waited %.1f s",
             job.id,
             attempt_number,
             ",".join(reservation.slots),
