--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -28,8 +28,9 @@
 #: renewal may have to wait for a few other pieces of work; a leader that lost its lease to that
 #: delay would be replaced by one with the same delay.
 MIN_LEASE_CPU_S = 0.2
-#: Maximum drift between monotonic clocks, by which a lease is assumed to end earlier.
-MAX_CLOCK_DRIFT = 0.002
+#: Maximum drift between two monotonic clocks, as a share of the elapsed time; a lease is assumed to
+#: end earlier by it.
+MAX_CLOCK_DRIFT_SHARE = 0.002
 #: Intervals as shares of the lease duration: between renewals, before a retry after an error,
 #: and between checks of a vacant leadership while this controller may not be a candidate.
 RENEWAL_LEASE_SHARE = 0.25
@@ -133,7 +134,7 @@
                     self.id = None
                     await self._on_ended("the lease ended")
                     continue
-                self.valid_until = sent_at + self._controller_lease_s * (1 - MAX_CLOCK_DRIFT)
+                self.valid_until = sent_at + self._controller_lease_s * (1 - MAX_CLOCK_DRIFT_SHARE)
             except KeyValueStoreError as exc:
                 log.debug("lease request failed: %s", exc)
                 await curio.sleep(RETRY_LEASE_SHARE * self._controller_lease_s)
