--- a/topazhold/control/cancellation_enforcer.py
+++ b/topazhold/control/cancellation_enforcer.py
@@ -182,7 +182,7 @@
         try:
             self._placement_hints.update_from_list(await self._cloud.machines())
         except CloudUnavailableError as exc:
-            log.debug("machine list not fetched: %s", exc)
+            log.debug("machine list not read: %s", exc)
 
     async def _probe(self, name: str, hint: PlacementHint) -> None:
         """Ask a worker for its tasks, and kill those of cancelled jobs."""
