--- a/tests/test_compound_failures_elections.py
+++ b/tests/test_compound_failures_elections.py
@@ -161,15 +161,15 @@
         await scenario.start()
         submitting = await curio.spawn(scenario.run_users, 20, 20.0, daemon=True)
         await curio.sleep(15.0)
-        sessions = {w.name: w.incarnation for w in scenario.cloud.workers.values() if w.up}
+        incarnations = {w.name: w.incarnation for w in scenario.cloud.workers.values() if w.up}
         assert scenario.busy_workers()
         for name in list(scenario.controllers):
             await scenario.stop(name)
         await curio.sleep(1.3 * scenario.worker_settings.lease_s)
         assert all(
-            worker.incarnation > sessions[worker.name]
+            worker.incarnation > incarnations[worker.name]
             for worker in scenario.cloud.workers.values()
-            if worker.name in sessions
+            if worker.name in incarnations
         ), "every worker's lease has ended"
         for name in scenario.controller_names:
             await scenario.start_again(name)
--- a/tests/test_compound_failures_late_messages.py
+++ b/tests/test_compound_failures_late_messages.py
@@ -28,8 +28,8 @@
         first_worker.heartbeats_lost_until = scenario.clock.now + 60.0
         first_worker.controller_index = 0
         new = await scenario.wait_for_new_leader(old)
-        # The worker's next session proves that its tasks ended; the new leader learns of it from
-        # the response to a direct command.
+        # The worker's next incarnation proves that its tasks ended; the new leader learns of it
+        # from the response to a direct command.
         lost_tasks = {entry["frame"] for entry in delayed["frames"]}
 
         def placed_again() -> bool:
@@ -140,16 +140,16 @@
 def test_rules_hold_when_old_heartbeats_arrive_after_newer_ones(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Old heartbeats of earlier sessions too arrive at the leader and at followers."""
+    """Old heartbeats, also of earlier incarnations, arrive at the leader and at followers."""
 
     async def act(scenario: Scenario) -> None:
         await scenario.start()
         submitting = await curio.spawn(scenario.run_users, 25, 25.0, daemon=True)
-        earlier_session_count = 0
+        earlier_incarnation_count = 0
         for second in range(40):
             await curio.sleep(1.0)
             workers = list(scenario.cloud.workers.values())
-            if second % 8 == 4:  # at fixed times: random ones sometimes left no earlier session
+            if second % 8 == 4:  # fixed times: random ones sometimes left no earlier incarnation
                 scenario.rng.choice(workers).start_incarnation()
             for worker in workers:
                 older = [
@@ -159,10 +159,10 @@
                     < (worker.incarnation, worker.sequence)
                 ]
                 for heartbeat in scenario.rng.sample(older, min(2, len(older))):
-                    earlier_session_count += heartbeat["flight"] < worker.incarnation
+                    earlier_incarnation_count += heartbeat["flight"] < worker.incarnation
                     name = scenario.rng.choice(list(scenario.controllers))
                     await scenario.network.hosts[name](worker.host, "POST", "/v1/report", heartbeat)
-        assert earlier_session_count > 5, "some heartbeats were of earlier sessions"
+        assert earlier_incarnation_count > 5, "some heartbeats were of earlier incarnations"
         await submitting.join()
         await scenario.wait_for_all_users()
 
--- a/tests/test_compound_failures_partitions.py
+++ b/tests/test_compound_failures_partitions.py
@@ -57,15 +57,17 @@
         jobs = await scenario.submit_running_jobs(2, leader, gpus=4.0, tasks=2, zone="b")
         await scenario.submit_running_jobs(1, leader, gpus=4.0, tasks=1, zone="a")
         zone_workers = [worker for worker in scenario.busy_workers() if worker.zone == "b"]
-        sessions = {worker.name: worker.incarnation for worker in zone_workers}
+        incarnations = {worker.name: worker.incarnation for worker in zone_workers}
         assert len(zone_workers) > 2, "too many to be treated as single silent machines"
         for other in ["a", *EXTERNAL_HOSTS]:
             scenario.network.cuts.add(frozenset(("b", other)))
         await curio.sleep(2.0)
         assert await scenario.cancel(jobs[0], leader) == HTTPStatus.OK
         await curio.sleep(1.4 * scenario.worker_settings.lease_s)
-        kept = [w for w in zone_workers if not w.terminated and w.incarnation == sessions[w.name]]
-        assert kept, "some workers kept their session for longer than a lease"
+        kept = [
+            w for w in zone_workers if not w.terminated and w.incarnation == incarnations[w.name]
+        ]
+        assert kept, "some workers kept their incarnation for longer than a lease"
         await curio.sleep(scenario.worker_settings.cancel_s - scenario.worker_settings.lease_s)
         scenario.network.cuts.clear()
         await scenario.run_users(8, 10.0)
