--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -1,8 +1,7 @@
 """The consensus-backed key-value store: reads, compare-and-swap, leases, watches.
 
-Requests are limited to this controller's share of the store's limits. A priority, one of
-`LEASE_PRIORITY`, `DECISION_PRIORITY` and `USER_PRIORITY`, determines which requests go first
-when the limits are nearly exhausted.
+Requests are limited to this controller's share of the store's limits. When these are nearly
+exhausted, requests with `LEASE_PRIORITY` go first, then `DECISION_PRIORITY`, then `USER_PRIORITY`.
 """
 
 from __future__ import annotations
@@ -45,8 +44,7 @@
 TRANSIENT_FAILURE_TIMEOUTS = 0.75
 #: Maximum seconds that a request waits for the limits.
 MAX_LIMIT_WAIT_S = 1.0
-#: Maximum pause before a transaction of unknown outcome is retried, and the pause before a failed
-#: read of its probe key is retried, in seconds.
+#: Seconds before retrying a transaction of unknown outcome (at most) or a read of its probe key.
 MAX_COMMIT_RETRY_S = 0.25
 PROBE_RETRY_S = 0.1
 #: Minimum attempts at a transaction before its outcome is given up as unknown.
@@ -209,8 +207,7 @@
             return _read(answer, wire.TransactionResult).revision
         if status == HTTPStatus.CONFLICT:
             raise PreconditionFailedError(_read(answer, wire.TransactionResult).failed)
-        # The store answers 400 when a lease has ended before the transaction arrived, and for a
-        # value or a transaction that is too large.
+        # Status 400: a lease ended before this arrived, or a value or the transaction is too large.
         log.info(
             "store answered %d to a transaction: %r; changes: %s",
             status,
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -57,23 +57,18 @@
         announce_released: AnnounceReleased,
         broadcast: Broadcast,
         lease: ControllerLease,
-        election_result: ElectionResult,
+        election: ElectionResult,
     ) -> None:
-        """Create a term that begins at `election_result.elected_at`."""
+        """Create a term that begins at `election.elected_at`."""
         settings, operator = services.settings, services.operator
-        self.term = election_result.term
+        self.term = election.term
         self.loaded = False  # whether all state was read; no decision is made before
         self._cpu_accounting = services.cpu_accounting
         self._released = state.released
         self._machine_types = services.catalog.machine_types
-        self.scheduler = _create_scheduler(services, state, election_result)
+        self.scheduler = _create_scheduler(services, state, election)
         self.context = context = TermContext(
-            settings,
-            services.store,
-            self.scheduler,
-            election_result,
-            lease.is_valid,
-            state.cancellations,
+            settings, services.store, self.scheduler, election, lease.is_valid, state.cancellations
         )
         self._intents = Intents(context)
         self.job_persistence = JobPersistence(context)
@@ -84,7 +79,7 @@
                 services.cloud, self._intents, self._machine_list.list_received, announce_released
             ),
             OperationSettings.from_settings(settings, operator, services.controller_lease_s),
-            election_result.elected_at,
+            election.elected_at,
         )
         self._direct_commands = DirectCommands(
             context, settings.cluster.limits.sockets, services.dial, self._on_direct_heartbeat
@@ -249,15 +244,15 @@
 
 
 def _create_scheduler(
-    services: ControllerServices, state: ControllerState, election_result: ElectionResult
+    services: ControllerServices, state: ControllerState, election: ElectionResult
 ) -> Scheduler:
     scheduler = Scheduler(
         services.settings,
         services.operator,
-        election_result.term,
+        election.term,
         state.reservation_table,
         services.rng,
-        election_result.elected_at,
+        election.elected_at,
     )
     scheduler.machine_types = services.catalog.machine_types
     return scheduler
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -181,7 +181,7 @@
         free for it.
         """
         reserved = planned.reserved_for_others(reservation.job, pending.queue_key, lambda _: True)
-        current_score = score_reservation(
+        score = score_reservation(
             reservation.slots,
             cluster_view.caches,
             pending.spec,
@@ -190,19 +190,15 @@
             self.rules,
         )
         expired = wall - reservation.made_at > self._expiry_s
-        if math.isinf(current_score):
+        if math.isinf(score):
             if expired:
                 del self.reservations.own[reservation.job]
             return group
         margin = max(
             MIN_IMPROVEMENT_HEARTBEATS * self._heartbeat_interval_s,
-            MIN_IMPROVEMENT_SHARE * current_score,
+            MIN_IMPROVEMENT_SHARE * score,
         )
-        if group is not None and group.score < current_score - margin:
+        if group is not None and group.score < score - margin:
             return group
         # Renew an expired reservation that is still the best.
-        return (
-            Group(current_score, current_score, current_score, reservation.slots)
-            if expired
-            else None
-        )
+        return Group(score, score, score, reservation.slots) if expired else None
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -20,10 +20,8 @@
 
 #: Attempt numbers reserved for each term, so that no number is ever used twice.
 ATTEMPTS_PER_TERM = 1 << 24
-#: Heartbeat intervals; a machine takes new work only if the last heartbeat that this controller
-#: itself received from it is younger.
+#: Heartbeat intervals for which a machine takes new work after a heartbeat to this controller.
 MAX_HEARTBEAT_AGE_INTERVALS = 2.5
-
 #: Bytes of a shard's stored value besides its packed attempts.
 SHARD_OVERHEAD_BYTES = 512
 
@@ -37,8 +35,8 @@
     Other parts of the scheduler may read it directly but change it only through its methods.
     It owns the tables `jobs`, `machines`, `zone_of` and `machine_types`, the teams' `usage`, the
     `estimates` of run times, the change counters, the attempt numbers, and the queues of work
-    for the callers: `to_command` (machines to send commands to directly), `releases` (machines
-    to release, with the reason) and `finished` (jobs whose records move to `over`).
+    for the callers: `to_command` (machines for direct commands), `releases` (machines to release,
+    with the reason) and `finished` (jobs whose records move to `over`).
     """
 
     def __init__(
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -91,18 +91,14 @@
             self._preempt_for(job, reserved_by_machine, zones, survey.now)
 
     def _place_replicas(
-        self,
-        job: Job,
-        candidates: list[ReplicaCandidate],
-        zones: dict[str, int],
-        survey: FleetSurvey,
+        self, job: Job, options: list[ReplicaCandidate], zones: dict[str, int], survey: FleetSurvey
     ) -> None:
-        """Fill the cheapest candidates first; each replica raises its machine's and zone's cost."""
+        """Fill the cheapest options first; each replica raises its machine's and zone's cost."""
         on_machine: dict[str, int] = {}
         for attempt in job.attempts.values():
             on_machine[attempt.machine] = on_machine.get(attempt.machine, 0) + 1
         tasks = job.pop_waiting_tasks()
-        heap = [(candidate.cost_s, candidate.machine.name, candidate) for candidate in candidates]
+        heap = [(candidate.cost_s, candidate.machine.name, candidate) for candidate in options]
         heapq.heapify(heap)
         while heap and not survey.is_full:
             queued_cost_s, name, candidate = heapq.heappop(heap)
