--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -31,6 +31,10 @@
 MAX_ENDED_NAME_LENGTH = 40
 #: Bytes assumed per packed attempt when computing how many of a machine fit a value.
 ATTEMPT_BYTES = 64
+BITS_PER_BYTE = 8
+#: Base64 encodes every 3 bytes, the last ones padded, as 4 characters.
+BASE64_GROUP_BYTES = 3
+BASE64_GROUP_CHARACTERS = 4
 
 
 def live_key(job: str) -> str:
@@ -72,7 +76,14 @@
     """Return the most bytes that the first part's completion bitmap adds to a live value."""
     if spec.service:
         return 0
-    return len('"done":"",') + (min(spec.tasks, TASKS_PER_PART) + 7) // 8 * 4 // 3 + 4
+    return (
+        len('"done":"",')
+        + (min(spec.tasks, TASKS_PER_PART) + BITS_PER_BYTE - 1)
+        // BITS_PER_BYTE
+        * BASE64_GROUP_CHARACTERS
+        // BASE64_GROUP_BYTES
+        + BASE64_GROUP_CHARACTERS
+    )
 
 
 def read_live_job(data: Any, revision: int, wall_time: float, monotonic_time: float) -> Job:
