--- a/tests/test_scheduler_launches.py
+++ b/tests/test_scheduler_launches.py
@@ -138,7 +138,8 @@
     machine = harness.scheduler.on_heartbeat(heartbeat, False, harness.now)
     assert machine is not None
     assert (
-        harness.scheduler.response_commands(machine, heartbeat, harness.now, launches=False) == []
+        harness.scheduler.response_commands(machine, heartbeat, harness.now, include_launches=False)
+        == []
     )
     assert launched(harness.scheduler.response_commands(machine, heartbeat, harness.now)) == [
         "wk-000001/0"
--- a/topazhold/control/controller_services.py
+++ b/topazhold/control/controller_services.py
@@ -66,10 +66,10 @@
     """
     cluster = settings.cluster
     controller_lease_s = controller_lease_duration_s(settings)
-    state = parse_address(settings.external.key_value_store)
+    store_address = parse_address(settings.external.key_value_store)
     store = KeyValueStore(
-        dial(state, STORE_CONNECTIONS),
-        dial(state, WATCH_CONNECTIONS),
+        dial(store_address, STORE_CONNECTIONS),
+        dial(store_address, WATCH_CONNECTIONS),
         cluster.key_value_store,
         timeout_s=STORE_TIMEOUT_LEASE_SHARE * controller_lease_s,
     )
--- a/topazhold/control/heartbeat_forwarding.py
+++ b/topazhold/control/heartbeat_forwarding.py
@@ -24,9 +24,9 @@
 log = logging.getLogger(__name__)
 
 #: Maximum messages to the leader per heartbeat interval.
-MAX_FORWARD_FRAMES = 8
+MAX_FORWARD_MESSAGES = 8
 #: Maximum bytes of heartbeats in one message.
-FORWARD_FRAME_BYTES = MAX_MESSAGE_BYTES // 4
+FORWARD_MESSAGE_BYTES = MAX_MESSAGE_BYTES // 4
 #: Share of the store's write rate that forwarding through the store may use.
 FORWARD_WRITE_SHARE = 0.2
 
@@ -45,12 +45,12 @@
     ) -> None:
         self._node = settings.node_name
         self._heartbeat_interval_s = settings.cluster.workers.heartbeat_interval_s
-        state = settings.cluster.key_value_store
-        self._value_limit = int(state.lasting_value_bytes * records.MAX_VALUE_SHARE)
+        limits = settings.cluster.key_value_store
+        self._value_limit = int(limits.lasting_value_bytes * records.MAX_VALUE_SHARE)
         # Values per interval: limited by the write rate and by the size of a transaction.
-        max_by_rate = FORWARD_WRITE_SHARE * state.lasting_write_rps * self._heartbeat_interval_s
+        max_by_rate = FORWARD_WRITE_SHARE * limits.lasting_write_rps * self._heartbeat_interval_s
         max_by_size = MAX_TXN_VALUE_BYTES // self._value_limit
-        self._max_values = max(1, int(min(max_by_rate, state.lasting_txn_ops, max_by_size)))
+        self._max_values = max(1, int(min(max_by_rate, limits.lasting_txn_ops, max_by_size)))
         self._store = store
         self._leadership = leadership
         self._follower_heartbeats = follower_heartbeats
@@ -71,8 +71,8 @@
             await self._forward_to_leader(leader)
 
     async def _forward_to_leader(self, leader: str) -> None:
-        for _ in range(MAX_FORWARD_FRAMES):
-            heartbeats = self._follower_heartbeats.take_for_forwarding(FORWARD_FRAME_BYTES)
+        for _ in range(MAX_FORWARD_MESSAGES):
+            heartbeats = self._follower_heartbeats.take_for_forwarding(FORWARD_MESSAGE_BYTES)
             if not heartbeats:
                 break
             await self._peers.send(leader, Relay(RELAY, self._leadership.term, heartbeats))
--- a/topazhold/control/machine_list.py
+++ b/topazhold/control/machine_list.py
@@ -28,7 +28,8 @@
     async def loop(self) -> None:
         """Read the list periodically; a read that fails is repeated at the next interval."""
         pause_s = max(
-            self._context.heartbeat_interval_s, LIST_INTERVAL_LAGS * self._context.scheduler.lag_s
+            self._context.heartbeat_interval_s,
+            LIST_INTERVAL_LAGS * self._context.scheduler.list_lag_s,
         )
         await work_then_wait(pause_s, self._read)
 
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -38,7 +38,7 @@
         settings: Settings,
         store: KeyValueStore,
         scheduler: Scheduler,
-        election_result: ElectionResult,
+        election: ElectionResult,
         lease_is_valid: LeaseIsValid,
         cancellations: Cancellations | None = None,
     ) -> None:
@@ -47,8 +47,8 @@
         self.zones = cluster.zones
         self.store = store
         self.scheduler = scheduler
-        self.term = election_result.term
-        self.revision = election_result.revision
+        self.term = election.term
+        self.revision = election.revision
         if cancellations is None:
             workers = cluster.workers
             cancellations = Cancellations(self.node, workers.cancel_s, workers.lease_s)
--- a/topazhold/core/cancellations.py
+++ b/topazhold/core/cancellations.py
@@ -69,7 +69,7 @@
         self._received: dict[str, _Received] = {}  # by peer
 
     def add(self, job: str, at: float, now: float) -> bool:
-        """Add a cancellation confirmed at `at`; return whether it is new (both times of day)."""
+        """Add a cancellation confirmed at `at`; return whether it is new (wall-clock times)."""
         if job in self._entries or now - at > self._retention_s:
             return False
         self._last_number += 1
@@ -96,7 +96,7 @@
         return entry.at if entry is not None else None
 
     def cancelled_since(self, at: float) -> list[tuple[str, float]]:
-        """Return the jobs cancelled after `at` with their times of day, newest first."""
+        """Return the jobs cancelled after `at` with their wall-clock times, newest first."""
         return [(job, entry.at) for job, entry in reversed(self._entries.items()) if entry.at > at]
 
     # -- workers -------------------------------------------------------------
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -37,9 +37,9 @@
         self._lease_s = cluster.lease_s
         self._cancel_s = cluster.timing.cancel_s
 
-    def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
+    def on_job_ended(self, job_id: str, done: bool, ended_at: float, now: float) -> None:
         """Handle the move of a job to `over` by this or another controller."""
-        job = self._cluster.end_job(job_id, done, over_at)
+        job = self._cluster.end_job(job_id, done, ended_at)
         if job is None:
             return
         for attempt in list(job.attempts.values()):
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -51,13 +51,13 @@
             if attempt.job.service:
                 services = add_resources(services, attempt.job.need)
         key = (machine.machine_type.name, round(services[0], 3), round(services[2], 3), need)
-        found = self._shares.get(key)
-        if found is None:
+        share = self._shares.get(key)
+        if share is None:
             before = add_resources(machine.total, services, -1.0)
-            found = self._shares[key] = self._share_displaced(
+            share = self._shares[key] = self._share_displaced(
                 before, add_resources(before, need, -1.0)
             )
-        return found
+        return share
 
     def _share_displaced(self, before: Resources, after: Resources) -> float:
         sizes = self._sizes
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -48,7 +48,7 @@
         self.heartbeat_interval_s = parts.timing.heartbeat_interval_s
         self.lease_s = parts.timing.lease_s
         self.cancel_s = parts.timing.cancel_s
-        self.lag_s = parts.timing.list_lag_s
+        self.list_lag_s = parts.timing.list_lag_s
         self.summary_s = parts.timing.summary_s
         self.cluster = cluster = parts.cluster
         self.jobs = cluster.jobs
@@ -116,9 +116,9 @@
         """Add a live job: newly accepted, or loaded by a new leader."""
         self.cluster.add_job(job)
 
-    def on_job_ended(self, job_id: str, done: bool, over_at: float, now: float) -> None:
+    def on_job_ended(self, job_id: str, done: bool, ended_at: float, now: float) -> None:
         """Handle the move of a job's record to `over`, by this or another controller."""
-        self._eviction.on_job_ended(job_id, done, over_at, now)
+        self._eviction.on_job_ended(job_id, done, ended_at, now)
 
     def refresh_guarantees(self) -> None:
         """Update which jobs are within their teams' guaranteed quota, if that may have changed."""
@@ -161,10 +161,10 @@
         return self.cluster.usable(machine, now)
 
     def on_machine_list(
-        self, listed_machines: Iterable[ListedMachine], asked_at: float, now: float
+        self, listed_machines: Iterable[ListedMachine], requested_at: float, now: float
     ) -> None:
-        """Reconcile with a complete machine list of the cloud, requested at `asked_at`."""
-        self.parts.machine_lists.on_machine_list(listed_machines, asked_at, now)
+        """Reconcile with a complete machine list of the cloud, requested at `requested_at`."""
+        self.parts.machine_lists.on_machine_list(listed_machines, requested_at, now)
 
     # -- workers ---------------------------------------------------------------
 
@@ -178,10 +178,10 @@
         return self._heartbeats.on_heartbeat(heartbeat, direct, now, forwarded)
 
     def response_commands(
-        self, machine: Machine, heartbeat: Heartbeat, now: float, launches: bool = True
+        self, machine: Machine, heartbeat: Heartbeat, now: float, include_launches: bool = True
     ) -> list[Command]:
         """Return the commands for the response to a heartbeat: clears, kills, then launches."""
-        return self._commands.response_commands(machine, heartbeat, now, launches)
+        return self._commands.response_commands(machine, heartbeat, now, include_launches)
 
     def kills(self, machine: Machine) -> list[Command]:
         """Return kills for all tasks that must leave the machine; they are idempotent."""
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -63,8 +63,8 @@
         if not self._machines_listed.is_set():
             return False
         if not self._fleet_known_at:
-            lag_s = self._context.scheduler.lag_s if self._context.term > 1 else 0.0
-            self._fleet_known_at = await curio.clock() + lag_s
+            list_lag_s = self._context.scheduler.list_lag_s if self._context.term > 1 else 0.0
+            self._fleet_known_at = await curio.clock() + list_lag_s
         return await curio.clock() >= self._fleet_known_at
 
     async def _scale_out(self) -> bool:
