--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -28,8 +28,8 @@
 #: renewal may have to wait for a few other pieces of work; a leader that lost its lease to that
 #: delay would be replaced by one with the same delay.
 MIN_LEASE_CPU_S = 0.2
-#: Maximum drift between two monotonic clocks, as a share of the elapsed time; a lease is assumed to
-#: end earlier by it.
+#: Maximum drift between two monotonic clocks, as a share of the elapsed time. A lease is assumed
+#: to end earlier by this share.
 MAX_CLOCK_DRIFT_SHARE = 0.002
 #: Intervals as shares of the lease duration: between renewals, before a retry after an error,
 #: and between checks of a vacant leadership while this controller may not be a candidate.
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -108,9 +108,7 @@
         # A response extends a task's life by one lease. Up to this long after the last ping,
         # a task cancelled since then still ends within `cancel_s`.
         self._max_silence_s = max(0.0, timing.cancel_s - lease_s * (1 + MAX_CLOCK_DRIFT_SHARE))
-        self._peers_can_enforce = (
-            False  # whether a peer can end tasks served here, as of the last ping
-        )
+        self._peers_can_enforce = False  # as of the last ping: a peer can end tasks served here
         self._started_at = now
         self._last_ping_at: dict[str, float] = {}  # by peer
         self._store_available: dict[str, bool] = {}  # by peer, as of its last ping
--- a/topazhold/control/intents.py
+++ b/topazhold/control/intents.py
@@ -221,7 +221,7 @@
     async def prune(self, shards: set[IntentShard]) -> None:
         """Remove the intents of machines that no longer exist.
 
-        Where that fails, a new leader finds out by itself that these machines are gone.
+        If that fails, a new leader detects that these machines are gone.
         """
         context = self._context
         machines = context.scheduler.machines
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -1,4 +1,4 @@
-"""Progress of jobs in the store: which tasks are done, and which jobs are over."""
+"""Progress of jobs in the store: which tasks are done, and which jobs have ended."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
                 return
 
     async def finish(self, job: Job) -> None:
-        """Try to move a complete job to `over/`; users are told that it is done only afterwards.
+        """Try to move a complete job to `over/`; users see it as done only afterwards.
 
         Raises LeadershipLostError if the term is over.
         """
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -106,7 +106,7 @@
         """
         now = await curio.clock()
         if request.priority < USER_PRIORITY:
-            # Decisions wait for the limits; users are told at once to retry later.
+            # Decisions wait for the limits; users get an immediate refusal and retry later.
             wait_s = min(MAX_LIMIT_WAIT_S, await self.wait_s(request.priority, request.writes))
             if wait_s > 0:
                 await curio.sleep(wait_s)
--- a/topazhold/control/pending_gangs.py
+++ b/topazhold/control/pending_gangs.py
@@ -23,7 +23,7 @@
 #: Maximum searches in one round of a follower, which has more time for them. Its share of a core
 #: may allow fewer: a round longer than `FOLLOWER_ROUND_S` would delay lease renewals and responses.
 MAX_FOLLOWER_SEARCHES = 64
-#: Seconds that a search takes on a whole core, about.
+#: Approximate seconds that a search takes on a whole core.
 SEARCH_CPU_S = 0.003
 #: Maximum seconds of a follower's round.
 FOLLOWER_ROUND_S = 0.25
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -64,7 +64,7 @@
         self.shards = IntentShards(self.max_value_bytes)
         self.plan_requested = curio.Event()
         self.commands_due = curio.Event()  # set to send direct commands at once
-        #: Removes the stored records of a job that is over; set by the component that does it.
+        #: Removes the stored records of an ended job; set by the component that does it.
         self.clean_up: JobCleanup = lambda job: None
         self._sequence = 0
 
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -64,7 +64,7 @@
         self.to_command: set[str] = set()
         self.releases: dict[str, str] = {}
         self.finished: list[Job] = []
-        # Counts every change, other than the passing of time, that may alter a scheduling
+        # Counts every change, except the passing of time, that may alter a scheduling
         # round: jobs and machines added, removed or changing state, tasks placed or removed.
         self.changes = 0
         # The subset for machines that are added, removed, or become usable or unusable.
--- a/topazhold/core/eviction.py
+++ b/topazhold/core/eviction.py
@@ -117,7 +117,7 @@
         self._cluster.count_changes(job.gang_state is not previous_state)
 
     def stop_ended_job(self, job: Job, now: float) -> None:
-        """Stop the remaining tasks of a job that is over."""
+        """Stop the remaining tasks of an ended job."""
         for attempt in list(job.attempts.values()):
             if job.state is JobState.DONE:
                 if now - attempt.state_since > self._lease_s and not attempt.stopping:
--- a/topazhold/core/failure_attribution.py
+++ b/topazhold/core/failure_attribution.py
@@ -14,7 +14,7 @@
 
 #: Machines on which a job must fail to count as faulty itself.
 BAD_JOB_MACHINES = 3
-#: Times that the backoff of a faulty job doubles at most.
+#: Maximum number of times that the backoff of a faulty job doubles.
 MAX_BACKOFF_DOUBLINGS = 5
 #: Leases for which a machine on which a replica ended by itself is remembered.
 FAILURE_WINDOW_LEASES = 4.0
--- a/topazhold/core/failure_detection.py
+++ b/topazhold/core/failure_detection.py
@@ -17,7 +17,7 @@
 #: Leases after which an isolated machine that commands don't reach is released.
 UNREACHABLE_RELEASE_LEASES = 2.0
 #: Up to this many failed machines of a zone are treated as isolated failures. If more fail,
-#: and more than this share of the zone, the cause is taken to be a network partition.
+#: and more than this share of the zone, a network partition is assumed.
 MAX_ISOLATED_FAILURES = 2
 PARTITION_SHARE = 0.4
 #: Leases of silence after which a machine is suspected, and after which it is released if it
--- a/topazhold/core/fleet_survey.py
+++ b/topazhold/core/fleet_survey.py
@@ -29,7 +29,7 @@
 
 
 class NonServiceSizes:
-    """Task sizes of live jobs other than services, and how far a replica would displace them.
+    """Task sizes of live jobs except services, and the share that a replica would displace.
 
     Owns a cache of the shares, by machine type and what services use of the machine.
     """
@@ -111,7 +111,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the round may plan no more attempts."""
+        """Whether the round has planned its maximum of attempts."""
         return len(self.planned) >= MAX_PLACED_TASKS
 
     # -- claims on teams' limits ---------------------------------------------
--- a/topazhold/core/records.py
+++ b/topazhold/core/records.py
@@ -32,7 +32,7 @@
 #: Bytes assumed per packed attempt when computing how many of a machine fit a value.
 ATTEMPT_BYTES = 64
 BITS_PER_BYTE = 8
-#: Base64 encodes every 3 bytes, the last ones padded, as 4 characters.
+#: Base64 encodes each group of this many bytes, the last one padded, as this many characters.
 BASE64_GROUP_BYTES = 3
 BASE64_GROUP_CHARACTERS = 4
 
@@ -134,7 +134,7 @@
         InvalidMessageError, TypeError, ValueError: the value is not a valid ended job.
     """
     if not isinstance(data, dict):
-        raise InvalidMessageError("not a job that is over")
+        raise InvalidMessageError("not an ended job")
     spec = convert(data.get("spec"), JobSpec)
     at = float(data.get("at", wall_time))
     job = Job(spec, monotonic_time, at, "")
--- a/topazhold/core/replica_placement.py
+++ b/topazhold/core/replica_placement.py
@@ -238,5 +238,5 @@
 
 
 def _zone_full(job: Job, in_zone: int) -> bool:
-    """Return whether a scattered job may have no more replicas in a zone that has `in_zone`."""
+    """Return whether `in_zone` is the maximum of a job that must spread over zones."""
     return job.spec.spread_zones and in_zone >= (job.spec.tasks + 1) // 2
--- a/topazhold/core/scheduler.py
+++ b/topazhold/core/scheduler.py
@@ -149,7 +149,7 @@
         self.cluster.release(machine, reason, now)
 
     def must_be_released(self, name: str) -> bool:
-        """Return whether a machine is released because of a cancelled job's task."""
+        """Return whether a cancelled job still has an attempt on the machine."""
         return self.cluster.must_be_released(name)
 
     def remove_machine(self, name: str, now: float) -> None:
@@ -217,7 +217,7 @@
         return self._failure_detection.machines_without_heartbeat(now)
 
     def is_partitioned_from_workers(self, now: float) -> bool:
-        """Return whether most workers reach other controllers but hardly any reach this one."""
+        """Return whether most workers' heartbeats reach other controllers but not this one."""
         return self._failure_detection.is_partitioned_from_workers(now)
 
     def needs_term_announcement(self, machine: Machine, now: float) -> bool:
--- a/topazhold/operations/operation_log.py
+++ b/topazhold/operations/operation_log.py
@@ -174,7 +174,7 @@
             operation.confirm_if_empty(now)
 
     def refuse(self, operation: AnyOperation, cause: RefusalCause, reason: str) -> None:
-        """Refuse an operation whose record cannot be stored; it is forgotten unsent.
+        """Refuse an operation whose record cannot be stored; it is dropped without being sent.
 
         An operation that bypassed its record is still completed.
         """
--- a/topazhold/operations/requests.py
+++ b/topazhold/operations/requests.py
@@ -11,7 +11,7 @@
 
 #: Number of unanswered requests after which a scale-out no longer blocks others.
 MAX_BLOCKING_REQUESTS = 6
-#: Maximum unanswered scale-outs; no more are decided beyond.
+#: Maximum unanswered scale-outs; no further ones are decided until one is answered.
 MAX_OPEN_SCALE_OUTS = 8
 
 
--- a/topazhold/operations/scale_out.py
+++ b/topazhold/operations/scale_out.py
@@ -21,8 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-#: How long no more machines of a kind are requested after the cloud had too few, in heartbeat
-#: intervals.
+#: Pause of requests for a kind of machine after the cloud had too few, in heartbeat intervals.
 CAPACITY_BACKOFF_HEARTBEATS = 4
 
 
