--- a/topazhold/control/cloud.py
+++ b/topazhold/control/cloud.py
@@ -66,15 +66,15 @@
         body = wire.scale_out_body(
             name, request.machine_type, request.zone, request.spot, request.count
         )
-        status, answer = await self._send("POST", wire.MACHINES_PATH, body)
-        if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in answer:
+        status, response = await self._send("POST", wire.MACHINES_PATH, body)
+        if status == HTTPStatus.SERVICE_UNAVAILABLE and b"no capacity" in response:
             raise CloudCapacityError
         if status == HTTPStatus.BAD_REQUEST:
             raise CloudRequestRejectedError(f"status {status}")
         if status != HTTPStatus.OK:
             raise CloudUnavailableError(f"status {status}")
         try:
-            return decode(answer, wire.ScaleOutResponse).machines
+            return decode(response, wire.ScaleOutResponse).machines
         except InvalidMessageError as exc:
             raise CloudUnavailableError(f"rental: {exc}") from None
 
--- a/topazhold/control/controller.py
+++ b/topazhold/control/controller.py
@@ -222,8 +222,8 @@
                 else HTTPStatus.SERVICE_UNAVAILABLE
             )
         self.cpu_accounting.set_category(WorkCategory.USERS)
-        answer = await self.users.handle(request)
-        return answer if answer is not None else Response(HTTPStatus.NOT_FOUND)
+        response = await self.users.handle(request)
+        return response if response is not None else Response(HTTPStatus.NOT_FOUND)
 
     async def peer_message(self, message: tuple[Any, ...]) -> None:
         """Handle a message of another controller; raises what `PeerService.handle` raises."""
--- a/topazhold/control/direct_commands.py
+++ b/topazhold/control/direct_commands.py
@@ -1,4 +1,4 @@
-"""Commands sent directly to workers; the answer to the next heartbeat repeats them."""
+"""Commands sent directly to workers; the response to the next heartbeat repeats them."""
 
 from __future__ import annotations
 
@@ -105,10 +105,10 @@
             del self._in_flight[machine.name]
 
     async def send(self, machine: Machine, commands: list[Command]) -> None:
-        """Send commands by POST /commands and process the heartbeat in the answer.
+        """Send commands by POST /commands and process the heartbeat in the response.
 
-        Raises LeadershipLostError if the worker knows a higher term. Commands without an answer
-        are not retried here, since the answer to the next heartbeat repeats them.
+        Raises LeadershipLostError if the worker knows a higher term. Commands without a response
+        are not retried here, since the response to the next heartbeat repeats them.
         """
         assert machine.endpoint is not None
         try:
--- a/topazhold/control/election.py
+++ b/topazhold/control/election.py
@@ -122,7 +122,7 @@
             sent_at = await curio.clock()
             try:
                 if self._needs_confirmation(sent_at):
-                    # Requests may reach the store while its answers are lost. Renewing the
+                    # Requests may reach the store while its responses are lost. Renewing the
                     # lease blindly would then block every other candidate forever.
                     await self._store.get(LEADER_KEY, LEASE_PRIORITY)
                 if self.id is None:
@@ -143,9 +143,9 @@
             await curio.sleep(RENEWAL_LEASE_SHARE * self._controller_lease_s)
 
     def _needs_confirmation(self, now: float) -> bool:
-        """Return whether the lease may have ended and recent requests got no answer.
+        """Return whether the lease may have ended and recent requests got no response.
 
-        A refusal counts as an answer: during an outage the store refuses requests, but no
+        A refusal counts as a response: during an outage the store refuses requests, but no
         lease expires.
         """
         if self.id is None or self.is_valid(now):
@@ -220,7 +220,7 @@
 
         Either an earlier process of this controller won the election: that process is dead and
         issues no more commands, so its lease need not be left to expire. Or this process won
-        it, but the store's answer was lost. Returns True if a lease was revoked.
+        it, but the store's response was lost. Returns True if a lease was revoked.
         """
         value = read_leader_value(entry.data)
         if value is None or value[0] != self._leadership.node or self._leadership.is_leader:
--- a/topazhold/control/job_persistence.py
+++ b/topazhold/control/job_persistence.py
@@ -47,7 +47,7 @@
         """Move complete jobs until all are moved or a move fails."""
         finished = self._context.scheduler.finished
         while finished:
-            # Move several at a time: users expect `done` within seconds, and one slow answer of
+            # Move several at a time: users expect `done` within seconds, and one slow response of
             # the store must not delay all other jobs.
             batch = finished[:MAX_CONCURRENT_MOVES]
             async with curio.TaskGroup() as group:
--- a/topazhold/control/key_value_store.py
+++ b/topazhold/control/key_value_store.py
@@ -49,7 +49,7 @@
 PROBE_RETRY_S = 0.1
 #: Minimum attempts at a transaction before its outcome is given up as unknown.
 MIN_COMMIT_ATTEMPTS = 8
-#: Maximum bytes of an answer that are logged.
+#: Maximum bytes of a response that are logged.
 MAX_LOGGED_BYTES = 200
 
 MS_PER_S = 1000
@@ -63,7 +63,7 @@
     priority: float
     message: Any = None
     writes: int = 0
-    block_s: float | None = None  # for a watch: how long the store may delay the answer
+    block_s: float | None = None  # for a watch: how long the store may delay the response
 
 
 class KeyValueStore:
@@ -80,7 +80,7 @@
         self._limits = StoreLimits(limits)
         self._timeout_s = timeout_s
         self.failing_since: float | None = None  # monotonic clock, seconds
-        self.unanswered_requests = 0  # consecutive; a refusal counts as an answer
+        self.unanswered_requests = 0  # consecutive; a refusal counts as a response
 
     def is_available(self, now: float) -> bool:
         """Return whether the store answers this controller, ignoring transient failures."""
@@ -117,7 +117,7 @@
         return now
 
     async def _send(self, request: _Request) -> tuple[int, bytes]:
-        """Send a request; return the status and body of the answer.
+        """Send a request; return the status and body of the response.
 
         Raises StoreUnavailableError or OutcomeUnknownError.
         """
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -39,7 +39,7 @@
 
 log = logging.getLogger(__name__)
 
-#: Longest wait of a heartbeat's answer for a planning round, in heartbeat intervals; the answer
+#: Longest wait of a heartbeat's response for a planning round, in heartbeat intervals; the response
 #: can then carry the launches of that round.
 MAX_PLAN_WAIT_HEARTBEATS = 0.1
 
@@ -154,9 +154,9 @@
     async def on_heartbeat(
         self, heartbeat: Heartbeat, direct: bool = False
     ) -> tuple[Machine | None, list[Command]]:
-        """Process a worker's heartbeat; return its machine and the commands for the answer.
+        """Process a worker's heartbeat; return its machine and the commands for the response.
 
-        `direct` marks the answer to a direct command, which gets no commands. Neither does a
+        `direct` marks the response to a direct command, which gets no commands. Neither does a
         heartbeat that was overtaken by a newer one or that matches no machine.
         """
         now = await curio.clock()
--- a/topazhold/control/summaries.py
+++ b/topazhold/control/summaries.py
@@ -126,7 +126,7 @@
     async def _collect(self, now: float) -> dict[str, Any]:
         """Build a summary value by value, yielding to other tasks in between.
 
-        Building it in one go would delay the lease renewal and the answers to workers.
+        Building it in one go would delay the lease renewal and the responses to workers.
         """
         values: dict[str, Any] = {}
         for key, value in self._summary_values(now):
--- a/topazhold/core/cluster_state.py
+++ b/topazhold/core/cluster_state.py
@@ -171,9 +171,9 @@
         return machine
 
     def add_rented(self, name: str, zone: str, spot: bool, machine_type: str, now: float) -> None:
-        """Add a machine that the cloud's answer to a scale-out request names.
+        """Add a machine that the cloud's response to a scale-out request names.
 
-        The answer may be to a repeated request, so a machine that has been removed is ignored.
+        The response may be to a repeated request, so a machine that has been removed is ignored.
         """
         if name not in self._removed_machines:
             self.add_machine(name, zone, spot, machine_type, now)
@@ -236,7 +236,7 @@
             machine.state is MachineState.READY
             and machine.command_unreachable_since is None
             and machine.quarantined_until <= now
-            # Forwarded heartbeats don't count: launches go out only in this controller's answers.
+            # Forwarded heartbeats don't count: launches go out only in this controller's responses.
             and now - machine.last_own_heartbeat_at < self._max_heartbeat_age_s
         )
 
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -48,7 +48,7 @@
         self.last_heartbeat_at: float | None = None
         self.last_answered_at = DISTANT_PAST  # by this controller or a follower
         self.incarnation_since = now  # when the incarnation was first seen
-        self.lost_commands = 0  # launch answers known to be lost, in a row
+        self.lost_commands = 0  # responses with launches known to be lost, in a row
         self.command_unreachable_since: float | None = None
         self.unconfirmed = False  # known only from a possibly stale heartbeat
         self.terminates_at: float | None = None  # from a termination notice
@@ -167,7 +167,7 @@
         self.orphans.clear()
 
     def note_answered(self, directly: bool, now: float) -> None:
-        """Record a heartbeat that gets an answer; `directly` if this controller received it."""
+        """Record a heartbeat that gets a response; `directly` if this controller received it."""
         self.last_answered_at = now
         if directly:
             self.last_own_heartbeat_at = now
@@ -188,7 +188,7 @@
         self.drain("notice", now)
 
     def count_lost_command(self) -> int:
-        """Count a lost answer with launches; return the number since commands last arrived."""
+        """Count a lost response with launches; return the number since commands last arrived."""
         self.lost_commands += 1
         return self.lost_commands
 
--- a/topazhold/core/timing.py
+++ b/topazhold/core/timing.py
@@ -13,7 +13,7 @@
     """Periods from the settings, in seconds."""
 
     heartbeat_interval_s: float  # between two heartbeats of a worker
-    lease_s: float  # a worker without an answer for this long ends its tasks
+    lease_s: float  # a worker without a response for this long ends its tasks
     cancel_s: float  # within which a cancelled job must leave every machine
     list_lag_s: float  # maximum age of the cloud's machine list
     summary_s: float  # between two summaries in the key-value store
--- a/topazhold/interfaces/cloud.py
+++ b/topazhold/interfaces/cloud.py
@@ -8,7 +8,7 @@
 
 
 class CloudUnavailableError(Exception):
-    """The cloud is unreachable, refuses a request for now, or its answer is unusable."""
+    """The cloud is unreachable, refuses a request for now, or its response is unusable."""
 
 
 class CloudRequestRejectedError(CloudUnavailableError):
--- a/topazhold/interfaces/store_errors.py
+++ b/topazhold/interfaces/store_errors.py
@@ -23,11 +23,11 @@
 
 
 class OutcomeUnknownError(KeyValueStoreError):
-    """The store gave no answer: the change may have been applied, or may still be."""
+    """The store sent no response: the change may have been applied, or may still be."""
 
 
 class UnreadableAnswerError(KeyValueStoreError):
-    """The store's answer does not follow its protocol."""
+    """The store's response does not follow its protocol."""
 
 
 class PreconditionFailedError(KeyValueStoreError):
--- a/topazhold/operations/cloud_operations.py
+++ b/topazhold/operations/cloud_operations.py
@@ -138,7 +138,7 @@
 
     def __init__(self, record: ScaleOutRecord) -> None:
         super().__init__(record)
-        self.machines: list[str] = []  # names in the cloud's answer
+        self.machines: list[str] = []  # names in the cloud's response
 
 
 class CleanupOperation(CloudOperation[CleanupRecord]):
--- a/topazhold/operations/inspection.py
+++ b/topazhold/operations/inspection.py
@@ -35,7 +35,7 @@
 
 
 class StoreUnreachableError(Exception):
-    """The key-value store gave no usable answer."""
+    """The key-value store gave no usable response."""
 
 
 class OperationKindState(msgspec.Struct):
@@ -77,7 +77,7 @@
     """Read the leader, all stored operations and the refused operations.
 
     Raises:
-        StoreUnreachableError: the key-value store gave no usable answer.
+        StoreUnreachableError: the key-value store gave no usable response.
     """
     client = Client(parse_address(settings.external.key_value_store), 1)
     store = open_store(client, TIMEOUT_S)
--- a/topazhold/operations/record_writer.py
+++ b/topazhold/operations/record_writer.py
@@ -119,7 +119,7 @@
     async def _resolve_conflicts(self, operations: list[AnyOperation]) -> bool:
         """Resolve conflicts on keys that exist already; return whether all were resolved.
 
-        The keys were written by an earlier attempt that got no answer, or by another writer.
+        The keys were written by an earlier attempt that got no response, or by another writer.
         """
         resolved = [await self._resolve_conflict(operation) for operation in operations]
         return bool(resolved) and all(resolved)
