--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -221,14 +221,14 @@
         lambda reservation: reservation.job == "wk-3",
     )
     assert reserved.reserved_for_others("wk-2", (1, 3, 7.0), preemptible=True).keys() == {"m3"}, (
-        "only wk-3 is gathering its machines"
+        "only the reservation of wk-3 binds preemptible work"
     )
     assert reserved.reserved_for_others("wk-2", (1, 3, 7.0)).keys() == {"m1", "m3"}
     assert reserved.reserved_for_others("wk-2", (1, 3, 8.0), preemptible=True).keys() == {"m3"}
-    without_gathering = ReservedResources(
+    without_binding = ReservedResources(
         reservation_table, lambda reservation: reservation.queue_key, lambda reservation: False
     )
-    assert without_gathering.reserved_for_others("wk-2", (1, 2, 7.0), preemptible=True).keys() == {
+    assert without_binding.reserved_for_others("wk-2", (1, 2, 7.0), preemptible=True).keys() == {
         "m1",
         "m3",
     }
--- a/topazhold/control/follower_heartbeats.py
+++ b/topazhold/control/follower_heartbeats.py
@@ -136,9 +136,11 @@
         return any(now - at < self._silence_threshold_s for at in self._last_ping_at.values())
 
     def is_isolated(self, now: float) -> bool:
-        """Return whether only this controller has lost the store.
+        """Return whether only this controller has lost the store; callers know that it has.
 
-        True if a reachable peer has access to it, or if no peer pings any more.
+        True if a reachable peer has access to the store, or if no peer pings any more. Unlike
+        `is_partitioned`, this may be true while peers are reachable. The isolated failures of
+        `core/failure_detection.py` are failures of machines, not of controllers.
         """
         reachable = [
             peer
--- a/topazhold/control/heartbeat_service.py
+++ b/topazhold/control/heartbeat_service.py
@@ -3,7 +3,9 @@
 - The leader of a loaded term responds 200 with the machine's commands.
 - A leader that is still loading its term, and a follower whose leader the worker can't reach,
   respond 200 with kills of cancelled jobs only, which renews the worker's lease.
-- Any other controller responds 421, with the leader's name if known.
+- A controller that is partitioned from the store and all peers first responds 421 to workers
+  that may find another controller; it answers the others as above.
+- Otherwise the response is 421, with the leader's name if known.
 """
 
 from __future__ import annotations
--- a/topazhold/control/leader_term.py
+++ b/topazhold/control/leader_term.py
@@ -190,7 +190,7 @@
         await self.on_heartbeat(heartbeat, direct=True)
 
     async def on_forwarded_heartbeats(self, heartbeats: Any) -> None:
-        """Process packed heartbeats that a follower received while the leader was unreachable."""
+        """Process packed heartbeats of workers that could reach only a follower."""
         now = await curio.clock()
         changes_before = self.scheduler.changes
         for item in heartbeats:
--- a/topazhold/control/term_context.py
+++ b/topazhold/control/term_context.py
@@ -88,6 +88,7 @@
         now stays as it was, and the next transaction fails in the same way.
         """
         if LEADER_KEY in keys:
+            # The "mark" is the revision of the leader key.
             raise LeadershipLostError("the leadership mark has changed")
         for key in keys:
             try:
--- a/topazhold/core/binding_reservations.py
+++ b/topazhold/core/binding_reservations.py
@@ -148,7 +148,7 @@
         return ReservedResources(
             self._reservation_table,
             self._queue_key_of,
-            lambda reservation: self._is_gathering(reservation, now),
+            lambda reservation: self._binds_preemptible(reservation, now),
         )
 
     def _queue_key_of(self, reservation: Reservation) -> QueueKey | None:
@@ -162,7 +162,7 @@
             else None
         )
 
-    def _is_gathering(self, reservation: Reservation, now: float) -> bool:
+    def _binds_preemptible(self, reservation: Reservation, now: float) -> bool:
         """Return whether the reservation binds preemptible work too.
 
         A task that would be preempted before its image is fetched is of no use.
--- a/topazhold/core/gang_placement.py
+++ b/topazhold/core/gang_placement.py
@@ -22,7 +22,7 @@
 
 #: Heartbeat intervals after a preemption for a gang during which its reservation binds all work,
 #: even work that could be preempted again.
-GATHERING_HEARTBEATS = 2
+PREEMPTION_BINDING_HEARTBEATS = 2
 
 
 class Shortfall(NamedTuple):
@@ -46,7 +46,7 @@
         self._reservations = reservations
         self._limits = limits
         self._eviction = eviction
-        self._gathering_s = GATHERING_HEARTBEATS * cluster.heartbeat_interval_s
+        self._preemption_binding_s = PREEMPTION_BINDING_HEARTBEATS * cluster.heartbeat_interval_s
 
     def place(self, job: Job, survey: FleetSurvey) -> None:
         """Plan all tasks of a gang, or preempt work that keeps it from starting."""
@@ -130,7 +130,7 @@
             if victims is None:
                 return
             chosen += victims
-        job.preempting_until = now + self._gathering_s
+        job.preempting_until = now + self._preemption_binding_s
         for attempt in chosen:
             if not attempt.stopping:
                 self._eviction.preempt(attempt, f"capacity for {job.id}", now)
--- a/topazhold/core/machines.py
+++ b/topazhold/core/machines.py
@@ -23,8 +23,8 @@
     STARTING = "starting"  # rented, no heartbeat yet
     UNSYNCED = "unsynced"  # heartbeats arrive, but none from this term yet
     READY = "ready"
-    DRAINING = "draining"  # takes no new work: termination notice, fault or scale-in
-    RELEASING = "releasing"  # release requested; nothing may be launched
+    DRAINING = "draining"  # takes no new work: termination notice or quarantine
+    RELEASING = "releasing"  # release queued or requested; nothing may be launched
     GONE = "gone"
 
 
--- a/topazhold/core/reservations.py
+++ b/topazhold/core/reservations.py
@@ -181,15 +181,15 @@
         self,
         reservation_table: ReservationTable,
         queue_key_of: Callable[[Reservation], QueueKey | None],
-        is_gathering: Callable[[Reservation], bool],
+        binds_preemptible: Callable[[Reservation], bool],
     ) -> None:
         """Take all binding reservations of the table.
 
         `queue_key_of` returns the current queue key of a reservation's job, or None if the
-        reservation binds no other job. `is_gathering` returns whether the job's resources are
+        reservation binds no other job. `binds_preemptible` returns whether the job's resources are
         being freed or will be available soon.
         """
-        self._is_gathering = is_gathering
+        self._binds_preemptible = binds_preemptible
         queued = [
             _QueuedReservation(queue_key, reservation.serial, reservation)
             for reservation in reservation_table.all()
@@ -202,9 +202,9 @@
         self._by_machine: dict[int, dict[str, Resources]] = {}
 
     def _add(self, queued: _QueuedReservation, sign: int = 1) -> None:
-        is_gathering = self._is_gathering(queued.reservation)
+        binds_preemptible = self._binds_preemptible(queued.reservation)
         for urgency_level in range(ALL_URGENCY_LEVELS, URGENCY_LEVELS):
-            if urgency_level <= queued.queue_key[1] or is_gathering:
+            if urgency_level <= queued.queue_key[1] or binds_preemptible:
                 by_machine = self._by_machine.setdefault(urgency_level, {})
                 add_reservation(by_machine, queued.reservation, sign)
 
--- a/topazhold/operations/cloud_operations.py
+++ b/topazhold/operations/cloud_operations.py
@@ -25,7 +25,7 @@
     """The progress of an operation."""
 
     DECIDED = "decided"  # neither known to be recorded nor sent
-    RECORDED = "recorded"  # its record is committed; it may be sent
+    RECORDED = "recorded"  # may be sent: its record is committed, waived or bypassed
     SENT = "sent"  # requested at least once; the request is repeated until it is answered
     CONFIRMED = "confirmed"  # carried out, or permanently refused
     CLOSED = "closed"  # its record is removed
--- a/topazhold/operations/fenced_executor.py
+++ b/topazhold/operations/fenced_executor.py
@@ -89,6 +89,7 @@
             return False
         if entry is None or entry.revision != self._context.revision:
             self.lease_confidence.mark_lost()
+            # Also raised if the key is absent: the lease ended, with or without a successor.
             raise LeadershipLostError("another leader was found")
         self.lease_confidence.confirm(requested_at)
         return await self.lease_confirmed()
--- a/topazhold/operations/lease_confidence.py
+++ b/topazhold/operations/lease_confidence.py
@@ -20,7 +20,7 @@
 
     CONFIRMED = "confirmed"
     DOUBTED = "doubted"  # the leader key has to be read first
-    LOST = "lost"  # another leader was found
+    LOST = "lost"  # the leader key is absent or has another revision
 
 
 class LeaseConfidenceTracker:
--- a/topazhold/operations/scale_in.py
+++ b/topazhold/operations/scale_in.py
@@ -1,7 +1,9 @@
 """Scale-in: releases machines, each by one operation that is recorded first.
 
-`Scheduler.releases` maps the machines to release to the reasons: idle, silent, failed,
-unreachable by commands, under a spot notice, or with cancelled tasks not proven to be gone.
+`Scheduler.releases` maps the machines to release to the reasons: idle, silent, failed, never
+started, not listed, unreachable by commands, quarantined, past the end of a spot notice, with
+cancelled tasks not proven to be gone, with unreadable intents, or in an open scale-in of an
+earlier term.
 """
 
 from __future__ import annotations
